--- a/internal/dispatch/coverage.go
+++ b/internal/dispatch/coverage.go
@@ -89,7 +89,7 @@
 // spreadTime: 0 where they are too few for it. They are counted over the
 // window of the retry budget, so that a new desk learns first how many come.
 func (d *Desk) ease(now time.Time, working float64) float64 {
-	d.window.turn(now, d.begun, d.budget)
+	d.window.turn(now, d.started, d.budget)
 	own, _ := d.window.sums()
 	others, _ := d.others.sums(now, d.budget)
 	come := (own + others) * spreadTime.Seconds() / d.budget.Window.Seconds()
--- a/internal/dispatch/desk.go
+++ b/internal/dispatch/desk.go
@@ -28,7 +28,7 @@
 
 // Desk chooses the targets of one service. It isn't safe for concurrent use.
 type Desk struct {
-	begun   time.Time
+	started time.Time
 	budget  Budget
 	random  func() float64
 	targets map[string]*target
@@ -75,7 +75,7 @@
 // NewDesk returns a desk without targets. random gives numbers from 0 to 1.
 func NewDesk(now time.Time, b Budget, random func() float64) *Desk {
 	return &Desk{
-		begun:   now,
+		started: now,
 		room:    now,
 		budget:  b,
 		floor:   floorDefault,
--- a/internal/dispatch/hedge.go
+++ b/internal/dispatch/hedge.go
@@ -22,7 +22,7 @@
 // the more of the retry budget is spent, the surer it must be that the first one
 // gets no answer.
 func (d *Desk) hedges(now time.Time, a *Ask) bool {
-	d.window.turn(now, d.begun, d.budget)
+	d.window.turn(now, d.started, d.budget)
 	all, repeats := d.repeats(now, 1)
 	if all < 1 || a.Age <= 0 || d.hopeless(now, a) {
 		return false
--- a/internal/dispatch/pay.go
+++ b/internal/dispatch/pay.go
@@ -7,7 +7,7 @@
 // affords reports whether the retry budget pays for an ask. part is the share of the
 // reserve that may be used.
 func (d *Desk) affords(now time.Time, a *Ask, part float64) bool {
-	d.window.turn(now, d.begun, d.budget)
+	d.window.turn(now, d.started, d.budget)
 	d.window.asked(now, d.budget)
 	d.others.note(now, a.ID.Node, a.Elsewhere)
 	return !a.Again || d.left(now, part) >= 1
