--- a/internal/dispatch/choose.go
+++ b/internal/dispatch/choose.go
@@ -82,7 +82,7 @@
 func (d *Desk) cheapest(now time.Time, a *Ask, some []*target) *target {
 	var best *target
 	least, bestTried := 0.0, false
-	d.looks += len(some)
+	d.examined += len(some)
 	for _, t := range some {
 		if !t.open(now, a) || d.exhausted(now, t) {
 			continue
--- a/internal/dispatch/desk.go
+++ b/internal/dispatch/desk.go
@@ -35,9 +35,9 @@
 	order   []*target
 	// spare is the memory of the list that free returns.
 	spare []*target
-	// looks counts the targets that were looked at for a choice; serveAgain is when all
+	// examined counts the targets that were looked at for a choice; serveAgain is when all
 	// that waits may be looked at again.
-	looks      int
+	examined   int
 	serveAgain time.Time
 	queue      queue
 	window     window
--- a/internal/dispatch/serve.go
+++ b/internal/dispatch/serve.go
@@ -43,8 +43,8 @@
 func (d *Desk) serve(now time.Time) []Grant {
 	out := d.expire(now)
 	defer func() { d.look(now, d.free(now)) }()
-	looks := d.looks
-	defer func() { d.serveAgain = now.Add(lookPause * time.Duration(d.looks-looks)) }()
+	looks := d.examined
+	defer func() { d.serveAgain = now.Add(lookPause * time.Duration(d.examined-looks)) }()
 	for _, near := range [...]bool{true, false} {
 		if len(d.queue.list) == 0 {
 			break
