--- a/internal/dispatch/desk.go
+++ b/internal/dispatch/desk.go
@@ -37,12 +37,12 @@
 	spare []*target
 	// examined counts the targets that were looked at for a choice; serveAgain is when all
 	// that waits may be looked at again.
-	examined   int
-	serveAgain time.Time
-	queue      queue
-	window     window
-	others     elsewhere
-	granted    map[ID]string
+	examined  int
+	nextServe time.Time
+	queue     queue
+	window    window
+	others    elsewhere
+	granted   map[ID]string
 	// closed are asks that have ended: a repeated datagram of one of them must not
 	// open it again.
 	closed map[ID]time.Time
--- a/internal/dispatch/end.go
+++ b/internal/dispatch/end.go
@@ -40,7 +40,7 @@
 		t.granted = f.before
 		d.covered = coverage{}
 	}
-	if now.Before(d.serveAgain) {
+	if now.Before(d.nextServe) {
 		return d.freed(now, t)
 	}
 	return d.serve(now)
--- a/internal/dispatch/serve.go
+++ b/internal/dispatch/serve.go
@@ -44,7 +44,7 @@
 	out := d.expire(now)
 	defer func() { d.look(now, d.free(now)) }()
 	looks := d.examined
-	defer func() { d.serveAgain = now.Add(lookPause * time.Duration(d.examined-looks)) }()
+	defer func() { d.nextServe = now.Add(lookPause * time.Duration(d.examined-looks)) }()
 	for _, near := range [...]bool{true, false} {
 		if len(d.queue.list) == 0 {
 			break
