--- a/internal/dispatch/coverage.go
+++ b/internal/dispatch/coverage.go
@@ -91,7 +91,7 @@
 func (d *Desk) ease(now time.Time, working float64) float64 {
 	d.window.turn(now, d.started, d.budget)
 	own, _ := d.window.sums()
-	others, _ := d.others.sums(now, d.budget)
+	others, _ := d.remote.sums(now, d.budget)
 	come := (own + others) * spreadTime.Seconds() / d.budget.Window.Seconds()
 	return min(max(come/max(d.floor*working, 1)-1, 0), 1)
 }
--- a/internal/dispatch/desk.go
+++ b/internal/dispatch/desk.go
@@ -41,7 +41,7 @@
 	nextServe time.Time
 	queue     queue
 	window    window
-	others    elsewhere
+	remote    elsewhere
 	granted   map[ID]string
 	// closed are asks that have ended: a repeated datagram of one of them must not
 	// open it again.
@@ -82,7 +82,7 @@
 		part:    1,
 		random:  random,
 		targets: map[string]*target{},
-		others:  elsewhere{},
+		remote:  elsewhere{},
 		granted: map[ID]string{},
 		closed:  map[ID]time.Time{},
 		model:   health.NewModel(now),
--- a/internal/dispatch/pay.go
+++ b/internal/dispatch/pay.go
@@ -9,7 +9,7 @@
 func (d *Desk) affords(now time.Time, a *Ask, part float64) bool {
 	d.window.turn(now, d.started, d.budget)
 	d.window.asked(now, d.budget)
-	d.others.note(now, a.ID.Node, a.Elsewhere)
+	d.remote.note(now, a.ID.Node, a.Elsewhere)
 	return !a.Again || d.left(now, part) >= 1
 }
 
@@ -26,7 +26,7 @@
 // them were made, by others too. part is the share of the reserve that this desk may
 // use.
 func (d *Desk) repeats(now time.Time, part float64) (all, spent float64) {
-	firsts, repeats := d.others.sums(now, d.budget)
+	firsts, repeats := d.remote.sums(now, d.budget)
 	all, spent = d.window.allowed(now, d.budget, part)
 	return all + shareUsed*d.budget.Share*firsts, spent + repeats
 }
