--- a/internal/dispatch/barred.go
+++ b/internal/dispatch/barred.go
@@ -26,7 +26,7 @@
 func (d *Desk) renew(now time.Time, a *Ask) Grant {
 	if d.barred(now, a) {
 		d.queue.drop(a.ID)
-		d.closed[a.ID] = now
+		d.ended[a.ID] = now
 		d.ends.note(now, false)
 		return a.unserved(Refused, 0)
 	}
--- a/internal/dispatch/desk.go
+++ b/internal/dispatch/desk.go
@@ -43,9 +43,9 @@
 	window    window
 	remote    elsewhere
 	granted   map[ID]string
-	// closed are asks that have ended: a repeated datagram of one of them must not
+	// ended are asks that have ended: a repeated datagram of one of them must not
 	// open it again.
-	closed map[ID]time.Time
+	ended map[ID]time.Time
 	// model is what is learned of the service's targets.
 	model *health.Model
 	// unlearned counts times of answers that the histograms did not take.
@@ -84,7 +84,7 @@
 		targets: map[string]*target{},
 		remote:  elsewhere{},
 		granted: map[ID]string{},
-		closed:  map[ID]time.Time{},
+		ended:   map[ID]time.Time{},
 		model:   health.NewModel(now),
 	}
 }
@@ -238,7 +238,7 @@
 		}
 		return g, true
 	}
-	if _, over := d.closed[id]; over {
+	if _, over := d.ended[id]; over {
 		return Grant{
 			ID:      id,
 			Verdict: Refused,
@@ -343,9 +343,9 @@
 			delete(d.granted, id)
 		}
 	}
-	for id, at := range d.closed {
+	for id, at := range d.ended {
 		if now.Sub(at) > closedTime {
-			delete(d.closed, id)
+			delete(d.ended, id)
 		}
 	}
 	return d.serve(now)
@@ -357,7 +357,7 @@
 	if key, ok := d.granted[id]; ok {
 		return d.Done(now, id, key, ResultIgnored, 0)
 	}
-	d.closed[id] = now
+	d.ended[id] = now
 	if d.queue.has(id) {
 		// Its caller has left.
 		d.queue.drop(id)
--- a/internal/dispatch/end.go
+++ b/internal/dispatch/end.go
@@ -12,7 +12,7 @@
 // makes possible.
 func (d *Desk) Done(now time.Time, id ID, key string, r Result, took time.Duration) []Grant {
 	delete(d.granted, id)
-	d.closed[id] = now
+	d.ended[id] = now
 	t := d.targets[key]
 	if t == nil {
 		return nil
