--- a/internal/dispatch/desk.go
+++ b/internal/dispatch/desk.go
@@ -48,8 +48,8 @@
 	ended map[ID]time.Time
 	// model is what is learned of the service's targets.
 	model *health.Model
-	// unlearned counts times of answers that the histograms did not take.
-	unlearned int
+	// rejectedSamples counts times of answers that the histograms did not take.
+	rejectedSamples int
 	// advanced is when Advance last did its work.
 	advanced time.Time
 	ends     ends
--- a/internal/dispatch/end.go
+++ b/internal/dispatch/end.go
@@ -75,6 +75,6 @@
 		return
 	}
 	if err := route.Answered(took); err != nil {
-		d.unlearned++
+		d.rejectedSamples++
 	}
 }
--- a/internal/dispatch/status.go
+++ b/internal/dispatch/status.go
@@ -63,7 +63,7 @@
 func (d *Desk) Status(now time.Time) Status {
 	s := Status{
 		Waiting:     len(d.queue.list),
-		Unlearned:   d.unlearned,
+		Unlearned:   d.rejectedSamples,
 		Prior:       d.model.Share(),
 		LostFailing: d.model.LostFailing(),
 		Asked:       d.Asked(now),
