--- a/internal/dispatch/desk.go
+++ b/internal/dispatch/desk.go
@@ -50,9 +50,9 @@
 	model *health.Model
 	// rejectedSamples counts times of answers that the histograms did not take.
 	rejectedSamples int
-	// advanced is when Advance last did its work.
-	advanced time.Time
-	ends     ends
+	// lastAdvance is when Advance last did its work.
+	lastAdvance time.Time
+	ends        ends
 	// room is when a slot was last free for which nothing waited that can be in time.
 	room      time.Time
 	covered   coverage
@@ -325,10 +325,10 @@
 // Advance forgets attempts whose end was never told and returns the grants and
 // refusals that are due.
 func (d *Desk) Advance(now time.Time) []Grant {
-	if !d.Busy() && now.Sub(d.advanced) < idleInterval {
+	if !d.Busy() && now.Sub(d.lastAdvance) < idleInterval {
 		return nil
 	}
-	d.advanced = now
+	d.lastAdvance = now
 	d.model.Advance(now)
 	for id, key := range d.granted {
 		t := d.targets[key]
