--- a/internal/dispatch/desk.go
+++ b/internal/dispatch/desk.go
@@ -52,7 +52,7 @@
 	rejectedSamples int
 	// lastAdvance is when Advance last did its work.
 	lastAdvance time.Time
-	ends        ends
+	outcomes    ends
 	// room is when a slot was last free for which nothing waited that can be in time.
 	room      time.Time
 	covered   coverage
@@ -105,11 +105,11 @@
 		}
 		return g
 	}
-	d.ends.refused(now, min(a.Refused, maxRefused))
+	d.outcomes.refused(now, min(a.Refused, maxRefused))
 	d.queue.short = d.short(now)
 	if a.Hedge && !d.hedges(now, a) || !d.affords(now, a, 1) {
 		if !a.Hedge {
-			d.ends.note(now, false)
+			d.outcomes.note(now, false)
 		}
 		return Grant{
 			ID:      a.ID,
@@ -123,7 +123,7 @@
 	case Full:
 		d.charge(a, -1)
 	case Refused:
-		d.ends.note(now, false)
+		d.outcomes.note(now, false)
 	}
 	return g
 }
@@ -361,7 +361,7 @@
 	if d.queue.has(id) {
 		// Its caller has left.
 		d.queue.drop(id)
-		d.ends.note(now, false)
+		d.outcomes.note(now, false)
 	}
 	return nil
 }
--- a/internal/dispatch/sparse.go
+++ b/internal/dispatch/sparse.go
@@ -52,9 +52,9 @@
 	rate, _ := d.come(now)
 	pause := time.Duration(float64(time.Second) / (newcomerShare * max(rate, 1)))
 	t := d.targets[d.newcomers[0]]
-	if now.Sub(d.ends.spread) < pause || !t.open(now, a) || len(t.flights) >= d.slots(now, t) {
+	if now.Sub(d.outcomes.spread) < pause || !t.open(now, a) || len(t.flights) >= d.slots(now, t) {
 		return nil
 	}
-	d.ends.spread = now
+	d.outcomes.spread = now
 	return t
 }
--- a/internal/dispatch/spread.go
+++ b/internal/dispatch/spread.go
@@ -105,7 +105,7 @@
 // spreadOf returns how far work is spread by an ask.
 func (d *Desk) spreadOf(now time.Time, a *Ask) spread {
 	switch {
-	case d.ends.many(now):
+	case d.outcomes.many(now):
 		return spread{
 			share:  failingShare,
 			within: spreadTime,
@@ -154,9 +154,9 @@
 			best = t
 		}
 	}
-	if float64(out) <= (1-s.share)*float64(all) || now.Sub(d.ends.spread) < min(spreadInterval, spreadWithin/time.Duration(out)) {
+	if float64(out) <= (1-s.share)*float64(all) || now.Sub(d.outcomes.spread) < min(spreadInterval, spreadWithin/time.Duration(out)) {
 		return nil
 	}
-	d.ends.spread = now
+	d.outcomes.spread = now
 	return best
 }
