--- a/internal/dispatch/desk.go
+++ b/internal/dispatch/desk.go
@@ -53,11 +53,11 @@
 	// lastAdvance is when Advance last did its work.
 	lastAdvance time.Time
 	outcomes    ends
-	// room is when a slot was last free for which nothing waited that can be in time.
-	room      time.Time
-	covered   coverage
-	accepting accepting
-	floor     float64
+	// lastFreeSlot is when a slot was last free for which nothing waited that can be in time.
+	lastFreeSlot time.Time
+	covered      coverage
+	accepting    accepting
+	floor        float64
 	// warmUntil is until when any target has a limit because it warms up.
 	warmUntil time.Time
 	// newcomers are targets that joined and may have got no request yet, draining counts those
@@ -75,17 +75,17 @@
 // NewDesk returns a desk without targets. random gives numbers from 0 to 1.
 func NewDesk(now time.Time, b Budget, random func() float64) *Desk {
 	return &Desk{
-		started: now,
-		room:    now,
-		budget:  b,
-		floor:   floorDefault,
-		part:    1,
-		random:  random,
-		targets: map[string]*target{},
-		remote:  elsewhere{},
-		granted: map[ID]string{},
-		ended:   map[ID]time.Time{},
-		model:   health.NewModel(now),
+		started:      now,
+		lastFreeSlot: now,
+		budget:       b,
+		floor:        floorDefault,
+		part:         1,
+		random:       random,
+		targets:      map[string]*target{},
+		remote:       elsewhere{},
+		granted:      map[ID]string{},
+		ended:        map[ID]time.Time{},
+		model:        health.NewModel(now),
 	}
 }
 
@@ -159,7 +159,7 @@
 	}
 	if work, _ := d.queue.ahead(now, a.Priority); work == 0 {
 		if t := d.best(now, w, d.free(now)); t != nil {
-			d.room = now
+			d.lastFreeSlot = now
 			return d.grant(now, t, a, false)
 		}
 	}
--- a/internal/dispatch/overload.go
+++ b/internal/dispatch/overload.go
@@ -19,7 +19,7 @@
 func (d *Desk) look(now time.Time, free []*target) {
 	for _, t := range free {
 		if t.failing(now) < goodFrom {
-			d.room = now
+			d.lastFreeSlot = now
 			break
 		}
 	}
@@ -27,12 +27,14 @@
 }
 
 // short reports whether asks wait for slots, and not for better targets than are free.
-func (d *Desk) short(now time.Time) bool { return now.Sub(d.room) > shortAfter }
+func (d *Desk) short(now time.Time) bool { return now.Sub(d.lastFreeSlot) > shortAfter }
 
 // overloaded reports whether an ask that can't be in time will hardly be served: for as long as
 // it could wait no good slot was left over by what can. A burst that is over sooner is worked
 // off, for a late answer is worth more than none.
-func (d *Desk) overloaded(now time.Time, a *Ask) bool { return now.Sub(d.room) > a.Deadline.Sub(a.Aim) }
+func (d *Desk) overloaded(now time.Time, a *Ask) bool {
+	return now.Sub(d.lastFreeSlot) > a.Deadline.Sub(a.Aim)
+}
 
 // longest returns the longest wait that an ask may expect and still be queued.
 func (d *Desk) longest(now time.Time, a *Ask) time.Duration {
--- a/internal/dispatch/serve.go
+++ b/internal/dispatch/serve.go
@@ -67,7 +67,7 @@
 				return false
 			}
 			if k.late {
-				d.room = now
+				d.lastFreeSlot = now
 			}
 			out = append(out, d.grant(now, t, w.ask, false))
 			if len(t.flights) >= d.slots(now, t) {
@@ -121,7 +121,7 @@
 				return false
 			}
 			if k.late {
-				d.room = now
+				d.lastFreeSlot = now
 			}
 			out = append(out, d.grant(now, t, a, false))
 			return true
