--- a/internal/dispatch/backoff.go
+++ b/internal/dispatch/backoff.go
@@ -73,6 +73,6 @@
 		since: now,
 		until: now.Add(min(pause, wanted)),
 	}
-	d.covered = coverage{}
+	d.lastCoverage = coverage{}
 	d.accepting = accepting{}
 }
--- a/internal/dispatch/barred.go
+++ b/internal/dispatch/barred.go
@@ -47,5 +47,5 @@
 	if t.Named {
 		t.drainingUntil = now.Add(drainingNamed)
 	}
-	d.covered = coverage{}
+	d.lastCoverage = coverage{}
 }
--- a/internal/dispatch/configure.go
+++ b/internal/dispatch/configure.go
@@ -93,6 +93,6 @@
 		d.draining += drainingOf(c) - drainingOf(t.Target)
 		d.take(now, t, c)
 	}
-	d.covered = coverage{}
+	d.lastCoverage = coverage{}
 	d.accepting = accepting{}
 }
--- a/internal/dispatch/coverage.go
+++ b/internal/dispatch/coverage.go
@@ -54,7 +54,7 @@
 
 // coverage returns the coverage at now and notes which targets are missed.
 func (d *Desk) coverage(now time.Time) *coverage {
-	c := &d.covered
+	c := &d.lastCoverage
 	if past := now.Sub(c.at); past >= 0 && past < coverInterval {
 		return c
 	}
--- a/internal/dispatch/desk.go
+++ b/internal/dispatch/desk.go
@@ -55,7 +55,7 @@
 	outcomes    ends
 	// lastFreeSlot is when a slot was last free for which nothing waited that can be in time.
 	lastFreeSlot time.Time
-	covered      coverage
+	lastCoverage coverage
 	accepting    accepting
 	floor        float64
 	// warmUntil is until when any target has a limit because it warms up.
@@ -279,7 +279,7 @@
 		d.trials++
 	}
 	if !t.reachedLately(now) {
-		d.covered = coverage{}
+		d.lastCoverage = coverage{}
 	}
 	paced := t.limit.bounded(now)
 	t.limit.take(now, d.part)
--- a/internal/dispatch/end.go
+++ b/internal/dispatch/end.go
@@ -38,7 +38,7 @@
 	if ok && r == ResultUnreached && t.granted.Equal(f.begun) {
 		// Nothing reached the target: it still waits for work.
 		t.granted = f.before
-		d.covered = coverage{}
+		d.lastCoverage = coverage{}
 	}
 	if now.Before(d.nextServe) {
 		return d.freed(now, t)
--- a/internal/dispatch/limit.go
+++ b/internal/dispatch/limit.go
@@ -166,7 +166,7 @@
 	if before == s.Limit {
 		return false
 	}
-	d.covered = coverage{}
+	d.lastCoverage = coverage{}
 	return true
 }
 
