--- a/internal/dispatch/desk.go
+++ b/internal/dispatch/desk.go
@@ -58,8 +58,8 @@
 	lastCoverage coverage
 	accepting    accepting
 	floor        float64
-	// warmUntil is until when any target has a limit because it warms up.
-	warmUntil time.Time
+	// warmupUntil is until when any target has a limit because it warms up.
+	warmupUntil time.Time
 	// newcomers are targets that joined and may have got no request yet, draining counts those
 	// that are published as draining.
 	newcomers []string
--- a/internal/dispatch/limit.go
+++ b/internal/dispatch/limit.go
@@ -131,7 +131,7 @@
 func (d *Desk) Lead(part float64) { d.part = part }
 
 // Limited reports whether any target has a limit.
-func (d *Desk) Limited(now time.Time) bool { return d.limits > 0 || now.Before(d.warmUntil) }
+func (d *Desk) Limited(now time.Time) bool { return d.limits > 0 || now.Before(d.warmupUntil) }
 
 // warm notes that a target works more slowly for a time from now on, and how many requests it may
 // get meanwhile.
@@ -141,7 +141,7 @@
 	}
 	t.limit.warm(now, t.WarmupRate, t.Warmup)
 	if t.WarmupRate > 0 {
-		d.warmUntil = later(d.warmUntil, now.Add(t.Warmup))
+		d.warmupUntil = later(d.warmupUntil, now.Add(t.Warmup))
 	}
 }
 
