--- a/internal/dispatch/configure.go
+++ b/internal/dispatch/configure.go
@@ -62,7 +62,7 @@
 // join notes that a target joins those that the desk has.
 func (d *Desk) join(now time.Time, t *target, published Target) {
 	t.warmUntil = now.Add(published.Warmup)
-	d.newcomers = append(d.newcomers, published.Key)
+	d.newTargets = append(d.newTargets, published.Key)
 }
 
 // Change takes targets that are new or changed, and the keys of those that are gone. All others
--- a/internal/dispatch/desk.go
+++ b/internal/dispatch/desk.go
@@ -60,10 +60,10 @@
 	floor        float64
 	// warmupUntil is until when any target has a limit because it warms up.
 	warmupUntil time.Time
-	// newcomers are targets that joined and may have got no request yet, draining counts those
+	// newTargets are targets that joined and may have got no request yet, draining counts those
 	// that are published as draining.
-	newcomers []string
-	draining  int
+	newTargets []string
+	draining   int
 	// part is the part of the targets' limits that this desk may use, limits how many
 	// targets have one.
 	part   float64
--- a/internal/dispatch/sparse.go
+++ b/internal/dispatch/sparse.go
@@ -39,19 +39,19 @@
 
 // newcomer returns the target that waits longest for its first request, or nil if none is due.
 func (d *Desk) newcomer(now time.Time, a *Ask) *target {
-	for len(d.newcomers) > 0 {
-		t := d.targets[d.newcomers[0]]
+	for len(d.newTargets) > 0 {
+		t := d.targets[d.newTargets[0]]
 		if t != nil && t.granted.IsZero() && !t.drains(now) {
 			break
 		}
-		d.newcomers = d.newcomers[1:]
+		d.newTargets = d.newTargets[1:]
 	}
-	if len(d.newcomers) == 0 {
+	if len(d.newTargets) == 0 {
 		return nil
 	}
 	rate, _ := d.come(now)
 	pause := time.Duration(float64(time.Second) / (newcomerShare * max(rate, 1)))
-	t := d.targets[d.newcomers[0]]
+	t := d.targets[d.newTargets[0]]
 	if now.Sub(d.outcomes.spread) < pause || !t.open(now, a) || len(t.flights) >= d.slots(now, t) {
 		return nil
 	}
