--- a/internal/dispatch/desk.go
+++ b/internal/dispatch/desk.go
@@ -64,10 +64,10 @@
 	// that are published as draining.
 	newTargets []string
 	draining   int
-	// part is the part of the targets' limits that this desk may use, limits how many
+	// limitShare is the part of the targets' limits that this desk may use, limits how many
 	// targets have one.
-	part   float64
-	limits int
+	limitShare float64
+	limits     int
 	// trials counts grants of targets that would have been left out else.
 	trials int
 }
@@ -79,7 +79,7 @@
 		lastFreeSlot: now,
 		budget:       b,
 		floor:        floorDefault,
-		part:         1,
+		limitShare:   1,
 		random:       random,
 		targets:      map[string]*target{},
 		remote:       elsewhere{},
@@ -199,7 +199,7 @@
 	slots := 0.0
 	for _, t := range d.order {
 		if !t.drains(now) {
-			slots += t.limitedSlots(now, d.part, work/time.Duration(n)) * (1 - t.failing(now))
+			slots += t.limitedSlots(now, d.limitShare, work/time.Duration(n)) * (1 - t.failing(now))
 		}
 	}
 	return time.Duration(float64(work) / max(slots, 1))
@@ -282,7 +282,7 @@
 		d.lastCoverage = coverage{}
 	}
 	paced := t.limit.bounded(now)
-	t.limit.take(now, d.part)
+	t.limit.take(now, d.limitShare)
 	before := t.granted
 	t.granted = now
 	doubt := t.lost(now)
--- a/internal/dispatch/limit.go
+++ b/internal/dispatch/limit.go
@@ -128,7 +128,7 @@
 
 // Lead sets which part of the targets' limits this desk may use, 1 for all: others may grant
 // the same targets at the same time.
-func (d *Desk) Lead(part float64) { d.part = part }
+func (d *Desk) Lead(part float64) { d.limitShare = part }
 
 // Limited reports whether any target has a limit.
 func (d *Desk) Limited(now time.Time) bool { return d.limits > 0 || now.Before(d.warmupUntil) }
@@ -208,7 +208,7 @@
 }
 
 // exhausted reports whether the target's limit pays for no grant at now.
-func (d *Desk) exhausted(now time.Time, t *target) bool { return t.limit.wait(now, d.part) > 0 }
+func (d *Desk) exhausted(now time.Time, t *target) bool { return t.limit.wait(now, d.limitShare) > 0 }
 
 // capacity is what the targets that stay can do where each of them has a limit.
 type capacity struct {
@@ -230,11 +230,11 @@
 		if !t.limit.bounded(now) {
 			return capacity{}, false
 		}
-		wait := t.limit.wait(now, d.part)
+		wait := t.limit.wait(now, d.limitShare)
 		if !all || wait < c.next {
 			c.next = wait
 		}
-		c.rate += t.limit.rate(now, d.part)
+		c.rate += t.limit.rate(now, d.limitShare)
 		all = true
 	}
 	return c, all
