--- a/internal/dispatch/choose.go
+++ b/internal/dispatch/choose.go
@@ -13,13 +13,13 @@
 
 // free returns the targets that have a free slot.
 func (d *Desk) free(now time.Time) []*target {
-	d.spare = d.spare[:0]
+	d.freeBuffer = d.freeBuffer[:0]
 	for _, t := range d.order {
 		if !t.drains(now) && len(t.flights) < d.slots(now, t) {
-			d.spare = append(d.spare, t)
+			d.freeBuffer = append(d.freeBuffer, t)
 		}
 	}
-	return d.spare
+	return d.freeBuffer
 }
 
 // best returns which of the free targets an ask should get now, or nil if it should
--- a/internal/dispatch/desk.go
+++ b/internal/dispatch/desk.go
@@ -33,8 +33,8 @@
 	random  func() float64
 	targets map[string]*target
 	order   []*target
-	// spare is the memory of the list that free returns.
-	spare []*target
+	// freeBuffer is the memory of the list that free returns.
+	freeBuffer []*target
 	// examined counts the targets that were looked at for a choice; serveAgain is when all
 	// that waits may be looked at again.
 	examined  int
