--- a/internal/dispatch/desk.go
+++ b/internal/dispatch/desk.go
@@ -91,7 +91,7 @@
 
 // Ask answers an ask at once. Asking again with the same ID gives the same answer.
 func (d *Desk) Ask(now time.Time, a *Ask) Grant {
-	d.hear(now, a)
+	d.recordSignals(now, a)
 	g := d.answer(now, a)
 	g.Limits = d.unnamed(a)
 	return g
@@ -128,8 +128,8 @@
 	return g
 }
 
-// hear records what targets signalled to the node that asks.
-func (d *Desk) hear(now time.Time, a *Ask) {
+// recordSignals records what targets signalled to the node that asks.
+func (d *Desk) recordSignals(now time.Time, a *Ask) {
 	for _, key := range a.Draining {
 		d.MarkDraining(now, key)
 	}
@@ -254,7 +254,7 @@
 // regard to slots, for it doesn't know what others have in flight. part is this
 // node's share of the reserve of the retry budget.
 func (d *Desk) AskAlone(now time.Time, a *Ask, part float64) Grant {
-	d.hear(now, a)
+	d.recordSignals(now, a)
 	if !d.affords(now, a, part) {
 		return Grant{
 			ID:      a.ID,
