--- a/internal/dispatch/barred.go
+++ b/internal/dispatch/barred.go
@@ -4,9 +4,9 @@
 
 import "time"
 
-// barred reports whether the node that asks may send to none of the targets that are not draining.
+// unavailable reports whether the node that asks may send to none of the targets that are not draining.
 // Where all are draining, others may appear at any moment.
-func (d *Desk) barred(now time.Time, a *Ask) bool {
+func (d *Desk) unavailable(now time.Time, a *Ask) bool {
 	if len(a.Barred)+len(a.Closed) == 0 {
 		return false
 	}
@@ -24,7 +24,7 @@
 
 // renew updates the barred targets of a waiting ask that was sent again.
 func (d *Desk) renew(now time.Time, a *Ask) Grant {
-	if d.barred(now, a) {
+	if d.unavailable(now, a) {
 		d.queue.drop(a.ID)
 		d.ended[a.ID] = now
 		d.outcomes.note(now, false)
--- a/internal/dispatch/desk.go
+++ b/internal/dispatch/desk.go
@@ -140,7 +140,7 @@
 
 // decide answers an ask that the retry budget pays for.
 func (d *Desk) decide(now time.Time, a *Ask) Grant {
-	if d.barred(now, a) {
+	if d.unavailable(now, a) {
 		return a.unserved(Refused, 0)
 	}
 	if wait := d.wait(now, a.Priority); wait > d.longest(now, a) {
