--- a/internal/dispatch/desk.go
+++ b/internal/dispatch/desk.go
@@ -163,7 +163,7 @@
 			return d.grant(now, t, a, false)
 		}
 	}
-	if a.Passing || d.hopeless(now, a) {
+	if a.Passing || d.infeasible(now, a) {
 		return a.unserved(Refused, 0)
 	}
 	d.queue.add(w)
@@ -205,9 +205,9 @@
 	return time.Duration(float64(work) / max(slots, 1))
 }
 
-// hopeless reports whether so little time is left that hardly any answer would come.
+// infeasible reports whether so little time is left that hardly any answer would come.
 // Others make better use of the slot.
-func (d *Desk) hopeless(now time.Time, a *Ask) bool { return a.Deadline.Sub(now) < d.needs(now, a) }
+func (d *Desk) infeasible(now time.Time, a *Ask) bool { return a.Deadline.Sub(now) < d.needs(now, a) }
 
 // needs returns the time within which hardly any answer to an ask comes.
 func (d *Desk) needs(now time.Time, a *Ask) time.Duration {
--- a/internal/dispatch/hedge.go
+++ b/internal/dispatch/hedge.go
@@ -24,7 +24,7 @@
 func (d *Desk) hedges(now time.Time, a *Ask) bool {
 	d.window.turn(now, d.started, d.budget)
 	all, repeats := d.repeats(now, 1)
-	if all < 1 || a.Age <= 0 || d.hopeless(now, a) {
+	if all < 1 || a.Age <= 0 || d.infeasible(now, a) {
 		return false
 	}
 	spent := repeats / all
