--- a/internal/dispatch/desk.go
+++ b/internal/dispatch/desk.go
@@ -153,7 +153,7 @@
 		ask:   a,
 		since: now,
 		takes: d.model.Route(now, a.Route).Usual(),
-		needs: d.needs(now, a),
+		needs: d.minResponseTime(now, a),
 
 		margin: d.margin(now, a),
 	}
@@ -207,10 +207,12 @@
 
 // infeasible reports whether so little time is left that hardly any answer would come.
 // Others make better use of the slot.
-func (d *Desk) infeasible(now time.Time, a *Ask) bool { return a.Deadline.Sub(now) < d.needs(now, a) }
+func (d *Desk) infeasible(now time.Time, a *Ask) bool {
+	return a.Deadline.Sub(now) < d.minResponseTime(now, a)
+}
 
-// needs returns the time within which hardly any answer to an ask comes.
-func (d *Desk) needs(now time.Time, a *Ask) time.Duration {
+// minResponseTime returns the time within which hardly any answer to an ask comes.
+func (d *Desk) minResponseTime(now time.Time, a *Ask) time.Duration {
 	return d.model.Route(now, a.Route).Within(hopelessShare)
 }
 
