--- a/internal/dispatch/desk.go
+++ b/internal/dispatch/desk.go
@@ -99,7 +99,7 @@
 
 // answer answers an ask, or repeats the answer that it got before.
 func (d *Desk) answer(now time.Time, a *Ask) Grant {
-	if g, known := d.before(a.ID); known {
+	if g, known := d.previousAnswer(a.ID); known {
 		if g.Verdict == Queued {
 			return d.renew(now, a)
 		}
@@ -223,8 +223,8 @@
 	return max(route.Within(inTimeShare), route.Usual())
 }
 
-// before returns the answer that an ask got before.
-func (d *Desk) before(id ID) (Grant, bool) {
+// previousAnswer returns the answer that an ask got before.
+func (d *Desk) previousAnswer(id ID) (Grant, bool) {
 	if key, ok := d.granted[id]; ok {
 		g := Grant{
 			ID:      id,
