--- a/internal/dispatch/desk.go
+++ b/internal/dispatch/desk.go
@@ -146,7 +146,7 @@
 	if wait := d.wait(now, a.Priority); wait > d.longest(now, a) {
 		return a.unserved(Refused, d.retryAfter(wait))
 	}
-	if t := d.neglected(now, a); t != nil {
+	if t := d.starved(now, a); t != nil {
 		return d.grant(now, t, a, true)
 	}
 	w := &waiting{
--- a/internal/dispatch/spread.go
+++ b/internal/dispatch/spread.go
@@ -125,10 +125,10 @@
 	}
 }
 
-// neglected returns a target that got no work for a while, if too many targets are
+// starved returns a target that got no work for a while, if too many targets are
 // left out: of those the one that is least likely to fail. Beliefs may be wrong, and
 // leaving out what works would overload the rest.
-func (d *Desk) neglected(now time.Time, a *Ask) *target {
+func (d *Desk) starved(now time.Time, a *Ask) *target {
 	if a.Again {
 		return nil
 	}
