--- a/internal/dispatch/sparse.go
+++ b/internal/dispatch/sparse.go
@@ -37,8 +37,8 @@
 	return known && rate*spreadTime.Seconds() < d.floor*staying
 }
 
-// newcomer returns the target that waits longest for its first request, or nil if none is due.
-func (d *Desk) newcomer(now time.Time, a *Ask) *target {
+// nextNewTarget returns the target that waits longest for its first request, or nil if none is due.
+func (d *Desk) nextNewTarget(now time.Time, a *Ask) *target {
 	for len(d.newTargets) > 0 {
 		t := d.targets[d.newTargets[0]]
 		if t != nil && t.granted.IsZero() && !t.drains(now) {
--- a/internal/dispatch/spread.go
+++ b/internal/dispatch/spread.go
@@ -133,7 +133,7 @@
 		return nil
 	}
 	if d.sparse(now) {
-		return d.newcomer(now, a)
+		return d.nextNewTarget(now, a)
 	}
 	s := d.spreadOf(now, a)
 	var best *target
