--- a/internal/dispatch/cost.go
+++ b/internal/dispatch/cost.go
@@ -63,7 +63,7 @@
 	if now.Before(t.warmUntil) {
 		c += coldCost
 	}
-	return c - d.missing(now, t, a)
+	return c - d.coverageGain(now, t, a)
 }
 
 // cost returns what a target costs with its load.
--- a/internal/dispatch/coverage.go
+++ b/internal/dispatch/coverage.go
@@ -96,10 +96,10 @@
 	return min(max(come/max(d.floor*working, 1)-1, 0), 1)
 }
 
-// missing returns what it is worth that the target gets this request: the price of too
+// coverageGain returns what it is worth that the target gets this request: the price of too
 // few, by the probability that the target is one of those that should have had work.
 // Second attempts don't pay for it, they are the last ones of their requests.
-func (d *Desk) missing(now time.Time, t *target, a *Ask) float64 {
+func (d *Desk) coverageGain(now time.Time, t *target, a *Ask) float64 {
 	price := d.coverage(now).price
 	if a.Again || len(t.flights) >= d.slots(now, t) {
 		return 0
