--- a/internal/dispatch/overload.go
+++ b/internal/dispatch/overload.go
@@ -15,8 +15,8 @@
 	retryAfterJitter = 0.4
 )
 
-// look notes whether there is a good slot that nothing took.
-func (d *Desk) look(now time.Time, free []*target) {
+// updateFreeSlot notes whether there is a good slot that nothing took.
+func (d *Desk) updateFreeSlot(now time.Time, free []*target) {
 	for _, t := range free {
 		if t.failing(now) < goodFrom {
 			d.lastFreeSlot = now
--- a/internal/dispatch/serve.go
+++ b/internal/dispatch/serve.go
@@ -42,7 +42,7 @@
 // A slot goes to an ask of its own data hall first.
 func (d *Desk) serve(now time.Time) []Grant {
 	out := d.expire(now)
-	defer func() { d.look(now, d.free(now)) }()
+	defer func() { d.updateFreeSlot(now, d.free(now)) }()
 	looks := d.examined
 	defer func() { d.nextServe = now.Add(lookPause * time.Duration(d.examined-looks)) }()
 	for _, near := range [...]bool{true, false} {
@@ -101,7 +101,7 @@
 	out := d.expire(now)
 	defer func() {
 		if len(t.flights) < d.slots(now, t) {
-			d.look(now, []*target{t})
+			d.updateFreeSlot(now, []*target{t})
 		}
 	}()
 	for _, near := range [...]bool{true, false} {
