--- a/internal/dispatch/desk.go
+++ b/internal/dispatch/desk.go
@@ -106,7 +106,7 @@
 		return g
 	}
 	d.outcomes.refused(now, min(a.Refused, maxRefused))
-	d.queue.short = d.short(now)
+	d.queue.short = d.slotsShort(now)
 	if a.Hedge && !d.hedges(now, a) || !d.affords(now, a, 1) {
 		if !a.Hedge {
 			d.outcomes.note(now, false)
--- a/internal/dispatch/overload.go
+++ b/internal/dispatch/overload.go
@@ -23,11 +23,11 @@
 			break
 		}
 	}
-	d.queue.short = d.short(now)
+	d.queue.short = d.slotsShort(now)
 }
 
-// short reports whether asks wait for slots, and not for better targets than are free.
-func (d *Desk) short(now time.Time) bool { return now.Sub(d.lastFreeSlot) > shortAfter }
+// slotsShort reports whether asks wait for slots, and not for better targets than are free.
+func (d *Desk) slotsShort(now time.Time) bool { return now.Sub(d.lastFreeSlot) > shortAfter }
 
 // overloaded reports whether an ask that can't be in time will hardly be served: for as long as
 // it could wait no good slot was left over by what can. A burst that is over sooner is worked
