--- a/internal/dispatch/desk.go
+++ b/internal/dispatch/desk.go
@@ -143,7 +143,7 @@
 	if d.unavailable(now, a) {
 		return a.unserved(Refused, 0)
 	}
-	if wait := d.wait(now, a.Priority); wait > d.longest(now, a) {
+	if wait := d.wait(now, a.Priority); wait > d.maxExpectedWait(now, a) {
 		return a.unserved(Refused, d.retryAfter(wait))
 	}
 	if t := d.starved(now, a); t != nil {
--- a/internal/dispatch/overload.go
+++ b/internal/dispatch/overload.go
@@ -36,8 +36,8 @@
 	return now.Sub(d.lastFreeSlot) > a.Deadline.Sub(a.Aim)
 }
 
-// longest returns the longest wait that an ask may expect and still be queued.
-func (d *Desk) longest(now time.Time, a *Ask) time.Duration {
+// maxExpectedWait returns the longest wait that an ask may expect and still be queued.
+func (d *Desk) maxExpectedWait(now time.Time, a *Ask) time.Duration {
 	if d.overloaded(now, a) {
 		return a.Aim.Sub(now) - d.margin(now, a)
 	}
