--- a/internal/dispatch/choose.go
+++ b/internal/dispatch/choose.go
@@ -35,7 +35,7 @@
 // takes reports whether an ask should take a target now and not wait for a better one.
 func (d *Desk) takes(now time.Time, w *waiting, t *target) bool {
 	a := w.ask
-	waited := float64(now.Sub(w.since)) / float64(max(d.patience(w.since, a), 1))
+	waited := float64(now.Sub(w.since)) / float64(max(d.maxWait(w.since, a), 1))
 	if waited >= 1 {
 		return true
 	}
@@ -53,11 +53,11 @@
 // waited.
 const inTimeShare = 0.9
 
-// patience returns how long an ask waits for a better target than is free. What
+// maxWait returns how long an ask waits for a better target than is free. What
 // can be repeated once more waits as long as an answer can still be in time. A
 // last attempt waits longer: a late answer is worth more than a failure, and
 // failing targets always have free slots.
-func (d *Desk) patience(since time.Time, a *Ask) time.Duration {
+func (d *Desk) maxWait(since time.Time, a *Ask) time.Duration {
 	if !a.Repeatable || a.Again {
 		return time.Duration(lastPatience * float64(a.Deadline.Sub(since)))
 	}
