--- a/internal/dispatch/end.go
+++ b/internal/dispatch/end.go
@@ -41,7 +41,7 @@
 		d.lastCoverage = coverage{}
 	}
 	if now.Before(d.nextServe) {
-		return d.freed(now, t)
+		return d.serveFreed(now, t)
 	}
 	return d.serve(now)
 }
--- a/internal/dispatch/serve.go
+++ b/internal/dispatch/serve.go
@@ -95,9 +95,9 @@
 	return out
 }
 
-// freed gives a slot that has become free to an ask that waits, without a look at the
+// serveFreed gives a slot that has become free to an ask that waits, without a look at the
 // other targets.
-func (d *Desk) freed(now time.Time, t *target) []Grant {
+func (d *Desk) serveFreed(now time.Time, t *target) []Grant {
 	out := d.expire(now)
 	defer func() {
 		if len(t.flights) < d.slots(now, t) {
