--- a/internal/dispatch/choose.go
+++ b/internal/dispatch/choose.go
@@ -26,14 +26,14 @@
 // wait.
 func (d *Desk) best(now time.Time, w *waiting, free []*target) *target {
 	t := d.cheapest(now, w.ask, free)
-	if t == nil || !d.takes(now, w, t) {
+	if t == nil || !d.accepts(now, w, t) {
 		return nil
 	}
 	return t
 }
 
-// takes reports whether an ask should take a target now and not wait for a better one.
-func (d *Desk) takes(now time.Time, w *waiting, t *target) bool {
+// accepts reports whether an ask should take a target now and not wait for a better one.
+func (d *Desk) accepts(now time.Time, w *waiting, t *target) bool {
 	a := w.ask
 	waited := float64(now.Sub(w.since)) / float64(max(d.maxWait(w.since, a), 1))
 	if waited >= 1 {
--- a/internal/dispatch/serve.go
+++ b/internal/dispatch/serve.go
@@ -116,7 +116,7 @@
 				slices.Contains(a.Tried, t.Key) || !t.open(now, a) || declined[k] {
 				return false
 			}
-			if !d.takes(now, w, t) {
+			if !d.accepts(now, w, t) {
 				declined[k] = !k.barred
 				return false
 			}
