--- a/internal/dispatch/choose.go
+++ b/internal/dispatch/choose.go
@@ -40,12 +40,12 @@
 		return true
 	}
 	if now.Sub(w.leastAt) >= leastInterval {
-		w.least = d.quality(now, d.cheapest(now, a, d.order), a)
+		w.least = d.baseCost(now, d.cheapest(now, a, d.order), a)
 		w.leastAt = now
 	}
 	// The longer an ask has waited the worse a target it takes: one that failed
 	// gets work again when its slots are needed.
-	worse := d.quality(now, t, a) - w.least
+	worse := d.baseCost(now, t, a) - w.least
 	return worse <= a.waitCost(now.Sub(w.since))+waited*a.failureCost()*d.model.LostFailing()
 }
 
--- a/internal/dispatch/cost.go
+++ b/internal/dispatch/cost.go
@@ -54,8 +54,8 @@
 	return waitCost + c
 }
 
-// quality returns what a target costs apart from its load.
-func (d *Desk) quality(now time.Time, t *target, a *Ask) float64 {
+// baseCost returns what a target costs apart from its load.
+func (d *Desk) baseCost(now time.Time, t *target, a *Ask) float64 {
 	c := a.failureCost() * t.lost(now)
 	if t.DataHall != a.DataHall {
 		c += crossing * float64(a.Kilobytes)
@@ -68,7 +68,7 @@
 
 // cost returns what a target costs with its load.
 func (d *Desk) cost(now time.Time, t *target, a *Ask) float64 {
-	c := d.quality(now, t, a)
+	c := d.baseCost(now, t, a)
 	c += loadCost * float64(len(t.flights)+1) / float64(max(t.Slots, 1))
 	return c + noise*d.random()
 }
