--- a/internal/dispatch/sparse.go
+++ b/internal/dispatch/sparse.go
@@ -20,9 +20,9 @@
 	countedTime  = time.Second
 )
 
-// come returns how many first attempts come in a second since this desk has the role, and whether
+// arrivalRate returns how many first attempts come in a second since this desk has the role, and whether
 // that is known yet. Nodes have desks long before they take it up.
-func (d *Desk) come(now time.Time) (rate float64, known bool) {
+func (d *Desk) arrivalRate(now time.Time) (rate float64, known bool) {
 	d.window.turn(now, d.started, d.budget)
 	firsts, _ := d.window.sums()
 	counted := min(max(now.Sub(d.window.since), time.Millisecond), d.budget.Window)
@@ -33,7 +33,7 @@
 // time that it asks for, however they are spread.
 func (d *Desk) sparse(now time.Time) bool {
 	staying := float64(len(d.order) - d.draining)
-	rate, known := d.come(now)
+	rate, known := d.arrivalRate(now)
 	return known && rate*spreadTime.Seconds() < d.floor*staying
 }
 
@@ -49,7 +49,7 @@
 	if len(d.newTargets) == 0 {
 		return nil
 	}
-	rate, _ := d.come(now)
+	rate, _ := d.arrivalRate(now)
 	pause := time.Duration(float64(time.Second) / (newcomerShare * max(rate, 1)))
 	t := d.targets[d.newTargets[0]]
 	if now.Sub(d.outcomes.spread) < pause || !t.open(now, a) || len(t.flights) >= d.slots(now, t) {
