--- a/internal/dispatch/coverage.go
+++ b/internal/dispatch/coverage.go
@@ -81,14 +81,14 @@
 		}
 	}
 	c.short = tooFew(reached, idle, d.floor)
-	c.price = shortPrice * c.short * d.ease(now, c.working)
+	c.price = shortPrice * c.short * d.headroom(now, c.working)
 	return c
 }
 
-// ease returns, from 0 to 1, how easily the requests that come keep the floor within
+// headroom returns, from 0 to 1, how easily the requests that come keep the floor within
 // spreadTime: 0 where they are too few for it. They are counted over the
 // window of the retry budget, so that a new desk learns first how many come.
-func (d *Desk) ease(now time.Time, working float64) float64 {
+func (d *Desk) headroom(now time.Time, working float64) float64 {
 	d.window.turn(now, d.started, d.budget)
 	own, _ := d.window.sums()
 	others, _ := d.remote.sums(now, d.budget)
