--- a/internal/dispatch/hedge.go
+++ b/internal/dispatch/hedge.go
@@ -23,7 +23,7 @@
 // gets no answer.
 func (d *Desk) hedges(now time.Time, a *Ask) bool {
 	d.window.turn(now, d.started, d.budget)
-	all, repeats := d.repeats(now, 1)
+	all, repeats := d.retries(now, 1)
 	if all < 1 || a.Age <= 0 || d.infeasible(now, a) {
 		return false
 	}
--- a/internal/dispatch/pay.go
+++ b/internal/dispatch/pay.go
@@ -22,10 +22,10 @@
 	d.window.first(n)
 }
 
-// repeats returns how many repeats the budget pays for in the window and how many of
+// retries returns how many repeats the budget pays for in the window and how many of
 // them were made, by others too. part is the share of the reserve that this desk may
 // use.
-func (d *Desk) repeats(now time.Time, part float64) (all, spent float64) {
+func (d *Desk) retries(now time.Time, part float64) (all, spent float64) {
 	firsts, repeats := d.remote.sums(now, d.budget)
 	all, spent = d.window.allowed(now, d.budget, part)
 	return all + shareUsed*d.budget.Share*firsts, spent + repeats
@@ -33,6 +33,6 @@
 
 // left returns how many repeats the budget still pays for.
 func (d *Desk) left(now time.Time, part float64) float64 {
-	all, spent := d.repeats(now, part)
+	all, spent := d.retries(now, part)
 	return all - spent
 }
