--- a/internal/dispatch/pay.go
+++ b/internal/dispatch/pay.go
@@ -10,7 +10,7 @@
 	d.window.turn(now, d.started, d.budget)
 	d.window.asked(now, d.budget)
 	d.remote.note(now, a.ID.Node, a.Elsewhere)
-	return !a.Again || d.left(now, part) >= 1
+	return !a.Again || d.retriesLeft(now, part) >= 1
 }
 
 // charge counts an ask n times in the retry budget.
@@ -31,8 +31,8 @@
 	return all + shareUsed*d.budget.Share*firsts, spent + repeats
 }
 
-// left returns how many repeats the budget still pays for.
-func (d *Desk) left(now time.Time, part float64) float64 {
+// retriesLeft returns how many repeats the budget still pays for.
+func (d *Desk) retriesLeft(now time.Time, part float64) float64 {
 	all, spent := d.retries(now, part)
 	return all - spent
 }
--- a/internal/dispatch/status.go
+++ b/internal/dispatch/status.go
@@ -67,7 +67,7 @@
 		Prior:       d.model.Share(),
 		LostFailing: d.model.LostFailing(),
 		Asked:       d.Asked(now),
-		RepeatsLeft: d.left(now, 1),
+		RepeatsLeft: d.retriesLeft(now, 1),
 		Trials:      d.trials,
 	}
 	s.Enter, s.Leave = d.model.Rates()
