--- a/internal/dispatch/desk.go
+++ b/internal/dispatch/desk.go
@@ -107,7 +107,7 @@
 	}
 	d.outcomes.refused(now, min(a.Refused, maxRefused))
 	d.queue.short = d.slotsShort(now)
-	if a.Hedge && !d.hedges(now, a) || !d.affords(now, a, 1) {
+	if a.Hedge && !d.allowsHedge(now, a) || !d.affords(now, a, 1) {
 		if !a.Hedge {
 			d.outcomes.note(now, false)
 		}
--- a/internal/dispatch/hedge.go
+++ b/internal/dispatch/hedge.go
@@ -18,10 +18,10 @@
 	hedgeKept  = 0.1
 )
 
-// hedges reports whether a second attempt beside one that goes on is worth a repeat:
+// allowsHedge reports whether a second attempt beside one that goes on is worth a repeat:
 // the more of the retry budget is spent, the surer it must be that the first one
 // gets no answer.
-func (d *Desk) hedges(now time.Time, a *Ask) bool {
+func (d *Desk) allowsHedge(now time.Time, a *Ask) bool {
 	d.window.turn(now, d.started, d.budget)
 	all, repeats := d.retries(now, 1)
 	if all < 1 || a.Age <= 0 || d.infeasible(now, a) {
