--- a/internal/dispatch/hedge.go
+++ b/internal/dispatch/hedge.go
@@ -29,12 +29,12 @@
 	}
 	spent := repeats / all
 	price := min(max((spent-hedgeFree)/(1-hedgeKept-hedgeFree), 0), 1)
-	return spent < 1-hedgeKept && d.silent(now, a) >= hedgeLeast+price*(hedgeMost-hedgeLeast)
+	return spent < 1-hedgeKept && d.silenceProbability(now, a) >= hedgeLeast+price*(hedgeMost-hedgeLeast)
 }
 
-// silent returns the probability that the attempt of a request that goes on gets no
+// silenceProbability returns the probability that the attempt of a request that goes on gets no
 // answer.
-func (d *Desk) silent(now time.Time, a *Ask) float64 {
+func (d *Desk) silenceProbability(now time.Time, a *Ask) float64 {
 	route := d.model.Route(now, a.Route)
 	p := d.model.Share()
 	if n := len(a.Tried); n > 0 && d.targets[a.Tried[n-1]] != nil {
