--- a/internal/dispatch/desk.go
+++ b/internal/dispatch/desk.go
@@ -93,7 +93,7 @@
 func (d *Desk) Ask(now time.Time, a *Ask) Grant {
 	d.recordSignals(now, a)
 	g := d.answer(now, a)
-	g.Limits = d.unnamed(a)
+	g.Limits = d.limitUpdates(a)
 	return g
 }
 
--- a/internal/dispatch/limit.go
+++ b/internal/dispatch/limit.go
@@ -174,9 +174,9 @@
 // beside the rest of an ask.
 const MaxLimits = 8
 
-// unnamed returns the limits of targets that an ask didn't name, and those lifted that it did.
+// limitUpdates returns the limits of targets that an ask didn't name, and those lifted that it did.
 // Nodes that may have to choose alone learn of them before they need to.
-func (d *Desk) unnamed(a *Ask) []TargetLimit {
+func (d *Desk) limitUpdates(a *Ask) []TargetLimit {
 	if d.limits == 0 && len(a.Limits) == 0 {
 		return nil
 	}
