--- a/internal/dispatch/configure.go
+++ b/internal/dispatch/configure.go
@@ -24,7 +24,7 @@
 				d.join(now, t, c)
 			}
 		}
-		d.take(now, t, c)
+		d.update(now, t, c)
 		d.draining += drainingOf(c)
 		if t.limit.Set {
 			d.limits++
@@ -34,9 +34,9 @@
 	}
 }
 
-// take gives a target what is published of it. One that says that it works more slowly, for a time
+// update gives a target what is published of it. One that says that it works more slowly, for a time
 // that it did not say before, has just become so.
-func (d *Desk) take(now time.Time, t *target, published Target) {
+func (d *Desk) update(now time.Time, t *target, published Target) {
 	again := published.Warmup != t.Warmup
 	t.Target = published
 	if again {
@@ -91,7 +91,7 @@
 			d.order = append(d.order, t)
 		}
 		d.draining += drainingOf(c) - drainingOf(t.Target)
-		d.take(now, t, c)
+		d.update(now, t, c)
 	}
 	d.lastCoverage = coverage{}
 	d.accepting = accepting{}
