--- a/internal/dispatch/desk.go
+++ b/internal/dispatch/desk.go
@@ -12,8 +12,8 @@
 const (
 	// flightSlack is how long after its deadline a granted attempt is forgotten.
 	flightSlack = 500 * time.Millisecond
-	// refusedFrom is the part of the time left that a queue may take.
-	refusedFrom = 0.6
+	// maxQueueShare is the part of the time left that a queue may take.
+	maxQueueShare = 0.6
 	// hopelessShare is the share of answers that must come in the time that is left.
 	hopelessShare = 0.25
 	// closedTime is how long an ask that ended is remembered, some times longer
--- a/internal/dispatch/overload.go
+++ b/internal/dispatch/overload.go
@@ -41,7 +41,7 @@
 	if d.overloaded(now, a) {
 		return a.Aim.Sub(now) - d.margin(now, a)
 	}
-	return time.Duration(refusedFrom * float64(a.Deadline.Sub(now)))
+	return time.Duration(maxQueueShare * float64(a.Deadline.Sub(now)))
 }
 
 // retryAfter returns when a refused caller may come back: when about what waits now is done.
