--- a/internal/dispatch/desk.go
+++ b/internal/dispatch/desk.go
@@ -14,8 +14,8 @@
 	flightSlack = 500 * time.Millisecond
 	// maxQueueShare is the part of the time left that a queue may take.
 	maxQueueShare = 0.6
-	// hopelessShare is the share of answers that must come in the time that is left.
-	hopelessShare = 0.25
+	// infeasibleShare is the share of answers that must come in the time that is left.
+	infeasibleShare = 0.25
 	// closedTime is how long an ask that ended is remembered, some times longer
 	// than a datagram is repeated.
 	closedTime = 2 * time.Second
@@ -213,7 +213,7 @@
 
 // minResponseTime returns the time within which hardly any answer to an ask comes.
 func (d *Desk) minResponseTime(now time.Time, a *Ask) time.Duration {
-	return d.model.Route(now, a.Route).Within(hopelessShare)
+	return d.model.Route(now, a.Route).Within(infeasibleShare)
 }
 
 // margin returns the time within which nearly all answers to an ask come, the usual time
