--- a/internal/dispatch/desk.go
+++ b/internal/dispatch/desk.go
@@ -16,9 +16,9 @@
 	maxQueueShare = 0.6
 	// infeasibleShare is the share of answers that must come in the time that is left.
 	infeasibleShare = 0.25
-	// closedTime is how long an ask that ended is remembered, some times longer
+	// endedRetention is how long an ask that ended is remembered, some times longer
 	// than a datagram is repeated.
-	closedTime = 2 * time.Second
+	endedRetention = 2 * time.Second
 	// lastPatience is the part of its time that an attempt which no other can follow
 	// waits for a target that isn't failing.
 	lastPatience = 0.5
@@ -346,7 +346,7 @@
 		}
 	}
 	for id, at := range d.ended {
-		if now.Sub(at) > closedTime {
+		if now.Sub(at) > endedRetention {
 			delete(d.ended, id)
 		}
 	}
