--- a/internal/dispatch/choose.go
+++ b/internal/dispatch/choose.go
@@ -59,7 +59,7 @@
 // failing targets always have free slots.
 func (d *Desk) maxWait(since time.Time, a *Ask) time.Duration {
 	if !a.Repeatable || a.Again {
-		return time.Duration(lastPatience * float64(a.Deadline.Sub(since)))
+		return time.Duration(finalWaitShare * float64(a.Deadline.Sub(since)))
 	}
 	return max(a.Aim.Sub(since)-d.model.Route(since, a.Route).Within(inTimeShare), 0)
 }
--- a/internal/dispatch/desk.go
+++ b/internal/dispatch/desk.go
@@ -19,9 +19,9 @@
 	// endedRetention is how long an ask that ended is remembered, some times longer
 	// than a datagram is repeated.
 	endedRetention = 2 * time.Second
-	// lastPatience is the part of its time that an attempt which no other can follow
+	// finalWaitShare is the part of its time that an attempt which no other can follow
 	// waits for a target that isn't failing.
-	lastPatience = 0.5
+	finalWaitShare = 0.5
 	// coldSlots is the part of its slots that a starting target gets.
 	coldSlots = 0.5
 )
