--- a/internal/dispatch/choose.go
+++ b/internal/dispatch/choose.go
@@ -72,7 +72,7 @@
 		return t.backoff.slots(now)
 	}
 	if now.Before(t.warmUntil) {
-		return max(int(coldSlots*float64(t.Slots)), 1)
+		return max(int(warmupSlotShare*float64(t.Slots)), 1)
 	}
 	return t.Slots
 }
--- a/internal/dispatch/desk.go
+++ b/internal/dispatch/desk.go
@@ -22,8 +22,8 @@
 	// finalWaitShare is the part of its time that an attempt which no other can follow
 	// waits for a target that isn't failing.
 	finalWaitShare = 0.5
-	// coldSlots is the part of its slots that a starting target gets.
-	coldSlots = 0.5
+	// warmupSlotShare is the part of its slots that a starting target gets.
+	warmupSlotShare = 0.5
 )
 
 // Desk chooses the targets of one service. It isn't safe for concurrent use.
