--- a/internal/dispatch/choose.go
+++ b/internal/dispatch/choose.go
@@ -7,9 +7,9 @@
 	"time"
 )
 
-// leastInterval is how long the quality of the best target is used again for an ask that
+// bestCostInterval is how long the quality of the best target is used again for an ask that
 // waits. It changes as beliefs do, within some hundreds of milliseconds.
-const leastInterval = 50 * time.Millisecond
+const bestCostInterval = 50 * time.Millisecond
 
 // free returns the targets that have a free slot.
 func (d *Desk) free(now time.Time) []*target {
@@ -39,7 +39,7 @@
 	if waited >= 1 {
 		return true
 	}
-	if now.Sub(w.leastAt) >= leastInterval {
+	if now.Sub(w.leastAt) >= bestCostInterval {
 		w.least = d.baseCost(now, d.cheapest(now, a, d.order), a)
 		w.leastAt = now
 	}
