--- a/internal/dispatch/choose.go
+++ b/internal/dispatch/choose.go
@@ -49,9 +49,9 @@
 	return worse <= a.waitCost(now.Sub(w.since))+waited*a.failureCost()*d.model.LostFailing()
 }
 
-// inTimeShare is the share of answers that must still be in time after an ask has
+// safeTimeShare is the share of answers that must still be in time after an ask has
 // waited.
-const inTimeShare = 0.9
+const safeTimeShare = 0.9
 
 // maxWait returns how long an ask waits for a better target than is free. What
 // can be repeated once more waits as long as an answer can still be in time. A
@@ -61,7 +61,7 @@
 	if !a.Repeatable || a.Again {
 		return time.Duration(finalWaitShare * float64(a.Deadline.Sub(since)))
 	}
-	return max(a.Aim.Sub(since)-d.model.Route(since, a.Route).Within(inTimeShare), 0)
+	return max(a.Aim.Sub(since)-d.model.Route(since, a.Route).Within(safeTimeShare), 0)
 }
 
 func (d *Desk) slots(now time.Time, t *target) int {
--- a/internal/dispatch/desk.go
+++ b/internal/dispatch/desk.go
@@ -220,7 +220,7 @@
 // while that isn't known.
 func (d *Desk) margin(now time.Time, a *Ask) time.Duration {
 	route := d.model.Route(now, a.Route)
-	return max(route.Within(inTimeShare), route.Usual())
+	return max(route.Within(safeTimeShare), route.Usual())
 }
 
 // previousAnswer returns the answer that an ask got before.
