--- a/internal/dispatch/cost.go
+++ b/internal/dispatch/cost.go
@@ -6,10 +6,10 @@
 
 // Weights of what a choice costs. The unit is the worth of one answer.
 const (
-	// unsafeFailure is the cost of a failed request that can't be repeated: its
+	// unrepeatableFailureCost is the cost of a failed request that can't be repeated: its
 	// answer is lost, and the share of requests that are served at all counts for
 	// much more than one answer.
-	unsafeFailure = 6
+	unrepeatableFailureCost = 6
 	// safeFailure is the same where another target can be asked, for which the
 	// retry budget must pay.
 	safeFailure = 1.5
@@ -37,7 +37,7 @@
 func (a *Ask) failureCost() float64 {
 	switch {
 	case !a.Repeatable:
-		return unsafeFailure
+		return unrepeatableFailureCost
 	case a.Again:
 		return lastFailure
 	default:
