--- a/internal/dispatch/cost.go
+++ b/internal/dispatch/cost.go
@@ -10,9 +10,9 @@
 	// answer is lost, and the share of requests that are served at all counts for
 	// much more than one answer.
 	unrepeatableFailureCost = 6
-	// safeFailure is the same where another target can be asked, for which the
+	// repeatableFailureCost is the same where another target can be asked, for which the
 	// retry budget must pay.
-	safeFailure = 1.5
+	repeatableFailureCost = 1.5
 	// lastFailure is the same where the attempt is a second one already.
 	lastFailure = 4
 	// crossing is the cost of one KiB between data halls, from the users' prices.
@@ -41,7 +41,7 @@
 	case a.Again:
 		return lastFailure
 	default:
-		return safeFailure
+		return repeatableFailureCost
 	}
 }
 
