--- a/internal/dispatch/cost.go
+++ b/internal/dispatch/cost.go
@@ -13,8 +13,8 @@
 	// repeatableFailureCost is the same where another target can be asked, for which the
 	// retry budget must pay.
 	repeatableFailureCost = 1.5
-	// lastFailure is the same where the attempt is a second one already.
-	lastFailure = 4
+	// retryFailureCost is the same where the attempt is a second one already.
+	retryFailureCost = 4
 	// crossing is the cost of one KiB between data halls, from the users' prices.
 	crossing = 0.03
 	// loadCost is what a full target costs more than an empty one: some slow down
@@ -39,7 +39,7 @@
 	case !a.Repeatable:
 		return unrepeatableFailureCost
 	case a.Again:
-		return lastFailure
+		return retryFailureCost
 	default:
 		return repeatableFailureCost
 	}
