--- a/internal/dispatch/cost.go
+++ b/internal/dispatch/cost.go
@@ -15,8 +15,8 @@
 	repeatableFailureCost = 1.5
 	// retryFailureCost is the same where the attempt is a second one already.
 	retryFailureCost = 4
-	// crossing is the cost of one KiB between data halls, from the users' prices.
-	crossing = 0.03
+	// crossHallCost is the cost of one KiB between data halls, from the users' prices.
+	crossHallCost = 0.03
 	// loadCost is what a full target costs more than an empty one: some slow down
 	// when they are nearly full.
 	loadCost = 0.04
@@ -58,7 +58,7 @@
 func (d *Desk) baseCost(now time.Time, t *target, a *Ask) float64 {
 	c := a.failureCost() * t.lost(now)
 	if t.DataHall != a.DataHall {
-		c += crossing * float64(a.Kilobytes)
+		c += crossHallCost * float64(a.Kilobytes)
 	}
 	if now.Before(t.warmUntil) {
 		c += coldCost
--- a/internal/dispatch/spread.go
+++ b/internal/dispatch/spread.go
@@ -147,7 +147,7 @@
 			continue
 		}
 		out++
-		if s.calm && t.DataHall != a.DataHall && crossing*float64(a.Kilobytes) > spreadCrossing {
+		if s.calm && t.DataHall != a.DataHall && crossHallCost*float64(a.Kilobytes) > spreadCrossing {
 			continue
 		}
 		if t.open(now, a) && len(t.flights) < d.slots(now, t) && (best == nil || t.failing(now) < best.failing(now)) {
