--- a/internal/dispatch/cost.go
+++ b/internal/dispatch/cost.go
@@ -20,8 +20,8 @@
 	// loadCost is what a full target costs more than an empty one: some slow down
 	// when they are nearly full.
 	loadCost = 0.04
-	// coldCost is what a starting target costs more than a warm one.
-	coldCost = 0.05
+	// warmupCost is what a starting target costs more than a warm one.
+	warmupCost = 0.05
 	// noise breaks ties by chance.
 	noise = 0.002
 	// waitCost and waitRate, by the second, are what waiting for a better target
@@ -61,7 +61,7 @@
 		c += crossHallCost * float64(a.Kilobytes)
 	}
 	if now.Before(t.warmUntil) {
-		c += coldCost
+		c += warmupCost
 	}
 	return c - d.coverageGain(now, t, a)
 }
