--- a/internal/dispatch/cost.go
+++ b/internal/dispatch/cost.go
@@ -22,8 +22,8 @@
 	loadCost = 0.04
 	// warmupCost is what a starting target costs more than a warm one.
 	warmupCost = 0.05
-	// noise breaks ties by chance.
-	noise = 0.002
+	// tieBreakNoise breaks ties by chance.
+	tieBreakNoise = 0.002
 	// waitCost and waitRate, by the second, are what waiting for a better target
 	// costs; a target that is worse by less than that is taken at once.
 	waitCost = 0.03
@@ -70,5 +70,5 @@
 func (d *Desk) cost(now time.Time, t *target, a *Ask) float64 {
 	c := d.baseCost(now, t, a)
 	c += loadCost * float64(len(t.flights)+1) / float64(max(t.Slots, 1))
-	return c + noise*d.random()
+	return c + tieBreakNoise*d.random()
 }
