--- a/internal/dispatch/cost.go
+++ b/internal/dispatch/cost.go
@@ -28,9 +28,9 @@
 	// costs; a target that is worse by less than that is taken at once.
 	waitCost = 0.03
 	waitRate = 2.5
-	// waitMost bounds that cost for what no other attempt can follow: waiting makes up
+	// maxWaitCost bounds that cost for what no other attempt can follow: waiting makes up
 	// for bytes between data halls then, not for doubt.
-	waitMost = 0.5
+	maxWaitCost = 0.5
 )
 
 // failureCost returns the cost of a failure of this attempt.
@@ -49,7 +49,7 @@
 func (a *Ask) waitCost(waited time.Duration) float64 {
 	c := waitRate * waited.Seconds()
 	if !a.Repeatable || a.Again {
-		c = min(c, waitMost)
+		c = min(c, maxWaitCost)
 	}
 	return waitCost + c
 }
