--- a/internal/dispatch/serve.go
+++ b/internal/dispatch/serve.go
@@ -7,10 +7,10 @@
 	"time"
 )
 
-// lookPause is how long the next look at all waiting asks is put off for each target that the last
+// servePause is how long the next look at all waiting asks is put off for each target that the last
 // one examined. The cost of an attempt's end must not grow with the product of asks and targets:
 // under overload a dispatcher would fall behind for good.
-const lookPause = time.Microsecond
+const servePause = time.Microsecond
 
 // traits are what the choices for several asks have in common.
 type traits struct {
@@ -44,7 +44,7 @@
 	out := d.expire(now)
 	defer func() { d.updateFreeSlot(now, d.free(now)) }()
 	looks := d.examined
-	defer func() { d.nextServe = now.Add(lookPause * time.Duration(d.examined-looks)) }()
+	defer func() { d.nextServe = now.Add(servePause * time.Duration(d.examined-looks)) }()
 	for _, near := range [...]bool{true, false} {
 		if len(d.queue.list) == 0 {
 			break
