--- a/internal/dispatch/spread.go
+++ b/internal/dispatch/spread.go
@@ -9,8 +9,8 @@
 // ones the users take for sound can't be known here, and they may be few: nearly
 // all must get work.
 const (
-	// spreadFrom is the share of failed requests from which on work is spread.
-	spreadFrom = 0.085
+	// spreadFailureShare is the share of failed requests from which on work is spread.
+	spreadFailureShare = 0.085
 	// spreadLeast is how many requests must have ended for a share to count.
 	spreadLeast = 20
 	// spreadTime is within which time a target should get work, failingShare how
@@ -82,7 +82,7 @@
 func (e *ends) many(now time.Time) bool {
 	e.advance(now)
 	all, bad := e.all[0]+e.all[1], e.bad[0]+e.bad[1]
-	return all >= spreadLeast && float64(bad) >= spreadFrom*float64(all)
+	return all >= spreadLeast && float64(bad) >= spreadFailureShare*float64(all)
 }
 
 // spread is how far work is spread: the part of the targets that should have had
