--- a/internal/dispatch/spread.go
+++ b/internal/dispatch/spread.go
@@ -11,8 +11,8 @@
 const (
 	// spreadFailureShare is the share of failed requests from which on work is spread.
 	spreadFailureShare = 0.085
-	// spreadLeast is how many requests must have ended for a share to count.
-	spreadLeast = 20
+	// spreadMinRequests is how many requests must have ended for a share to count.
+	spreadMinRequests = 20
 	// spreadTime is within which time a target should get work, failingShare how
 	// many of the targets while many requests fail.
 	spreadTime   = 1500 * time.Millisecond
@@ -82,7 +82,7 @@
 func (e *ends) many(now time.Time) bool {
 	e.advance(now)
 	all, bad := e.all[0]+e.all[1], e.bad[0]+e.bad[1]
-	return all >= spreadLeast && float64(bad) >= spreadFailureShare*float64(all)
+	return all >= spreadMinRequests && float64(bad) >= spreadFailureShare*float64(all)
 }
 
 // spread is how far work is spread: the part of the targets that should have had
