--- a/internal/dispatch/spread.go
+++ b/internal/dispatch/spread.go
@@ -30,9 +30,9 @@
 	// time between two requests that go to a target for this reason.
 	spreadWithin   = 200 * time.Millisecond
 	spreadInterval = 100 * time.Millisecond
-	// spreadCrossing is the greatest cost of bytes between data halls for which a
+	// maxSpreadCrossCost is the greatest cost of bytes between data halls for which a
 	// request is used to spread work while few fail: that of a few KiB.
-	spreadCrossing = 0.1
+	maxSpreadCrossCost = 0.1
 	// endsTime is how long the two halves of the counts of ends last.
 	endsTime = time.Second
 )
@@ -147,7 +147,7 @@
 			continue
 		}
 		out++
-		if s.calm && t.DataHall != a.DataHall && crossHallCost*float64(a.Kilobytes) > spreadCrossing {
+		if s.calm && t.DataHall != a.DataHall && crossHallCost*float64(a.Kilobytes) > maxSpreadCrossCost {
 			continue
 		}
 		if t.open(now, a) && len(t.flights) < d.slots(now, t) && (best == nil || t.failing(now) < best.failing(now)) {
