--- a/internal/dispatch/spread.go
+++ b/internal/dispatch/spread.go
@@ -33,8 +33,8 @@
 	// maxSpreadCrossCost is the greatest cost of bytes between data halls for which a
 	// request is used to spread work while few fail: that of a few KiB.
 	maxSpreadCrossCost = 0.1
-	// endsTime is how long the two halves of the counts of ends last.
-	endsTime = time.Second
+	// outcomePeriod is how long the two halves of the counts of ends last.
+	outcomePeriod = time.Second
 )
 
 // ends counts how requests ended in the last one to two seconds.
@@ -47,9 +47,9 @@
 }
 
 func (e *ends) advance(now time.Time) {
-	if past := now.Sub(e.turn); past >= endsTime {
+	if past := now.Sub(e.turn); past >= outcomePeriod {
 		e.all[1], e.bad[1] = e.all[0], e.bad[0]
-		if past >= 2*endsTime {
+		if past >= 2*outcomePeriod {
 			e.all[1], e.bad[1] = 0, 0
 		}
 		e.all[0], e.bad[0] = 0, 0
