--- a/internal/dispatch/desk.go
+++ b/internal/dispatch/desk.go
@@ -52,7 +52,7 @@
 	rejectedSamples int
 	// lastAdvance is when Advance last did its work.
 	lastAdvance time.Time
-	outcomes    ends
+	outcomes    outcomes
 	// lastFreeSlot is when a slot was last free for which nothing waited that can be in time.
 	lastFreeSlot time.Time
 	lastCoverage coverage
--- a/internal/dispatch/spread.go
+++ b/internal/dispatch/spread.go
@@ -37,8 +37,8 @@
 	outcomePeriod = time.Second
 )
 
-// ends counts how requests ended in the last one to two seconds.
-type ends struct {
+// outcomes counts how requests ended in the last one to two seconds.
+type outcomes struct {
 	all  [2]int
 	bad  [2]int
 	turn time.Time
@@ -46,7 +46,7 @@
 	spread time.Time
 }
 
-func (e *ends) advance(now time.Time) {
+func (e *outcomes) advance(now time.Time) {
 	if past := now.Sub(e.turn); past >= outcomePeriod {
 		e.all[1], e.bad[1] = e.all[0], e.bad[0]
 		if past >= 2*outcomePeriod {
@@ -59,7 +59,7 @@
 
 // note counts a request that was served, or not: refused, failed at its last
 // attempt, or left by its caller.
-func (e *ends) note(now time.Time, served bool) {
+func (e *outcomes) note(now time.Time, served bool) {
 	e.advance(now)
 	e.all[0]++
 	if !served {
@@ -72,14 +72,14 @@
 
 // refused counts requests that were refused before a target was asked for: for limits of workspaces,
 // say. Callers whose requests are not served are as many, whatever the reason.
-func (e *ends) refused(now time.Time, n int) {
+func (e *outcomes) refused(now time.Time, n int) {
 	e.advance(now)
 	e.all[0] += n
 	e.bad[0] += n
 }
 
 // many reports whether so many requests fail that work must be spread.
-func (e *ends) many(now time.Time) bool {
+func (e *outcomes) many(now time.Time) bool {
 	e.advance(now)
 	all, bad := e.all[0]+e.all[1], e.bad[0]+e.bad[1]
 	return all >= spreadMinRequests && float64(bad) >= spreadFailureShare*float64(all)
