--- a/internal/dispatch/spread.go
+++ b/internal/dispatch/spread.go
@@ -39,21 +39,21 @@
 
 // outcomes counts how requests ended in the last one to two seconds.
 type outcomes struct {
-	all  [2]int
-	bad  [2]int
-	turn time.Time
+	all     [2]int
+	bad     [2]int
+	rotated time.Time
 	// spread is when a request last went to a neglected target.
 	spread time.Time
 }
 
 func (e *outcomes) advance(now time.Time) {
-	if past := now.Sub(e.turn); past >= outcomePeriod {
+	if past := now.Sub(e.rotated); past >= outcomePeriod {
 		e.all[1], e.bad[1] = e.all[0], e.bad[0]
 		if past >= 2*outcomePeriod {
 			e.all[1], e.bad[1] = 0, 0
 		}
 		e.all[0], e.bad[0] = 0, 0
-		e.turn = now
+		e.rotated = now
 	}
 }
 
