--- a/internal/dispatch/sparse.go
+++ b/internal/dispatch/sparse.go
@@ -52,9 +52,9 @@
 	rate, _ := d.arrivalRate(now)
 	pause := time.Duration(float64(time.Second) / (newcomerShare * max(rate, 1)))
 	t := d.targets[d.newTargets[0]]
-	if now.Sub(d.outcomes.spread) < pause || !t.open(now, a) || len(t.flights) >= d.slots(now, t) {
+	if now.Sub(d.outcomes.lastSpread) < pause || !t.open(now, a) || len(t.flights) >= d.slots(now, t) {
 		return nil
 	}
-	d.outcomes.spread = now
+	d.outcomes.lastSpread = now
 	return t
 }
--- a/internal/dispatch/spread.go
+++ b/internal/dispatch/spread.go
@@ -42,8 +42,8 @@
 	all     [2]int
 	bad     [2]int
 	rotated time.Time
-	// spread is when a request last went to a neglected target.
-	spread time.Time
+	// lastSpread is when a request last went to a neglected target.
+	lastSpread time.Time
 }
 
 func (e *outcomes) advance(now time.Time) {
@@ -154,9 +154,9 @@
 			best = t
 		}
 	}
-	if float64(out) <= (1-s.share)*float64(all) || now.Sub(d.outcomes.spread) < min(spreadInterval, spreadWithin/time.Duration(out)) {
+	if float64(out) <= (1-s.share)*float64(all) || now.Sub(d.outcomes.lastSpread) < min(spreadInterval, spreadWithin/time.Duration(out)) {
 		return nil
 	}
-	d.outcomes.spread = now
+	d.outcomes.lastSpread = now
 	return best
 }
