--- a/internal/dispatch/barred.go
+++ b/internal/dispatch/barred.go
@@ -27,7 +27,7 @@
 	if d.unavailable(now, a) {
 		d.queue.drop(a.ID)
 		d.ended[a.ID] = now
-		d.outcomes.note(now, false)
+		d.outcomes.record(now, false)
 		return a.unserved(Refused, 0)
 	}
 	d.queue.bar(a)
--- a/internal/dispatch/desk.go
+++ b/internal/dispatch/desk.go
@@ -109,7 +109,7 @@
 	d.queue.short = d.slotsShort(now)
 	if a.Hedge && !d.allowsHedge(now, a) || !d.affords(now, a, 1) {
 		if !a.Hedge {
-			d.outcomes.note(now, false)
+			d.outcomes.record(now, false)
 		}
 		return Grant{
 			ID:      a.ID,
@@ -123,7 +123,7 @@
 	case Full:
 		d.charge(a, -1)
 	case Refused:
-		d.outcomes.note(now, false)
+		d.outcomes.record(now, false)
 	}
 	return g
 }
@@ -363,7 +363,7 @@
 	if d.queue.has(id) {
 		// Its caller has left.
 		d.queue.drop(id)
-		d.outcomes.note(now, false)
+		d.outcomes.record(now, false)
 	}
 	return nil
 }
--- a/internal/dispatch/end.go
+++ b/internal/dispatch/end.go
@@ -20,7 +20,7 @@
 	idle := len(t.flights) <= t.Slots
 	f, ok := t.flights[id]
 	if ok && (f.last || r == ResultGood) {
-		d.outcomes.note(now, r == ResultGood)
+		d.outcomes.record(now, r == ResultGood)
 	}
 	delete(t.flights, id)
 	if ok {
--- a/internal/dispatch/serve.go
+++ b/internal/dispatch/serve.go
@@ -87,7 +87,7 @@
 	}
 	c, limited := d.limitedCapacity(now)
 	for i := range out {
-		d.outcomes.note(now, false)
+		d.outcomes.record(now, false)
 		if limited {
 			out[i].RetryAfter = d.retryAfter(c.wait(len(d.queue.list)))
 		}
--- a/internal/dispatch/spread.go
+++ b/internal/dispatch/spread.go
@@ -57,9 +57,9 @@
 	}
 }
 
-// note counts a request that was served, or not: refused, failed at its last
+// record counts a request that was served, or not: refused, failed at its last
 // attempt, or left by its caller.
-func (e *outcomes) note(now time.Time, served bool) {
+func (e *outcomes) record(now time.Time, served bool) {
 	e.advance(now)
 	e.all[0]++
 	if !served {
