--- a/internal/dispatch/desk.go
+++ b/internal/dispatch/desk.go
@@ -105,7 +105,7 @@
 		}
 		return g
 	}
-	d.outcomes.refused(now, min(a.Refused, maxRefused))
+	d.outcomes.recordRefused(now, min(a.Refused, maxRefused))
 	d.queue.short = d.slotsShort(now)
 	if a.Hedge && !d.allowsHedge(now, a) || !d.affords(now, a, 1) {
 		if !a.Hedge {
--- a/internal/dispatch/spread.go
+++ b/internal/dispatch/spread.go
@@ -70,9 +70,9 @@
 // maxRefused bounds the refusals that one ask tells of.
 const maxRefused = 1000
 
-// refused counts requests that were refused before a target was asked for: for limits of workspaces,
+// recordRefused counts requests that were refused before a target was asked for: for limits of workspaces,
 // say. Callers whose requests are not served are as many, whatever the reason.
-func (e *outcomes) refused(now time.Time, n int) {
+func (e *outcomes) recordRefused(now time.Time, n int) {
 	e.advance(now)
 	e.all[0] += n
 	e.bad[0] += n
