--- a/internal/dispatch/spread.go
+++ b/internal/dispatch/spread.go
@@ -78,8 +78,8 @@
 	e.bad[0] += n
 }
 
-// many reports whether so many requests fail that work must be spread.
-func (e *outcomes) many(now time.Time) bool {
+// failing reports whether so many requests fail that work must be spread.
+func (e *outcomes) failing(now time.Time) bool {
 	e.advance(now)
 	all, bad := e.all[0]+e.all[1], e.bad[0]+e.bad[1]
 	return all >= spreadMinRequests && float64(bad) >= spreadFailureShare*float64(all)
@@ -105,7 +105,7 @@
 // spreadOf returns how far work is spread by an ask.
 func (d *Desk) spreadOf(now time.Time, a *Ask) spread {
 	switch {
-	case d.outcomes.many(now):
+	case d.outcomes.failing(now):
 		return spread{
 			share:  failingShare,
 			within: spreadTime,
