--- a/internal/dispatch/spread.go
+++ b/internal/dispatch/spread.go
@@ -93,9 +93,9 @@
 	calm   bool
 }
 
-// limit returns within which time a target should get work. One that has answered a
+// maxIdle returns within which time a target should get work. One that has answered a
 // trial gets the next one soon.
-func (s spread) limit(t *target) time.Duration {
+func (s spread) maxIdle(t *target) time.Duration {
 	if t.health.Answering() {
 		return min(s.within, spreadTime)
 	}
@@ -143,7 +143,7 @@
 			continue
 		}
 		all++
-		if now.Sub(t.granted) < s.limit(t) {
+		if now.Sub(t.granted) < s.maxIdle(t) {
 			continue
 		}
 		out++
