--- a/internal/dispatch/sparse.go
+++ b/internal/dispatch/sparse.go
@@ -12,8 +12,8 @@
 // get a first request each.
 
 const (
-	// newcomerShare is the greatest share of the requests that goes to targets that joined.
-	newcomerShare = 0.25
+	// newTargetShare is the greatest share of the requests that goes to targets that joined.
+	newTargetShare = 0.25
 	// countedLeast is how many requests a rate is told by, or countedTime over which time they
 	// are counted.
 	countedLeast = 20
@@ -50,7 +50,7 @@
 		return nil
 	}
 	rate, _ := d.arrivalRate(now)
-	pause := time.Duration(float64(time.Second) / (newcomerShare * max(rate, 1)))
+	pause := time.Duration(float64(time.Second) / (newTargetShare * max(rate, 1)))
 	t := d.targets[d.newTargets[0]]
 	if now.Sub(d.outcomes.lastSpread) < pause || !t.open(now, a) || len(t.flights) >= d.slots(now, t) {
 		return nil
