--- a/internal/dispatch/sparse.go
+++ b/internal/dispatch/sparse.go
@@ -14,10 +14,10 @@
 const (
 	// newTargetShare is the greatest share of the requests that goes to targets that joined.
 	newTargetShare = 0.25
-	// countedLeast is how many requests a rate is told by, or countedTime over which time they
+	// minCounted is how many requests a rate is told by, or countedTime over which time they
 	// are counted.
-	countedLeast = 20
-	countedTime  = time.Second
+	minCounted  = 20
+	countedTime = time.Second
 )
 
 // arrivalRate returns how many first attempts come in a second since this desk has the role, and whether
@@ -26,7 +26,7 @@
 	d.window.turn(now, d.started, d.budget)
 	firsts, _ := d.window.sums()
 	counted := min(max(now.Sub(d.window.since), time.Millisecond), d.budget.Window)
-	return firsts / counted.Seconds(), firsts >= countedLeast || counted >= countedTime
+	return firsts / counted.Seconds(), firsts >= minCounted || counted >= countedTime
 }
 
 // sparse reports whether the requests that come can't reach the floor of the targets within the
