--- a/internal/dispatch/coverage.go
+++ b/internal/dispatch/coverage.go
@@ -12,8 +12,8 @@
 // worked in the window and the two seconds before it. A loss of power ends a tenth of the
 // requests with no sign before it, so that this must hold at any time.
 const (
-	// floorDefault is the floor of a desk that was told of none: the users'.
-	floorDefault = 0.7
+	// defaultFloor is the floor of a desk that was told of none: the users'.
+	defaultFloor = 0.7
 	// coverSettled is how long a target must have worked to count: the window and the
 	// time before it.
 	coverSettled = 4 * time.Second
--- a/internal/dispatch/desk.go
+++ b/internal/dispatch/desk.go
@@ -78,7 +78,7 @@
 		started:      now,
 		lastFreeSlot: now,
 		budget:       b,
-		floor:        floorDefault,
+		floor:        defaultFloor,
 		limitShare:   1,
 		random:       random,
 		targets:      map[string]*target{},
