--- a/internal/dispatch/coverage.go
+++ b/internal/dispatch/coverage.go
@@ -17,9 +17,9 @@
 	// coverSettled is how long a target must have worked to count: the window and the
 	// time before it.
 	coverSettled = 4 * time.Second
-	// coverLeast is the probability of counting below which a target is left out of the
+	// coverMinProbability is the probability of counting below which a target is left out of the
 	// sum: many that surely fail would cost time and change nothing.
-	coverLeast = 0.005
+	coverMinProbability = 0.005
 	// coverInterval is how long a coverage is used again while no idle target got work.
 	coverInterval = 20 * time.Millisecond
 )
@@ -68,7 +68,7 @@
 			continue
 		}
 		p := t.steady(now)
-		if p < coverLeast {
+		if p < coverMinProbability {
 			continue
 		}
 		c.working += p
