--- a/internal/dispatch/coverage.go
+++ b/internal/dispatch/coverage.go
@@ -28,9 +28,9 @@
 // tenth of the requests is lost.
 const shortPrice = 50
 
-// exactMost is up to how many targets the probability of too few is worked out exactly, in a time
+// exactMaxTargets is up to how many targets the probability of too few is worked out exactly, in a time
 // that goes by their square.
-const exactMost = 150
+const exactMaxTargets = 150
 
 // trialFrom is from which worth on a request counts as a trial of its target: more than
 // a full target costs more than an empty one.
@@ -113,7 +113,7 @@
 	if floor <= 0 {
 		return 0
 	}
-	if len(reached)+len(idle) > exactMost {
+	if len(reached)+len(idle) > exactMaxTargets {
 		return tooFewOfMany(reached, idle, floor)
 	}
 	// allowed is how many may be missed for each that was reached.
