--- a/internal/dispatch/coverage.go
+++ b/internal/dispatch/coverage.go
@@ -32,9 +32,9 @@
 // that goes by their square.
 const exactMaxTargets = 150
 
-// trialFrom is from which worth on a request counts as a trial of its target: more than
+// trialMinGain is from which worth on a request counts as a trial of its target: more than
 // a full target costs more than an empty one.
-const trialFrom = 0.05
+const trialMinGain = 0.05
 
 // coverage says which part of the targets that work has had some lately.
 type coverage struct {
--- a/internal/dispatch/desk.go
+++ b/internal/dispatch/desk.go
@@ -276,7 +276,7 @@
 // grant gives an ask a target. trial is set where nothing but its lack of work speaks
 // for it.
 func (d *Desk) grant(now time.Time, t *target, a *Ask, trial bool) Grant {
-	trial = trial || d.coverageGain(now, t, a) >= trialFrom
+	trial = trial || d.coverageGain(now, t, a) >= trialMinGain
 	if trial {
 		d.trials++
 	}
