--- a/internal/dispatch/coverage.go
+++ b/internal/dispatch/coverage.go
@@ -41,8 +41,8 @@
 	// working is the expected number of targets that count, reached of those that got
 	// work within spreadTime.
 	working, reached float64
-	// short is the probability that fewer than the floor were reached.
-	short float64
+	// shortProbability is the probability that fewer than the floor were reached.
+	shortProbability float64
 	// price is what it is worth that one more gets work that surely counts.
 	price float64
 	at    time.Time
@@ -80,8 +80,8 @@
 			t.missed = p
 		}
 	}
-	c.short = tooFew(reached, idle, d.floor)
-	c.price = shortPrice * c.short * d.headroom(now, c.working)
+	c.shortProbability = tooFew(reached, idle, d.floor)
+	c.price = shortPrice * c.shortProbability * d.headroom(now, c.working)
 	return c
 }
 
--- a/internal/dispatch/status.go
+++ b/internal/dispatch/status.go
@@ -72,7 +72,7 @@
 	}
 	s.Enter, s.Leave = d.model.Rates()
 	c := d.coverage(now)
-	s.Working, s.Reached, s.Short = c.working, c.reached, c.short
+	s.Working, s.Reached, s.Short = c.working, c.reached, c.shortProbability
 	for _, t := range d.order {
 		s.InFlight += len(t.flights)
 		if !t.drains(now) {
