--- a/internal/dispatch/coverage.go
+++ b/internal/dispatch/coverage.go
@@ -80,7 +80,7 @@
 			t.missed = p
 		}
 	}
-	c.shortProbability = tooFew(reached, idle, d.floor)
+	c.shortProbability = shortProbability(reached, idle, d.floor)
 	c.price = shortPrice * c.shortProbability * d.headroom(now, c.working)
 	return c
 }
@@ -107,9 +107,9 @@
 	return price * t.missed
 }
 
-// tooFew returns the probability that those of the reached targets that count are fewer
+// shortProbability returns the probability that those of the reached targets that count are fewer
 // than the floor asks of all that count. Both are given by their probabilities to count.
-func tooFew(reached, idle []float64, floor float64) float64 {
+func shortProbability(reached, idle []float64, floor float64) float64 {
 	if floor <= 0 {
 		return 0
 	}
--- a/internal/dispatch/export_test.go
+++ b/internal/dispatch/export_test.go
@@ -8,4 +8,6 @@
 }
 
 // TooFew returns the probability that too few of the targets that count were reached.
-func TooFew(reached, idle []float64, floor float64) float64 { return tooFew(reached, idle, floor) }
+func TooFew(reached, idle []float64, floor float64) float64 {
+	return shortProbability(reached, idle, floor)
+}
