--- a/internal/dispatch/coverage.go
+++ b/internal/dispatch/coverage.go
@@ -114,7 +114,7 @@
 		return 0
 	}
 	if len(reached)+len(idle) > exactMaxTargets {
-		return tooFewOfMany(reached, idle, floor)
+		return approxShortProbability(reached, idle, floor)
 	}
 	// allowed is how many may be missed for each that was reached.
 	allowed := (1 - floor) / floor
@@ -127,9 +127,9 @@
 	return few
 }
 
-// tooFewOfMany returns the same in linear time: by the central limit theorem the number of missed
+// approxShortProbability returns the same in linear time: by the central limit theorem the number of missed
 // targets less those allowed is about normal.
-func tooFewOfMany(reached, idle []float64, floor float64) float64 {
+func approxShortProbability(reached, idle []float64, floor float64) float64 {
 	allowed := (1 - floor) / floor
 	mean, variance := 0.0, 0.0
 	for _, p := range idle {
--- a/internal/dispatch/export_test.go
+++ b/internal/dispatch/export_test.go
@@ -4,7 +4,7 @@
 
 // TooFewOfMany returns the same by its approximation for many targets.
 func TooFewOfMany(reached, idle []float64, floor float64) float64 {
-	return tooFewOfMany(reached, idle, floor)
+	return approxShortProbability(reached, idle, floor)
 }
 
 // TooFew returns the probability that too few of the targets that count were reached.
