--- a/internal/dispatch/coverage.go
+++ b/internal/dispatch/coverage.go
@@ -122,7 +122,7 @@
 	missed := distribution(idle, min(len(idle), most))
 	few := 0.0
 	for n, p := range distribution(reached, len(reached)) {
-		few += p * above(missed, float64(n)*allowed)
+		few += p * probabilityAbove(missed, float64(n)*allowed)
 	}
 	return few
 }
@@ -160,8 +160,8 @@
 	return out
 }
 
-// above returns the probability of more than most events.
-func above(distribution []float64, most float64) float64 {
+// probabilityAbove returns the probability of more than most events.
+func probabilityAbove(distribution []float64, most float64) float64 {
 	left := 1.0
 	for n, p := range distribution {
 		if float64(n) <= most {
