--- a/internal/dispatch/limit.go
+++ b/internal/dispatch/limit.go
@@ -13,9 +13,9 @@
 const (
 	// limitBurst is how much of a target's limit may be saved up while nothing comes.
 	limitBurst = 200 * time.Millisecond
-	// limitLeast is the rate, in requests a second, at which targets are asked that accept
+	// minLimitRate is the rate, in requests a second, at which targets are asked that accept
 	// less: only an answer tells that a limit has been lifted.
-	limitLeast = 0.1
+	minLimitRate = 0.1
 	// liftedTime is for how long a target without a limit any more gets a part of its slots.
 	liftedTime = 2 * time.Second
 	// limitWindow is the time over which grants of a target with a limit are counted.
@@ -80,7 +80,7 @@
 }
 
 // LimitRate returns the rate at which a target with a limit is used, in requests a second.
-func LimitRate(l signal.Limit) float64 { return max(l.Rate, limitLeast) }
+func LimitRate(l signal.Limit) float64 { return max(l.Rate, minLimitRate) }
 
 // wait returns after how long the target may be granted.
 func (l *limited) wait(now time.Time, part float64) time.Duration {
