--- a/internal/dispatch/limit.go
+++ b/internal/dispatch/limit.go
@@ -16,8 +16,8 @@
 	// minLimitRate is the rate, in requests a second, at which targets are asked that accept
 	// less: only an answer tells that a limit has been lifted.
 	minLimitRate = 0.1
-	// liftedTime is for how long a target without a limit any more gets a part of its slots.
-	liftedTime = 2 * time.Second
+	// liftedWarmup is for how long a target without a limit any more gets a part of its slots.
+	liftedWarmup = 2 * time.Second
 	// limitWindow is the time over which grants of a target with a limit are counted.
 	limitWindow = 4 * time.Second
 )
@@ -160,7 +160,7 @@
 		l.begin(now)
 		d.limits++
 	case !s.Set && before.Set:
-		t.warmUntil = later(t.warmUntil, now.Add(liftedTime))
+		t.warmUntil = later(t.warmUntil, now.Add(liftedWarmup))
 		d.limits--
 	}
 	if before == s.Limit {
