--- a/internal/dispatch/limit.go
+++ b/internal/dispatch/limit.go
@@ -29,9 +29,9 @@
 	At time.Time
 }
 
-// limited is the limit of a target and what was granted of it. A target that warms up has another
+// limitState is the limit of a target and what was granted of it. A target that warms up has another
 // one, which its service states.
-type limited struct {
+type limitState struct {
 	signal.Limit
 	// warmup is in requests a second, 0 for none; it holds until warmupUntil.
 	warmup      float64
@@ -45,16 +45,16 @@
 }
 
 // warms reports whether the limit of a target that warms up is the one to keep.
-func (l *limited) warms(now time.Time) bool {
+func (l *limitState) warms(now time.Time) bool {
 	return l.warmup > 0 && now.Before(l.warmupUntil) && (!l.Set || l.warmup < LimitRate(l.Limit))
 }
 
 // bounded reports whether the target has a limit at now.
-func (l *limited) bounded(now time.Time) bool { return l.Set || l.warms(now) }
+func (l *limitState) bounded(now time.Time) bool { return l.Set || l.warms(now) }
 
 // rate returns the rate at which the target is granted, in requests a second. part is the part
 // of the limit that this desk may use.
-func (l *limited) rate(now time.Time, part float64) float64 {
+func (l *limitState) rate(now time.Time, part float64) float64 {
 	if l.warms(now) {
 		return part * l.warmup
 	}
@@ -62,7 +62,7 @@
 }
 
 // warm begins or renews the limit of a target that warms up for a time.
-func (l *limited) warm(now time.Time, rate float64, warmup time.Duration) {
+func (l *limitState) warm(now time.Time, rate float64, warmup time.Duration) {
 	if rate <= 0 || warmup <= 0 {
 		return
 	}
@@ -74,7 +74,7 @@
 
 // begin begins to count grants: other dispatchers, or this one unaware of the limit, may have granted
 // all of it.
-func (l *limited) begin(now time.Time) {
+func (l *limitState) begin(now time.Time) {
 	l.pacer = *ratelimit.NewPacer(now, 0)
 	l.begun, l.grants = now, window{}
 }
@@ -83,7 +83,7 @@
 func LimitRate(l signal.Limit) float64 { return max(l.Rate, minLimitRate) }
 
 // wait returns after how long the target may be granted.
-func (l *limited) wait(now time.Time, part float64) time.Duration {
+func (l *limitState) wait(now time.Time, part float64) time.Duration {
 	if !l.bounded(now) {
 		return 0
 	}
@@ -101,7 +101,7 @@
 }
 
 // take pays for a grant. A grant that the limit doesn't pay for puts off the next ones.
-func (l *limited) take(now time.Time, part float64) {
+func (l *limitState) take(now time.Time, part float64) {
 	if !l.bounded(now) {
 		return
 	}
@@ -112,7 +112,7 @@
 }
 
 // granted returns how often the target was granted in the last limitWindow.
-func (l *limited) granted(now time.Time) int {
+func (l *limitState) granted(now time.Time) int {
 	if !l.bounded(now) {
 		return 0
 	}
--- a/internal/dispatch/target.go
+++ b/internal/dispatch/target.go
@@ -38,7 +38,7 @@
 	// the zero time means that it said nothing.
 	drainingUntil time.Time
 	backoff       backoff
-	limit         limited
+	limit         limitState
 	flights       map[ID]flight
 	// granted is when the target last got work.
 	granted time.Time
