--- a/internal/dispatch/limit.go
+++ b/internal/dispatch/limit.go
@@ -44,18 +44,18 @@
 	grants window
 }
 
-// warms reports whether the limit of a target that warms up is the one to keep.
-func (l *limitState) warms(now time.Time) bool {
+// warming reports whether the limit of a target that warms up is the one to keep.
+func (l *limitState) warming(now time.Time) bool {
 	return l.warmup > 0 && now.Before(l.warmupUntil) && (!l.Set || l.warmup < LimitRate(l.Limit))
 }
 
 // bounded reports whether the target has a limit at now.
-func (l *limitState) bounded(now time.Time) bool { return l.Set || l.warms(now) }
+func (l *limitState) bounded(now time.Time) bool { return l.Set || l.warming(now) }
 
 // rate returns the rate at which the target is granted, in requests a second. part is the part
 // of the limit that this desk may use.
 func (l *limitState) rate(now time.Time, part float64) float64 {
-	if l.warms(now) {
+	if l.warming(now) {
 		return part * l.warmup
 	}
 	return part * LimitRate(l.Limit)
@@ -88,7 +88,7 @@
 		return 0
 	}
 	rate := l.rate(now, part)
-	if l.warms(now) {
+	if l.warming(now) {
 		// A target that warms up falls over by what comes in one second: nothing is saved up.
 		return l.pacer.Wait(now, rate, 1)
 	}
