--- a/internal/dispatch/limit.go
+++ b/internal/dispatch/limit.go
@@ -37,11 +37,11 @@
 	warmup      float64
 	warmupUntil time.Time
 	// at is when the target answered so, by the node that told.
-	at     time.Time
-	by     string
-	begun  time.Time
-	pacer  ratelimit.Pacer
-	grants window
+	at         time.Time
+	reportedBy string
+	begun      time.Time
+	pacer      ratelimit.Pacer
+	grants     window
 }
 
 // warming reports whether the limit of a target that warms up is the one to keep.
@@ -154,7 +154,7 @@
 	}
 	l := &t.limit
 	before := l.Limit
-	l.Limit, l.at, l.by = s.Limit, s.At, by
+	l.Limit, l.at, l.reportedBy = s.Limit, s.At, by
 	switch {
 	case s.Set && !before.Set:
 		l.begin(now)
--- a/internal/dispatch/status.go
+++ b/internal/dispatch/status.go
@@ -85,7 +85,7 @@
 			Slots:    t.Slots,
 			Leaving:  t.drains(now),
 			Limit:    t.limit.Limit,
-			LimitBy:  t.limit.by,
+			LimitBy:  t.limit.reportedBy,
 			LimitAt:  t.limit.at,
 			Granted:  t.limit.granted(now),
 		})
