--- a/internal/dispatch/limit.go
+++ b/internal/dispatch/limit.go
@@ -39,7 +39,7 @@
 	// at is when the target answered so, by the node that told.
 	at         time.Time
 	reportedBy string
-	begun      time.Time
+	started    time.Time
 	pacer      ratelimit.Pacer
 	grants     window
 }
@@ -76,7 +76,7 @@
 // all of it.
 func (l *limitState) begin(now time.Time) {
 	l.pacer = *ratelimit.NewPacer(now, 0)
-	l.begun, l.grants = now, window{}
+	l.started, l.grants = now, window{}
 }
 
 // LimitRate returns the rate at which a target with a limit is used, in requests a second.
@@ -107,7 +107,7 @@
 	}
 	l.wait(now, part)
 	l.pacer.Pay()
-	l.grants.turn(now, l.begun, limitBudget)
+	l.grants.turn(now, l.started, limitBudget)
 	l.grants.first(1)
 }
 
@@ -116,7 +116,7 @@
 	if !l.bounded(now) {
 		return 0
 	}
-	l.grants.turn(now, l.begun, limitBudget)
+	l.grants.turn(now, l.started, limitBudget)
 	n, _ := l.grants.sums()
 	return int(n)
 }
