--- a/internal/dispatch/limit.go
+++ b/internal/dispatch/limit.go
@@ -67,14 +67,14 @@
 		return
 	}
 	if !l.bounded(now) {
-		l.begin(now)
+		l.reset(now)
 	}
 	l.warmup, l.warmupUntil = rate, now.Add(warmup)
 }
 
-// begin begins to count grants: other dispatchers, or this one unaware of the limit, may have granted
+// reset begins to count grants: other dispatchers, or this one unaware of the limit, may have granted
 // all of it.
-func (l *limitState) begin(now time.Time) {
+func (l *limitState) reset(now time.Time) {
 	l.pacer = *ratelimit.NewPacer(now, 0)
 	l.started, l.grants = now, window{}
 }
@@ -157,7 +157,7 @@
 	l.Limit, l.at, l.reportedBy = s.Limit, s.At, by
 	switch {
 	case s.Set && !before.Set:
-		l.begin(now)
+		l.reset(now)
 		d.limits++
 	case !s.Set && before.Set:
 		t.warmUntil = later(t.warmUntil, now.Add(liftedWarmup))
