--- a/internal/dispatch/pay.go
+++ b/internal/dispatch/pay.go
@@ -28,7 +28,7 @@
 func (d *Desk) retries(now time.Time, part float64) (all, spent float64) {
 	firsts, repeats := d.remote.sums(now, d.budget)
 	all, spent = d.window.allowed(now, d.budget, part)
-	return all + shareUsed*d.budget.Share*firsts, spent + repeats
+	return all + usableShare*d.budget.Share*firsts, spent + repeats
 }
 
 // retriesLeft returns how many repeats the budget still pays for.
