--- a/internal/dispatch/budget.go
+++ b/internal/dispatch/budget.go
@@ -7,8 +7,8 @@
 // Parts of what the settings allow that are used. Parts of the fleet that lost each
 // other have a dispatcher each, so that two reserves may be spent in one window.
 const (
-	usableShare = 0.95
-	reserveUsed = 0.5
+	usableShare   = 0.95
+	usableReserve = 0.5
 	// budgetParts is into how many parts the window is divided.
 	budgetParts = 20
 )
@@ -72,5 +72,5 @@
 	// Whoever had the role before may have spent what the window allows.
 	part *= min(now.Sub(w.since).Seconds()/b.Window.Seconds(), 1)
 	firsts, repeats := w.sums()
-	return usableShare*b.Share*firsts + reserveUsed*b.Reserve*part, repeats
+	return usableShare*b.Share*firsts + usableReserve*b.Reserve*part, repeats
 }
