--- a/internal/dispatch/budget.go
+++ b/internal/dispatch/budget.go
@@ -9,8 +9,8 @@
 const (
 	usableShare   = 0.95
 	usableReserve = 0.5
-	// budgetParts is into how many parts the window is divided.
-	budgetParts = 20
+	// windowBuckets is into how many parts the window is divided.
+	windowBuckets = 20
 )
 
 // Budget bounds what is sent beyond the first attempt of each request.
@@ -25,8 +25,8 @@
 
 // window counts first attempts and repeats in a sliding window.
 type window struct {
-	firsts  [budgetParts]float64
-	repeats [budgetParts]float64
+	firsts  [windowBuckets]float64
+	repeats [windowBuckets]float64
 	at      int64
 	// since is when this desk began to serve, last its last ask.
 	since time.Time
@@ -43,19 +43,19 @@
 
 // turn drops the parts that have left the window.
 func (w *window) turn(now time.Time, begun time.Time, b Budget) {
-	part := int64(now.Sub(begun) / (b.Window / budgetParts))
+	part := int64(now.Sub(begun) / (b.Window / windowBuckets))
 	for w.at < part {
 		w.at++
-		w.firsts[w.at%budgetParts] = 0
-		w.repeats[w.at%budgetParts] = 0
-		if part-w.at > budgetParts {
-			w.at = part - budgetParts
+		w.firsts[w.at%windowBuckets] = 0
+		w.repeats[w.at%windowBuckets] = 0
+		if part-w.at > windowBuckets {
+			w.at = part - windowBuckets
 		}
 	}
 }
 
-func (w *window) first(n float64)  { w.firsts[w.at%budgetParts] += n }
-func (w *window) repeat(n float64) { w.repeats[w.at%budgetParts] += n }
+func (w *window) first(n float64)  { w.firsts[w.at%windowBuckets] += n }
+func (w *window) repeat(n float64) { w.repeats[w.at%windowBuckets] += n }
 
 // sums returns the first attempts and the repeats in the window.
 func (w *window) sums() (firsts, repeats float64) {
