--- a/internal/dispatch/budget.go
+++ b/internal/dispatch/budget.go
@@ -33,8 +33,8 @@
 	last  time.Time
 }
 
-// asked notes an ask. A desk that got none for a while has just taken up the role.
-func (w *window) asked(now time.Time, b Budget) {
+// recordRequest notes an ask. A desk that got none for a while has just taken up the role.
+func (w *window) recordRequest(now time.Time, b Budget) {
 	if now.Sub(w.last) > b.Window/2 {
 		w.since = now
 	}
--- a/internal/dispatch/pay.go
+++ b/internal/dispatch/pay.go
@@ -8,7 +8,7 @@
 // reserve that may be used.
 func (d *Desk) affords(now time.Time, a *Ask, part float64) bool {
 	d.window.turn(now, d.started, d.budget)
-	d.window.asked(now, d.budget)
+	d.window.recordRequest(now, d.budget)
 	d.remote.note(now, a.ID.Node, a.Elsewhere)
 	return !a.Again || d.retriesLeft(now, part) >= 1
 }
