--- a/internal/dispatch/budget.go
+++ b/internal/dispatch/budget.go
@@ -41,8 +41,8 @@
 	w.last = now
 }
 
-// turn drops the parts that have left the window.
-func (w *window) turn(now time.Time, begun time.Time, b Budget) {
+// advance drops the parts that have left the window.
+func (w *window) advance(now time.Time, begun time.Time, b Budget) {
 	part := int64(now.Sub(begun) / (b.Window / windowBuckets))
 	for w.at < part {
 		w.at++
--- a/internal/dispatch/coverage.go
+++ b/internal/dispatch/coverage.go
@@ -89,7 +89,7 @@
 // spreadTime: 0 where they are too few for it. They are counted over the
 // window of the retry budget, so that a new desk learns first how many come.
 func (d *Desk) headroom(now time.Time, working float64) float64 {
-	d.window.turn(now, d.started, d.budget)
+	d.window.advance(now, d.started, d.budget)
 	own, _ := d.window.sums()
 	others, _ := d.remote.sums(now, d.budget)
 	come := (own + others) * spreadTime.Seconds() / d.budget.Window.Seconds()
--- a/internal/dispatch/hedge.go
+++ b/internal/dispatch/hedge.go
@@ -22,7 +22,7 @@
 // the more of the retry budget is spent, the surer it must be that the first one
 // gets no answer.
 func (d *Desk) allowsHedge(now time.Time, a *Ask) bool {
-	d.window.turn(now, d.started, d.budget)
+	d.window.advance(now, d.started, d.budget)
 	all, repeats := d.retries(now, 1)
 	if all < 1 || a.Age <= 0 || d.infeasible(now, a) {
 		return false
--- a/internal/dispatch/ledger.go
+++ b/internal/dispatch/ledger.go
@@ -37,7 +37,7 @@
 		w = &window{}
 		l.by[dispatcher] = w
 	}
-	w.turn(now, l.begun, l.budget)
+	w.advance(now, l.begun, l.budget)
 	if again {
 		w.repeat(1)
 	} else {
@@ -49,7 +49,7 @@
 func (l *Ledger) Elsewhere(now time.Time, dispatcher string) Spending {
 	var s Spending
 	for name, w := range l.by {
-		w.turn(now, l.begun, l.budget)
+		w.advance(now, l.begun, l.budget)
 		firsts, repeats := w.sums()
 		if firsts == 0 && repeats == 0 {
 			delete(l.by, name)
--- a/internal/dispatch/limit.go
+++ b/internal/dispatch/limit.go
@@ -107,7 +107,7 @@
 	}
 	l.wait(now, part)
 	l.pacer.Pay()
-	l.grants.turn(now, l.started, limitBudget)
+	l.grants.advance(now, l.started, limitBudget)
 	l.grants.first(1)
 }
 
@@ -116,7 +116,7 @@
 	if !l.bounded(now) {
 		return 0
 	}
-	l.grants.turn(now, l.started, limitBudget)
+	l.grants.advance(now, l.started, limitBudget)
 	n, _ := l.grants.sums()
 	return int(n)
 }
--- a/internal/dispatch/pay.go
+++ b/internal/dispatch/pay.go
@@ -7,7 +7,7 @@
 // affords reports whether the retry budget pays for an ask. part is the share of the
 // reserve that may be used.
 func (d *Desk) affords(now time.Time, a *Ask, part float64) bool {
-	d.window.turn(now, d.started, d.budget)
+	d.window.advance(now, d.started, d.budget)
 	d.window.recordRequest(now, d.budget)
 	d.remote.note(now, a.ID.Node, a.Elsewhere)
 	return !a.Again || d.retriesLeft(now, part) >= 1
--- a/internal/dispatch/sparse.go
+++ b/internal/dispatch/sparse.go
@@ -23,7 +23,7 @@
 // arrivalRate returns how many first attempts come in a second since this desk has the role, and whether
 // that is known yet. Nodes have desks long before they take it up.
 func (d *Desk) arrivalRate(now time.Time) (rate float64, known bool) {
-	d.window.turn(now, d.started, d.budget)
+	d.window.advance(now, d.started, d.budget)
 	firsts, _ := d.window.sums()
 	counted := min(max(now.Sub(d.window.since), time.Millisecond), d.budget.Window)
 	return firsts / counted.Seconds(), firsts >= minCounted || counted >= countedTime
--- a/internal/dispatch/status.go
+++ b/internal/dispatch/status.go
@@ -54,7 +54,7 @@
 
 // Asked returns how many asks came in the window of the retry budget.
 func (d *Desk) Asked(now time.Time) int {
-	d.window.turn(now, d.started, d.budget)
+	d.window.advance(now, d.started, d.budget)
 	firsts, repeats := d.window.sums()
 	return int(firsts + repeats)
 }
