--- a/internal/dispatch/budget.go
+++ b/internal/dispatch/budget.go
@@ -54,8 +54,8 @@
 	}
 }
 
-func (w *window) first(n float64)  { w.firsts[w.at%windowBuckets] += n }
-func (w *window) repeat(n float64) { w.repeats[w.at%windowBuckets] += n }
+func (w *window) addFirst(n float64) { w.firsts[w.at%windowBuckets] += n }
+func (w *window) repeat(n float64)   { w.repeats[w.at%windowBuckets] += n }
 
 // sums returns the first attempts and the repeats in the window.
 func (w *window) sums() (firsts, repeats float64) {
--- a/internal/dispatch/ledger.go
+++ b/internal/dispatch/ledger.go
@@ -41,7 +41,7 @@
 	if again {
 		w.repeat(1)
 	} else {
-		w.first(1)
+		w.addFirst(1)
 	}
 }
 
--- a/internal/dispatch/limit.go
+++ b/internal/dispatch/limit.go
@@ -108,7 +108,7 @@
 	l.wait(now, part)
 	l.pacer.Pay()
 	l.grants.advance(now, l.started, limitBudget)
-	l.grants.first(1)
+	l.grants.addFirst(1)
 }
 
 // granted returns how often the target was granted in the last limitWindow.
--- a/internal/dispatch/pay.go
+++ b/internal/dispatch/pay.go
@@ -19,7 +19,7 @@
 		d.window.repeat(n)
 		return
 	}
-	d.window.first(n)
+	d.window.addFirst(n)
 }
 
 // retries returns how many repeats the budget pays for in the window and how many of
