--- a/internal/dispatch/budget.go
+++ b/internal/dispatch/budget.go
@@ -55,7 +55,7 @@
 }
 
 func (w *window) addFirst(n float64) { w.firsts[w.at%windowBuckets] += n }
-func (w *window) repeat(n float64)   { w.repeats[w.at%windowBuckets] += n }
+func (w *window) addRetry(n float64) { w.repeats[w.at%windowBuckets] += n }
 
 // sums returns the first attempts and the repeats in the window.
 func (w *window) sums() (firsts, repeats float64) {
--- a/internal/dispatch/ledger.go
+++ b/internal/dispatch/ledger.go
@@ -39,7 +39,7 @@
 	}
 	w.advance(now, l.begun, l.budget)
 	if again {
-		w.repeat(1)
+		w.addRetry(1)
 	} else {
 		w.addFirst(1)
 	}
--- a/internal/dispatch/pay.go
+++ b/internal/dispatch/pay.go
@@ -16,7 +16,7 @@
 // charge counts an ask n times in the retry budget.
 func (d *Desk) charge(a *Ask, n float64) {
 	if a.Again {
-		d.window.repeat(n)
+		d.window.addRetry(n)
 		return
 	}
 	d.window.addFirst(n)
