--- a/internal/dispatch/budget.go
+++ b/internal/dispatch/budget.go
@@ -26,7 +26,7 @@
 // window counts first attempts and repeats in a sliding window.
 type window struct {
 	firsts  [windowBuckets]float64
-	repeats [windowBuckets]float64
+	retries [windowBuckets]float64
 	at      int64
 	// since is when this desk began to serve, last its last ask.
 	since time.Time
@@ -47,7 +47,7 @@
 	for w.at < part {
 		w.at++
 		w.firsts[w.at%windowBuckets] = 0
-		w.repeats[w.at%windowBuckets] = 0
+		w.retries[w.at%windowBuckets] = 0
 		if part-w.at > windowBuckets {
 			w.at = part - windowBuckets
 		}
@@ -55,13 +55,13 @@
 }
 
 func (w *window) addFirst(n float64) { w.firsts[w.at%windowBuckets] += n }
-func (w *window) addRetry(n float64) { w.repeats[w.at%windowBuckets] += n }
+func (w *window) addRetry(n float64) { w.retries[w.at%windowBuckets] += n }
 
 // sums returns the first attempts and the repeats in the window.
 func (w *window) sums() (firsts, repeats float64) {
 	for i := range w.firsts {
 		firsts += w.firsts[i]
-		repeats += w.repeats[i]
+		repeats += w.retries[i]
 	}
 	return firsts, repeats
 }
