--- a/internal/dispatch/budget.go
+++ b/internal/dispatch/budget.go
@@ -27,7 +27,7 @@
 type window struct {
 	firsts  [windowBuckets]float64
 	retries [windowBuckets]float64
-	at      int64
+	bucket  int64
 	// since is when this desk began to serve, last its last ask.
 	since time.Time
 	last  time.Time
@@ -44,18 +44,18 @@
 // advance drops the parts that have left the window.
 func (w *window) advance(now time.Time, begun time.Time, b Budget) {
 	part := int64(now.Sub(begun) / (b.Window / windowBuckets))
-	for w.at < part {
-		w.at++
-		w.firsts[w.at%windowBuckets] = 0
-		w.retries[w.at%windowBuckets] = 0
-		if part-w.at > windowBuckets {
-			w.at = part - windowBuckets
+	for w.bucket < part {
+		w.bucket++
+		w.firsts[w.bucket%windowBuckets] = 0
+		w.retries[w.bucket%windowBuckets] = 0
+		if part-w.bucket > windowBuckets {
+			w.bucket = part - windowBuckets
 		}
 	}
 }
 
-func (w *window) addFirst(n float64) { w.firsts[w.at%windowBuckets] += n }
-func (w *window) addRetry(n float64) { w.retries[w.at%windowBuckets] += n }
+func (w *window) addFirst(n float64) { w.firsts[w.bucket%windowBuckets] += n }
+func (w *window) addRetry(n float64) { w.retries[w.bucket%windowBuckets] += n }
 
 // sums returns the first attempts and the repeats in the window.
 func (w *window) sums() (firsts, repeats float64) {
