--- a/internal/dispatch/budget.go
+++ b/internal/dispatch/budget.go
@@ -29,16 +29,16 @@
 	retries [windowBuckets]float64
 	bucket  int64
 	// since is when this desk began to serve, last its last ask.
-	since time.Time
-	last  time.Time
+	since       time.Time
+	lastRequest time.Time
 }
 
 // recordRequest notes an ask. A desk that got none for a while has just taken up the role.
 func (w *window) recordRequest(now time.Time, b Budget) {
-	if now.Sub(w.last) > b.Window/2 {
+	if now.Sub(w.lastRequest) > b.Window/2 {
 		w.since = now
 	}
-	w.last = now
+	w.lastRequest = now
 }
 
 // advance drops the parts that have left the window.
