--- a/internal/dispatch/ledger.go
+++ b/internal/dispatch/ledger.go
@@ -61,22 +61,22 @@
 	return s
 }
 
-// told is what a node said of its dealings with other dispatchers.
-type told struct {
+// remoteReport is what a node said of its dealings with other dispatchers.
+type remoteReport struct {
 	Spending
 	at time.Time
 }
 
 // elsewhere is what all nodes said. Each word counts until the node's next one or
 // until the window has passed.
-type elsewhere map[string]told
+type elsewhere map[string]remoteReport
 
 func (e elsewhere) note(now time.Time, node string, s Spending) {
 	if s == (Spending{}) {
 		delete(e, node)
 		return
 	}
-	e[node] = told{
+	e[node] = remoteReport{
 		Spending: s,
 		at:       now,
 	}
