--- a/internal/dispatch/desk.go
+++ b/internal/dispatch/desk.go
@@ -41,7 +41,7 @@
 	nextServe time.Time
 	queue     queue
 	window    window
-	remote    elsewhere
+	remote    remoteGrants
 	granted   map[ID]string
 	// ended are asks that have ended: a repeated datagram of one of them must not
 	// open it again.
@@ -82,7 +82,7 @@
 		limitShare:   1,
 		random:       random,
 		targets:      map[string]*target{},
-		remote:       elsewhere{},
+		remote:       remoteGrants{},
 		granted:      map[ID]string{},
 		ended:        map[ID]time.Time{},
 		model:        health.NewModel(now),
--- a/internal/dispatch/ledger.go
+++ b/internal/dispatch/ledger.go
@@ -67,11 +67,11 @@
 	at time.Time
 }
 
-// elsewhere is what all nodes said. Each word counts until the node's next one or
+// remoteGrants is what all nodes said. Each word counts until the node's next one or
 // until the window has passed.
-type elsewhere map[string]remoteReport
+type remoteGrants map[string]remoteReport
 
-func (e elsewhere) note(now time.Time, node string, s Spending) {
+func (e remoteGrants) note(now time.Time, node string, s Spending) {
 	if s == (Spending{}) {
 		delete(e, node)
 		return
@@ -83,7 +83,7 @@
 }
 
 // sums returns the first attempts and the repeats that others gave in the window.
-func (e elsewhere) sums(now time.Time, b Budget) (firsts, repeats float64) {
+func (e remoteGrants) sums(now time.Time, b Budget) (firsts, repeats float64) {
 	for node, t := range e {
 		if now.Sub(t.at) > b.Window {
 			delete(e, node)
