--- a/internal/dispatch/ledger.go
+++ b/internal/dispatch/ledger.go
@@ -71,7 +71,7 @@
 // until the window has passed.
 type remoteGrants map[string]remoteReport
 
-func (e remoteGrants) note(now time.Time, node string, s Spending) {
+func (e remoteGrants) record(now time.Time, node string, s Spending) {
 	if s == (Spending{}) {
 		delete(e, node)
 		return
--- a/internal/dispatch/pay.go
+++ b/internal/dispatch/pay.go
@@ -9,7 +9,7 @@
 func (d *Desk) affords(now time.Time, a *Ask, part float64) bool {
 	d.window.advance(now, d.started, d.budget)
 	d.window.recordRequest(now, d.budget)
-	d.remote.note(now, a.ID.Node, a.Elsewhere)
+	d.remote.record(now, a.ID.Node, a.Elsewhere)
 	return !a.Again || d.retriesLeft(now, part) >= 1
 }
 
