--- a/internal/dispatch/ledger.go
+++ b/internal/dispatch/ledger.go
@@ -16,17 +16,17 @@
 // the one that takes up the role then knows what was spent before it. It isn't
 // safe for concurrent use.
 type Ledger struct {
-	begun  time.Time
-	budget Budget
-	by     map[string]*window
+	started time.Time
+	budget  Budget
+	by      map[string]*window
 }
 
 // NewLedger returns an empty ledger.
 func NewLedger(now time.Time, b Budget) *Ledger {
 	return &Ledger{
-		begun:  now,
-		budget: b,
-		by:     map[string]*window{},
+		started: now,
+		budget:  b,
+		by:      map[string]*window{},
 	}
 }
 
@@ -37,7 +37,7 @@
 		w = &window{}
 		l.by[dispatcher] = w
 	}
-	w.advance(now, l.begun, l.budget)
+	w.advance(now, l.started, l.budget)
 	if again {
 		w.addRetry(1)
 	} else {
@@ -49,7 +49,7 @@
 func (l *Ledger) Elsewhere(now time.Time, dispatcher string) Spending {
 	var s Spending
 	for name, w := range l.by {
-		w.advance(now, l.begun, l.budget)
+		w.advance(now, l.started, l.budget)
 		firsts, repeats := w.sums()
 		if firsts == 0 && repeats == 0 {
 			delete(l.by, name)
