--- a/internal/dispatch/ledger.go
+++ b/internal/dispatch/ledger.go
@@ -18,7 +18,7 @@
 type Ledger struct {
 	started time.Time
 	budget  Budget
-	by      map[string]*window
+	windows map[string]*window
 }
 
 // NewLedger returns an empty ledger.
@@ -26,16 +26,16 @@
 	return &Ledger{
 		started: now,
 		budget:  b,
-		by:      map[string]*window{},
+		windows: map[string]*window{},
 	}
 }
 
 // Took notes an attempt that a dispatcher answered; again is set for a repeat.
 func (l *Ledger) Took(now time.Time, dispatcher string, again bool) {
-	w := l.by[dispatcher]
+	w := l.windows[dispatcher]
 	if w == nil {
 		w = &window{}
-		l.by[dispatcher] = w
+		l.windows[dispatcher] = w
 	}
 	w.advance(now, l.started, l.budget)
 	if again {
@@ -48,11 +48,11 @@
 // Elsewhere returns what other dispatchers than the one named gave.
 func (l *Ledger) Elsewhere(now time.Time, dispatcher string) Spending {
 	var s Spending
-	for name, w := range l.by {
+	for name, w := range l.windows {
 		w.advance(now, l.started, l.budget)
 		firsts, repeats := w.sums()
 		if firsts == 0 && repeats == 0 {
-			delete(l.by, name)
+			delete(l.windows, name)
 		} else if name != dispatcher {
 			s.Firsts += int(firsts)
 			s.Repeats += int(repeats)
