--- a/internal/dispatch/target.go
+++ b/internal/dispatch/target.go
@@ -31,8 +31,8 @@
 type target struct {
 	Target
 	health *health.Target
-	// gone is until when a target that is gone gets no work.
-	gone      time.Time
+	// goneUntil is until when a target that is gone gets no work.
+	goneUntil time.Time
 	warmUntil time.Time
 	// drainingUntil is until when the target leaves by its own word, which any node may have heard;
 	// the zero time means that it said nothing.
@@ -68,13 +68,13 @@
 
 func (t *target) noteGone(now time.Time, r Result) {
 	if r == ResultGone {
-		t.gone = now.Add(goneTime)
+		t.goneUntil = now.Add(goneTime)
 	}
 }
 
 // failing returns the probability that the target is failing at now.
 func (t *target) failing(now time.Time) float64 {
-	if now.Before(t.gone) {
+	if now.Before(t.goneUntil) {
 		return 1
 	}
 	return t.health.Failing(now)
@@ -82,7 +82,7 @@
 
 // lost returns the probability that a request sent at now is not answered well.
 func (t *target) lost(now time.Time) float64 {
-	if now.Before(t.gone) {
+	if now.Before(t.goneUntil) {
 		return 1
 	}
 	return t.health.Lost(now)
@@ -93,7 +93,7 @@
 
 // steady returns the probability that the target counts at now.
 func (t *target) steady(now time.Time) float64 {
-	if now.Before(t.gone) || t.backoff.tried() || t.limit.bounded(now) && t.limit.rate(now, 1)*spreadTime.Seconds() < 1 {
+	if now.Before(t.goneUntil) || t.backoff.tried() || t.limit.bounded(now) && t.limit.rate(now, 1)*spreadTime.Seconds() < 1 {
 		return 0
 	}
 	return t.health.Steady(now, now.Add(-coverSettled))
