--- a/internal/dispatch/target.go
+++ b/internal/dispatch/target.go
@@ -46,9 +46,9 @@
 	missed float64
 }
 
-// goneTime is how long a target that is gone gets no work; its registration ends
+// goneDuration is how long a target that is gone gets no work; its registration ends
 // meanwhile.
-const goneTime = 5 * time.Second
+const goneDuration = 5 * time.Second
 
 const (
 	// drainingNamed is how long a target that can't begin another life under its key leaves, by
@@ -68,7 +68,7 @@
 
 func (t *target) noteGone(now time.Time, r Result) {
 	if r == ResultGone {
-		t.goneUntil = now.Add(goneTime)
+		t.goneUntil = now.Add(goneDuration)
 	}
 }
 
