--- a/internal/dispatch/barred.go
+++ b/internal/dispatch/barred.go
@@ -45,7 +45,7 @@
 	}
 	t.drainingUntil = now.Add(drainingUnnamed)
 	if t.Named {
-		t.drainingUntil = now.Add(drainingNamed)
+		t.drainingUntil = now.Add(drainWithID)
 	}
 	d.lastCoverage = coverage{}
 }
--- a/internal/dispatch/target.go
+++ b/internal/dispatch/target.go
@@ -51,9 +51,9 @@
 const goneDuration = 5 * time.Second
 
 const (
-	// drainingNamed is how long a target that can't begin another life under its key leaves, by
+	// drainWithID is how long a target that can't begin another life under its key leaves, by
 	// its own word: longer than any takes to end.
-	drainingNamed = 24 * time.Hour
+	drainWithID = 24 * time.Hour
 	// drainingUnnamed is the same for one whose next life has the same key.
 	drainingUnnamed = time.Minute
 )
