--- a/internal/dispatch/barred.go
+++ b/internal/dispatch/barred.go
@@ -43,7 +43,7 @@
 	if t == nil || t.drains(now) {
 		return
 	}
-	t.drainingUntil = now.Add(drainingUnnamed)
+	t.drainingUntil = now.Add(drainWithoutID)
 	if t.Named {
 		t.drainingUntil = now.Add(drainWithID)
 	}
--- a/internal/dispatch/target.go
+++ b/internal/dispatch/target.go
@@ -54,8 +54,8 @@
 	// drainWithID is how long a target that can't begin another life under its key leaves, by
 	// its own word: longer than any takes to end.
 	drainWithID = 24 * time.Hour
-	// drainingUnnamed is the same for one whose next life has the same key.
-	drainingUnnamed = time.Minute
+	// drainWithoutID is the same for one whose next life has the same key.
+	drainWithoutID = time.Minute
 )
 
 // drains reports whether the target takes no new work at now, from any node.
