--- a/internal/dispatch/end.go
+++ b/internal/dispatch/end.go
@@ -27,7 +27,7 @@
 		t.health.End(now, f.event, kindOf(r, f.route, took, idle))
 		d.learn(f.route, r, took)
 	}
-	t.noteGone(now, r)
+	t.markGone(now, r)
 	if r == ResultGood || r == ResultBad {
 		t.backoff = backoff{}
 		d.accepting = accepting{}
@@ -64,7 +64,7 @@
 			t.granted = now
 		}
 		t.health.Saw(now, rt, kindOf(r, rt, took, true), took)
-		t.noteGone(now, r)
+		t.markGone(now, r)
 	}
 	d.learn(rt, r, took)
 }
--- a/internal/dispatch/target.go
+++ b/internal/dispatch/target.go
@@ -66,7 +66,7 @@
 	return !t.drains(now) && !slices.Contains(a.Closed, t.DataHall) && !slices.Contains(a.Barred, t.Key)
 }
 
-func (t *target) noteGone(now time.Time, r Result) {
+func (t *target) markGone(now time.Time, r Result) {
 	if r == ResultGone {
 		t.goneUntil = now.Add(goneDuration)
 	}
