--- a/internal/dispatch/desk.go
+++ b/internal/dispatch/desk.go
@@ -285,8 +285,8 @@
 	}
 	paced := t.limit.bounded(now)
 	t.limit.take(now, d.limitShare)
-	before := t.granted
-	t.granted = now
+	before := t.lastGranted
+	t.lastGranted = now
 	doubt := t.lost(now)
 	route := d.model.Route(now, a.Route)
 	t.flights[a.ID] = flight{
--- a/internal/dispatch/end.go
+++ b/internal/dispatch/end.go
@@ -35,9 +35,9 @@
 	if ok && r == ResultUnreached && f.paced {
 		t.limit.pacer.Return()
 	}
-	if ok && r == ResultUnreached && t.granted.Equal(f.begun) {
+	if ok && r == ResultUnreached && t.lastGranted.Equal(f.begun) {
 		// Nothing reached the target: it still waits for work.
-		t.granted = f.before
+		t.lastGranted = f.before
 		d.lastCoverage = coverage{}
 	}
 	if now.Before(d.nextServe) {
@@ -61,7 +61,7 @@
 	rt := d.model.Route(now, route)
 	if t := d.targets[key]; t != nil {
 		if r != ResultUnreached {
-			t.granted = now
+			t.lastGranted = now
 		}
 		t.health.Saw(now, rt, kindOf(r, rt, took, true), took)
 		t.markGone(now, r)
--- a/internal/dispatch/sparse.go
+++ b/internal/dispatch/sparse.go
@@ -41,7 +41,7 @@
 func (d *Desk) nextNewTarget(now time.Time, a *Ask) *target {
 	for len(d.newTargets) > 0 {
 		t := d.targets[d.newTargets[0]]
-		if t != nil && t.granted.IsZero() && !t.drains(now) {
+		if t != nil && t.lastGranted.IsZero() && !t.drains(now) {
 			break
 		}
 		d.newTargets = d.newTargets[1:]
--- a/internal/dispatch/spread.go
+++ b/internal/dispatch/spread.go
@@ -143,7 +143,7 @@
 			continue
 		}
 		all++
-		if now.Sub(t.granted) < s.maxIdle(t) {
+		if now.Sub(t.lastGranted) < s.maxIdle(t) {
 			continue
 		}
 		out++
--- a/internal/dispatch/target.go
+++ b/internal/dispatch/target.go
@@ -40,8 +40,8 @@
 	backoff       backoff
 	limit         limitState
 	flights       map[ID]flight
-	// granted is when the target last got work.
-	granted time.Time
+	// lastGranted is when the target last got work.
+	lastGranted time.Time
 	// missed is the probability that the target works and should have had work by now.
 	missed float64
 }
@@ -89,7 +89,7 @@
 }
 
 // reachedLately reports whether the target got work within spreadTime.
-func (t *target) reachedLately(now time.Time) bool { return now.Sub(t.granted) < spreadTime }
+func (t *target) reachedLately(now time.Time) bool { return now.Sub(t.lastGranted) < spreadTime }
 
 // steady returns the probability that the target counts at now.
 func (t *target) steady(now time.Time) float64 {
