--- a/internal/dispatch/coverage.go
+++ b/internal/dispatch/coverage.go
@@ -63,7 +63,7 @@
 	}
 	var reached, idle []float64
 	for _, t := range d.order {
-		t.missed = 0
+		t.uncovered = 0
 		if t.drains(now) {
 			continue
 		}
@@ -77,7 +77,7 @@
 			reached = append(reached, p)
 		} else {
 			idle = append(idle, p)
-			t.missed = p
+			t.uncovered = p
 		}
 	}
 	c.shortProbability = shortProbability(reached, idle, d.floor)
@@ -104,7 +104,7 @@
 	if a.Again || len(t.flights) >= d.slots(now, t) {
 		return 0
 	}
-	return price * t.missed
+	return price * t.uncovered
 }
 
 // shortProbability returns the probability that those of the reached targets that count are fewer
--- a/internal/dispatch/target.go
+++ b/internal/dispatch/target.go
@@ -42,8 +42,8 @@
 	flights       map[ID]flight
 	// lastGranted is when the target last got work.
 	lastGranted time.Time
-	// missed is the probability that the target works and should have had work by now.
-	missed float64
+	// uncovered is the probability that the target works and should have had work by now.
+	uncovered float64
 }
 
 // goneDuration is how long a target that is gone gets no work; its registration ends
