--- a/internal/dispatch/desk.go
+++ b/internal/dispatch/desk.go
@@ -199,7 +199,7 @@
 	slots := 0.0
 	for _, t := range d.order {
 		if !t.drains(now) {
-			slots += t.limitedSlots(now, d.limitShare, work/time.Duration(n)) * (1 - t.failing(now))
+			slots += t.limitedSlots(now, d.limitShare, work/time.Duration(n)) * (1 - t.failureProbability(now))
 		}
 	}
 	return time.Duration(float64(work) / max(slots, 1))
--- a/internal/dispatch/hedge.go
+++ b/internal/dispatch/hedge.go
@@ -38,7 +38,7 @@
 	route := d.model.Route(now, a.Route)
 	p := d.model.Share()
 	if n := len(a.Tried); n > 0 && d.targets[a.Tried[n-1]] != nil {
-		p = d.targets[a.Tried[n-1]].failing(now)
+		p = d.targets[a.Tried[n-1]].failureProbability(now)
 	}
 	return d.model.Silent(route, p, a.Age)
 }
--- a/internal/dispatch/overload.go
+++ b/internal/dispatch/overload.go
@@ -18,7 +18,7 @@
 // updateFreeSlot notes whether there is a good slot that nothing took.
 func (d *Desk) updateFreeSlot(now time.Time, free []*target) {
 	for _, t := range free {
-		if t.failing(now) < goodFrom {
+		if t.failureProbability(now) < goodFrom {
 			d.lastFreeSlot = now
 			break
 		}
--- a/internal/dispatch/spread.go
+++ b/internal/dispatch/spread.go
@@ -150,7 +150,7 @@
 		if s.calm && t.DataHall != a.DataHall && crossHallCost*float64(a.Kilobytes) > maxSpreadCrossCost {
 			continue
 		}
-		if t.open(now, a) && len(t.flights) < d.slots(now, t) && (best == nil || t.failing(now) < best.failing(now)) {
+		if t.open(now, a) && len(t.flights) < d.slots(now, t) && (best == nil || t.failureProbability(now) < best.failureProbability(now)) {
 			best = t
 		}
 	}
--- a/internal/dispatch/status.go
+++ b/internal/dispatch/status.go
@@ -80,7 +80,7 @@
 		}
 		s.Targets = append(s.Targets, TargetStatus{
 			Key:      t.Key,
-			Failing:  t.failing(now),
+			Failing:  t.failureProbability(now),
 			InFlight: len(t.flights),
 			Slots:    t.Slots,
 			Leaving:  t.drains(now),
--- a/internal/dispatch/target.go
+++ b/internal/dispatch/target.go
@@ -72,8 +72,8 @@
 	}
 }
 
-// failing returns the probability that the target is failing at now.
-func (t *target) failing(now time.Time) float64 {
+// failureProbability returns the probability that the target is failing at now.
+func (t *target) failureProbability(now time.Time) float64 {
 	if now.Before(t.goneUntil) {
 		return 1
 	}
