--- a/internal/dispatch/cost.go
+++ b/internal/dispatch/cost.go
@@ -56,7 +56,7 @@
 
 // baseCost returns what a target costs apart from its load.
 func (d *Desk) baseCost(now time.Time, t *target, a *Ask) float64 {
-	c := a.failureCost() * t.lost(now)
+	c := a.failureCost() * t.lossProbability(now)
 	if t.DataHall != a.DataHall {
 		c += crossHallCost * float64(a.Kilobytes)
 	}
--- a/internal/dispatch/desk.go
+++ b/internal/dispatch/desk.go
@@ -287,7 +287,7 @@
 	t.limit.take(now, d.limitShare)
 	before := t.lastGranted
 	t.lastGranted = now
-	doubt := t.lost(now)
+	doubt := t.lossProbability(now)
 	route := d.model.Route(now, a.Route)
 	t.flights[a.ID] = flight{
 		begun:  now,
--- a/internal/dispatch/target.go
+++ b/internal/dispatch/target.go
@@ -80,8 +80,8 @@
 	return t.health.Failing(now)
 }
 
-// lost returns the probability that a request sent at now is not answered well.
-func (t *target) lost(now time.Time) float64 {
+// lossProbability returns the probability that a request sent at now is not answered well.
+func (t *target) lossProbability(now time.Time) float64 {
 	if now.Before(t.goneUntil) {
 		return 1
 	}
