--- a/internal/dispatch/coverage.go
+++ b/internal/dispatch/coverage.go
@@ -72,7 +72,7 @@
 			continue
 		}
 		c.working += p
-		if t.reachedLately(now) {
+		if t.usedRecently(now) {
 			c.reached += p
 			reached = append(reached, p)
 		} else {
--- a/internal/dispatch/desk.go
+++ b/internal/dispatch/desk.go
@@ -280,7 +280,7 @@
 	if trial {
 		d.trials++
 	}
-	if !t.reachedLately(now) {
+	if !t.usedRecently(now) {
 		d.lastCoverage = coverage{}
 	}
 	paced := t.limit.bounded(now)
--- a/internal/dispatch/target.go
+++ b/internal/dispatch/target.go
@@ -88,8 +88,8 @@
 	return t.health.Lost(now)
 }
 
-// reachedLately reports whether the target got work within spreadTime.
-func (t *target) reachedLately(now time.Time) bool { return now.Sub(t.lastGranted) < spreadTime }
+// usedRecently reports whether the target got work within spreadTime.
+func (t *target) usedRecently(now time.Time) bool { return now.Sub(t.lastGranted) < spreadTime }
 
 // steady returns the probability that the target counts at now.
 func (t *target) steady(now time.Time) float64 {
