--- a/internal/dispatch/desk.go
+++ b/internal/dispatch/desk.go
@@ -290,10 +290,10 @@
 	doubt := t.lossProbability(now)
 	route := d.model.Route(now, a.Route)
 	t.flights[a.ID] = flight{
-		begun:  now,
-		until:  a.Deadline.Add(flightSlack),
-		before: before,
-		last:   a.last(),
+		begun:         now,
+		until:         a.Deadline.Add(flightSlack),
+		previousGrant: before,
+		last:          a.last(),
 		paid: TargetLimit{
 			Target: t.Key,
 			Limit:  t.limit.Limit,
--- a/internal/dispatch/end.go
+++ b/internal/dispatch/end.go
@@ -37,7 +37,7 @@
 	}
 	if ok && r == ResultUnreached && t.lastGranted.Equal(f.begun) {
 		// Nothing reached the target: it still waits for work.
-		t.lastGranted = f.before
+		t.lastGranted = f.previousGrant
 		d.lastCoverage = coverage{}
 	}
 	if now.Before(d.nextServe) {
--- a/internal/dispatch/target.go
+++ b/internal/dispatch/target.go
@@ -13,8 +13,8 @@
 type flight struct {
 	begun time.Time
 	until time.Time
-	// before is when the target had got work before.
-	before time.Time
+	// previousGrant is when the target had got work before.
+	previousGrant time.Time
 	// last is set where no other attempt can follow a failure.
 	last bool
 	// paid is the limit that the target named, which paid for the grant; paced is set where any
