--- a/internal/dispatch/end.go
+++ b/internal/dispatch/end.go
@@ -19,7 +19,7 @@
 	}
 	idle := len(t.flights) <= t.Slots
 	f, ok := t.flights[id]
-	if ok && (f.last || r == ResultGood) {
+	if ok && (f.final || r == ResultGood) {
 		d.outcomes.record(now, r == ResultGood)
 	}
 	delete(t.flights, id)
@@ -50,7 +50,7 @@
 func (d *Desk) Lost(key string, id ID) {
 	if t := d.targets[key]; t != nil {
 		if f, ok := t.flights[id]; ok {
-			f.last = true
+			f.final = true
 			t.flights[id] = f
 		}
 	}
--- a/internal/dispatch/target.go
+++ b/internal/dispatch/target.go
@@ -15,8 +15,8 @@
 	until time.Time
 	// previousGrant is when the target had got work before.
 	previousGrant time.Time
-	// last is set where no other attempt can follow a failure.
-	last bool
+	// final is set where no other attempt can follow a failure.
+	final bool
 	// paid is the limit that the target named, which paid for the grant; paced is set where any
 	// limit did.
 	paid  TargetLimit
