--- a/internal/dispatch/ask.go
+++ b/internal/dispatch/ask.go
@@ -73,8 +73,8 @@
 	Elsewhere Spending
 }
 
-// last reports whether no other attempt can follow a failure of this one.
-func (a *Ask) last() bool { return !a.Repeatable || a.Again && !a.Hedge }
+// final reports whether no other attempt can follow a failure of this one.
+func (a *Ask) final() bool { return !a.Repeatable || a.Again && !a.Hedge }
 
 // Verdict answers an ask.
 type Verdict uint8
--- a/internal/dispatch/desk.go
+++ b/internal/dispatch/desk.go
@@ -293,7 +293,7 @@
 		begun:         now,
 		until:         a.Deadline.Add(flightSlack),
 		previousGrant: before,
-		final:         a.last(),
+		final:         a.final(),
 		paid: TargetLimit{
 			Target: t.Key,
 			Limit:  t.limit.Limit,
