--- a/internal/dispatch/barred.go
+++ b/internal/dispatch/barred.go
@@ -28,7 +28,7 @@
 		d.queue.drop(a.ID)
 		d.ended[a.ID] = now
 		d.outcomes.record(now, false)
-		return a.unserved(Refused, 0)
+		return a.withoutTarget(Refused, 0)
 	}
 	d.queue.bar(a)
 	return Grant{
--- a/internal/dispatch/desk.go
+++ b/internal/dispatch/desk.go
@@ -141,10 +141,10 @@
 // decide answers an ask that the retry budget pays for.
 func (d *Desk) decide(now time.Time, a *Ask) Grant {
 	if d.unavailable(now, a) {
-		return a.unserved(Refused, 0)
+		return a.withoutTarget(Refused, 0)
 	}
 	if wait := d.wait(now, a.Priority); wait > d.maxExpectedWait(now, a) {
-		return a.unserved(Refused, d.retryAfter(wait))
+		return a.withoutTarget(Refused, d.retryAfter(wait))
 	}
 	if t := d.starved(now, a); t != nil {
 		return d.grant(now, t, a, true)
@@ -164,7 +164,7 @@
 		}
 	}
 	if a.Passing || d.infeasible(now, a) {
-		return a.unserved(Refused, 0)
+		return a.withoutTarget(Refused, 0)
 	}
 	d.queue.add(w)
 	return Grant{
@@ -173,9 +173,9 @@
 	}
 }
 
-// unserved returns the answer to an ask that gets no target. One that can be passed on
+// withoutTarget returns the answer to an ask that gets no target. One that can be passed on
 // is not refused.
-func (a *Ask) unserved(v Verdict, wait time.Duration) Grant {
+func (a *Ask) withoutTarget(v Verdict, wait time.Duration) Grant {
 	if a.Passing {
 		v, wait = Full, 0
 	}
