--- a/internal/dispatch/desk.go
+++ b/internal/dispatch/desk.go
@@ -309,7 +309,7 @@
 		Verdict: Granted,
 		Target:  t.Key,
 
-		HedgeAfter: route.Within(hedgeFrom),
+		HedgeAfter: route.Within(hedgeQuantile),
 		Doubt:      doubt,
 		Trial:      trial,
 		Limit:      t.limit.Limit,
--- a/internal/dispatch/hedge.go
+++ b/internal/dispatch/hedge.go
@@ -6,9 +6,9 @@
 
 // Parameters of second attempts beside one that goes on.
 const (
-	// hedgeFrom is the share of good answers that have come when a second target may
+	// hedgeQuantile is the share of good answers that have come when a second target may
 	// be asked for the first time.
-	hedgeFrom = 0.75
+	hedgeQuantile = 0.75
 	// hedgeLeast is the probability of silence from which a second attempt is made
 	// while the retry budget is hardly used, hedgeMost the same when it is spent but
 	// for hedgeKept: that part is for attempts that failed.
@@ -48,5 +48,5 @@
 	if t == nil || t.flights[id].route == nil {
 		return 0
 	}
-	return t.flights[id].route.Within(hedgeFrom)
+	return t.flights[id].route.Within(hedgeQuantile)
 }
