--- a/internal/dispatch/hedge.go
+++ b/internal/dispatch/hedge.go
@@ -9,13 +9,13 @@
 	// hedgeQuantile is the share of good answers that have come when a second target may
 	// be asked for the first time.
 	hedgeQuantile = 0.75
-	// hedgeLeast is the probability of silence from which a second attempt is made
+	// hedgeMinSilence is the probability of silence from which a second attempt is made
 	// while the retry budget is hardly used, hedgeMost the same when it is spent but
 	// for hedgeKept: that part is for attempts that failed.
-	hedgeLeast = 0.1
-	hedgeMost  = 0.9
-	hedgeFree  = 0.4
-	hedgeKept  = 0.1
+	hedgeMinSilence = 0.1
+	hedgeMost       = 0.9
+	hedgeFree       = 0.4
+	hedgeKept       = 0.1
 )
 
 // allowsHedge reports whether a second attempt beside one that goes on is worth a repeat:
@@ -29,7 +29,7 @@
 	}
 	spent := repeats / all
 	price := min(max((spent-hedgeFree)/(1-hedgeKept-hedgeFree), 0), 1)
-	return spent < 1-hedgeKept && d.silenceProbability(now, a) >= hedgeLeast+price*(hedgeMost-hedgeLeast)
+	return spent < 1-hedgeKept && d.silenceProbability(now, a) >= hedgeMinSilence+price*(hedgeMost-hedgeMinSilence)
 }
 
 // silenceProbability returns the probability that the attempt of a request that goes on gets no
