--- a/internal/dispatch/hedge.go
+++ b/internal/dispatch/hedge.go
@@ -13,7 +13,7 @@
 	// while the retry budget is hardly used, hedgeMost the same when it is spent but
 	// for hedgeKept: that part is for attempts that failed.
 	hedgeMinSilence = 0.1
-	hedgeMost       = 0.9
+	hedgeMaxSilence = 0.9
 	hedgeFree       = 0.4
 	hedgeKept       = 0.1
 )
@@ -29,7 +29,7 @@
 	}
 	spent := repeats / all
 	price := min(max((spent-hedgeFree)/(1-hedgeKept-hedgeFree), 0), 1)
-	return spent < 1-hedgeKept && d.silenceProbability(now, a) >= hedgeMinSilence+price*(hedgeMost-hedgeMinSilence)
+	return spent < 1-hedgeKept && d.silenceProbability(now, a) >= hedgeMinSilence+price*(hedgeMaxSilence-hedgeMinSilence)
 }
 
 // silenceProbability returns the probability that the attempt of a request that goes on gets no
