--- a/internal/dispatch/hedge.go
+++ b/internal/dispatch/hedge.go
@@ -15,7 +15,7 @@
 	hedgeMinSilence = 0.1
 	hedgeMaxSilence = 0.9
 	hedgeFree       = 0.4
-	hedgeKept       = 0.1
+	hedgeReserve    = 0.1
 )
 
 // allowsHedge reports whether a second attempt beside one that goes on is worth a repeat:
@@ -28,8 +28,8 @@
 		return false
 	}
 	spent := repeats / all
-	price := min(max((spent-hedgeFree)/(1-hedgeKept-hedgeFree), 0), 1)
-	return spent < 1-hedgeKept && d.silenceProbability(now, a) >= hedgeMinSilence+price*(hedgeMaxSilence-hedgeMinSilence)
+	price := min(max((spent-hedgeFree)/(1-hedgeReserve-hedgeFree), 0), 1)
+	return spent < 1-hedgeReserve && d.silenceProbability(now, a) >= hedgeMinSilence+price*(hedgeMaxSilence-hedgeMinSilence)
 }
 
 // silenceProbability returns the probability that the attempt of a request that goes on gets no
