--- a/internal/dispatch/backoff.go
+++ b/internal/dispatch/backoff.go
@@ -24,8 +24,8 @@
 	until time.Time
 }
 
-// tried reports whether the target has accepted no request since it sent a backoff.
-func (r backoff) tried() bool { return !r.since.IsZero() }
+// active reports whether the target has accepted no request since it sent a backoff.
+func (r backoff) active() bool { return !r.since.IsZero() }
 
 // slots returns how many requests the target gets at a time.
 func (r backoff) slots(now time.Time) int {
@@ -48,7 +48,7 @@
 		d.accepting = accepting{
 			at: now,
 			any: slices.ContainsFunc(d.order, func(t *target) bool {
-				return !t.drains(now) && !t.backoff.tried()
+				return !t.drains(now) && !t.backoff.active()
 			}),
 		}
 	}
@@ -66,7 +66,7 @@
 		return
 	}
 	pause := backoffFirst
-	if t.backoff.tried() {
+	if t.backoff.active() {
 		pause = backoffMax
 	}
 	t.backoff = backoff{
--- a/internal/dispatch/choose.go
+++ b/internal/dispatch/choose.go
@@ -68,7 +68,7 @@
 	if d.exhausted(now, t) {
 		return 0
 	}
-	if t.backoff.tried() && d.anyAccepting(now) {
+	if t.backoff.active() && d.anyAccepting(now) {
 		return t.backoff.slots(now)
 	}
 	if now.Before(t.warmUntil) {
--- a/internal/dispatch/target.go
+++ b/internal/dispatch/target.go
@@ -93,7 +93,7 @@
 
 // steady returns the probability that the target counts at now.
 func (t *target) steady(now time.Time) float64 {
-	if now.Before(t.goneUntil) || t.backoff.tried() || t.limit.bounded(now) && t.limit.rate(now, 1)*spreadTime.Seconds() < 1 {
+	if now.Before(t.goneUntil) || t.backoff.active() || t.limit.bounded(now) && t.limit.rate(now, 1)*spreadTime.Seconds() < 1 {
 		return 0
 	}
 	return t.health.Steady(now, now.Add(-coverSettled))
