--- a/internal/dispatch/overload.go
+++ b/internal/dispatch/overload.go
@@ -5,8 +5,8 @@
 import "time"
 
 const (
-	// shortAfter is for how long no good slot may have been free until slots count as short.
-	shortAfter = 500 * time.Millisecond
+	// slotsShortAfter is for how long no good slot may have been free until slots count as short.
+	slotsShortAfter = 500 * time.Millisecond
 	// goodFrom is the probability of failing below which a target's free slot is a good one:
 	// failing targets always have some.
 	goodFrom = 0.5
@@ -27,7 +27,7 @@
 }
 
 // slotsShort reports whether asks wait for slots, and not for better targets than are free.
-func (d *Desk) slotsShort(now time.Time) bool { return now.Sub(d.lastFreeSlot) > shortAfter }
+func (d *Desk) slotsShort(now time.Time) bool { return now.Sub(d.lastFreeSlot) > slotsShortAfter }
 
 // overloaded reports whether an ask that can't be in time will hardly be served: for as long as
 // it could wait no good slot was left over by what can. A burst that is over sooner is worked
