--- a/internal/dispatch/overload.go
+++ b/internal/dispatch/overload.go
@@ -7,9 +7,9 @@
 const (
 	// slotsShortAfter is for how long no good slot may have been free until slots count as short.
 	slotsShortAfter = 500 * time.Millisecond
-	// goodFrom is the probability of failing below which a target's free slot is a good one:
+	// goodSlotBelow is the probability of failing below which a target's free slot is a good one:
 	// failing targets always have some.
-	goodFrom = 0.5
+	goodSlotBelow = 0.5
 	// retryAfterJitter is by which part of the wait the times differ that refused callers are
 	// told, so that they don't all return at once.
 	retryAfterJitter = 0.4
@@ -18,7 +18,7 @@
 // updateFreeSlot notes whether there is a good slot that nothing took.
 func (d *Desk) updateFreeSlot(now time.Time, free []*target) {
 	for _, t := range free {
-		if t.failureProbability(now) < goodFrom {
+		if t.failureProbability(now) < goodSlotBelow {
 			d.lastFreeSlot = now
 			break
 		}
