--- a/internal/dispatch/configure.go
+++ b/internal/dispatch/configure.go
@@ -25,7 +25,7 @@
 			}
 		}
 		d.update(now, t, c)
-		d.draining += drainingOf(c)
+		d.draining += drainingCount(c)
 		if t.limit.Set {
 			d.limits++
 		}
@@ -44,8 +44,8 @@
 	}
 }
 
-// drainingOf returns 1 for a target that is published as draining, else 0.
-func drainingOf(t Target) int {
+// drainingCount returns 1 for a target that is published as draining, else 0.
+func drainingCount(t Target) int {
 	if t.Leaving {
 		return 1
 	}
@@ -74,7 +74,7 @@
 			if t.limit.Set {
 				d.limits--
 			}
-			d.draining -= drainingOf(t.Target)
+			d.draining -= drainingCount(t.Target)
 			delete(d.targets, key)
 			dropped = true
 		}
@@ -90,7 +90,7 @@
 			d.targets[c.Key] = t
 			d.order = append(d.order, t)
 		}
-		d.draining += drainingOf(c) - drainingOf(t.Target)
+		d.draining += drainingCount(c) - drainingCount(t.Target)
 		d.update(now, t, c)
 	}
 	d.lastCoverage = coverage{}
