--- a/internal/dispatch/divide.go
+++ b/internal/dispatch/divide.go
@@ -7,10 +7,10 @@
 	"slices"
 )
 
-// divideLeast is how many targets of a service each data hall must have for the service to be
+// partitionMinTargets is how many targets of a service each data hall must have for the service to be
 // divided by data halls: with fewer, too many requests find no free slot in their own part.
 // Messages of a divided service stay in their data hall, and no dispatcher has all targets.
-const divideLeast = 30
+const partitionMinTargets = 30
 
 // Divide returns the data halls by which the targets of a service are divided, sorted: each
 // has a desk of its own. It returns nil where one desk should have them all. All nodes
@@ -21,7 +21,7 @@
 		return nil
 	}
 	for _, n := range count {
-		if n < divideLeast {
+		if n < partitionMinTargets {
 			return nil
 		}
 	}
