--- a/internal/dispatch/desk.go
+++ b/internal/dispatch/desk.go
@@ -106,7 +106,7 @@
 		return g
 	}
 	d.outcomes.recordRefused(now, min(a.Refused, maxRefused))
-	d.queue.short = d.slotsShort(now)
+	d.queue.slotsShort = d.slotsShort(now)
 	if a.Hedge && !d.allowsHedge(now, a) || !d.affords(now, a, 1) {
 		if !a.Hedge {
 			d.outcomes.record(now, false)
--- a/internal/dispatch/overload.go
+++ b/internal/dispatch/overload.go
@@ -23,7 +23,7 @@
 			break
 		}
 	}
-	d.queue.short = d.slotsShort(now)
+	d.queue.slotsShort = d.slotsShort(now)
 }
 
 // slotsShort reports whether asks wait for slots, and not for better targets than are free.
--- a/internal/dispatch/queue.go
+++ b/internal/dispatch/queue.go
@@ -25,8 +25,8 @@
 // queue holds asks by priority and then by their arrival.
 type queue struct {
 	list []*waiting
-	// short is set while slots are what asks wait for.
-	short bool
+	// slotsShort is set while slots are what asks wait for.
+	slotsShort bool
 }
 
 func (q *queue) add(w *waiting) {
@@ -53,7 +53,7 @@
 // nearly all answers must, not half of them: slots would go to requests that come too late. A last
 // attempt keeps its place: behind the others it would end at a target that fails.
 func (q *queue) inTime(now time.Time, w *waiting) bool {
-	if q.short && !w.ask.final() {
+	if q.slotsShort && !w.ask.final() {
 		return now.Add(w.margin).Before(w.ask.Aim)
 	}
 	return now.Add(w.takes).Before(w.ask.Aim)
