--- a/internal/dispatch/barred.go
+++ b/internal/dispatch/barred.go
@@ -30,7 +30,7 @@
 		d.outcomes.record(now, false)
 		return a.withoutTarget(Refused, 0)
 	}
-	d.queue.bar(a)
+	d.queue.updateUnavailable(a)
 	return Grant{
 		ID:      a.ID,
 		Verdict: Queued,
--- a/internal/dispatch/queue.go
+++ b/internal/dispatch/queue.go
@@ -63,8 +63,8 @@
 	return slices.ContainsFunc(q.list, func(w *waiting) bool { return w.ask.ID == id })
 }
 
-// bar updates what a waiting ask can't get, by the ask that was sent again.
-func (q *queue) bar(a *Ask) {
+// updateUnavailable updates what a waiting ask can't get, by the ask that was sent again.
+func (q *queue) updateUnavailable(a *Ask) {
 	for _, w := range q.list {
 		if w.ask.ID == a.ID && !(slices.Equal(w.ask.Barred, a.Barred) && slices.Equal(w.ask.Closed, a.Closed)) {
 			w.ask.Barred, w.ask.Closed = a.Barred, a.Closed
