--- a/internal/dispatch/queue.go
+++ b/internal/dispatch/queue.go
@@ -11,10 +11,10 @@
 type waiting struct {
 	ask   *Ask
 	since time.Time
-	// takes is the usual time of an answer to it, margin the time within which nearly all
+	// usualTime is the usual time of an answer to it, margin the time within which nearly all
 	// of them come.
-	takes  time.Duration
-	margin time.Duration
+	usualTime time.Duration
+	margin    time.Duration
 	// needs is the least time in which an answer may come.
 	needs time.Duration
 	// least is what the best target cost, busy ones too, at leastAt.
@@ -42,7 +42,7 @@
 func (q *queue) ahead(now time.Time, priority int) (sum time.Duration, n int) {
 	for _, w := range q.list {
 		if w.ask.Priority <= priority && q.inTime(now, w) {
-			sum += w.takes
+			sum += w.usualTime
 			n++
 		}
 	}
@@ -56,7 +56,7 @@
 	if q.slotsShort && !w.ask.final() {
 		return now.Add(w.margin).Before(w.ask.Aim)
 	}
-	return now.Add(w.takes).Before(w.ask.Aim)
+	return now.Add(w.usualTime).Before(w.ask.Aim)
 }
 
 func (q *queue) has(id ID) bool {
