--- a/internal/dispatch/desk.go
+++ b/internal/dispatch/desk.go
@@ -150,10 +150,10 @@
 		return d.grant(now, t, a, true)
 	}
 	w := &waiting{
-		ask:       a,
-		since:     now,
-		usualTime: d.model.Route(now, a.Route).Usual(),
-		needs:     d.minResponseTime(now, a),
+		ask:             a,
+		since:           now,
+		usualTime:       d.model.Route(now, a.Route).Usual(),
+		minResponseTime: d.minResponseTime(now, a),
 
 		margin: d.margin(now, a),
 	}
--- a/internal/dispatch/queue.go
+++ b/internal/dispatch/queue.go
@@ -15,8 +15,8 @@
 	// of them come.
 	usualTime time.Duration
 	margin    time.Duration
-	// needs is the least time in which an answer may come.
-	needs time.Duration
+	// minResponseTime is the least time in which an answer may come.
+	minResponseTime time.Duration
 	// least is what the best target cost, busy ones too, at leastAt.
 	least   float64
 	leastAt time.Time
@@ -93,7 +93,7 @@
 func (q *queue) expire(now time.Time, overloaded func(*Ask) bool) []Grant {
 	var out []Grant
 	q.list = slices.DeleteFunc(q.list, func(w *waiting) bool {
-		if w.ask.Deadline.Sub(now) >= w.needs && (q.inTime(now, w) || !overloaded(w.ask)) {
+		if w.ask.Deadline.Sub(now) >= w.minResponseTime && (q.inTime(now, w) || !overloaded(w.ask)) {
 			return false
 		}
 		out = append(out, Grant{
