--- a/internal/dispatch/choose.go
+++ b/internal/dispatch/choose.go
@@ -40,12 +40,12 @@
 		return true
 	}
 	if now.Sub(w.leastAt) >= bestCostInterval {
-		w.least = d.baseCost(now, d.cheapest(now, a, d.order), a)
+		w.bestCost = d.baseCost(now, d.cheapest(now, a, d.order), a)
 		w.leastAt = now
 	}
 	// The longer an ask has waited the worse a target it takes: one that failed
 	// gets work again when its slots are needed.
-	worse := d.baseCost(now, t, a) - w.least
+	worse := d.baseCost(now, t, a) - w.bestCost
 	return worse <= a.waitCost(now.Sub(w.since))+waited*a.failureCost()*d.model.LostFailing()
 }
 
--- a/internal/dispatch/queue.go
+++ b/internal/dispatch/queue.go
@@ -17,9 +17,9 @@
 	margin    time.Duration
 	// minResponseTime is the least time in which an answer may come.
 	minResponseTime time.Duration
-	// least is what the best target cost, busy ones too, at leastAt.
-	least   float64
-	leastAt time.Time
+	// bestCost is what the best target cost, busy ones too, at leastAt.
+	bestCost float64
+	leastAt  time.Time
 }
 
 // queue holds asks by priority and then by their arrival.
