--- a/internal/dispatch/choose.go
+++ b/internal/dispatch/choose.go
@@ -39,9 +39,9 @@
 	if waited >= 1 {
 		return true
 	}
-	if now.Sub(w.leastAt) >= bestCostInterval {
+	if now.Sub(w.bestCostAt) >= bestCostInterval {
 		w.bestCost = d.baseCost(now, d.cheapest(now, a, d.order), a)
-		w.leastAt = now
+		w.bestCostAt = now
 	}
 	// The longer an ask has waited the worse a target it takes: one that failed
 	// gets work again when its slots are needed.
--- a/internal/dispatch/queue.go
+++ b/internal/dispatch/queue.go
@@ -18,8 +18,8 @@
 	// minResponseTime is the least time in which an answer may come.
 	minResponseTime time.Duration
 	// bestCost is what the best target cost, busy ones too, at leastAt.
-	bestCost float64
-	leastAt  time.Time
+	bestCost   float64
+	bestCostAt time.Time
 }
 
 // queue holds asks by priority and then by their arrival.
@@ -68,7 +68,7 @@
 	for _, w := range q.list {
 		if w.ask.ID == a.ID && !(slices.Equal(w.ask.Barred, a.Barred) && slices.Equal(w.ask.Closed, a.Closed)) {
 			w.ask.Barred, w.ask.Closed = a.Barred, a.Closed
-			w.leastAt = time.Time{}
+			w.bestCostAt = time.Time{}
 		}
 	}
 }
