--- a/internal/dispatch/budget.go
+++ b/internal/dispatch/budget.go
@@ -43,13 +43,13 @@
 
 // advance drops the parts that have left the window.
 func (w *window) advance(now time.Time, begun time.Time, b Budget) {
-	part := int64(now.Sub(begun) / (b.Window / windowBuckets))
-	for w.bucket < part {
+	bucket := int64(now.Sub(begun) / (b.Window / windowBuckets))
+	for w.bucket < bucket {
 		w.bucket++
 		w.firsts[w.bucket%windowBuckets] = 0
 		w.retries[w.bucket%windowBuckets] = 0
-		if part-w.bucket > windowBuckets {
-			w.bucket = part - windowBuckets
+		if bucket-w.bucket > windowBuckets {
+			w.bucket = bucket - windowBuckets
 		}
 	}
 }
