--- a/internal/dispatch/budget.go
+++ b/internal/dispatch/budget.go
@@ -68,9 +68,9 @@
 
 // allowed returns how many repeats the budget pays for in the window, and spent how
 // many of them were made. part is the share of the reserve that this desk may use.
-func (w *window) allowed(now time.Time, b Budget, part float64) (all, spent float64) {
+func (w *window) allowed(now time.Time, b Budget, share float64) (all, spent float64) {
 	// Whoever had the role before may have spent what the window allows.
-	part *= min(now.Sub(w.since).Seconds()/b.Window.Seconds(), 1)
+	share *= min(now.Sub(w.since).Seconds()/b.Window.Seconds(), 1)
 	firsts, repeats := w.sums()
-	return usableShare*b.Share*firsts + usableReserve*b.Reserve*part, repeats
+	return usableShare*b.Share*firsts + usableReserve*b.Reserve*share, repeats
 }
