--- a/internal/dispatch/desk.go
+++ b/internal/dispatch/desk.go
@@ -255,9 +255,9 @@
 // AskAlone answers for a node that reaches no dispatcher: it grants without
 // regard to slots, for it doesn't know what others have in flight. part is this
 // node's share of the reserve of the retry budget.
-func (d *Desk) AskAlone(now time.Time, a *Ask, part float64) Grant {
+func (d *Desk) AskAlone(now time.Time, a *Ask, share float64) Grant {
 	d.recordSignals(now, a)
-	if !d.affords(now, a, part) {
+	if !d.affords(now, a, share) {
 		return Grant{
 			ID:      a.ID,
 			Verdict: Spent,
