--- a/internal/dispatch/limit.go
+++ b/internal/dispatch/limit.go
@@ -54,11 +54,11 @@
 
 // rate returns the rate at which the target is granted, in requests a second. part is the part
 // of the limit that this desk may use.
-func (l *limitState) rate(now time.Time, part float64) float64 {
+func (l *limitState) rate(now time.Time, share float64) float64 {
 	if l.warming(now) {
-		return part * l.warmup
+		return share * l.warmup
 	}
-	return part * LimitRate(l.Limit)
+	return share * LimitRate(l.Limit)
 }
 
 // warm begins or renews the limit of a target that warms up for a time.
