--- a/internal/dispatch/limit.go
+++ b/internal/dispatch/limit.go
@@ -83,16 +83,16 @@
 func LimitRate(l signal.Limit) float64 { return max(l.Rate, minLimitRate) }
 
 // wait returns after how long the target may be granted.
-func (l *limitState) wait(now time.Time, part float64) time.Duration {
+func (l *limitState) wait(now time.Time, share float64) time.Duration {
 	if !l.bounded(now) {
 		return 0
 	}
-	rate := l.rate(now, part)
+	rate := l.rate(now, share)
 	if l.warming(now) {
 		// A target that warms up falls over by what comes in one second: nothing is saved up.
 		return l.pacer.Wait(now, rate, 1)
 	}
-	if part < 1 {
+	if share < 1 {
 		// Others may save up as much, to grant it at the same moment.
 		l.pacer.Wait(now, rate, math.Inf(1))
 		l.pacer.Lapse(rate * limitBurst.Seconds())
