--- a/internal/dispatch/limit.go
+++ b/internal/dispatch/limit.go
@@ -101,11 +101,11 @@
 }
 
 // take pays for a grant. A grant that the limit doesn't pay for puts off the next ones.
-func (l *limitState) take(now time.Time, part float64) {
+func (l *limitState) take(now time.Time, share float64) {
 	if !l.bounded(now) {
 		return
 	}
-	l.wait(now, part)
+	l.wait(now, share)
 	l.pacer.Pay()
 	l.grants.advance(now, l.started, limitBudget)
 	l.grants.addFirst(1)
