--- a/internal/dispatch/limit.go
+++ b/internal/dispatch/limit.go
@@ -128,7 +128,7 @@
 
 // Lead sets which part of the targets' limits this desk may use, 1 for all: others may grant
 // the same targets at the same time.
-func (d *Desk) Lead(part float64) { d.limitShare = part }
+func (d *Desk) Lead(share float64) { d.limitShare = share }
 
 // Limited reports whether any target has a limit.
 func (d *Desk) Limited(now time.Time) bool { return d.limits > 0 || now.Before(d.warmupUntil) }
