--- a/internal/dispatch/limit.go
+++ b/internal/dispatch/limit.go
@@ -247,10 +247,10 @@
 
 // limitedSlots returns how many slots the target's limit keeps busy by requests that take so
 // long (Little's law), at most those that it has.
-func (t *target) limitedSlots(now time.Time, part float64, takes time.Duration) float64 {
+func (t *target) limitedSlots(now time.Time, share float64, takes time.Duration) float64 {
 	slots := float64(t.Slots)
 	if t.limit.bounded(now) && takes > 0 {
-		slots = min(slots, t.limit.rate(now, part)*takes.Seconds())
+		slots = min(slots, t.limit.rate(now, share)*takes.Seconds())
 	}
 	return slots
 }
