--- a/internal/dispatch/pay.go
+++ b/internal/dispatch/pay.go
@@ -6,11 +6,11 @@
 
 // affords reports whether the retry budget pays for an ask. part is the share of the
 // reserve that may be used.
-func (d *Desk) affords(now time.Time, a *Ask, part float64) bool {
+func (d *Desk) affords(now time.Time, a *Ask, share float64) bool {
 	d.window.advance(now, d.started, d.budget)
 	d.window.recordRequest(now, d.budget)
 	d.remote.record(now, a.ID.Node, a.Elsewhere)
-	return !a.Again || d.retriesLeft(now, part) >= 1
+	return !a.Again || d.retriesLeft(now, share) >= 1
 }
 
 // charge counts an ask n times in the retry budget.
