--- a/internal/dispatch/pay.go
+++ b/internal/dispatch/pay.go
@@ -25,9 +25,9 @@
 // retries returns how many repeats the budget pays for in the window and how many of
 // them were made, by others too. part is the share of the reserve that this desk may
 // use.
-func (d *Desk) retries(now time.Time, part float64) (all, spent float64) {
+func (d *Desk) retries(now time.Time, share float64) (all, spent float64) {
 	firsts, repeats := d.remote.sums(now, d.budget)
-	all, spent = d.window.allowed(now, d.budget, part)
+	all, spent = d.window.allowed(now, d.budget, share)
 	return all + usableShare*d.budget.Share*firsts, spent + repeats
 }
 
