--- a/internal/dispatch/pay.go
+++ b/internal/dispatch/pay.go
@@ -32,7 +32,7 @@
 }
 
 // retriesLeft returns how many repeats the budget still pays for.
-func (d *Desk) retriesLeft(now time.Time, part float64) float64 {
-	all, spent := d.retries(now, part)
+func (d *Desk) retriesLeft(now time.Time, share float64) float64 {
+	all, spent := d.retries(now, share)
 	return all - spent
 }
