--- a/internal/dispatch/configure.go
+++ b/internal/dispatch/configure.go
@@ -37,9 +37,9 @@
 // update gives a target what is published of it. One that says that it works more slowly, for a time
 // that it did not say before, has just become so.
 func (d *Desk) update(now time.Time, t *target, published Target) {
-	again := published.Warmup != t.Warmup
+	changed := published.Warmup != t.Warmup
 	t.Target = published
-	if again {
+	if changed {
 		d.warm(now, t)
 	}
 }
