--- a/internal/dispatch/coverage_test.go
+++ b/internal/dispatch/coverage_test.go
@@ -66,7 +66,7 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			if got := dispatch.TooFew(tt.reached, tt.idle, tt.floor); math.Abs(got-tt.want) > 1e-9 {
+			if got := dispatch.ShortProbability(tt.reached, tt.idle, tt.floor); math.Abs(got-tt.want) > 1e-9 {
 				t.Errorf("got %v, want %v", got, tt.want)
 			}
 		})
@@ -89,7 +89,7 @@
 				idle = append(idle, p)
 			}
 		}
-		exact, near := dispatch.TooFew(reached, idle, 0.7), dispatch.TooFewOfMany(reached, idle, 0.7)
+		exact, near := dispatch.ShortProbability(reached, idle, 0.7), dispatch.TooFewOfMany(reached, idle, 0.7)
 		worst = max(worst, math.Abs(exact-near))
 	}
 	t.Logf("off by %.4f at most", worst)
--- a/internal/dispatch/export_test.go
+++ b/internal/dispatch/export_test.go
@@ -7,7 +7,7 @@
 	return approxShortProbability(reached, idle, floor)
 }
 
-// TooFew returns the probability that too few of the targets that count were reached.
-func TooFew(reached, idle []float64, floor float64) float64 {
+// ShortProbability returns the probability that too few of the targets that count were reached.
+func ShortProbability(reached, idle []float64, floor float64) float64 {
 	return shortProbability(reached, idle, floor)
 }
