--- a/internal/dispatch/coverage_test.go
+++ b/internal/dispatch/coverage_test.go
@@ -89,7 +89,7 @@
 				idle = append(idle, p)
 			}
 		}
-		exact, near := dispatch.ShortProbability(reached, idle, 0.7), dispatch.TooFewOfMany(reached, idle, 0.7)
+		exact, near := dispatch.ShortProbability(reached, idle, 0.7), dispatch.ApproxShortProbability(reached, idle, 0.7)
 		worst = max(worst, math.Abs(exact-near))
 	}
 	t.Logf("off by %.4f at most", worst)
--- a/internal/dispatch/export_test.go
+++ b/internal/dispatch/export_test.go
@@ -2,8 +2,8 @@
 
 package dispatch
 
-// TooFewOfMany returns the same by its approximation for many targets.
-func TooFewOfMany(reached, idle []float64, floor float64) float64 {
+// ApproxShortProbability returns the same by its approximation for many targets.
+func ApproxShortProbability(reached, idle []float64, floor float64) float64 {
 	return approxShortProbability(reached, idle, floor)
 }
 
