--- a/internal/dispatch/play_test.go
+++ b/internal/dispatch/play_test.go
@@ -87,8 +87,8 @@
 	return last
 }
 
-// play is one run of a model.
-type play struct {
+// simulation is one run of a model.
+type simulation struct {
 	s       *serviceModel
 	desk    *dispatch.Desk
 	rng     *rand.Rand
@@ -104,8 +104,8 @@
 	all, lost, crossed int
 }
 
-func newPlay(s *serviceModel, seed uint64) *play {
-	p := &play{
+func newPlay(s *serviceModel, seed uint64) *simulation {
+	p := &simulation{
 		s:      s,
 		rng:    rand.New(rand.NewPCG(seed, 77)),
 		byKey:  map[string]*modelTarget{},
@@ -139,7 +139,7 @@
 }
 
 // begin gives the role to a new desk, which knows nothing of what was before.
-func (p *play) begin() {
+func (p *simulation) begin() {
 	p.desk = dispatch.NewDesk(p.clock(), dispatch.Budget{
 		Share:   0.2,
 		Reserve: 50,
@@ -153,17 +153,17 @@
 
 func hallName(i int) string { return string(rune('a' + i)) }
 
-func (p *play) after(d time.Duration, do func()) {
+func (p *simulation) after(d time.Duration, do func()) {
 	heap.Push(&p.steps, step{
 		at: p.now + d,
 		do: do,
 	})
 }
 
-func (p *play) clock() time.Time { return start.Add(p.now) }
+func (p *simulation) clock() time.Time { return start.Add(p.now) }
 
 // run plays the whole time.
-func (p *play) run() {
+func (p *simulation) run() {
 	p.arrive()
 	p.advance()
 	for len(p.steps) > 0 && p.steps[0].at < modelEnd {
@@ -173,13 +173,13 @@
 	}
 }
 
-func (p *play) advance() {
+func (p *simulation) advance() {
 	p.take(p.desk.Advance(p.clock()))
 	p.after(50*time.Millisecond, p.advance)
 }
 
 // arrive lets a request come and the next one after it.
-func (p *play) arrive() {
+func (p *simulation) arrive() {
 	p.all++
 	p.next++
 	a := &dispatch.Ask{
@@ -197,13 +197,13 @@
 	p.after(time.Duration(p.rng.ExpFloat64()/p.s.perSecond*float64(time.Second)), p.arrive)
 }
 
-func (p *play) ask(a *dispatch.Ask) {
+func (p *simulation) ask(a *dispatch.Ask) {
 	p.asks[a.ID.Number] = a
 	p.take([]dispatch.Grant{p.desk.Ask(p.clock(), a)})
 }
 
 // take begins the attempts that were granted.
-func (p *play) take(grants []dispatch.Grant) {
+func (p *simulation) take(grants []dispatch.Grant) {
 	for _, g := range grants {
 		switch g.Verdict {
 		case dispatch.Granted:
@@ -214,7 +214,7 @@
 	}
 }
 
-func (p *play) attempt(g dispatch.Grant, a *dispatch.Ask) {
+func (p *simulation) attempt(g dispatch.Grant, a *dispatch.Ask) {
 	m := p.byKey[g.Target]
 	m.reached = append(m.reached, p.now)
 	if p.hallOf[g.Target] != a.DataHall {
@@ -235,7 +235,7 @@
 	p.after(took, func() { p.end(by, g, a, result, took) })
 }
 
-func (p *play) end(by *dispatch.Desk, g dispatch.Grant, a *dispatch.Ask, r dispatch.Result, took time.Duration) {
+func (p *simulation) end(by *dispatch.Desk, g dispatch.Grant, a *dispatch.Ask, r dispatch.Result, took time.Duration) {
 	p.take(by.Done(p.clock(), g.ID, g.Target, r, took))
 	if r == dispatch.ResultGood {
 		return
@@ -254,7 +254,7 @@
 
 // windows returns how many windows were judged and how many of them had too few of
 // the targets that count.
-func (p *play) windows() (all, low int) {
+func (p *simulation) windows() (all, low int) {
 	for from := modelWarm; from+floorWindow <= modelEnd; from += modelInterval {
 		working, reached := 0, 0
 		for _, m := range p.targets {
