--- a/internal/dispatch/floor_test.go
+++ b/internal/dispatch/floor_test.go
@@ -9,7 +9,7 @@
 func playAll(s *serviceModel, first uint64) (low, lost, crossed float64) {
 	windows, lows, all, losts, crosses := 0, 0, 0, 0, 0
 	for seed := first; seed < first+s.seeds; seed++ {
-		p := newPlay(s, seed)
+		p := newSimulation(s, seed)
 		p.run()
 		w, l := p.windows()
 		windows += w
--- a/internal/dispatch/play_test.go
+++ b/internal/dispatch/play_test.go
@@ -104,7 +104,7 @@
 	all, lost, crossed int
 }
 
-func newPlay(s *serviceModel, seed uint64) *simulation {
+func newSimulation(s *serviceModel, seed uint64) *simulation {
 	p := &simulation{
 		s:      s,
 		rng:    rand.New(rand.NewPCG(seed, 77)),
