--- a/internal/dispatch/floor_test.go
+++ b/internal/dispatch/floor_test.go
@@ -4,9 +4,9 @@
 
 import "testing"
 
-// playAll plays a model with many seeds. It returns the share of windows with too few
+// simulateSeeds plays a model with many seeds. It returns the share of windows with too few
 // targets, of lost requests and of answers from other data halls.
-func playAll(s *serviceModel, first uint64) (low, lost, crossed float64) {
+func simulateSeeds(s *serviceModel, first uint64) (low, lost, crossed float64) {
 	windows, lows, all, losts, crosses := 0, 0, 0, 0, 0
 	for seed := first; seed < first+s.seeds; seed++ {
 		p := newSimulation(s, seed)
@@ -30,7 +30,7 @@
 	for _, s := range services {
 		t.Run(s.name, func(t *testing.T) {
 			t.Parallel()
-			low, lost, crossed := playAll(&s, 100)
+			low, lost, crossed := simulateSeeds(&s, 100)
 			t.Logf("%.2f%% of the windows with too few targets, %.2f%% of the requests lost, %.1f%% crossed", 100*low, 100*lost, 100*crossed)
 			if low > mostLow {
 				t.Errorf("%.2f%% of the windows with too few targets, want at most %.2f%%", 100*low, 100*mostLow)
