--- a/internal/dispatch/bench_test.go
+++ b/internal/dispatch/bench_test.go
@@ -18,13 +18,13 @@
 			d := newDesk(pool(targets)...)
 			now := start
 			running := make([]dispatch.Grant, targets)
-			step := usual / time.Duration(targets)
+			step := usualTime / time.Duration(targets)
 			b.ReportAllocs()
 			for n := range b.N {
 				now = now.Add(step)
 				old := running[n%targets]
 				if old.Target != "" {
-					d.Done(now, old.ID, old.Target, dispatch.ResultGood, usual)
+					d.Done(now, old.ID, old.Target, dispatch.ResultGood, usualTime)
 				}
 				running[n%targets] = d.Ask(now, ask(now, uint64(n)))
 				if n%targets == 0 {
--- a/internal/dispatch/choose_test.go
+++ b/internal/dispatch/choose_test.go
@@ -54,7 +54,7 @@
 			far = g
 		}
 	}
-	grants := d.Done(now.Add(usual), far.ID, far.Target, dispatch.ResultGood, usual)
+	grants := d.Done(now.Add(usualTime), far.ID, far.Target, dispatch.ResultGood, usualTime)
 	if len(grants) != 1 || grants[0].ID.Number != 4 {
 		t.Fatalf("got %v", grants)
 	}
@@ -75,7 +75,7 @@
 			tried = at.Sub(now)
 			break
 		}
-		d.Done(at, g.ID, g.Target, dispatch.ResultGood, usual)
+		d.Done(at, g.ID, g.Target, dispatch.ResultGood, usualTime)
 	}
 	if tried < 4*time.Second || tried > 6*time.Second {
 		t.Errorf("tried again after %v, want about 5 s", tried)
@@ -101,7 +101,7 @@
 		if g.Target == "t1" {
 			tried[a.Kilobytes] = true
 		}
-		d.Done(at, g.ID, g.Target, dispatch.ResultGood, usual)
+		d.Done(at, g.ID, g.Target, dispatch.ResultGood, usualTime)
 	}
 	if tried[90] || !tried[1] {
 		t.Errorf("the target of the other data hall was tried by answers of these sizes in KiB: %v", tried)
@@ -118,10 +118,10 @@
 	queued := 0
 	for n := range uint64(20) {
 		a := ask(now, n)
-		a.Deadline = now.Add(6 * usual)
+		a.Deadline = now.Add(6 * usualTime)
 		g := d.Ask(now, a)
 		if g.Verdict == dispatch.Refused {
-			if g.RetryAfter < 3*usual || g.RetryAfter > 6*usual {
+			if g.RetryAfter < 3*usualTime || g.RetryAfter > 6*usualTime {
 				t.Errorf("told to come back after %v", g.RetryAfter)
 			}
 			break
--- a/internal/dispatch/coverage_test.go
+++ b/internal/dispatch/coverage_test.go
@@ -109,7 +109,7 @@
 	}
 	short := func(at time.Time) float64 {
 		for _, key := range []string{"t3", "t4", "t5"} {
-			d.Note(at, key, "", dispatch.ResultGood, usual)
+			d.Note(at, key, "", dispatch.ResultGood, usualTime)
 		}
 		return d.Status(at).Short
 	}
@@ -128,7 +128,7 @@
 		d, now := newTrainedDesk(pool(3)...)
 		now = now.Add(3 * time.Second)
 		for _, key := range []string{"t1", "t2"} {
-			d.Note(now, key, "", dispatch.ResultGood, usual)
+			d.Note(now, key, "", dispatch.ResultGood, usualTime)
 		}
 		a := ask(now, 1)
 		a.Tried = []string{"t1", "t2"}
@@ -153,7 +153,7 @@
 		d, now := newTrainedDesk(pool(3)...)
 		now = now.Add(3 * time.Second)
 		for _, key := range []string{"t1", "t2"} {
-			d.Note(now, key, "", dispatch.ResultGood, usual)
+			d.Note(now, key, "", dispatch.ResultGood, usualTime)
 		}
 		d.Note(now, "t0", "", r, 0)
 		if short := d.Status(now).Short > 0.3; short != (r == dispatch.ResultUnreached) {
@@ -170,7 +170,7 @@
 		d.Note(now, "t1", "", dispatch.ResultBad, time.Millisecond)
 		now = now.Add(6 * time.Second)
 		for _, key := range []string{"t0", "t2"} {
-			d.Note(now, key, "", dispatch.ResultGood, usual)
+			d.Note(now, key, "", dispatch.ResultGood, usualTime)
 		}
 		a := ask(now, 1)
 		a.Repeatable, a.Again = true, again
@@ -197,6 +197,6 @@
 		if g.Target != "t0" && g.Target != "t1" {
 			t.Fatalf("ask %d: %q", n, g.Target)
 		}
-		d.Done(now.Add(usual), g.ID, g.Target, dispatch.ResultGood, usual)
+		d.Done(now.Add(usualTime), g.ID, g.Target, dispatch.ResultGood, usualTime)
 	}
 }
--- a/internal/dispatch/hedge_test.go
+++ b/internal/dispatch/hedge_test.go
@@ -9,8 +9,8 @@
 	"ploverjunction.example/ploverjunction/internal/dispatch"
 )
 
-// usual is the time of an answer in these tests.
-const usual = 200 * time.Millisecond
+// usualTime is the time of an answer in these tests.
+const usualTime = 200 * time.Millisecond
 
 // newTrainedDesk returns a desk of targets that have answered for some time, and when
 // that was. All their answers took between half the usual time and one and a half.
@@ -23,7 +23,7 @@
 		a.DataHall = string(rune('a' + n%2))
 		a.Kilobytes = 5
 		g := d.Ask(now, a)
-		took := usual/2 + time.Duration(n%20)*usual/20
+		took := usualTime/2 + time.Duration(n%20)*usualTime/20
 		d.Done(now, g.ID, g.Target, dispatch.ResultGood, took)
 	}
 	return d, now
@@ -51,12 +51,12 @@
 		},
 		{
 			name: "usual time",
-			age:  usual,
+			age:  usualTime,
 			want: dispatch.Spent,
 		},
 		{
 			name: "three times the usual time",
-			age:  3 * usual,
+			age:  3 * usualTime,
 			want: dispatch.Granted,
 		},
 	}
@@ -78,7 +78,7 @@
 // is silent.
 func TestHedgeIsDearWhenTheBudgetRunsOut(t *testing.T) {
 	d, now := newTrainedDesk(pool(20)...)
-	age := 2 * usual
+	age := 2 * usualTime
 	for n := range uint64(200) {
 		a := ask(now, n)
 		a.Repeatable, a.Again = true, true
@@ -86,13 +86,13 @@
 		if g.Verdict != dispatch.Granted {
 			t.Fatalf("retry %d: %v", n, g.Verdict)
 		}
-		d.Done(now, g.ID, g.Target, dispatch.ResultGood, usual)
+		d.Done(now, g.ID, g.Target, dispatch.ResultGood, usualTime)
 		h := d.Ask(now, hedge(now, 1000+n, age, "t0"))
 		if h.Verdict == dispatch.Spent {
 			if n == 0 {
 				t.Fatal("no second attempt while the budget was hardly used")
 			}
-			sure := d.Ask(now, hedge(now, 2000+n, 8*usual, "t0"))
+			sure := d.Ask(now, hedge(now, 2000+n, 8*usualTime, "t0"))
 			if sure.Verdict != dispatch.Granted {
 				t.Errorf("beside one that is surely silent: %v, with %.0f repeats left", sure.Verdict, d.Status(now).RepeatsLeft)
 			}
@@ -113,13 +113,13 @@
 	if g := d.Ask(now, ask(now, 1)); g.Target != "good" {
 		t.Fatalf("first ask got %q", g.Target)
 	}
-	a := hedge(now, 2, 4*usual, "bad")
+	a := hedge(now, 2, 4*usualTime, "bad")
 	a.Tried = []string{"elsewhere"}
-	a.Aim = now.Add(usual)
+	a.Aim = now.Add(usualTime)
 	if g := d.Ask(now, a); g.Verdict != dispatch.Queued {
 		t.Fatalf("second attempt: %v %q", g.Verdict, g.Target)
 	}
-	if grants := d.Advance(now.Add(usual / 2)); len(grants) != 0 {
+	if grants := d.Advance(now.Add(usualTime / 2)); len(grants) != 0 {
 		t.Fatalf("after half of the usual time: %v", grants)
 	}
 }
@@ -134,15 +134,15 @@
 	})
 	first := d.Ask(now, ask(now, 1))
 	waiting, late := ask(now, 2), ask(now, 3)
-	waiting.Deadline = now.Add(2 * usual)
-	late.Deadline = now.Add(usual / 4)
+	waiting.Deadline = now.Add(2 * usualTime)
+	late.Deadline = now.Add(usualTime / 4)
 	if g := d.Ask(now, late); g.Verdict != dispatch.Refused {
 		t.Errorf("with hardly any time left: %v", g.Verdict)
 	}
 	if g := d.Ask(now, waiting); g.Verdict != dispatch.Queued {
 		t.Fatalf("with time left: %v", g.Verdict)
 	}
-	grants := d.Done(now.Add(2*usual-usual/4), first.ID, first.Target, dispatch.ResultGood, usual)
+	grants := d.Done(now.Add(2*usualTime-usualTime/4), first.ID, first.Target, dispatch.ResultGood, usualTime)
 	if len(grants) != 1 || grants[0].Verdict != dispatch.Refused {
 		t.Errorf("after the wait: %v", grants)
 	}
--- a/internal/dispatch/serve_test.go
+++ b/internal/dispatch/serve_test.go
@@ -48,7 +48,7 @@
 			for n := uint64(1 << 20); b.Loop(); n++ {
 				now = now.Add(time.Millisecond / 2)
 				g := running[0]
-				running = append(running[1:], d.Done(now, g.ID, g.Target, dispatch.ResultGood, usual)...)
+				running = append(running[1:], d.Done(now, g.ID, g.Target, dispatch.ResultGood, usualTime)...)
 				a := ask(now, n)
 				a.Route = fmt.Sprint("route-", n%20)
 				a.Deadline = now.Add(time.Hour)
@@ -67,7 +67,7 @@
 	d, running := overloaded(t, 86, 300, now)
 	for i, g := range running[:200] {
 		now = now.Add(10 * time.Microsecond)
-		if out := d.Done(now, g.ID, g.Target, dispatch.ResultGood, usual); len(out) != 1 {
+		if out := d.Done(now, g.ID, g.Target, dispatch.ResultGood, usualTime); len(out) != 1 {
 			t.Fatalf("end %d: %d grants, want 1", i, len(out))
 		}
 	}
