--- a/internal/dispatch/backoff_test.go
+++ b/internal/dispatch/backoff_test.go
@@ -89,7 +89,7 @@
 	d := newDesk(pool(2)...)
 	now := start
 	for n := uint64(0); ; n++ {
-		g := d.Ask(now, ask(now, n))
+		g := d.Ask(now, newRequest(now, n))
 		if g.Target == "t0" {
 			d.BackOff(now, g.Target, g.ID, 3*time.Second)
 			d.Done(now, g.ID, g.Target, dispatch.ResultBackoff, time.Millisecond)
@@ -104,7 +104,7 @@
 		t.Errorf("the target is held to fail: %v", before)
 	}
 	for n := range uint64(20) {
-		if g := d.Ask(now, ask(now, 1000+n)); g.Target == "t0" {
+		if g := d.Ask(now, newRequest(now, 1000+n)); g.Target == "t0" {
 			t.Fatal("another node got the target at once")
 		}
 	}
--- a/internal/dispatch/barred_test.go
+++ b/internal/dispatch/barred_test.go
@@ -55,7 +55,7 @@
 			tt.tell(d)
 			now := start
 			for n := range uint64(200) {
-				a := ask(now, n)
+				a := newRequest(now, n)
 				tt.ask(a)
 				g := d.Ask(now, a)
 				if n%2 == 1 {
@@ -84,7 +84,7 @@
 func granted(d *dispatch.Desk, now time.Time, asks uint64) map[string]int {
 	out := map[string]int{}
 	for n := range asks {
-		g := d.Ask(now, ask(now, 10_000+n))
+		g := d.Ask(now, newRequest(now, 10_000+n))
 		out[g.Target]++
 		now = now.Add(50 * time.Millisecond)
 		d.Done(now, g.ID, g.Target, dispatch.ResultGood, 50*time.Millisecond)
@@ -102,7 +102,7 @@
 	later := start.Add(61 * time.Second)
 	got := 0
 	for n := range uint64(6) {
-		if d.Ask(later, ask(later, n)).Target == "t0" {
+		if d.Ask(later, newRequest(later, n)).Target == "t0" {
 			got++
 		}
 	}
@@ -149,7 +149,7 @@
 	}
 	for n := range uint64(asks) {
 		now = now.Add(time.Duration(rng.IntN(10)) * time.Millisecond)
-		a := ask(now, n)
+		a := newRequest(now, n)
 		a.Repeatable = rng.IntN(2) == 0
 		if rng.IntN(2) == 0 {
 			bar(a)
@@ -180,7 +180,7 @@
 func TestAllBarred(t *testing.T) {
 	d := newDesk(pool(2)...)
 	bars := func(n uint64) *dispatch.Ask {
-		a := ask(start, n)
+		a := newRequest(start, n)
 		a.Barred = []string{"t0", "t1"}
 		return a
 	}
@@ -193,11 +193,11 @@
 		t.Errorf("an ask that can be passed on: got %v", g.Verdict)
 	}
 	for n := range uint64(6) {
-		if g := d.Ask(start, ask(start, 10+n)); g.Verdict != dispatch.Granted {
+		if g := d.Ask(start, newRequest(start, 10+n)); g.Verdict != dispatch.Granted {
 			t.Fatalf("another node's ask: got %v", g.Verdict)
 		}
 	}
-	waits := ask(start, 20)
+	waits := newRequest(start, 20)
 	if g := d.Ask(start, waits); g.Verdict != dispatch.Queued {
 		t.Fatalf("got %v", g.Verdict)
 	}
--- a/internal/dispatch/budget_test.go
+++ b/internal/dispatch/budget_test.go
@@ -18,12 +18,12 @@
 	firsts, repeats := 0, 0
 	for n := range uint64(400) {
 		now = now.Add(20 * time.Millisecond)
-		a := ask(now, 2*n)
+		a := newRequest(now, 2*n)
 		a.Repeatable = true
 		g := d.Ask(now, a)
 		firsts++
 		d.Done(now, g.ID, g.Target, dispatch.ResultBad, 0)
-		b := ask(now, 2*n+1)
+		b := newRequest(now, 2*n+1)
 		b.Repeatable, b.Again = true, true
 		if g := d.Ask(now, b); g.Verdict == dispatch.Granted {
 			repeats++
@@ -41,20 +41,20 @@
 	now := start
 	// The reserve grows with the time for which a node has the role.
 	for n := range uint64(25) {
-		g := d.Ask(now, ask(now, 2000+n))
+		g := d.Ask(now, newRequest(now, 2000+n))
 		d.Done(now, g.ID, g.Target, dispatch.ResultGood, 200*time.Millisecond)
 		now = now.Add(500 * time.Millisecond)
 	}
 	hedges := 0
 	for n := range uint64(100) {
-		a := ask(now, n)
+		a := newRequest(now, n)
 		a.Repeatable, a.Again, a.Hedge, a.Age = true, true, true, 900*time.Millisecond
 		if g := d.Ask(now, a); g.Verdict == dispatch.Granted {
 			hedges++
 			d.Done(now, g.ID, g.Target, dispatch.ResultIgnored, 0)
 		}
 	}
-	a := ask(now, 1000)
+	a := newRequest(now, 1000)
 	a.Repeatable, a.Again = true, true
 	if g := d.Ask(now, a); hedges == 0 || g.Verdict != dispatch.Granted {
 		t.Fatalf("after %d hedges the retry of a failed request is %v", hedges, g.Verdict)
@@ -75,7 +75,7 @@
 		d.Configure(now, pool(20))
 		for range 60 {
 			number++
-			a := ask(now, number)
+			a := newRequest(now, number)
 			a.Repeatable, a.Again = true, true
 			if g := d.Ask(now, a); g.Verdict == dispatch.Granted {
 				repeats++
@@ -125,7 +125,7 @@
 			ledger := ledgers[number%nodes]
 			for attempt := range 3 {
 				number++
-				a := ask(now, number)
+				a := newRequest(now, number)
 				a.ID.Node = fmt.Sprintf("node-%d", number%nodes)
 				a.Again = attempt > 0
 				a.Elsewhere = ledger.Elsewhere(now, name)
--- a/internal/dispatch/choose_test.go
+++ b/internal/dispatch/choose_test.go
@@ -29,8 +29,8 @@
 // before it goes to another one.
 func TestWaitsForItsOwnDataHall(t *testing.T) {
 	d, now := newTrainedDesk(halls()...)
-	d.Ask(now, ask(now, 1))
-	a := ask(now, 2)
+	d.Ask(now, newRequest(now, 1))
+	a := newRequest(now, 2)
 	a.Kilobytes = 5
 	if g := d.Ask(now, a); g.Verdict != dispatch.Queued {
 		t.Fatalf("at once: %v %q", g.Verdict, g.Target)
@@ -47,7 +47,7 @@
 	d, now := newTrainedDesk(halls()...)
 	var far dispatch.Grant
 	for n, hall := range []string{"b", "a", "a", "b"} {
-		a := ask(now, uint64(n+1))
+		a := newRequest(now, uint64(n+1))
 		a.DataHall = hall
 		a.Kilobytes = 5
 		if g := d.Ask(now, a); n == 0 {
@@ -70,7 +70,7 @@
 	tried := time.Duration(0)
 	for n := range uint64(400) {
 		at := now.Add(time.Duration(n) * 20 * time.Millisecond)
-		g := d.Ask(at, ask(at, n))
+		g := d.Ask(at, newRequest(at, n))
 		if g.Target == "t0" {
 			tried = at.Sub(now)
 			break
@@ -92,7 +92,7 @@
 	tried := map[int]bool{}
 	for n := range uint64(400) {
 		at := now.Add(time.Duration(n) * 10 * time.Millisecond)
-		a := ask(at, n)
+		a := newRequest(at, n)
 		a.Repeatable = true
 		if n < 200 {
 			a.Kilobytes = 90
@@ -117,7 +117,7 @@
 	}
 	queued := 0
 	for n := range uint64(20) {
-		a := ask(now, n)
+		a := newRequest(now, n)
 		a.Deadline = now.Add(6 * usualTime)
 		g := d.Ask(now, a)
 		if g.Verdict == dispatch.Refused {
--- a/internal/dispatch/coverage_test.go
+++ b/internal/dispatch/coverage_test.go
@@ -130,7 +130,7 @@
 		for _, key := range []string{"t1", "t2"} {
 			d.Note(now, key, "", dispatch.ResultGood, usualTime)
 		}
-		a := ask(now, 1)
+		a := newRequest(now, 1)
 		a.Tried = []string{"t1", "t2"}
 		g := d.Ask(now, a)
 		if g.Target != "t0" {
@@ -172,7 +172,7 @@
 		for _, key := range []string{"t0", "t2"} {
 			d.Note(now, key, "", dispatch.ResultGood, usualTime)
 		}
-		a := ask(now, 1)
+		a := newRequest(now, 1)
 		a.Repeatable, a.Again = true, again
 		if g := d.Ask(now, a); g.Trial == again || (g.Target == "t1") == again {
 			t.Errorf("again: %v; got %q, trial %v", again, g.Target, g.Trial)
@@ -191,7 +191,7 @@
 	d := newDesk(targets...)
 	for n := range uint64(60) {
 		now := start.Add(time.Duration(n) * 500 * time.Millisecond)
-		a := ask(now, n)
+		a := newRequest(now, n)
 		a.Repeatable, a.Kilobytes = true, 90
 		g := d.Ask(now, a)
 		if g.Target != "t0" && g.Target != "t1" {
--- a/internal/dispatch/desk_test.go
+++ b/internal/dispatch/desk_test.go
@@ -54,8 +54,8 @@
 	}
 }
 
-// ask returns an ask for something that can't be repeated.
-func ask(now time.Time, n uint64) *dispatch.Ask {
+// newRequest returns an ask for something that can't be repeated.
+func newRequest(now time.Time, n uint64) *dispatch.Ask {
 	return &dispatch.Ask{
 		ID: dispatch.ID{
 			Node:   "n",
@@ -73,8 +73,8 @@
 		Key:   "only",
 		Slots: 1,
 	})
-	fmt.Println(d.Ask(start, ask(start, 1)).Verdict)
-	fmt.Println(d.Ask(start, ask(start, 2)).Verdict)
+	fmt.Println(d.Ask(start, newRequest(start, 1)).Verdict)
+	fmt.Println(d.Ask(start, newRequest(start, 2)).Verdict)
 	later := start.Add(200 * time.Millisecond)
 	for _, g := range d.Done(later, dispatch.ID{
 		Node:   "n",
@@ -113,7 +113,7 @@
 		}
 		for n := range uint64(300) {
 			now = now.Add(time.Duration(rng.IntN(20)) * time.Millisecond)
-			take(d.Ask(now, ask(now, n)))
+			take(d.Ask(now, newRequest(now, n)))
 			for id, key := range running {
 				if rng.IntN(3) == 0 {
 					delete(running, id)
@@ -142,13 +142,13 @@
 // target gets work again after some seconds.
 func TestFailureIsAvoidedAtOnceAndForgotten(t *testing.T) {
 	d := newDesk(pool(6)...)
-	first := d.Ask(start, ask(start, 1))
+	first := d.Ask(start, newRequest(start, 1))
 	d.Done(start.Add(3*time.Millisecond), first.ID, first.Target, dispatch.ResultBad, 3*time.Millisecond)
 	used := func(from time.Time, n uint64) int {
 		hits := 0
 		for i := range n {
 			now := from.Add(time.Duration(i) * 10 * time.Millisecond)
-			g := d.Ask(now, ask(now, uint64(from.Sub(start))+10+i))
+			g := d.Ask(now, newRequest(now, uint64(from.Sub(start))+10+i))
 			if g.Target == first.Target {
 				hits++
 			}
@@ -161,13 +161,13 @@
 	}
 	// In the other data hall and unproved, it needs the load of the others.
 	d = newDesk(pool(1)...)
-	d.Ask(start, ask(start, 1))
+	d.Ask(start, newRequest(start, 1))
 	d.Done(start, dispatch.ID{
 		Node:   "n",
 		Number: 1,
 	}, "t0", dispatch.ResultBad, 0)
 	later := start.Add(6 * time.Second)
-	if g := d.Ask(later, ask(later, 2)); g.Verdict != dispatch.Granted {
+	if g := d.Ask(later, newRequest(later, 2)); g.Verdict != dispatch.Granted {
 		t.Errorf("the only target got no work after it failed: %v", g.Verdict)
 	}
 }
@@ -178,10 +178,10 @@
 	d := newDesk(goodAndBad(3)...)
 	d.Note(start, "bad", "", dispatch.ResultBad, time.Millisecond)
 	d.Note(start, "bad", "", dispatch.ResultBad, time.Millisecond)
-	if g := d.Ask(start, ask(start, 1)); g.Target != "good" {
+	if g := d.Ask(start, newRequest(start, 1)); g.Target != "good" {
 		t.Fatalf("first ask got %q", g.Target)
 	}
-	if g := d.Ask(start, ask(start, 2)); g.Verdict != dispatch.Queued {
+	if g := d.Ask(start, newRequest(start, 2)); g.Verdict != dispatch.Queued {
 		t.Fatalf("second ask: %v %q", g.Verdict, g.Target)
 	}
 	grants := d.Done(start.Add(300*time.Millisecond), dispatch.ID{
@@ -198,16 +198,16 @@
 func TestLastAttemptWaitsForATargetThatIsNotFailing(t *testing.T) {
 	d := newDesk(goodAndBad(3)...)
 	// The retry budget must have something to give.
-	first := d.Ask(start, ask(start, 1))
+	first := d.Ask(start, newRequest(start, 1))
 	d.Done(start, first.ID, first.Target, dispatch.ResultGood, time.Millisecond)
 	now := start.Add(4 * time.Second)
 	for range 3 {
 		d.Note(now, "bad", "", dispatch.ResultBad, time.Millisecond)
 	}
-	if g := d.Ask(now, ask(now, 2)); g.Target != "good" {
+	if g := d.Ask(now, newRequest(now, 2)); g.Target != "good" {
 		t.Fatalf("first attempt got %q", g.Target)
 	}
-	a := ask(now, 3)
+	a := newRequest(now, 3)
 	a.Repeatable = true
 	a.Again = true
 	if g := d.Ask(now, a); g.Verdict != dispatch.Queued {
@@ -221,9 +221,9 @@
 // A datagram that arrives twice must not take a slot again after the attempt ended.
 func TestAskThatEndedIsNotOpenedAgain(t *testing.T) {
 	d := newDesk(pool(1)...)
-	g := d.Ask(start, ask(start, 1))
+	g := d.Ask(start, newRequest(start, 1))
 	d.Done(start, g.ID, g.Target, dispatch.ResultGood, time.Millisecond)
-	d.Ask(start.Add(time.Millisecond), ask(start, 1))
+	d.Ask(start.Add(time.Millisecond), newRequest(start, 1))
 	if s := d.Status(start); s.InFlight != 0 {
 		t.Fatalf("%d in flight", s.InFlight)
 	}
@@ -241,7 +241,7 @@
 	}
 	for _, r := range results {
 		d := newDesk(pool(1)...)
-		g := d.Ask(start, ask(start, 1))
+		g := d.Ask(start, newRequest(start, 1))
 		d.Done(start, g.ID, g.Target, r, time.Millisecond)
 		if s := d.Status(start); s.InFlight != 0 {
 			t.Errorf("%v: %d in flight", r, s.InFlight)
@@ -255,9 +255,9 @@
 		Key:   "only",
 		Slots: 1,
 	})
-	d.Ask(start, ask(start, 1))
+	d.Ask(start, newRequest(start, 1))
 	late := start.Add(3 * time.Second)
-	d.Ask(late, ask(late, 2))
+	d.Ask(late, newRequest(late, 2))
 	grants := d.Advance(late.Add(600 * time.Millisecond))
 	if len(grants) != 1 || grants[0].Verdict != dispatch.Granted {
 		t.Fatalf("got %v", grants)
@@ -270,12 +270,12 @@
 		Key:   "only",
 		Slots: 1,
 	})
-	d.Ask(start, ask(start, 1))
-	old := ask(start, 2)
+	d.Ask(start, newRequest(start, 1))
+	old := newRequest(start, 2)
 	old.Aim = start.Add(100 * time.Millisecond)
 	d.Ask(start, old)
 	now := start.Add(200 * time.Millisecond)
-	d.Ask(now, ask(now, 3))
+	d.Ask(now, newRequest(now, 3))
 	grants := d.Done(now, dispatch.ID{
 		Node:   "n",
 		Number: 1,
@@ -291,8 +291,8 @@
 		Key:   "only",
 		Slots: 1,
 	})
-	d.Ask(start, ask(start, 1))
-	low, high := ask(start, 2), ask(start, 3)
+	d.Ask(start, newRequest(start, 1))
+	low, high := newRequest(start, 2), newRequest(start, 3)
 	low.Priority, high.Priority = 2, 1
 	d.Ask(start, low)
 	d.Ask(start, high)
@@ -317,7 +317,7 @@
 	got := false
 	for n := range uint64(200) {
 		now := start.Add(2*time.Second + time.Duration(n)*10*time.Millisecond)
-		g := d.Ask(now, ask(now, n))
+		g := d.Ask(now, newRequest(now, n))
 		got = got || g.Target == "new"
 		if n >= 6 {
 			d.Done(now, dispatch.ID{
@@ -335,7 +335,7 @@
 func TestLargeAnswersStayInTheDataHall(t *testing.T) {
 	d := newDesk(pool(4)...)
 	for n := range uint64(6) {
-		a := ask(start, n)
+		a := newRequest(start, n)
 		a.Repeatable, a.Kilobytes = true, 90
 		g := d.Ask(start, a)
 		if g.Verdict != dispatch.Granted || g.Target != "t0" && g.Target != "t2" {
@@ -348,7 +348,7 @@
 func TestAloneNeverWaits(t *testing.T) {
 	d := newDesk(pool(1)...)
 	for n := range uint64(10) {
-		if g := d.AskAlone(start, ask(start, n), 0.1); g.Verdict != dispatch.Granted {
+		if g := d.AskAlone(start, newRequest(start, n), 0.1); g.Verdict != dispatch.Granted {
 			t.Fatalf("ask %d: %v", n, g.Verdict)
 		}
 	}
@@ -361,10 +361,10 @@
 		Slots:   3,
 		Leaving: true,
 	})
-	if g := d.Ask(start, ask(start, 1)); g.Verdict != dispatch.Queued {
+	if g := d.Ask(start, newRequest(start, 1)); g.Verdict != dispatch.Queued {
 		t.Errorf("got %v", g.Verdict)
 	}
-	if g := d.AskAlone(start, ask(start, 2), 1); g.Verdict != dispatch.Refused {
+	if g := d.AskAlone(start, newRequest(start, 2), 1); g.Verdict != dispatch.Refused {
 		t.Errorf("alone: got %v", g.Verdict)
 	}
 }
--- a/internal/dispatch/divide_test.go
+++ b/internal/dispatch/divide_test.go
@@ -89,11 +89,11 @@
 	})
 	// Asks that wait pay for repeats.
 	for n := range uint64(20) {
-		d.Ask(start, ask(start, 100+n))
+		d.Ask(start, newRequest(start, 100+n))
 	}
 	before := d.Status(start)
 	for n := range uint64(20) {
-		a := ask(start, 200+n)
+		a := newRequest(start, 200+n)
 		a.Passing = true
 		a.Again = n%2 == 1
 		if g := d.Ask(start, a); g.Verdict != dispatch.Full {
@@ -146,11 +146,11 @@
 				for i, d := range desks {
 					for range tt.load[i] {
 						n++
-						d.Ask(now, ask(now, n))
+						d.Ask(now, newRequest(now, n))
 						firsts++
 						for range 3 {
 							n++
-							a := ask(now, n)
+							a := newRequest(now, n)
 							a.Repeatable, a.Again = true, true
 							if g := d.Ask(now, a); g.Verdict != dispatch.Spent {
 								repeats++
--- a/internal/dispatch/hedge_test.go
+++ b/internal/dispatch/hedge_test.go
@@ -19,7 +19,7 @@
 	now := start
 	for n := range uint64(400) {
 		now = now.Add(30 * time.Millisecond)
-		a := ask(now, 1_000_000+n)
+		a := newRequest(now, 1_000_000+n)
 		a.DataHall = string(rune('a' + n%2))
 		a.Kilobytes = 5
 		g := d.Ask(now, a)
@@ -31,7 +31,7 @@
 
 // hedge returns an ask for a second target beside one that has been silent for age.
 func hedge(now time.Time, n uint64, age time.Duration, first string) *dispatch.Ask {
-	a := ask(now, n)
+	a := newRequest(now, n)
 	a.Repeatable, a.Again, a.Hedge, a.Age = true, true, true, age
 	a.Tried = []string{first}
 	return a
@@ -63,7 +63,7 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			d, now := newTrainedDesk(pool(6)...)
-			first := ask(now, 1)
+			first := newRequest(now, 1)
 			first.Repeatable = true
 			g := d.Ask(now, first)
 			later := now.Add(tt.age)
@@ -80,7 +80,7 @@
 	d, now := newTrainedDesk(pool(20)...)
 	age := 2 * usualTime
 	for n := range uint64(200) {
-		a := ask(now, n)
+		a := newRequest(now, n)
 		a.Repeatable, a.Again = true, true
 		g := d.Ask(now, a)
 		if g.Verdict != dispatch.Granted {
@@ -110,7 +110,7 @@
 	for range 4 {
 		d.Note(now, "bad", "", dispatch.ResultBad, time.Millisecond)
 	}
-	if g := d.Ask(now, ask(now, 1)); g.Target != "good" {
+	if g := d.Ask(now, newRequest(now, 1)); g.Target != "good" {
 		t.Fatalf("first ask got %q", g.Target)
 	}
 	a := hedge(now, 2, 4*usualTime, "bad")
@@ -132,8 +132,8 @@
 		DataHall: "a",
 		Slots:    1,
 	})
-	first := d.Ask(now, ask(now, 1))
-	waiting, late := ask(now, 2), ask(now, 3)
+	first := d.Ask(now, newRequest(now, 1))
+	waiting, late := newRequest(now, 2), newRequest(now, 3)
 	waiting.Deadline = now.Add(2 * usualTime)
 	late.Deadline = now.Add(usualTime / 4)
 	if g := d.Ask(now, late); g.Verdict != dispatch.Refused {
--- a/internal/dispatch/limit_test.go
+++ b/internal/dispatch/limit_test.go
@@ -77,7 +77,7 @@
 		for due += rate * step.Seconds(); due >= 1; due-- {
 			p.next++
 			p.asked[p.next] = p.now
-			p.take([]dispatch.Grant{p.desk.Ask(p.now, ask(p.now, p.next))})
+			p.take([]dispatch.Grant{p.desk.Ask(p.now, newRequest(p.now, p.next))})
 		}
 		if p.now.Sub(start)%(50*time.Millisecond) == 0 {
 			p.take(p.desk.Advance(p.now))
@@ -156,7 +156,7 @@
 // target.
 func TestLimitOfANewDispatcherBeginsEmpty(t *testing.T) {
 	d := newDesk(pool(1)...)
-	a := ask(start, 1)
+	a := newRequest(start, 1)
 	a.Limits = []dispatch.TargetLimit{
 		limitOf("t0", 2, start.Add(-10*time.Second)),
 	}
@@ -239,7 +239,7 @@
 	for range 10 {
 		p.now = p.now.Add(2 * time.Second)
 		p.next++
-		if g := d.Ask(p.now, ask(p.now, p.next)); g.Target == "t0" {
+		if g := d.Ask(p.now, newRequest(p.now, p.next)); g.Target == "t0" {
 			d.Done(p.now, g.ID, g.Target, dispatch.ResultBackoff, time.Millisecond)
 		}
 	}
@@ -273,11 +273,11 @@
 	d := newDesk(pool(1)...)
 	d.Observe(start, "n", limitOf("t0", 1, start))
 	now := start.Add(time.Second)
-	if g := d.Ask(now, ask(now, 1)); g.Verdict != dispatch.Granted {
+	if g := d.Ask(now, newRequest(now, 1)); g.Verdict != dispatch.Granted {
 		t.Fatalf("%v", g.Verdict)
 	}
-	d.Done(now, ask(now, 1).ID, "t0", dispatch.ResultUnreached, 0)
-	if g := d.Ask(now, ask(now, 2)); g.Verdict != dispatch.Granted {
+	d.Done(now, newRequest(now, 1).ID, "t0", dispatch.ResultUnreached, 0)
+	if g := d.Ask(now, newRequest(now, 2)); g.Verdict != dispatch.Granted {
 		t.Errorf("%v", g.Verdict)
 	}
 }
@@ -323,7 +323,7 @@
 func TestLimitBelowCallersPatience(t *testing.T) {
 	d := newDesk(pool(1)...)
 	d.Observe(start, "n", limitOf("t0", 0.1, start))
-	g := d.Ask(start, ask(start, 1))
+	g := d.Ask(start, newRequest(start, 1))
 	if g.Verdict != dispatch.Refused || g.RetryAfter < 7*time.Second || g.RetryAfter > 13*time.Second {
 		t.Errorf("%v, callers may return after %v", g.Verdict, g.RetryAfter)
 	}
@@ -335,7 +335,7 @@
 	d.Observe(start, "n", limitOf("t0", 2, start))
 	d.Observe(start, "n", limitOf("t1", 3, start))
 	d.Observe(start, "n", lifted("t1", start.Add(time.Second)))
-	a := ask(start, 1)
+	a := newRequest(start, 1)
 	a.Limits = []dispatch.TargetLimit{
 		limitOf("t1", 3, start),
 	}
@@ -343,7 +343,7 @@
 	if len(told) != 2 || told[0] != limitOf("t0", 2, start) || told[1] != lifted("t1", start.Add(time.Second)) {
 		t.Errorf("told %+v", told)
 	}
-	a = ask(start, 2)
+	a = newRequest(start, 2)
 	a.Limits = told[:1]
 	if told := d.Ask(start, a).Limits; len(told) != 0 {
 		t.Errorf("told again %+v", told)
@@ -359,7 +359,7 @@
 	}
 	told := map[string]bool{}
 	for i := range uint64(100) {
-		limits := d.Ask(start, ask(start, i)).Limits
+		limits := d.Ask(start, newRequest(start, i)).Limits
 		if len(limits) > dispatch.MaxLimits {
 			t.Fatalf("%d in one message", len(limits))
 		}
@@ -376,16 +376,16 @@
 // pay for it.
 func TestRepeatedGrantIsNotPaidFor(t *testing.T) {
 	d := newDesk(pool(1)...)
-	if g := d.Ask(start, ask(start, 1)); g.Verdict != dispatch.Granted || g.Limit.Set {
+	if g := d.Ask(start, newRequest(start, 1)); g.Verdict != dispatch.Granted || g.Limit.Set {
 		t.Fatalf("%+v", g)
 	}
 	d.Observe(start, "n", limitOf("t0", 2, start))
-	if g := d.Ask(start.Add(25*time.Millisecond), ask(start, 1)); g.Target != "t0" || g.Limit.Set {
+	if g := d.Ask(start.Add(25*time.Millisecond), newRequest(start, 1)); g.Target != "t0" || g.Limit.Set {
 		t.Errorf("%+v", g)
 	}
 	now := start.Add(time.Second)
 	for range 2 {
-		if g := d.Ask(now, ask(now, 2)); g.Target != "t0" || !g.Limit.Set || !g.LimitAt.Equal(start) {
+		if g := d.Ask(now, newRequest(now, 2)); g.Target != "t0" || !g.Limit.Set || !g.LimitAt.Equal(start) {
 			t.Errorf("%+v", g)
 		}
 	}
--- a/internal/dispatch/serve_test.go
+++ b/internal/dispatch/serve_test.go
@@ -21,7 +21,7 @@
 	d := newDesk(list...)
 	var running []dispatch.Grant
 	for n := uint64(1); waiting > 0; n++ {
-		a := ask(now, n)
+		a := newRequest(now, n)
 		a.Route = fmt.Sprint("route-", n%20)
 		a.Deadline = now.Add(time.Hour)
 		a.Aim = a.Deadline
@@ -49,7 +49,7 @@
 				now = now.Add(time.Millisecond / 2)
 				g := running[0]
 				running = append(running[1:], d.Done(now, g.ID, g.Target, dispatch.ResultGood, usualTime)...)
-				a := ask(now, n)
+				a := newRequest(now, n)
 				a.Route = fmt.Sprint("route-", n%20)
 				a.Deadline = now.Add(time.Hour)
 				a.Aim = a.Deadline
--- a/internal/dispatch/sparse_test.go
+++ b/internal/dispatch/sparse_test.go
@@ -276,7 +276,7 @@
 	from := start.Add(20 * time.Second)
 	for n := range uint64(900) {
 		now := from.Add(time.Duration(n) * 3 * time.Millisecond)
-		g := d.Ask(now, ask(now, n))
+		g := d.Ask(now, newRequest(now, n))
 		last[g.Target] = now
 		r := dispatch.ResultGood
 		if n%3 == 0 {
--- a/internal/dispatch/spread_test.go
+++ b/internal/dispatch/spread_test.go
@@ -32,7 +32,7 @@
 	const failUntil, checkFrom = 1200, 1800
 	for n := range uint64(2600) {
 		now = now.Add(12 * time.Millisecond)
-		a := ask(now, n)
+		a := newRequest(now, n)
 		a.DataHall = string(rune('a' + n%2))
 		g := d.Ask(now, a)
 		last[g.Target] = now
@@ -62,7 +62,7 @@
 	now := start
 	for n := range uint64(600) {
 		now = now.Add(15 * time.Millisecond)
-		g := d.Ask(now, ask(now, n))
+		g := d.Ask(now, newRequest(now, n))
 		if g.Verdict != dispatch.Granted {
 			t.Fatalf("ask %d: %v", n, g.Verdict)
 		}
@@ -98,7 +98,7 @@
 	last := map[string]time.Time{}
 	for n := range uint64(3200) {
 		now := start.Add(time.Duration(n) * 2500 * time.Microsecond)
-		a := ask(now, n)
+		a := newRequest(now, n)
 		a.Repeatable = true
 		g := d.Ask(now, a)
 		last[g.Target] = now
@@ -120,7 +120,7 @@
 	now := start
 	for n := range uint64(600) {
 		now = now.Add(15 * time.Millisecond)
-		a := ask(now, n)
+		a := newRequest(now, n)
 		a.Repeatable = true
 		g := d.Ask(now, a)
 		if g.Verdict != dispatch.Granted {
@@ -161,7 +161,7 @@
 		now, crossed, least := start, 0, targets
 		for n := range uint64(400) {
 			now = now.Add(15 * time.Millisecond)
-			a := ask(now, n)
+			a := newRequest(now, n)
 			a.Repeatable, a.Kilobytes = true, 90
 			g := d.Ask(now, a)
 			last[g.Target] = now
@@ -199,7 +199,7 @@
 	last := map[string]time.Time{}
 	for n := range uint64(3200) {
 		now := start.Add(time.Duration(n) * 2500 * time.Microsecond)
-		g := d.Ask(now, ask(now, n))
+		g := d.Ask(now, newRequest(now, n))
 		last[g.Target] = now
 		var index int
 		if _, err := fmt.Sscanf(g.Target, "t%d", &index); err != nil {
@@ -230,7 +230,7 @@
 	last := map[string]time.Time{}
 	for n := range uint64(2000) {
 		now := start.Add(time.Duration(n) * 5 * time.Millisecond)
-		a := ask(now, n)
+		a := newRequest(now, n)
 		if n%5 == 0 {
 			a.Refused = 1
 		}
--- a/internal/dispatch/warmup_test.go
+++ b/internal/dispatch/warmup_test.go
@@ -51,7 +51,7 @@
 		}
 		granted(now, d.Advance(now)...)
 		number++
-		granted(now, d.Ask(now, ask(now, number)))
+		granted(now, d.Ask(now, newRequest(now, number)))
 	}
 	return out
 }
@@ -133,7 +133,7 @@
 	refused := 0
 	for n := range uint64(asks) {
 		now := start.Add(time.Duration(n) * 2 * time.Millisecond)
-		g := d.Ask(now, ask(now, n))
+		g := d.Ask(now, newRequest(now, n))
 		if g.Verdict == dispatch.Refused {
 			refused++
 			if g.RetryAfter <= 0 {
