--- a/internal/dispatch/hedge_test.go
+++ b/internal/dispatch/hedge_test.go
@@ -29,8 +29,8 @@
 	return d, now
 }
 
-// hedge returns an ask for a second target beside one that has been silent for age.
-func hedge(now time.Time, n uint64, age time.Duration, first string) *dispatch.Ask {
+// newHedge returns an ask for a second target beside one that has been silent for age.
+func newHedge(now time.Time, n uint64, age time.Duration, first string) *dispatch.Ask {
 	a := newRequest(now, n)
 	a.Repeatable, a.Again, a.Hedge, a.Age = true, true, true, age
 	a.Tried = []string{first}
@@ -67,7 +67,7 @@
 			first.Repeatable = true
 			g := d.Ask(now, first)
 			later := now.Add(tt.age)
-			if got := d.Ask(later, hedge(later, 2, tt.age, g.Target)); got.Verdict != tt.want {
+			if got := d.Ask(later, newHedge(later, 2, tt.age, g.Target)); got.Verdict != tt.want {
 				t.Errorf("got %v, want %v", got.Verdict, tt.want)
 			}
 		})
@@ -87,12 +87,12 @@
 			t.Fatalf("retry %d: %v", n, g.Verdict)
 		}
 		d.Done(now, g.ID, g.Target, dispatch.ResultGood, usualTime)
-		h := d.Ask(now, hedge(now, 1000+n, age, "t0"))
+		h := d.Ask(now, newHedge(now, 1000+n, age, "t0"))
 		if h.Verdict == dispatch.Spent {
 			if n == 0 {
 				t.Fatal("no second attempt while the budget was hardly used")
 			}
-			sure := d.Ask(now, hedge(now, 2000+n, 8*usualTime, "t0"))
+			sure := d.Ask(now, newHedge(now, 2000+n, 8*usualTime, "t0"))
 			if sure.Verdict != dispatch.Granted {
 				t.Errorf("beside one that is surely silent: %v, with %.0f repeats left", sure.Verdict, d.Status(now).RepeatsLeft)
 			}
@@ -113,7 +113,7 @@
 	if g := d.Ask(now, newRequest(now, 1)); g.Target != "good" {
 		t.Fatalf("first ask got %q", g.Target)
 	}
-	a := hedge(now, 2, 4*usualTime, "bad")
+	a := newHedge(now, 2, 4*usualTime, "bad")
 	a.Tried = []string{"elsewhere"}
 	a.Aim = now.Add(usualTime)
 	if g := d.Ask(now, a); g.Verdict != dispatch.Queued {
