--- a/internal/dispatch/backoff_model_test.go
+++ b/internal/dispatch/backoff_model_test.go
@@ -125,7 +125,7 @@
 	p.arrive()
 	p.tick()
 	for len(p.steps) > 0 && p.steps[0].at < restEnd+restDeadline {
-		s := heap.Pop(&p.steps).(step)
+		s := heap.Pop(&p.steps).(event)
 		p.now = s.at
 		s.do()
 	}
@@ -135,7 +135,7 @@
 func (p *restPlay) clock() time.Time { return start.Add(p.now) }
 
 func (p *restPlay) after(d time.Duration, do func()) {
-	heap.Push(&p.steps, step{
+	heap.Push(&p.steps, event{
 		at: p.now + d,
 		do: do,
 	})
--- a/internal/dispatch/overload_test.go
+++ b/internal/dispatch/overload_test.go
@@ -91,7 +91,7 @@
 	o.arrive()
 	o.tick()
 	for len(o.steps) > 0 && o.steps[0].at < overEnd+overDeadline {
-		s := heap.Pop(&o.steps).(step)
+		s := heap.Pop(&o.steps).(event)
 		o.now = s.at
 		s.do()
 	}
@@ -101,7 +101,7 @@
 func (o *overload) clock() time.Time { return start.Add(o.now) }
 
 func (o *overload) after(d time.Duration, do func()) {
-	heap.Push(&o.steps, step{
+	heap.Push(&o.steps, event{
 		at: o.now + d,
 		do: do,
 	})
--- a/internal/dispatch/play_test.go
+++ b/internal/dispatch/play_test.go
@@ -68,18 +68,18 @@
 	return false
 }
 
-// step is something that happens at a time.
-type step struct {
+// event is something that happens at a time.
+type event struct {
 	at time.Duration
 	do func()
 }
 
-type steps []step
+type steps []event
 
 func (h steps) Len() int           { return len(h) }
 func (h steps) Less(i, j int) bool { return h[i].at < h[j].at }
 func (h steps) Swap(i, j int)      { h[i], h[j] = h[j], h[i] }
-func (h *steps) Push(x any)        { *h = append(*h, x.(step)) }
+func (h *steps) Push(x any)        { *h = append(*h, x.(event)) }
 func (h *steps) Pop() any {
 	old := *h
 	last := old[len(old)-1]
@@ -154,7 +154,7 @@
 func hallName(i int) string { return string(rune('a' + i)) }
 
 func (p *simulation) after(d time.Duration, do func()) {
-	heap.Push(&p.steps, step{
+	heap.Push(&p.steps, event{
 		at: p.now + d,
 		do: do,
 	})
@@ -167,7 +167,7 @@
 	p.arrive()
 	p.advance()
 	for len(p.steps) > 0 && p.steps[0].at < modelEnd {
-		next := heap.Pop(&p.steps).(step)
+		next := heap.Pop(&p.steps).(event)
 		p.now = next.at
 		next.do()
 	}
--- a/internal/dispatch/sparse_test.go
+++ b/internal/dispatch/sparse_test.go
@@ -123,7 +123,7 @@
 		good := !s.grayAt(g.Target, seed, at) || rng.Float64() >= s.fails
 		out.count(warm, good)
 		took := time.Duration((0.6 + 0.8*rng.Float64()) * float64(sparseWork))
-		heap.Push(&events, step{
+		heap.Push(&events, event{
 			at: at + took,
 			do: func() {
 				r := dispatch.ResultBad
@@ -149,7 +149,7 @@
 		}))
 		next := at + time.Duration(rng.ExpFloat64()/s.rate*float64(time.Second))
 		if next < sparseEnd {
-			heap.Push(&events, step{
+			heap.Push(&events, event{
 				at: next,
 				do: func() { arrive(next) },
 			})
@@ -159,23 +159,23 @@
 	advance = func(at time.Duration) {
 		all(at, d.Advance(start.Add(at)))
 		if next := at + 50*time.Millisecond; next < sparseEnd+8*time.Second {
-			heap.Push(&events, step{
+			heap.Push(&events, event{
 				at: next,
 				do: func() { advance(next) },
 			})
 		}
 	}
 	advance(0)
-	heap.Push(&events, step{
+	heap.Push(&events, event{
 		at: 0,
 		do: func() { arrive(0) },
 	})
-	heap.Push(&events, step{
+	heap.Push(&events, event{
 		at: sparseJoins,
 		do: func() { d.Change(start.Add(sparseJoins), s.pool(s.targets, s.joins), nil) },
 	})
 	for len(events) > 0 {
-		e := heap.Pop(&events).(step)
+		e := heap.Pop(&events).(event)
 		e.do()
 	}
 	out.waited = waits / float64(number)
