--- a/internal/dispatch/backoff_model_test.go
+++ b/internal/dispatch/backoff_model_test.go
@@ -51,7 +51,7 @@
 	told   bool
 	desk   *dispatch.Desk
 	rng    *rand.Rand
-	steps  steps
+	steps  eventQueue
 	now    time.Duration
 	next   uint64
 	asks   map[uint64]*restRequest
--- a/internal/dispatch/overload_test.go
+++ b/internal/dispatch/overload_test.go
@@ -32,7 +32,7 @@
 type overload struct {
 	desk  *dispatch.Desk
 	rng   *rand.Rand
-	steps steps
+	steps eventQueue
 	now   time.Duration
 	next  uint64
 	// load is in requests a second at a time.
--- a/internal/dispatch/play_test.go
+++ b/internal/dispatch/play_test.go
@@ -74,13 +74,13 @@
 	do func()
 }
 
-type steps []event
+type eventQueue []event
 
-func (h steps) Len() int           { return len(h) }
-func (h steps) Less(i, j int) bool { return h[i].at < h[j].at }
-func (h steps) Swap(i, j int)      { h[i], h[j] = h[j], h[i] }
-func (h *steps) Push(x any)        { *h = append(*h, x.(event)) }
-func (h *steps) Pop() any {
+func (h eventQueue) Len() int           { return len(h) }
+func (h eventQueue) Less(i, j int) bool { return h[i].at < h[j].at }
+func (h eventQueue) Swap(i, j int)      { h[i], h[j] = h[j], h[i] }
+func (h *eventQueue) Push(x any)        { *h = append(*h, x.(event)) }
+func (h *eventQueue) Pop() any {
 	old := *h
 	last := old[len(old)-1]
 	*h = old[:len(old)-1]
@@ -96,7 +96,7 @@
 	list    []dispatch.Target
 	byKey   map[string]*modelTarget
 	hallOf  map[string]string
-	steps   steps
+	steps   eventQueue
 	now     time.Duration
 	next    uint64
 	asks    map[uint64]*dispatch.Ask
--- a/internal/dispatch/sparse_test.go
+++ b/internal/dispatch/sparse_test.go
@@ -94,7 +94,7 @@
 	d.Configure(start, s.pool(0, s.targets))
 	d.Keep(floorShare)
 	var out played
-	var events steps
+	var events eventQueue
 	begun := map[string]time.Duration{}
 	arrived := map[dispatch.ID]time.Duration{}
 	waits := 0.0
