--- a/internal/dispatch/spread_test.go
+++ b/internal/dispatch/spread_test.go
@@ -11,8 +11,8 @@
 	"ploverjunction.example/ploverjunction/internal/dispatch"
 )
 
-// fresh counts the targets that got work within the last two seconds.
-func fresh(last map[string]time.Time, now time.Time) int {
+// recentlyUsed counts the targets that got work within the last two seconds.
+func recentlyUsed(last map[string]time.Time, now time.Time) int {
 	n := 0
 	for _, at := range last {
 		if now.Sub(at) <= 2*time.Second {
@@ -48,7 +48,7 @@
 		if n < checkFrom {
 			continue
 		}
-		if got := fresh(last, now); got < 16 {
+		if got := recentlyUsed(last, now); got < 16 {
 			t.Fatalf("ask %d: %d of 20 targets got work within 2 s", n, got)
 		}
 	}
@@ -79,7 +79,7 @@
 		if n < 200 {
 			continue
 		}
-		if got := fresh(last, now); got < 7 {
+		if got := recentlyUsed(last, now); got < 7 {
 			t.Fatalf("ask %d: %d of 9 targets got work within 2 s", n, got)
 		}
 	}
@@ -106,7 +106,7 @@
 		if n < 1200 {
 			continue
 		}
-		if got := fresh(last, now); got < 85 {
+		if got := recentlyUsed(last, now); got < 85 {
 			t.Fatalf("ask %d: %d of %d targets got work within 2 s", n, got, targets)
 		}
 	}
@@ -139,7 +139,7 @@
 		if n < 200 {
 			continue
 		}
-		if got := fresh(last, now); got < 9 {
+		if got := recentlyUsed(last, now); got < 9 {
 			t.Fatalf("ask %d: %d of 9 targets got work within 2 s", n, got)
 		}
 	}
@@ -169,7 +169,7 @@
 				crossed++
 			}
 			if n > 200 {
-				least = min(least, fresh(last, now))
+				least = min(least, recentlyUsed(last, now))
 			}
 			if leave && n%5 == 0 {
 				d.Lost(g.Target, g.ID)
@@ -216,7 +216,7 @@
 		if n < 1600 {
 			continue
 		}
-		if got := fresh(last, now); got < 90 {
+		if got := recentlyUsed(last, now); got < 90 {
 			t.Fatalf("ask %d: %d of %d targets got work within 2 s", n, got, targets)
 		}
 	}
@@ -244,7 +244,7 @@
 		if n < 1200 {
 			continue
 		}
-		if got := fresh(last, now); got < 35 {
+		if got := recentlyUsed(last, now); got < 35 {
 			t.Fatalf("ask %d: %d of %d targets got work within 2 s", n, got, targets)
 		}
 	}
