--- a/internal/dispatch/choose_test.go
+++ b/internal/dispatch/choose_test.go
@@ -9,8 +9,8 @@
 	"ploverjunction.example/ploverjunction/internal/dispatch"
 )
 
-// halls returns one target of one slot in each of two data halls.
-func halls() []dispatch.Target {
+// twoHalls returns one target of one slot in each of two data halls.
+func twoHalls() []dispatch.Target {
 	return []dispatch.Target{
 		{
 			Key:      "near",
@@ -28,7 +28,7 @@
 // A request of some KiB waits some milliseconds for a slot in its own data hall
 // before it goes to another one.
 func TestWaitsForItsOwnDataHall(t *testing.T) {
-	d, now := newTrainedDesk(halls()...)
+	d, now := newTrainedDesk(twoHalls()...)
 	d.Ask(now, newRequest(now, 1))
 	a := newRequest(now, 2)
 	a.Kilobytes = 5
@@ -44,7 +44,7 @@
 // A slot that becomes free goes to a request of its own data hall, though another
 // one has waited longer.
 func TestSlotGoesToItsOwnDataHall(t *testing.T) {
-	d, now := newTrainedDesk(halls()...)
+	d, now := newTrainedDesk(twoHalls()...)
 	var far dispatch.Grant
 	for n, hall := range []string{"b", "a", "a", "b"} {
 		a := newRequest(now, uint64(n+1))
