--- a/internal/dispatch/warmup_test.go
+++ b/internal/dispatch/warmup_test.go
@@ -12,8 +12,8 @@
 // warmRate is how many requests a second the targets of these tests take while they warm up.
 const warmRate = 9.1
 
-// warming returns targets that warm up for a time.
-func warming(n int, left time.Duration) []dispatch.Target {
+// warmingTargets returns targets that warm up for a time.
+func warmingTargets(n int, left time.Duration) []dispatch.Target {
 	out := pool(n)
 	for i := range out {
 		out[i].Warmup = left
@@ -80,29 +80,29 @@
 	}{
 		{
 			name: "known so from the start",
-			desk: func() *dispatch.Desk { return newDesk(warming(2, left)...) },
+			desk: func() *dispatch.Desk { return newDesk(warmingTargets(2, left)...) },
 		},
 		{
 			name: "cold again",
 			desk: func() *dispatch.Desk {
 				d := newDesk(pool(2)...)
-				d.Change(start, warming(2, left), nil)
+				d.Change(start, warmingTargets(2, left), nil)
 				return d
 			},
 		},
 		{
 			name: "a third joins",
 			desk: func() *dispatch.Desk {
-				d := newDesk(warming(2, left)...)
-				d.Change(start, append(warming(3, left)[2:], warming(2, left)...), nil)
+				d := newDesk(warmingTargets(2, left)...)
+				d.Change(start, append(warmingTargets(3, left)[2:], warmingTargets(2, left)...), nil)
 				return d
 			},
 		},
 		{
 			name: "the rest is told as it shrinks",
 			desk: func() *dispatch.Desk {
-				d := newDesk(warming(2, left+time.Second)...)
-				d.Change(start, warming(2, left), nil)
+				d := newDesk(warmingTargets(2, left+time.Second)...)
+				d.Change(start, warmingTargets(2, left), nil)
 				return d
 			},
 		},
@@ -129,7 +129,7 @@
 // Guards against callers who wait for targets that are all cold and can't serve them.
 func TestColdServiceRefusesAtOnce(t *testing.T) {
 	const targets, asks = 4, 600
-	d := newDesk(warming(targets, 10*time.Second)...)
+	d := newDesk(warmingTargets(targets, 10*time.Second)...)
 	refused := 0
 	for n := range uint64(asks) {
 		now := start.Add(time.Duration(n) * 2 * time.Millisecond)
