--- a/internal/dispatch/warmup_test.go
+++ b/internal/dispatch/warmup_test.go
@@ -22,9 +22,9 @@
 	return out
 }
 
-// flood asks a desk every few milliseconds from one time to another; each attempt takes 100 ms. It
+// saturate asks a desk every few milliseconds from one time to another; each attempt takes 100 ms. It
 // returns when each target was granted.
-func flood(d *dispatch.Desk, from, to time.Time) map[string][]time.Time {
+func saturate(d *dispatch.Desk, from, to time.Time) map[string][]time.Time {
 	out := map[string][]time.Time{}
 	type running struct {
 		ends time.Time
@@ -110,7 +110,7 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			d := tt.desk()
-			for key, times := range flood(d, start, start.Add(left)) {
+			for key, times := range saturate(d, start, start.Add(left)) {
 				if n := busiest(times); float64(n) > 1.1*warmRate+1 {
 					t.Errorf("target %s got %d requests in a second", key, n)
 				}
@@ -118,7 +118,7 @@
 					t.Errorf("target %s got %.2f of what it bears", key, used)
 				}
 			}
-			after := flood(d, start.Add(left+2*time.Second), start.Add(left+4*time.Second))
+			after := saturate(d, start.Add(left+2*time.Second), start.Add(left+4*time.Second))
 			if n := len(after["t0"]); float64(n) < 2*2*warmRate {
 				t.Errorf("target t0 got %d requests in the two seconds after it was warm", n)
 			}
