--- a/internal/dispatch/warmup_test.go
+++ b/internal/dispatch/warmup_test.go
@@ -56,8 +56,8 @@
 	return out
 }
 
-// busiest returns the greatest number of times within a second.
-func busiest(times []time.Time) int {
+// maxPerSecond returns the greatest number of times within a second.
+func maxPerSecond(times []time.Time) int {
 	out := 0
 	for i := range times {
 		n := 0
@@ -111,7 +111,7 @@
 		t.Run(tt.name, func(t *testing.T) {
 			d := tt.desk()
 			for key, times := range saturate(d, start, start.Add(left)) {
-				if n := busiest(times); float64(n) > 1.1*warmRate+1 {
+				if n := maxPerSecond(times); float64(n) > 1.1*warmRate+1 {
 					t.Errorf("target %s got %d requests in a second", key, n)
 				}
 				if used := float64(len(times)) / left.Seconds() / warmRate; used < 0.9 {
