--- a/internal/dispatch/limit_test.go
+++ b/internal/dispatch/limit_test.go
@@ -103,8 +103,8 @@
 	}
 }
 
-// most returns the greatest number of times in four seconds.
-func most(times []time.Time) int {
+// maxInWindow returns the greatest number of times in four seconds.
+func maxInWindow(times []time.Time) int {
 	out, from := 0, 0
 	for i, at := range times {
 		for at.Sub(times[from]) >= 4*time.Second {
@@ -130,7 +130,7 @@
 			const length = 40 * time.Second
 			p.run(200, length)
 			got := p.granted["t0"]
-			if m := most(got); m > allowed(rate) {
+			if m := maxInWindow(got); m > allowed(rate) {
 				t.Errorf("%d in 4 s, allowed %d", m, allowed(rate))
 			}
 			if least := 0.9 * rate * length.Seconds(); float64(len(got)) < least-1 {
@@ -147,7 +147,7 @@
 	d.Observe(p.now, "n", limitOf("t0", 2.6, p.now))
 	p.run(0, 30*time.Second)
 	p.run(100, 4*time.Second)
-	if m := most(p.granted["t0"]); m > allowed(2.6) {
+	if m := maxInWindow(p.granted["t0"]); m > allowed(2.6) {
 		t.Errorf("%d in 4 s, allowed %d", m, allowed(2.6))
 	}
 }
@@ -299,7 +299,7 @@
 	granted := 0
 	for key, times := range p.granted {
 		granted += len(times)
-		if m := most(times); m > allowed(rate) {
+		if m := maxInWindow(times); m > allowed(rate) {
 			t.Errorf("%s: %d in 4 s, allowed %d", key, m, allowed(rate))
 		}
 	}
--- a/internal/dispatch/limit_ways_test.go
+++ b/internal/dispatch/limit_ways_test.go
@@ -168,7 +168,7 @@
 		}
 	}
 	return wayResult{
-		part: float64(most(sent)) / (1.1*4*rate + 2),
+		part: float64(maxInWindow(sent)) / (1.1*4*rate + 2),
 		used: float64(len(sent)) / (rate * wayLength.Seconds()),
 	}
 }
