--- a/internal/dispatch/limit_test.go
+++ b/internal/dispatch/limit_test.go
@@ -115,8 +115,8 @@
 	return out
 }
 
-// allowed is what a target with a limit should get in four seconds at the most.
-func allowed(rate float64) int { return int(1.1*4*rate + 2) }
+// maxAllowed is what a target with a limit should get in four seconds at the most.
+func maxAllowed(rate float64) int { return int(1.1*4*rate + 2) }
 
 // While more comes than the other targets can do, a target gets its limit and no more, evenly.
 func TestLimitIsUsedAndKept(t *testing.T) {
@@ -130,8 +130,8 @@
 			const length = 40 * time.Second
 			p.run(200, length)
 			got := p.granted["t0"]
-			if m := maxInWindow(got); m > allowed(rate) {
-				t.Errorf("%d in 4 s, allowed %d", m, allowed(rate))
+			if m := maxInWindow(got); m > maxAllowed(rate) {
+				t.Errorf("%d in 4 s, allowed %d", m, maxAllowed(rate))
 			}
 			if least := 0.9 * rate * length.Seconds(); float64(len(got)) < least-1 {
 				t.Errorf("%d in %v, the limit is %v a second", len(got), length, rate)
@@ -147,8 +147,8 @@
 	d.Observe(p.now, "n", limitOf("t0", 2.6, p.now))
 	p.run(0, 30*time.Second)
 	p.run(100, 4*time.Second)
-	if m := maxInWindow(p.granted["t0"]); m > allowed(2.6) {
-		t.Errorf("%d in 4 s, allowed %d", m, allowed(2.6))
+	if m := maxInWindow(p.granted["t0"]); m > maxAllowed(2.6) {
+		t.Errorf("%d in 4 s, allowed %d", m, maxAllowed(2.6))
 	}
 }
 
@@ -299,8 +299,8 @@
 	granted := 0
 	for key, times := range p.granted {
 		granted += len(times)
-		if m := maxInWindow(times); m > allowed(rate) {
-			t.Errorf("%s: %d in 4 s, allowed %d", key, m, allowed(rate))
+		if m := maxInWindow(times); m > maxAllowed(rate) {
+			t.Errorf("%s: %d in 4 s, allowed %d", key, m, maxAllowed(rate))
 		}
 	}
 	if least := 0.9 * 3 * rate * length.Seconds(); float64(granted) < least {
