--- a/internal/dispatch/barred_test.go
+++ b/internal/dispatch/barred_test.go
@@ -73,15 +73,15 @@
 			}
 			list[0].Key = "t0/2"
 			d.Configure(now, list)
-			if got := granted(d, now, 200)["t0/2"]; got == 0 {
+			if got := grantCounts(d, now, 200)["t0/2"]; got == 0 {
 				t.Error("the next life gets nothing")
 			}
 		})
 	}
 }
 
-// granted asks a number of times, one after the other, and counts who got it.
-func granted(d *dispatch.Desk, now time.Time, asks uint64) map[string]int {
+// grantCounts asks a number of times, one after the other, and counts who got it.
+func grantCounts(d *dispatch.Desk, now time.Time, asks uint64) map[string]int {
 	out := map[string]int{}
 	for n := range asks {
 		g := d.Ask(now, newRequest(now, 10_000+n))
@@ -96,7 +96,7 @@
 func TestWordOfLeavingWithoutAnID(t *testing.T) {
 	d := newDesk(pool(2)...)
 	d.MarkDraining(start, "t0")
-	if got := granted(d, start.Add(50*time.Second), 100)["t0"]; got != 0 {
+	if got := grantCounts(d, start.Add(50*time.Second), 100)["t0"]; got != 0 {
 		t.Errorf("%d requests while it leaves", got)
 	}
 	later := start.Add(61 * time.Second)
