--- a/internal/dispatch/barred_test.go
+++ b/internal/dispatch/barred_test.go
@@ -115,11 +115,11 @@
 // pays for that: with three in ten targets barred for half of the nodes all are served.
 func TestBarredTargetsAreNeverGranted(t *testing.T) {
 	for seed := range uint64(40) {
-		t.Run(fmt.Sprint(seed), func(t *testing.T) { playBarred(t, rand.New(rand.NewPCG(seed, 5))) })
+		t.Run(fmt.Sprint(seed), func(t *testing.T) { simulateUnavailable(t, rand.New(rand.NewPCG(seed, 5))) })
 	}
 }
 
-func playBarred(t *testing.T, rng *rand.Rand) {
+func simulateUnavailable(t *testing.T, rng *rand.Rand) {
 	const targets, asks = 8, 400
 	d := newDesk(pool(targets)...)
 	open := map[uint64]*dispatch.Ask{}
