--- a/internal/dispatch/limit_test.go
+++ b/internal/dispatch/limit_test.go
@@ -31,8 +31,8 @@
 	}
 }
 
-// limitPlay plays requests on a desk, one after another in a fixed time.
-type limitPlay struct {
+// limitSimulation plays requests on a desk, one after another in a fixed time.
+type limitSimulation struct {
 	desk *dispatch.Desk
 	now  time.Time
 	next uint64
@@ -54,8 +54,8 @@
 	target string
 }
 
-func newLimitPlay(d *dispatch.Desk) *limitPlay {
-	return &limitPlay{
+func newLimitPlay(d *dispatch.Desk) *limitSimulation {
+	return &limitSimulation{
 		desk:    d,
 		now:     start,
 		takes:   50 * time.Millisecond,
@@ -65,7 +65,7 @@
 }
 
 // run lets requests come at a rate for some time.
-func (p *limitPlay) run(rate float64, length time.Duration) {
+func (p *limitSimulation) run(rate float64, length time.Duration) {
 	const step = 5 * time.Millisecond
 	due := 0.0
 	for end := p.now.Add(length); p.now.Before(end); p.now = p.now.Add(step) {
@@ -85,7 +85,7 @@
 	}
 }
 
-func (p *limitPlay) take(grants []dispatch.Grant) {
+func (p *limitSimulation) take(grants []dispatch.Grant) {
 	for _, g := range grants {
 		switch g.Verdict {
 		case dispatch.Granted:
