--- a/internal/dispatch/limit_test.go
+++ b/internal/dispatch/limit_test.go
@@ -54,7 +54,7 @@
 	target string
 }
 
-func newLimitPlay(d *dispatch.Desk) *limitSimulation {
+func newLimitSimulation(d *dispatch.Desk) *limitSimulation {
 	return &limitSimulation{
 		desk:    d,
 		now:     start,
@@ -123,7 +123,7 @@
 	for _, rate := range []float64{0.5, 1.6, 2.6, 10, 50} {
 		t.Run(fmt.Sprint(rate), func(t *testing.T) {
 			d := newDesk(pool(3)...)
-			p := newLimitPlay(d)
+			p := newLimitSimulation(d)
 			p.run(100, 2*time.Second)
 			d.Observe(p.now, "n", limitOf("t0", rate, p.now))
 			p.granted = map[string][]time.Time{}
@@ -143,7 +143,7 @@
 // What is saved up while nothing comes is no burst afterwards.
 func TestLimitSavesNothingUp(t *testing.T) {
 	d := newDesk(pool(1)...)
-	p := newLimitPlay(d)
+	p := newLimitSimulation(d)
 	d.Observe(p.now, "n", limitOf("t0", 2.6, p.now))
 	p.run(0, 30*time.Second)
 	p.run(100, 4*time.Second)
@@ -221,7 +221,7 @@
 // more.
 func TestLimitOfZero(t *testing.T) {
 	d := newDesk(pool(2)...)
-	p := newLimitPlay(d)
+	p := newLimitSimulation(d)
 	d.Observe(p.now, "n", limitOf("t0", 0, p.now))
 	p.run(40, 60*time.Second)
 	if n := len(p.granted["t0"]); n < 4 || n > 6 {
@@ -232,7 +232,7 @@
 // A limit isn't held against the health of its target, nor is what it turns away beyond it.
 func TestLimitIsNoEvidence(t *testing.T) {
 	d := newDesk(pool(2)...)
-	p := newLimitPlay(d)
+	p := newLimitSimulation(d)
 	p.run(40, 5*time.Second)
 	d.Observe(p.now, "n", limitOf("t0", 1, p.now))
 	p.run(40, 20*time.Second)
@@ -256,7 +256,7 @@
 		Key:   "t0",
 		Slots: 20,
 	})
-	p := newLimitPlay(d)
+	p := newLimitSimulation(d)
 	d.Observe(p.now, "n", limitOf("t0", 1, p.now))
 	p.run(100, 10*time.Second)
 	d.Observe(p.now, "n", lifted("t0", p.now))
@@ -287,7 +287,7 @@
 func TestLimitsAreCapacity(t *testing.T) {
 	const rate, length = 2.0, 30 * time.Second
 	d := newDesk(pool(3)...)
-	p := newLimitPlay(d)
+	p := newLimitSimulation(d)
 	p.run(60, 2*time.Second)
 	for i := range 3 {
 		d.Observe(p.now, "n", limitOf(fmt.Sprintf("t%d", i), rate, p.now))
