--- a/internal/dispatch/sparse_test.go
+++ b/internal/dispatch/sparse_test.go
@@ -35,8 +35,8 @@
 	sparseJoins = 12 * time.Second
 )
 
-// played is what came of a play.
-type played struct {
+// sparseResult is what came of a play.
+type sparseResult struct {
 	served, all int
 	// early are the same of the first seconds.
 	earlyServed, earlyAll int
@@ -46,7 +46,7 @@
 	unused int
 }
 
-func (p *played) count(warm, good bool) {
+func (p *sparseResult) count(warm, good bool) {
 	all, served := &p.earlyAll, &p.earlyServed
 	if warm {
 		all, served = &p.all, &p.served
@@ -84,7 +84,7 @@
 	return h
 }
 
-func (s *sparse) play(seed uint64) played {
+func (s *sparse) play(seed uint64) sparseResult {
 	rng := rand.New(rand.NewPCG(seed, 586))
 	d := dispatch.NewDesk(start, dispatch.Budget{
 		Share:   0.2,
@@ -93,7 +93,7 @@
 	}, rng.Float64)
 	d.Configure(start, s.pool(0, s.targets))
 	d.Keep(floorShare)
-	var out played
+	var out sparseResult
 	var events eventQueue
 	begun := map[string]time.Duration{}
 	arrived := map[dispatch.ID]time.Duration{}
@@ -238,7 +238,7 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			t.Parallel()
-			sum := played{}
+			sum := sparseResult{}
 			for seed := range uint64(3) {
 				p := tt.play(seed)
 				sum.served += p.served
