--- a/internal/dispatch/overload_test.go
+++ b/internal/dispatch/overload_test.go
@@ -28,8 +28,8 @@
 	overEnd  = 28 * time.Second
 )
 
-// overload is one play.
-type overload struct {
+// overloadSimulation is one play.
+type overloadSimulation struct {
 	desk  *dispatch.Desk
 	rng   *rand.Rand
 	steps eventQueue
@@ -68,7 +68,7 @@
 }
 
 func playOverload(load func(at time.Duration) float64, gray float64, seed uint64) overResult {
-	o := &overload{
+	o := &overloadSimulation{
 		rng:  rand.New(rand.NewPCG(seed, 5)),
 		load: load,
 		gray: gray,
@@ -98,21 +98,21 @@
 	return o.got
 }
 
-func (o *overload) clock() time.Time { return start.Add(o.now) }
+func (o *overloadSimulation) clock() time.Time { return start.Add(o.now) }
 
-func (o *overload) after(d time.Duration, do func()) {
+func (o *overloadSimulation) after(d time.Duration, do func()) {
 	heap.Push(&o.steps, event{
 		at: o.now + d,
 		do: do,
 	})
 }
 
-func (o *overload) tick() {
+func (o *overloadSimulation) tick() {
 	o.take(o.desk.Advance(o.clock()))
 	o.after(50*time.Millisecond, o.tick)
 }
 
-func (o *overload) arrive() {
+func (o *overloadSimulation) arrive() {
 	if o.now < overEnd {
 		o.after(time.Duration(o.rng.ExpFloat64()/o.load(o.now)*float64(time.Second)), o.arrive)
 	}
@@ -139,7 +139,7 @@
 	o.take([]dispatch.Grant{o.desk.Ask(o.clock(), r.ask)})
 }
 
-func (o *overload) take(grants []dispatch.Grant) {
+func (o *overloadSimulation) take(grants []dispatch.Grant) {
 	for _, g := range grants {
 		r := o.asks[g.ID.Number]
 		switch {
@@ -157,14 +157,14 @@
 }
 
 // hangs reports whether a target hangs most of its requests now.
-func (o *overload) hangs(key string) bool {
+func (o *overloadSimulation) hangs(key string) bool {
 	var n int
 	_, _ = fmt.Sscanf(key, "t%d", &n)
 	turn := int(o.now / (9 * time.Second))
 	return rand.New(rand.NewPCG(uint64(n), uint64(turn))).Float64() < o.gray && o.rng.Float64() < 0.75
 }
 
-func (o *overload) work(r *overRequest, g dispatch.Grant) {
+func (o *overloadSimulation) work(r *overRequest, g dispatch.Grant) {
 	sigma := math.Sqrt(math.Log(1 + overSpread*overSpread))
 	took := time.Duration(float64(overWork) * math.Exp(sigma*o.rng.NormFloat64()-sigma*sigma/2))
 	result := dispatch.ResultGood
