--- a/internal/dispatch/overload_test.go
+++ b/internal/dispatch/overload_test.go
@@ -67,7 +67,7 @@
 	return (1 - gray) * overTargets * overSlots / overWork.Seconds()
 }
 
-func playOverload(load func(at time.Duration) float64, gray float64, seed uint64) overResult {
+func simulateOverload(load func(at time.Duration) float64, gray float64, seed uint64) overResult {
 	o := &overloadSimulation{
 		rng:  rand.New(rand.NewPCG(seed, 5)),
 		load: load,
@@ -200,7 +200,7 @@
 func TestOverload(t *testing.T) {
 	for _, gray := range []float64{0, 0.3} {
 		for _, share := range []float64{0.8, 1, 1.2, 1.35, 1.6, 2} {
-			got := playOverload(steady(share, gray), gray, 1)
+			got := simulateOverload(steady(share, gray), gray, 1)
 			inAim := share * got.share(got.inAim)
 			t.Logf("gray %.1f, load %.2f: %.3f of the capacity in aim; %v", gray, share, inAim, got)
 			if inAim < min(0.96*share, 0.88) {
@@ -224,7 +224,7 @@
 	}
 	var sum overResult
 	for seed := range uint64(5) {
-		got := playOverload(burst, 0.3, seed)
+		got := simulateOverload(burst, 0.3, seed)
 		sum.all += got.all
 		sum.inAim += got.inAim
 		sum.late += got.late
