--- a/internal/dispatch/overload_test.go
+++ b/internal/dispatch/overload_test.go
@@ -17,12 +17,12 @@
 
 // Times and sizes of the overloaded service: those of the users' leasing quotes.
 const (
-	overAim      = 1200 * time.Millisecond
-	overDeadline = 3 * time.Second
-	overWork     = 320 * time.Millisecond
-	overSpread   = 0.5
-	overTargets  = 40
-	overSlots    = 3
+	overSoftDeadline = 1200 * time.Millisecond
+	overDeadline     = 3 * time.Second
+	overWork         = 320 * time.Millisecond
+	overSpread       = 0.5
+	overTargets      = 40
+	overSlots        = 3
 	// overWarm is from when on requests count, overEnd until when they come.
 	overWarm = 8 * time.Second
 	overEnd  = 28 * time.Second
@@ -127,7 +127,7 @@
 			Route:      "quotes",
 			Repeatable: true,
 			Kilobytes:  2,
-			Aim:        o.clock().Add(overAim),
+			Aim:        o.clock().Add(overSoftDeadline),
 			Deadline:   o.clock().Add(overDeadline),
 		},
 		came: o.now,
@@ -179,7 +179,7 @@
 			switch {
 			case result != dispatch.ResultGood:
 				o.got.hung++
-			case o.now-r.came <= overAim:
+			case o.now-r.came <= overSoftDeadline:
 				o.got.inAim++
 			default:
 				o.got.late++
