--- a/internal/dispatch/overload_test.go
+++ b/internal/dispatch/overload_test.go
@@ -50,14 +50,14 @@
 
 // overResult counts the requests that came after overWarm.
 type overResult struct {
-	all, inAim, late, refused, hung int
+	all, onTime, late, refused, hung int
 	// held adds up how long the requests were held that were not served nor sent.
 	held time.Duration
 }
 
 func (r overResult) String() string {
 	return fmt.Sprintf("%d requests: %.3f in aim, %.3f late, %.3f refused, %.3f hung; refused after %v",
-		r.all, r.share(r.inAim), r.share(r.late), r.share(r.refused), r.share(r.hung), (r.held / time.Duration(max(r.refused, 1))).Round(time.Millisecond))
+		r.all, r.share(r.onTime), r.share(r.late), r.share(r.refused), r.share(r.hung), (r.held / time.Duration(max(r.refused, 1))).Round(time.Millisecond))
 }
 
 func (r overResult) share(n int) float64 { return float64(n) / float64(max(r.all, 1)) }
@@ -180,7 +180,7 @@
 			case result != dispatch.ResultGood:
 				o.got.hung++
 			case o.now-r.came <= overSoftDeadline:
-				o.got.inAim++
+				o.got.onTime++
 			default:
 				o.got.late++
 			}
@@ -201,7 +201,7 @@
 	for _, gray := range []float64{0, 0.3} {
 		for _, share := range []float64{0.8, 1, 1.2, 1.35, 1.6, 2} {
 			got := simulateOverload(steady(share, gray), gray, 1)
-			inAim := share * got.share(got.inAim)
+			inAim := share * got.share(got.onTime)
 			t.Logf("gray %.1f, load %.2f: %.3f of the capacity in aim; %v", gray, share, inAim, got)
 			if inAim < min(0.96*share, 0.88) {
 				t.Errorf("gray %.1f, load %.2f: %.3f of the capacity in aim", gray, share, inAim)
@@ -226,14 +226,14 @@
 	for seed := range uint64(5) {
 		got := simulateOverload(burst, 0.3, seed)
 		sum.all += got.all
-		sum.inAim += got.inAim
+		sum.onTime += got.onTime
 		sum.late += got.late
 		sum.refused += got.refused
 		sum.hung += got.hung
 		sum.held += got.held
 	}
 	t.Log(sum)
-	if sum.share(sum.inAim) < 0.87 || sum.share(sum.refused) > 0.08 {
+	if sum.share(sum.onTime) < 0.87 || sum.share(sum.refused) > 0.08 {
 		t.Error(sum)
 	}
 }
