--- a/internal/dispatch/overload_test.go
+++ b/internal/dispatch/overload_test.go
@@ -51,13 +51,13 @@
 // overResult counts the requests that came after overWarm.
 type overResult struct {
 	all, onTime, late, refused, hung int
-	// held adds up how long the requests were held that were not served nor sent.
-	held time.Duration
+	// waited adds up how long the requests were held that were not served nor sent.
+	waited time.Duration
 }
 
 func (r overResult) String() string {
 	return fmt.Sprintf("%d requests: %.3f in aim, %.3f late, %.3f refused, %.3f hung; refused after %v",
-		r.all, r.share(r.onTime), r.share(r.late), r.share(r.refused), r.share(r.hung), (r.held / time.Duration(max(r.refused, 1))).Round(time.Millisecond))
+		r.all, r.share(r.onTime), r.share(r.late), r.share(r.refused), r.share(r.hung), (r.waited / time.Duration(max(r.refused, 1))).Round(time.Millisecond))
 }
 
 func (r overResult) share(n int) float64 { return float64(n) / float64(max(r.all, 1)) }
@@ -150,7 +150,7 @@
 			delete(o.asks, g.ID.Number)
 			if r.came >= overWarm {
 				o.got.refused++
-				o.got.held += o.now - r.came
+				o.got.waited += o.now - r.came
 			}
 		}
 	}
@@ -206,8 +206,8 @@
 			if inAim < min(0.96*share, 0.88) {
 				t.Errorf("gray %.1f, load %.2f: %.3f of the capacity in aim", gray, share, inAim)
 			}
-			if share > 1 && got.held > time.Duration(got.refused)*400*time.Millisecond {
-				t.Errorf("gray %.1f, load %.2f: refused after %v", gray, share, got.held/time.Duration(got.refused))
+			if share > 1 && got.waited > time.Duration(got.refused)*400*time.Millisecond {
+				t.Errorf("gray %.1f, load %.2f: refused after %v", gray, share, got.waited/time.Duration(got.refused))
 			}
 		}
 	}
@@ -230,7 +230,7 @@
 		sum.late += got.late
 		sum.refused += got.refused
 		sum.hung += got.hung
-		sum.held += got.held
+		sum.waited += got.waited
 	}
 	t.Log(sum)
 	if sum.share(sum.onTime) < 0.87 || sum.share(sum.refused) > 0.08 {
