--- a/internal/dispatch/overload_test.go
+++ b/internal/dispatch/overload_test.go
@@ -189,8 +189,8 @@
 	})
 }
 
-// steady returns a load of a share of what the targets can do.
-func steady(share, gray float64) func(time.Duration) float64 {
+// constantLoad returns a load of a share of what the targets can do.
+func constantLoad(share, gray float64) func(time.Duration) float64 {
 	return func(time.Duration) float64 { return share * overCapacity(gray) }
 }
 
@@ -200,7 +200,7 @@
 func TestOverload(t *testing.T) {
 	for _, gray := range []float64{0, 0.3} {
 		for _, share := range []float64{0.8, 1, 1.2, 1.35, 1.6, 2} {
-			got := simulateOverload(steady(share, gray), gray, 1)
+			got := simulateOverload(constantLoad(share, gray), gray, 1)
 			inAim := share * got.share(got.onTime)
 			t.Logf("gray %.1f, load %.2f: %.3f of the capacity in aim; %v", gray, share, inAim, got)
 			if inAim < min(0.96*share, 0.88) {
