--- a/internal/dispatch/backoff_model_test.go
+++ b/internal/dispatch/backoff_model_test.go
@@ -16,7 +16,7 @@
 
 // Times and sizes of the service: those of the users' survey drafts.
 const (
-	restNodes    = 40
+	backoffNodes = 40
 	restTargets  = 9
 	restSlots    = 4
 	restWork     = 410 * time.Millisecond
@@ -56,7 +56,7 @@
 	next   uint64
 	asks   map[uint64]*restRequest
 	// bars are until when a node sends a target nothing.
-	bars [restNodes]map[string]time.Duration
+	bars [backoffNodes]map[string]time.Duration
 	// reached are the times at which requests reached each target.
 	reached map[string][]time.Duration
 	got     restResult
@@ -166,7 +166,7 @@
 		counts: p.now >= restWarm,
 		ask: &dispatch.Ask{
 			ID: dispatch.ID{
-				Node: fmt.Sprint(p.rng.IntN(restNodes)),
+				Node: fmt.Sprint(p.rng.IntN(backoffNodes)),
 			},
 			DataHall:   "a",
 			Route:      "drafts",
