--- a/internal/dispatch/backoff_model_test.go
+++ b/internal/dispatch/backoff_model_test.go
@@ -16,13 +16,13 @@
 
 // Times and sizes of the service: those of the users' survey drafts.
 const (
-	backoffNodes = 40
-	restTargets  = 9
-	restSlots    = 4
-	restWork     = 410 * time.Millisecond
-	restAim      = 1500 * time.Millisecond
-	restDeadline = 4 * time.Second
-	restAttempts = 3
+	backoffNodes   = 40
+	backoffTargets = 9
+	restSlots      = 4
+	restWork       = 410 * time.Millisecond
+	restAim        = 1500 * time.Millisecond
+	restDeadline   = 4 * time.Second
+	restAttempts   = 3
 	// restWarm is from when on requests count, restEnd until when they come.
 	restWarm = 8 * time.Second
 	restEnd  = 60 * time.Second
@@ -113,7 +113,7 @@
 		Window:  10 * time.Second,
 	}, p.rng.Float64)
 	var list []dispatch.Target
-	for i := range restTargets {
+	for i := range backoffTargets {
 		list = append(list, dispatch.Target{
 			Key:      fmt.Sprint("t", i),
 			DataHall: "a",
@@ -151,7 +151,7 @@
 func (p *restPlay) turnsAway(key string) bool {
 	var i int
 	_, _ = fmt.Sscanf(key, "t%d", &i)
-	if float64(i) >= p.share*restTargets || p.now < restWarm {
+	if float64(i) >= p.share*backoffTargets || p.now < restWarm {
 		return false
 	}
 	return (p.now-restWarm)%restApart < restPhase && p.rng.Float64() < p.most
@@ -206,7 +206,7 @@
 	a.Again = r.attempts > 0
 	a.Barred = p.barred(r.node())
 	r.ask = &a
-	if len(a.Barred) == restTargets {
+	if len(a.Barred) == backoffTargets {
 		p.refuse(r)
 		return
 	}
--- a/internal/dispatch/backoff_test.go
+++ b/internal/dispatch/backoff_test.go
@@ -70,7 +70,7 @@
 			p := runRest(c, dispatch.ResultBackoff, true, 1)
 			for from := restWarm; from+floorWindow <= restEnd; from += modelInterval {
 				all, got := 0, 0
-				for i := int(math.Ceil(c.share * restTargets)); i < restTargets; i++ {
+				for i := int(math.Ceil(c.share * backoffTargets)); i < backoffTargets; i++ {
 					all++
 					if slices.ContainsFunc(p.reached[fmt.Sprint("t", i)], func(at time.Duration) bool { return at >= from && at < from+floorWindow }) {
 						got++
