--- a/internal/dispatch/backoff_model_test.go
+++ b/internal/dispatch/backoff_model_test.go
@@ -18,7 +18,7 @@
 const (
 	backoffNodes   = 40
 	backoffTargets = 9
-	restSlots      = 4
+	backoffSlots   = 4
 	restWork       = 410 * time.Millisecond
 	restAim        = 1500 * time.Millisecond
 	restDeadline   = 4 * time.Second
@@ -117,7 +117,7 @@
 		list = append(list, dispatch.Target{
 			Key:      fmt.Sprint("t", i),
 			DataHall: "a",
-			Slots:    restSlots,
+			Slots:    backoffSlots,
 			Named:    true,
 		})
 	}
