--- a/internal/dispatch/backoff_model_test.go
+++ b/internal/dispatch/backoff_model_test.go
@@ -19,7 +19,7 @@
 	backoffNodes   = 40
 	backoffTargets = 9
 	backoffSlots   = 4
-	restWork       = 410 * time.Millisecond
+	backoffWork    = 410 * time.Millisecond
 	restAim        = 1500 * time.Millisecond
 	restDeadline   = 4 * time.Second
 	restAttempts   = 3
@@ -250,7 +250,7 @@
 		p.after(3*time.Millisecond, func() { p.turnedAway(r, g) })
 		return
 	}
-	took := time.Duration(float64(restWork) * (0.5 + p.rng.ExpFloat64()/2))
+	took := time.Duration(float64(backoffWork) * (0.5 + p.rng.ExpFloat64()/2))
 	p.after(took, func() {
 		p.take(p.desk.Done(p.clock(), g.ID, g.Target, dispatch.ResultGood, took))
 		switch {
