--- a/internal/dispatch/backoff_model_test.go
+++ b/internal/dispatch/backoff_model_test.go
@@ -16,13 +16,13 @@
 
 // Times and sizes of the service: those of the users' survey drafts.
 const (
-	backoffNodes   = 40
-	backoffTargets = 9
-	backoffSlots   = 4
-	backoffWork    = 410 * time.Millisecond
-	restAim        = 1500 * time.Millisecond
-	restDeadline   = 4 * time.Second
-	restAttempts   = 3
+	backoffNodes        = 40
+	backoffTargets      = 9
+	backoffSlots        = 4
+	backoffWork         = 410 * time.Millisecond
+	backoffSoftDeadline = 1500 * time.Millisecond
+	restDeadline        = 4 * time.Second
+	restAttempts        = 3
 	// restWarm is from when on requests count, restEnd until when they come.
 	restWarm = 8 * time.Second
 	restEnd  = 60 * time.Second
@@ -172,7 +172,7 @@
 			Route:      "drafts",
 			Repeatable: true,
 			Kilobytes:  1,
-			Aim:        p.clock().Add(restAim),
+			Aim:        p.clock().Add(backoffSoftDeadline),
 			Deadline:   p.clock().Add(restDeadline),
 		},
 	}
@@ -255,7 +255,7 @@
 		p.take(p.desk.Done(p.clock(), g.ID, g.Target, dispatch.ResultGood, took))
 		switch {
 		case !r.counts:
-		case p.now-r.came <= restAim:
+		case p.now-r.came <= backoffSoftDeadline:
 			p.got.inAim++
 		case p.now-r.came <= restDeadline:
 			p.got.late++
