--- a/internal/dispatch/backoff_model_test.go
+++ b/internal/dispatch/backoff_model_test.go
@@ -21,7 +21,7 @@
 	backoffSlots        = 4
 	backoffWork         = 410 * time.Millisecond
 	backoffSoftDeadline = 1500 * time.Millisecond
-	restDeadline        = 4 * time.Second
+	backoffDeadline     = 4 * time.Second
 	restAttempts        = 3
 	// restWarm is from when on requests count, restEnd until when they come.
 	restWarm = 8 * time.Second
@@ -124,7 +124,7 @@
 	p.desk.Configure(start, list)
 	p.arrive()
 	p.tick()
-	for len(p.steps) > 0 && p.steps[0].at < restEnd+restDeadline {
+	for len(p.steps) > 0 && p.steps[0].at < restEnd+backoffDeadline {
 		s := heap.Pop(&p.steps).(event)
 		p.now = s.at
 		s.do()
@@ -173,7 +173,7 @@
 			Repeatable: true,
 			Kilobytes:  1,
 			Aim:        p.clock().Add(backoffSoftDeadline),
-			Deadline:   p.clock().Add(restDeadline),
+			Deadline:   p.clock().Add(backoffDeadline),
 		},
 	}
 	if r.counts {
@@ -257,7 +257,7 @@
 		case !r.counts:
 		case p.now-r.came <= backoffSoftDeadline:
 			p.got.inAim++
-		case p.now-r.came <= restDeadline:
+		case p.now-r.came <= backoffDeadline:
 			p.got.late++
 		default:
 			p.got.refused++
@@ -274,7 +274,7 @@
 		p.desk.BackOff(p.clock(), g.Target, g.ID, p.rest)
 	}
 	p.take(p.desk.Done(p.clock(), g.ID, g.Target, p.result, 3*time.Millisecond))
-	if r.attempts == restAttempts || p.now-r.came > restDeadline {
+	if r.attempts == restAttempts || p.now-r.came > backoffDeadline {
 		p.refuse(r)
 		return
 	}
