--- a/internal/dispatch/backoff_model_test.go
+++ b/internal/dispatch/backoff_model_test.go
@@ -22,7 +22,7 @@
 	backoffWork         = 410 * time.Millisecond
 	backoffSoftDeadline = 1500 * time.Millisecond
 	backoffDeadline     = 4 * time.Second
-	restAttempts        = 3
+	backoffAttempts     = 3
 	// restWarm is from when on requests count, restEnd until when they come.
 	restWarm = 8 * time.Second
 	restEnd  = 60 * time.Second
@@ -274,7 +274,7 @@
 		p.desk.BackOff(p.clock(), g.Target, g.ID, p.rest)
 	}
 	p.take(p.desk.Done(p.clock(), g.ID, g.Target, p.result, 3*time.Millisecond))
-	if r.attempts == restAttempts || p.now-r.came > backoffDeadline {
+	if r.attempts == backoffAttempts || p.now-r.came > backoffDeadline {
 		p.refuse(r)
 		return
 	}
