--- a/internal/dispatch/backoff_model_test.go
+++ b/internal/dispatch/backoff_model_test.go
@@ -23,9 +23,9 @@
 	backoffSoftDeadline = 1500 * time.Millisecond
 	backoffDeadline     = 4 * time.Second
 	backoffAttempts     = 3
-	// restWarm is from when on requests count, restEnd until when they come.
-	restWarm = 8 * time.Second
-	restEnd  = 60 * time.Second
+	// backoffWarmup is from when on requests count, restEnd until when they come.
+	backoffWarmup = 8 * time.Second
+	restEnd       = 60 * time.Second
 	// restPhase is how long a target turns requests away, restApart the time between the
 	// beginnings of two such times of one target.
 	restPhase = 8 * time.Second
@@ -151,10 +151,10 @@
 func (p *restPlay) turnsAway(key string) bool {
 	var i int
 	_, _ = fmt.Sscanf(key, "t%d", &i)
-	if float64(i) >= p.share*backoffTargets || p.now < restWarm {
+	if float64(i) >= p.share*backoffTargets || p.now < backoffWarmup {
 		return false
 	}
-	return (p.now-restWarm)%restApart < restPhase && p.rng.Float64() < p.most
+	return (p.now-backoffWarmup)%restApart < restPhase && p.rng.Float64() < p.most
 }
 
 func (p *restPlay) arrive() {
@@ -163,7 +163,7 @@
 	}
 	r := &restRequest{
 		came:   p.now,
-		counts: p.now >= restWarm,
+		counts: p.now >= backoffWarmup,
 		ask: &dispatch.Ask{
 			ID: dispatch.ID{
 				Node: fmt.Sprint(p.rng.IntN(backoffNodes)),
