--- a/internal/dispatch/backoff_model_test.go
+++ b/internal/dispatch/backoff_model_test.go
@@ -25,7 +25,7 @@
 	backoffAttempts     = 3
 	// backoffWarmup is from when on requests count, restEnd until when they come.
 	backoffWarmup = 8 * time.Second
-	restEnd       = 60 * time.Second
+	backoffEnd    = 60 * time.Second
 	// restPhase is how long a target turns requests away, restApart the time between the
 	// beginnings of two such times of one target.
 	restPhase = 8 * time.Second
@@ -124,7 +124,7 @@
 	p.desk.Configure(start, list)
 	p.arrive()
 	p.tick()
-	for len(p.steps) > 0 && p.steps[0].at < restEnd+backoffDeadline {
+	for len(p.steps) > 0 && p.steps[0].at < backoffEnd+backoffDeadline {
 		s := heap.Pop(&p.steps).(event)
 		p.now = s.at
 		s.do()
@@ -158,7 +158,7 @@
 }
 
 func (p *restPlay) arrive() {
-	if p.now < restEnd {
+	if p.now < backoffEnd {
 		p.after(time.Duration(p.rng.ExpFloat64()/p.load*float64(time.Second)), p.arrive)
 	}
 	r := &restRequest{
--- a/internal/dispatch/backoff_test.go
+++ b/internal/dispatch/backoff_test.go
@@ -68,7 +68,7 @@
 		}
 		t.Run(fmt.Sprintf("%g a second, %g for %v", c.load, c.most, c.rest), func(t *testing.T) {
 			p := runRest(c, dispatch.ResultBackoff, true, 1)
-			for from := backoffWarmup; from+floorWindow <= restEnd; from += modelInterval {
+			for from := backoffWarmup; from+floorWindow <= backoffEnd; from += modelInterval {
 				all, got := 0, 0
 				for i := int(math.Ceil(c.share * backoffTargets)); i < backoffTargets; i++ {
 					all++
