--- a/internal/dispatch/backoff_model_test.go
+++ b/internal/dispatch/backoff_model_test.go
@@ -28,8 +28,8 @@
 	backoffEnd    = 60 * time.Second
 	// backoffPhase is how long a target turns requests away, restApart the time between the
 	// beginnings of two such times of one target.
-	backoffPhase = 8 * time.Second
-	restApart    = 20 * time.Second
+	backoffPhase  = 8 * time.Second
+	backoffPeriod = 20 * time.Second
 )
 
 // restCase is one kind of day.
@@ -154,7 +154,7 @@
 	if float64(i) >= p.share*backoffTargets || p.now < backoffWarmup {
 		return false
 	}
-	return (p.now-backoffWarmup)%restApart < backoffPhase && p.rng.Float64() < p.most
+	return (p.now-backoffWarmup)%backoffPeriod < backoffPhase && p.rng.Float64() < p.most
 }
 
 func (p *restPlay) arrive() {
