--- a/internal/dispatch/backoff_model_test.go
+++ b/internal/dispatch/backoff_model_test.go
@@ -32,8 +32,8 @@
 	backoffPeriod = 20 * time.Second
 )
 
-// restCase is one kind of day.
-type restCase struct {
+// backoffCase is one kind of day.
+type backoffCase struct {
 	// load is in requests a second.
 	load float64
 	// share is how many of the targets turn requests away at a time, most the share of
@@ -44,7 +44,7 @@
 
 // restPlay is one play.
 type restPlay struct {
-	restCase
+	backoffCase
 	// result is how it is told that a request was turned away, told whether the desk hears
 	// for how long.
 	result dispatch.Result
@@ -91,18 +91,18 @@
 	r.held += o.held
 }
 
-func playRest(c restCase, result dispatch.Result, told bool, seed uint64) restResult {
+func playRest(c backoffCase, result dispatch.Result, told bool, seed uint64) restResult {
 	return runRest(c, result, told, seed).got
 }
 
-func runRest(c restCase, result dispatch.Result, told bool, seed uint64) *restPlay {
+func runRest(c backoffCase, result dispatch.Result, told bool, seed uint64) *restPlay {
 	p := &restPlay{
-		restCase: c,
-		result:   result,
-		told:     told,
-		rng:      rand.New(rand.NewPCG(seed, 9)),
-		asks:     map[uint64]*restRequest{},
-		reached:  map[string][]time.Duration{},
+		backoffCase: c,
+		result:      result,
+		told:        told,
+		rng:         rand.New(rand.NewPCG(seed, 9)),
+		asks:        map[uint64]*restRequest{},
+		reached:     map[string][]time.Duration{},
 	}
 	for i := range p.bars {
 		p.bars[i] = map[string]time.Duration{}
@@ -283,13 +283,13 @@
 
 // restCases returns the days: at a third and at two thirds of what the service can do, a third of
 // its targets or all turn away two in five requests, seven in ten or all.
-func restCases() []restCase {
-	var out []restCase
+func restCases() []backoffCase {
+	var out []backoffCase
 	for _, load := range []float64{30, 60} {
 		for _, share := range []float64{0.34, 1} {
 			for _, most := range []float64{0.4, 0.7, 1} {
 				for _, rest := range []time.Duration{time.Second, 3 * time.Second} {
-					out = append(out, restCase{
+					out = append(out, backoffCase{
 						load:  load,
 						share: share,
 						most:  most,
