--- a/internal/dispatch/backoff_model_test.go
+++ b/internal/dispatch/backoff_model_test.go
@@ -39,7 +39,7 @@
 	// share is how many of the targets turn requests away at a time, most the share of
 	// requests that they turn away then.
 	share, most float64
-	rest        time.Duration
+	backoff     time.Duration
 }
 
 // restPlay is one play.
@@ -269,9 +269,9 @@
 	if r.counts {
 		p.got.turnedAway++
 	}
-	p.bars[r.node()][g.Target] = p.now + p.rest
+	p.bars[r.node()][g.Target] = p.now + p.backoff
 	if p.told {
-		p.desk.BackOff(p.clock(), g.Target, g.ID, p.rest)
+		p.desk.BackOff(p.clock(), g.Target, g.ID, p.backoff)
 	}
 	p.take(p.desk.Done(p.clock(), g.ID, g.Target, p.result, 3*time.Millisecond))
 	if r.attempts == backoffAttempts || p.now-r.came > backoffDeadline {
@@ -290,10 +290,10 @@
 			for _, most := range []float64{0.4, 0.7, 1} {
 				for _, rest := range []time.Duration{time.Second, 3 * time.Second} {
 					out = append(out, backoffCase{
-						load:  load,
-						share: share,
-						most:  most,
-						rest:  rest,
+						load:    load,
+						share:   share,
+						most:    most,
+						backoff: rest,
 					})
 				}
 			}
