--- a/internal/dispatch/backoff_model_test.go
+++ b/internal/dispatch/backoff_model_test.go
@@ -38,8 +38,8 @@
 	load float64
 	// share is how many of the targets turn requests away at a time, most the share of
 	// requests that they turn away then.
-	share, most float64
-	backoff     time.Duration
+	share, refusedShare float64
+	backoff             time.Duration
 }
 
 // restPlay is one play.
@@ -154,7 +154,7 @@
 	if float64(i) >= p.share*backoffTargets || p.now < backoffWarmup {
 		return false
 	}
-	return (p.now-backoffWarmup)%backoffPeriod < backoffPhase && p.rng.Float64() < p.most
+	return (p.now-backoffWarmup)%backoffPeriod < backoffPhase && p.rng.Float64() < p.refusedShare
 }
 
 func (p *restPlay) arrive() {
@@ -290,10 +290,10 @@
 			for _, most := range []float64{0.4, 0.7, 1} {
 				for _, rest := range []time.Duration{time.Second, 3 * time.Second} {
 					out = append(out, backoffCase{
-						load:    load,
-						share:   share,
-						most:    most,
-						backoff: rest,
+						load:         load,
+						share:        share,
+						refusedShare: most,
+						backoff:      rest,
 					})
 				}
 			}
--- a/internal/dispatch/backoff_test.go
+++ b/internal/dispatch/backoff_test.go
@@ -42,7 +42,7 @@
 			for seed := range uint64(2) {
 				sum.add(playRest(c, w.result, w.told, seed))
 			}
-			t.Logf("%s: %g a second, %g of the targets turn away %g for %v: %v", w.name, c.load, c.share, c.most, c.backoff, sum)
+			t.Logf("%s: %g a second, %g of the targets turn away %g for %v: %v", w.name, c.load, c.share, c.refusedShare, c.backoff, sum)
 			got[i].add(sum)
 		}
 		t.Logf("%s: %v", w.name, got[i])
@@ -66,7 +66,7 @@
 		if c.share == 1 {
 			continue
 		}
-		t.Run(fmt.Sprintf("%g a second, %g for %v", c.load, c.most, c.backoff), func(t *testing.T) {
+		t.Run(fmt.Sprintf("%g a second, %g for %v", c.load, c.refusedShare, c.backoff), func(t *testing.T) {
 			p := runRest(c, dispatch.ResultBackoff, true, 1)
 			for from := backoffWarmup; from+floorWindow <= backoffEnd; from += modelInterval {
 				all, got := 0, 0
