--- a/internal/dispatch/backoff_model_test.go
+++ b/internal/dispatch/backoff_model_test.go
@@ -42,8 +42,8 @@
 	backoff             time.Duration
 }
 
-// restPlay is one play.
-type restPlay struct {
+// backoffSimulation is one play.
+type backoffSimulation struct {
 	backoffCase
 	// result is how it is told that a request was turned away, told whether the desk hears
 	// for how long.
@@ -95,8 +95,8 @@
 	return runRest(c, result, told, seed).got
 }
 
-func runRest(c backoffCase, result dispatch.Result, told bool, seed uint64) *restPlay {
-	p := &restPlay{
+func runRest(c backoffCase, result dispatch.Result, told bool, seed uint64) *backoffSimulation {
+	p := &backoffSimulation{
 		backoffCase: c,
 		result:      result,
 		told:        told,
@@ -132,23 +132,23 @@
 	return p
 }
 
-func (p *restPlay) clock() time.Time { return start.Add(p.now) }
+func (p *backoffSimulation) clock() time.Time { return start.Add(p.now) }
 
-func (p *restPlay) after(d time.Duration, do func()) {
+func (p *backoffSimulation) after(d time.Duration, do func()) {
 	heap.Push(&p.steps, event{
 		at: p.now + d,
 		do: do,
 	})
 }
 
-func (p *restPlay) tick() {
+func (p *backoffSimulation) tick() {
 	p.take(p.desk.Advance(p.clock()))
 	p.after(50*time.Millisecond, p.tick)
 }
 
 // turnsAway reports whether a target turns requests away now: the first ones of the list do so
 // together.
-func (p *restPlay) turnsAway(key string) bool {
+func (p *backoffSimulation) turnsAway(key string) bool {
 	var i int
 	_, _ = fmt.Sscanf(key, "t%d", &i)
 	if float64(i) >= p.share*backoffTargets || p.now < backoffWarmup {
@@ -157,7 +157,7 @@
 	return (p.now-backoffWarmup)%backoffPeriod < backoffPhase && p.rng.Float64() < p.refusedShare
 }
 
-func (p *restPlay) arrive() {
+func (p *backoffSimulation) arrive() {
 	if p.now < backoffEnd {
 		p.after(time.Duration(p.rng.ExpFloat64()/p.load*float64(time.Second)), p.arrive)
 	}
@@ -189,7 +189,7 @@
 	return i
 }
 
-func (p *restPlay) barred(node int) []string {
+func (p *backoffSimulation) barred(node int) []string {
 	var out []string
 	for key, until := range p.bars[node] {
 		if p.now < until {
@@ -199,7 +199,7 @@
 	return out
 }
 
-func (p *restPlay) ask(r *restRequest) {
+func (p *backoffSimulation) ask(r *restRequest) {
 	p.next++
 	a := *r.ask
 	a.ID.Number = p.next
@@ -214,14 +214,14 @@
 	p.take([]dispatch.Grant{p.desk.Ask(p.clock(), &a)})
 }
 
-func (p *restPlay) refuse(r *restRequest) {
+func (p *backoffSimulation) refuse(r *restRequest) {
 	if r.counts {
 		p.got.refused++
 		p.got.held += p.now - r.came
 	}
 }
 
-func (p *restPlay) take(grants []dispatch.Grant) {
+func (p *backoffSimulation) take(grants []dispatch.Grant) {
 	for _, g := range grants {
 		r := p.asks[g.ID.Number]
 		switch {
@@ -237,7 +237,7 @@
 
 // send is an attempt at the target that was granted, or a new ask where the node may not use it
 // any more.
-func (p *restPlay) send(r *restRequest, g dispatch.Grant) {
+func (p *backoffSimulation) send(r *restRequest, g dispatch.Grant) {
 	delete(p.asks, g.ID.Number)
 	if p.now < p.bars[r.node()][g.Target] {
 		p.take(p.desk.Done(p.clock(), g.ID, g.Target, dispatch.ResultIgnored, 0))
@@ -265,7 +265,7 @@
 	})
 }
 
-func (p *restPlay) turnedAway(r *restRequest, g dispatch.Grant) {
+func (p *backoffSimulation) turnedAway(r *restRequest, g dispatch.Grant) {
 	if r.counts {
 		p.got.turnedAway++
 	}
