--- a/internal/dispatch/backoff_model_test.go
+++ b/internal/dispatch/backoff_model_test.go
@@ -54,7 +54,7 @@
 	steps  eventQueue
 	now    time.Duration
 	next   uint64
-	asks   map[uint64]*restRequest
+	asks   map[uint64]*backoffRequest
 	// bars are until when a node sends a target nothing.
 	bars [backoffNodes]map[string]time.Duration
 	// reached are the times at which requests reached each target.
@@ -62,7 +62,7 @@
 	got     restResult
 }
 
-type restRequest struct {
+type backoffRequest struct {
 	ask      *dispatch.Ask
 	came     time.Duration
 	attempts int
@@ -101,7 +101,7 @@
 		result:      result,
 		told:        told,
 		rng:         rand.New(rand.NewPCG(seed, 9)),
-		asks:        map[uint64]*restRequest{},
+		asks:        map[uint64]*backoffRequest{},
 		reached:     map[string][]time.Duration{},
 	}
 	for i := range p.bars {
@@ -161,7 +161,7 @@
 	if p.now < backoffEnd {
 		p.after(time.Duration(p.rng.ExpFloat64()/p.load*float64(time.Second)), p.arrive)
 	}
-	r := &restRequest{
+	r := &backoffRequest{
 		came:   p.now,
 		counts: p.now >= backoffWarmup,
 		ask: &dispatch.Ask{
@@ -183,7 +183,7 @@
 }
 
 // node returns the number of the node that a request came to.
-func (r *restRequest) node() int {
+func (r *backoffRequest) node() int {
 	var i int
 	_, _ = fmt.Sscanf(r.ask.ID.Node, "%d", &i)
 	return i
@@ -199,7 +199,7 @@
 	return out
 }
 
-func (p *backoffSimulation) ask(r *restRequest) {
+func (p *backoffSimulation) ask(r *backoffRequest) {
 	p.next++
 	a := *r.ask
 	a.ID.Number = p.next
@@ -214,7 +214,7 @@
 	p.take([]dispatch.Grant{p.desk.Ask(p.clock(), &a)})
 }
 
-func (p *backoffSimulation) refuse(r *restRequest) {
+func (p *backoffSimulation) refuse(r *backoffRequest) {
 	if r.counts {
 		p.got.refused++
 		p.got.held += p.now - r.came
@@ -237,7 +237,7 @@
 
 // send is an attempt at the target that was granted, or a new ask where the node may not use it
 // any more.
-func (p *backoffSimulation) send(r *restRequest, g dispatch.Grant) {
+func (p *backoffSimulation) send(r *backoffRequest, g dispatch.Grant) {
 	delete(p.asks, g.ID.Number)
 	if p.now < p.bars[r.node()][g.Target] {
 		p.take(p.desk.Done(p.clock(), g.ID, g.Target, dispatch.ResultIgnored, 0))
@@ -265,7 +265,7 @@
 	})
 }
 
-func (p *backoffSimulation) turnedAway(r *restRequest, g dispatch.Grant) {
+func (p *backoffSimulation) turnedAway(r *backoffRequest, g dispatch.Grant) {
 	if r.counts {
 		p.got.turnedAway++
 	}
