--- a/internal/dispatch/backoff_model_test.go
+++ b/internal/dispatch/backoff_model_test.go
@@ -59,7 +59,7 @@
 	bars [backoffNodes]map[string]time.Duration
 	// reached are the times at which requests reached each target.
 	reached map[string][]time.Duration
-	got     restResult
+	got     backoffResult
 }
 
 type backoffRequest struct {
@@ -69,20 +69,20 @@
 	counts   bool
 }
 
-type restResult struct {
+type backoffResult struct {
 	all, inAim, late, refused, turnedAway int
 	// held adds up how long those were held that were not served.
 	held time.Duration
 }
 
-func (r restResult) String() string {
+func (r backoffResult) String() string {
 	n := float64(max(r.all, 1))
 	held := r.held / time.Duration(max(r.refused, 1))
 	return fmt.Sprintf("%.4f in aim, %.4f late, %.4f not served after %v, %.3f turned away a request",
 		float64(r.inAim)/n, float64(r.late)/n, float64(r.refused)/n, held.Round(time.Millisecond), float64(r.turnedAway)/n)
 }
 
-func (r *restResult) add(o restResult) {
+func (r *backoffResult) add(o backoffResult) {
 	r.all += o.all
 	r.inAim += o.inAim
 	r.late += o.late
@@ -91,7 +91,7 @@
 	r.held += o.held
 }
 
-func playRest(c backoffCase, result dispatch.Result, told bool, seed uint64) restResult {
+func playRest(c backoffCase, result dispatch.Result, told bool, seed uint64) backoffResult {
 	return runRest(c, result, told, seed).got
 }
 
--- a/internal/dispatch/backoff_test.go
+++ b/internal/dispatch/backoff_test.go
@@ -35,10 +35,10 @@
 			told:   true,
 		},
 	}
-	got := make([]restResult, len(ways))
+	got := make([]backoffResult, len(ways))
 	for i, w := range ways {
 		for _, c := range restCases() {
-			var sum restResult
+			var sum backoffResult
 			for seed := range uint64(2) {
 				sum.add(playRest(c, w.result, w.told, seed))
 			}
