--- a/internal/dispatch/backoff_model_test.go
+++ b/internal/dispatch/backoff_model_test.go
@@ -70,7 +70,7 @@
 }
 
 type backoffResult struct {
-	all, inAim, late, refused, turnedAway int
+	all, onTime, late, refused, turnedAway int
 	// held adds up how long those were held that were not served.
 	held time.Duration
 }
@@ -79,12 +79,12 @@
 	n := float64(max(r.all, 1))
 	held := r.held / time.Duration(max(r.refused, 1))
 	return fmt.Sprintf("%.4f in aim, %.4f late, %.4f not served after %v, %.3f turned away a request",
-		float64(r.inAim)/n, float64(r.late)/n, float64(r.refused)/n, held.Round(time.Millisecond), float64(r.turnedAway)/n)
+		float64(r.onTime)/n, float64(r.late)/n, float64(r.refused)/n, held.Round(time.Millisecond), float64(r.turnedAway)/n)
 }
 
 func (r *backoffResult) add(o backoffResult) {
 	r.all += o.all
-	r.inAim += o.inAim
+	r.onTime += o.onTime
 	r.late += o.late
 	r.refused += o.refused
 	r.turnedAway += o.turnedAway
@@ -256,7 +256,7 @@
 		switch {
 		case !r.counts:
 		case p.now-r.came <= backoffSoftDeadline:
-			p.got.inAim++
+			p.got.onTime++
 		case p.now-r.came <= backoffDeadline:
 			p.got.late++
 		default:
--- a/internal/dispatch/backoff_test.go
+++ b/internal/dispatch/backoff_test.go
@@ -51,8 +51,8 @@
 	if held := all.held / time.Duration(all.refused); held > 100*time.Millisecond {
 		t.Errorf("callers who aren't served hear so after %v", held)
 	}
-	if all.inAim < health.inAim || all.inAim < alone.inAim {
-		t.Errorf("%d in aim, %d and %d otherwise", all.inAim, alone.inAim, health.inAim)
+	if all.onTime < health.onTime || all.onTime < alone.onTime {
+		t.Errorf("%d in aim, %d and %d otherwise", all.onTime, alone.onTime, health.onTime)
 	}
 	if all.turnedAway > min(health.turnedAway, alone.turnedAway) {
 		t.Errorf("%d turned away, %d and %d otherwise", all.turnedAway, alone.turnedAway, health.turnedAway)
