--- a/internal/dispatch/backoff_model_test.go
+++ b/internal/dispatch/backoff_model_test.go
@@ -71,13 +71,13 @@
 
 type backoffResult struct {
 	all, onTime, late, refused, turnedAway int
-	// held adds up how long those were held that were not served.
-	held time.Duration
+	// waited adds up how long those were held that were not served.
+	waited time.Duration
 }
 
 func (r backoffResult) String() string {
 	n := float64(max(r.all, 1))
-	held := r.held / time.Duration(max(r.refused, 1))
+	held := r.waited / time.Duration(max(r.refused, 1))
 	return fmt.Sprintf("%.4f in aim, %.4f late, %.4f not served after %v, %.3f turned away a request",
 		float64(r.onTime)/n, float64(r.late)/n, float64(r.refused)/n, held.Round(time.Millisecond), float64(r.turnedAway)/n)
 }
@@ -88,7 +88,7 @@
 	r.late += o.late
 	r.refused += o.refused
 	r.turnedAway += o.turnedAway
-	r.held += o.held
+	r.waited += o.waited
 }
 
 func playRest(c backoffCase, result dispatch.Result, told bool, seed uint64) backoffResult {
@@ -217,7 +217,7 @@
 func (p *backoffSimulation) refuse(r *backoffRequest) {
 	if r.counts {
 		p.got.refused++
-		p.got.held += p.now - r.came
+		p.got.waited += p.now - r.came
 	}
 }
 
--- a/internal/dispatch/backoff_test.go
+++ b/internal/dispatch/backoff_test.go
@@ -48,7 +48,7 @@
 		t.Logf("%s: %v", w.name, got[i])
 	}
 	alone, health, all := got[0], got[1], got[2]
-	if held := all.held / time.Duration(all.refused); held > 100*time.Millisecond {
+	if held := all.waited / time.Duration(all.refused); held > 100*time.Millisecond {
 		t.Errorf("callers who aren't served hear so after %v", held)
 	}
 	if all.onTime < health.onTime || all.onTime < alone.onTime {
