--- a/internal/dispatch/backoff_model_test.go
+++ b/internal/dispatch/backoff_model_test.go
@@ -70,7 +70,7 @@
 }
 
 type backoffResult struct {
-	all, onTime, late, refused, turnedAway int
+	all, onTime, late, refused, shed int
 	// waited adds up how long those were held that were not served.
 	waited time.Duration
 }
@@ -79,7 +79,7 @@
 	n := float64(max(r.all, 1))
 	held := r.waited / time.Duration(max(r.refused, 1))
 	return fmt.Sprintf("%.4f in aim, %.4f late, %.4f not served after %v, %.3f turned away a request",
-		float64(r.onTime)/n, float64(r.late)/n, float64(r.refused)/n, held.Round(time.Millisecond), float64(r.turnedAway)/n)
+		float64(r.onTime)/n, float64(r.late)/n, float64(r.refused)/n, held.Round(time.Millisecond), float64(r.shed)/n)
 }
 
 func (r *backoffResult) add(o backoffResult) {
@@ -87,7 +87,7 @@
 	r.onTime += o.onTime
 	r.late += o.late
 	r.refused += o.refused
-	r.turnedAway += o.turnedAway
+	r.shed += o.shed
 	r.waited += o.waited
 }
 
@@ -267,7 +267,7 @@
 
 func (p *backoffSimulation) turnedAway(r *backoffRequest, g dispatch.Grant) {
 	if r.counts {
-		p.got.turnedAway++
+		p.got.shed++
 	}
 	p.bars[r.node()][g.Target] = p.now + p.backoff
 	if p.told {
--- a/internal/dispatch/backoff_test.go
+++ b/internal/dispatch/backoff_test.go
@@ -54,8 +54,8 @@
 	if all.onTime < health.onTime || all.onTime < alone.onTime {
 		t.Errorf("%d in aim, %d and %d otherwise", all.onTime, alone.onTime, health.onTime)
 	}
-	if all.turnedAway > min(health.turnedAway, alone.turnedAway) {
-		t.Errorf("%d turned away, %d and %d otherwise", all.turnedAway, alone.turnedAway, health.turnedAway)
+	if all.shed > min(health.shed, alone.shed) {
+		t.Errorf("%d turned away, %d and %d otherwise", all.shed, alone.shed, health.shed)
 	}
 }
 
