--- a/internal/dispatch/backoff_model_test.go
+++ b/internal/dispatch/backoff_model_test.go
@@ -55,8 +55,8 @@
 	now    time.Duration
 	next   uint64
 	asks   map[uint64]*backoffRequest
-	// bars are until when a node sends a target nothing.
-	bars [backoffNodes]map[string]time.Duration
+	// unavailableUntil are until when a node sends a target nothing.
+	unavailableUntil [backoffNodes]map[string]time.Duration
 	// reached are the times at which requests reached each target.
 	reached map[string][]time.Duration
 	got     backoffResult
@@ -104,8 +104,8 @@
 		asks:        map[uint64]*backoffRequest{},
 		reached:     map[string][]time.Duration{},
 	}
-	for i := range p.bars {
-		p.bars[i] = map[string]time.Duration{}
+	for i := range p.unavailableUntil {
+		p.unavailableUntil[i] = map[string]time.Duration{}
 	}
 	p.desk = dispatch.NewDesk(start, dispatch.Budget{
 		Share:   0.2,
@@ -191,7 +191,7 @@
 
 func (p *backoffSimulation) barred(node int) []string {
 	var out []string
-	for key, until := range p.bars[node] {
+	for key, until := range p.unavailableUntil[node] {
 		if p.now < until {
 			out = append(out, key)
 		}
@@ -239,7 +239,7 @@
 // any more.
 func (p *backoffSimulation) send(r *backoffRequest, g dispatch.Grant) {
 	delete(p.asks, g.ID.Number)
-	if p.now < p.bars[r.node()][g.Target] {
+	if p.now < p.unavailableUntil[r.node()][g.Target] {
 		p.take(p.desk.Done(p.clock(), g.ID, g.Target, dispatch.ResultIgnored, 0))
 		p.ask(r)
 		return
@@ -269,7 +269,7 @@
 	if r.counts {
 		p.got.shed++
 	}
-	p.bars[r.node()][g.Target] = p.now + p.backoff
+	p.unavailableUntil[r.node()][g.Target] = p.now + p.backoff
 	if p.told {
 		p.desk.BackOff(p.clock(), g.Target, g.ID, p.backoff)
 	}
