--- a/internal/dispatch/backoff_model_test.go
+++ b/internal/dispatch/backoff_model_test.go
@@ -189,7 +189,7 @@
 	return i
 }
 
-func (p *backoffSimulation) barred(node int) []string {
+func (p *backoffSimulation) unavailable(node int) []string {
 	var out []string
 	for key, until := range p.unavailableUntil[node] {
 		if p.now < until {
@@ -204,7 +204,7 @@
 	a := *r.ask
 	a.ID.Number = p.next
 	a.Again = r.attempts > 0
-	a.Barred = p.barred(r.node())
+	a.Barred = p.unavailable(r.node())
 	r.ask = &a
 	if len(a.Barred) == backoffTargets {
 		p.refuse(r)
