--- a/internal/dispatch/backoff_model_test.go
+++ b/internal/dispatch/backoff_model_test.go
@@ -47,14 +47,14 @@
 	backoffCase
 	// result is how it is told that a request was turned away, told whether the desk hears
 	// for how long.
-	result dispatch.Result
-	told   bool
-	desk   *dispatch.Desk
-	rng    *rand.Rand
-	steps  eventQueue
-	now    time.Duration
-	next   uint64
-	asks   map[uint64]*backoffRequest
+	result    dispatch.Result
+	signalled bool
+	desk      *dispatch.Desk
+	rng       *rand.Rand
+	steps     eventQueue
+	now       time.Duration
+	next      uint64
+	asks      map[uint64]*backoffRequest
 	// unavailableUntil are until when a node sends a target nothing.
 	unavailableUntil [backoffNodes]map[string]time.Duration
 	// reached are the times at which requests reached each target.
@@ -99,7 +99,7 @@
 	p := &backoffSimulation{
 		backoffCase: c,
 		result:      result,
-		told:        told,
+		signalled:   told,
 		rng:         rand.New(rand.NewPCG(seed, 9)),
 		asks:        map[uint64]*backoffRequest{},
 		reached:     map[string][]time.Duration{},
@@ -270,7 +270,7 @@
 		p.got.shed++
 	}
 	p.unavailableUntil[r.node()][g.Target] = p.now + p.backoff
-	if p.told {
+	if p.signalled {
 		p.desk.BackOff(p.clock(), g.Target, g.ID, p.backoff)
 	}
 	p.take(p.desk.Done(p.clock(), g.ID, g.Target, p.result, 3*time.Millisecond))
