--- a/internal/dispatch/backoff_model_test.go
+++ b/internal/dispatch/backoff_model_test.go
@@ -146,9 +146,9 @@
 	p.after(50*time.Millisecond, p.tick)
 }
 
-// turnsAway reports whether a target turns requests away now: the first ones of the list do so
+// sheds reports whether a target turns requests away now: the first ones of the list do so
 // together.
-func (p *backoffSimulation) turnsAway(key string) bool {
+func (p *backoffSimulation) sheds(key string) bool {
 	var i int
 	_, _ = fmt.Sscanf(key, "t%d", &i)
 	if float64(i) >= p.share*backoffTargets || p.now < backoffWarmup {
@@ -246,7 +246,7 @@
 	}
 	r.attempts++
 	p.reached[g.Target] = append(p.reached[g.Target], p.now)
-	if p.turnsAway(g.Target) {
+	if p.sheds(g.Target) {
 		p.after(3*time.Millisecond, func() { p.turnedAway(r, g) })
 		return
 	}
