--- a/internal/dispatch/backoff_model_test.go
+++ b/internal/dispatch/backoff_model_test.go
@@ -247,7 +247,7 @@
 	r.attempts++
 	p.reached[g.Target] = append(p.reached[g.Target], p.now)
 	if p.sheds(g.Target) {
-		p.after(3*time.Millisecond, func() { p.turnedAway(r, g) })
+		p.after(3*time.Millisecond, func() { p.shed(r, g) })
 		return
 	}
 	took := time.Duration(float64(backoffWork) * (0.5 + p.rng.ExpFloat64()/2))
@@ -265,7 +265,7 @@
 	})
 }
 
-func (p *backoffSimulation) turnedAway(r *backoffRequest, g dispatch.Grant) {
+func (p *backoffSimulation) shed(r *backoffRequest, g dispatch.Grant) {
 	if r.counts {
 		p.got.shed++
 	}
