--- a/internal/dispatch/backoff_model_test.go
+++ b/internal/dispatch/backoff_model_test.go
@@ -91,7 +91,7 @@
 	r.waited += o.waited
 }
 
-func playRest(c backoffCase, result dispatch.Result, told bool, seed uint64) backoffResult {
+func simulateBackoff(c backoffCase, result dispatch.Result, told bool, seed uint64) backoffResult {
 	return runRest(c, result, told, seed).got
 }
 
--- a/internal/dispatch/backoff_test.go
+++ b/internal/dispatch/backoff_test.go
@@ -40,7 +40,7 @@
 		for _, c := range restCases() {
 			var sum backoffResult
 			for seed := range uint64(2) {
-				sum.add(playRest(c, w.result, w.told, seed))
+				sum.add(simulateBackoff(c, w.result, w.told, seed))
 			}
 			t.Logf("%s: %g a second, %g of the targets turn away %g for %v: %v", w.name, c.load, c.share, c.refusedShare, c.backoff, sum)
 			got[i].add(sum)
