--- a/internal/dispatch/backoff_model_test.go
+++ b/internal/dispatch/backoff_model_test.go
@@ -92,10 +92,10 @@
 }
 
 func simulateBackoff(c backoffCase, result dispatch.Result, told bool, seed uint64) backoffResult {
-	return runRest(c, result, told, seed).got
+	return runBackoff(c, result, told, seed).got
 }
 
-func runRest(c backoffCase, result dispatch.Result, told bool, seed uint64) *backoffSimulation {
+func runBackoff(c backoffCase, result dispatch.Result, told bool, seed uint64) *backoffSimulation {
 	p := &backoffSimulation{
 		backoffCase: c,
 		result:      result,
--- a/internal/dispatch/backoff_test.go
+++ b/internal/dispatch/backoff_test.go
@@ -67,7 +67,7 @@
 			continue
 		}
 		t.Run(fmt.Sprintf("%g a second, %g for %v", c.load, c.refusedShare, c.backoff), func(t *testing.T) {
-			p := runRest(c, dispatch.ResultBackoff, true, 1)
+			p := runBackoff(c, dispatch.ResultBackoff, true, 1)
 			for from := backoffWarmup; from+floorWindow <= backoffEnd; from += modelInterval {
 				all, got := 0, 0
 				for i := int(math.Ceil(c.share * backoffTargets)); i < backoffTargets; i++ {
