--- a/internal/dispatch/backoff_model_test.go
+++ b/internal/dispatch/backoff_model_test.go
@@ -281,9 +281,9 @@
 	p.ask(r)
 }
 
-// restCases returns the days: at a third and at two thirds of what the service can do, a third of
+// backoffCases returns the days: at a third and at two thirds of what the service can do, a third of
 // its targets or all turn away two in five requests, seven in ten or all.
-func restCases() []backoffCase {
+func backoffCases() []backoffCase {
 	var out []backoffCase
 	for _, load := range []float64{30, 60} {
 		for _, share := range []float64{0.34, 1} {
--- a/internal/dispatch/backoff_test.go
+++ b/internal/dispatch/backoff_test.go
@@ -37,7 +37,7 @@
 	}
 	got := make([]backoffResult, len(ways))
 	for i, w := range ways {
-		for _, c := range restCases() {
+		for _, c := range backoffCases() {
 			var sum backoffResult
 			for seed := range uint64(2) {
 				sum.add(simulateBackoff(c, w.result, w.told, seed))
@@ -62,7 +62,7 @@
 // While a third of the targets turn requests away the floor of the others holds: in each two
 // seconds requests reach at least 70% of them.
 func TestRestKeepsTheFloor(t *testing.T) {
-	for _, c := range restCases() {
+	for _, c := range backoffCases() {
 		if c.share == 1 {
 			continue
 		}
