--- a/internal/dispatch/limit_ways_test.go
+++ b/internal/dispatch/limit_ways_test.go
@@ -24,8 +24,8 @@
 	wayStep   = 5 * time.Millisecond
 )
 
-// limitWay decides which requests a target with a limit gets.
-type limitWay interface {
+// limitStrategy decides which requests a target with a limit gets.
+type limitStrategy interface {
 	// tick lets time pass; ask reports whether a request of a node goes to the target.
 	tick(now time.Time)
 	ask(now time.Time, node int) bool
@@ -143,7 +143,7 @@
 
 // playWay lets requests come to all nodes, each of which takes the target with the limit if it
 // may, else another one.
-func playWay(w limitWay, rate float64, takes time.Duration, seed uint64) wayResult {
+func playWay(w limitStrategy, rate float64, takes time.Duration, seed uint64) wayResult {
 	rng := rand.New(rand.NewPCG(seed, 5))
 	var sent []time.Time
 	var ends []limitEnd
@@ -181,27 +181,27 @@
 	}
 	ways := []struct {
 		name string
-		make func(rate float64, takes time.Duration, rng *rand.Rand) limitWay
+		make func(rate float64, takes time.Duration, rng *rand.Rand) limitStrategy
 		// holds is set where the way must keep to the aim.
 		holds bool
 	}{
 		{
 			name: "each node keeps the limit",
-			make: func(rate float64, _ time.Duration, rng *rand.Rand) limitWay { return newEachAlone(rate, rng) },
+			make: func(rate float64, _ time.Duration, rng *rand.Rand) limitStrategy { return newEachAlone(rate, rng) },
 		},
 		{
 			name: "each node an equal part",
-			make: func(rate float64, _ time.Duration, rng *rand.Rand) limitWay {
+			make: func(rate float64, _ time.Duration, rng *rand.Rand) limitStrategy {
 				return newEachAlone(rate/wayNodes, rng)
 			},
 		},
 		{
 			name: "allocator of workspaces",
-			make: func(rate float64, _ time.Duration, _ *rand.Rand) limitWay { return newByAllocator(rate) },
+			make: func(rate float64, _ time.Duration, _ *rand.Rand) limitStrategy { return newByAllocator(rate) },
 		},
 		{
 			name: "slots by Little's law",
-			make: func(rate float64, takes time.Duration, _ *rand.Rand) limitWay {
+			make: func(rate float64, takes time.Duration, _ *rand.Rand) limitStrategy {
 				return &atDispatcher{
 					rate:  rate,
 					slots: little(rate, takes),
@@ -210,7 +210,7 @@
 		},
 		{
 			name: "paced and slots",
-			make: func(rate float64, takes time.Duration, _ *rand.Rand) limitWay {
+			make: func(rate float64, takes time.Duration, _ *rand.Rand) limitStrategy {
 				return &atDispatcher{
 					rate:  rate,
 					paced: true,
@@ -221,7 +221,7 @@
 		},
 		{
 			name: "paced by the dispatcher (built)",
-			make: func(rate float64, _ time.Duration, _ *rand.Rand) limitWay {
+			make: func(rate float64, _ time.Duration, _ *rand.Rand) limitStrategy {
 				return &atDispatcher{
 					rate:  rate,
 					paced: true,
