--- a/internal/dispatch/limit_ways_test.go
+++ b/internal/dispatch/limit_ways_test.go
@@ -14,7 +14,7 @@
 	"ploverjunction.example/ploverjunction/internal/ratelimit"
 )
 
-var wayPlays = flag.Int("limit-plays", 2, "plays of each way to keep to a target's limit")
+var limitRuns = flag.Int("limit-plays", 2, "plays of each way to keep to a target's limit")
 
 // Times and sizes of a play of a way: more comes than the targets without a limit can do.
 const (
@@ -235,10 +235,10 @@
 		for _, rate := range []float64{0.5, 1.6, 2.6, 10, 50} {
 			for _, takes := range []time.Duration{50 * time.Millisecond, 700 * time.Millisecond} {
 				worst, used := 0.0, 0.0
-				for seed := range uint64(*wayPlays) {
+				for seed := range uint64(*limitRuns) {
 					r := playWay(way.make(rate, takes, rand.New(rand.NewPCG(seed, 6))), rate, takes, seed)
 					worst = max(worst, r.part)
-					used += r.used / float64(*wayPlays)
+					used += r.used / float64(*limitRuns)
 				}
 				t.Logf("%-32s limit %4.1f, work %5v: greatest part of the aim %5.2f, used %4.2f", way.name, rate, takes, worst, used)
 				if way.holds && (worst > 1 || used < 0.9) {
