--- a/internal/dispatch/limit_ways_test.go
+++ b/internal/dispatch/limit_ways_test.go
@@ -18,10 +18,10 @@
 
 // Times and sizes of a play of a way: more comes than the targets without a limit can do.
 const (
-	wayNodes  = 40
-	wayLength = 30 * time.Second
-	wayLoad   = 120.0
-	wayStep   = 5 * time.Millisecond
+	strategyNodes = 40
+	wayLength     = 30 * time.Second
+	wayLoad       = 120.0
+	wayStep       = 5 * time.Millisecond
 )
 
 // limitStrategy decides which requests a target with a limit gets.
@@ -43,7 +43,7 @@
 	w := &eachAlone{
 		rate: rate,
 	}
-	for range wayNodes {
+	for range strategyNodes {
 		w.pacers = append(w.pacers, ratelimit.NewPacer(start, rng.Float64()))
 	}
 	return w
@@ -74,7 +74,7 @@
 			Slack:  2,
 		}),
 	}
-	for range wayNodes {
+	for range strategyNodes {
 		w.limiters = append(w.limiters, ratelimit.NewLimiter(start))
 	}
 	return w
@@ -154,7 +154,7 @@
 			ends = ends[1:]
 		}
 		for n := rng.ExpFloat64(); n < wayLoad*wayStep.Seconds(); n += rng.ExpFloat64() {
-			node := rng.IntN(wayNodes)
+			node := rng.IntN(strategyNodes)
 			if !w.ask(now, node) {
 				continue
 			}
@@ -192,7 +192,7 @@
 		{
 			name: "each node an equal part",
 			make: func(rate float64, _ time.Duration, rng *rand.Rand) limitStrategy {
-				return newEachAlone(rate/wayNodes, rng)
+				return newEachAlone(rate/strategyNodes, rng)
 			},
 		},
 		{
