--- a/internal/dispatch/limit_ways_test.go
+++ b/internal/dispatch/limit_ways_test.go
@@ -18,10 +18,10 @@
 
 // Times and sizes of a play of a way: more comes than the targets without a limit can do.
 const (
-	strategyNodes = 40
-	wayLength     = 30 * time.Second
-	wayLoad       = 120.0
-	wayStep       = 5 * time.Millisecond
+	strategyNodes  = 40
+	strategyLength = 30 * time.Second
+	wayLoad        = 120.0
+	wayStep        = 5 * time.Millisecond
 )
 
 // limitStrategy decides which requests a target with a limit gets.
@@ -147,7 +147,7 @@
 	rng := rand.New(rand.NewPCG(seed, 5))
 	var sent []time.Time
 	var ends []limitEnd
-	for now := start; now.Before(start.Add(wayLength)); now = now.Add(wayStep) {
+	for now := start; now.Before(start.Add(strategyLength)); now = now.Add(wayStep) {
 		w.tick(now)
 		for len(ends) > 0 && !now.Before(ends[0].at) {
 			w.end(now, int(ends[0].id.Number))
@@ -169,7 +169,7 @@
 	}
 	return wayResult{
 		part: float64(maxInWindow(sent)) / (1.1*4*rate + 2),
-		used: float64(len(sent)) / (rate * wayLength.Seconds()),
+		used: float64(len(sent)) / (rate * strategyLength.Seconds()),
 	}
 }
 
