--- a/internal/dispatch/limit_ways_test.go
+++ b/internal/dispatch/limit_ways_test.go
@@ -20,7 +20,7 @@
 const (
 	strategyNodes  = 40
 	strategyLength = 30 * time.Second
-	wayLoad        = 120.0
+	strategyLoad   = 120.0
 	wayStep        = 5 * time.Millisecond
 )
 
@@ -153,7 +153,7 @@
 			w.end(now, int(ends[0].id.Number))
 			ends = ends[1:]
 		}
-		for n := rng.ExpFloat64(); n < wayLoad*wayStep.Seconds(); n += rng.ExpFloat64() {
+		for n := rng.ExpFloat64(); n < strategyLoad*wayStep.Seconds(); n += rng.ExpFloat64() {
 			node := rng.IntN(strategyNodes)
 			if !w.ask(now, node) {
 				continue
