--- a/internal/dispatch/limit_ways_test.go
+++ b/internal/dispatch/limit_ways_test.go
@@ -21,7 +21,7 @@
 	strategyNodes  = 40
 	strategyLength = 30 * time.Second
 	strategyLoad   = 120.0
-	wayStep        = 5 * time.Millisecond
+	strategyStep   = 5 * time.Millisecond
 )
 
 // limitStrategy decides which requests a target with a limit gets.
@@ -147,13 +147,13 @@
 	rng := rand.New(rand.NewPCG(seed, 5))
 	var sent []time.Time
 	var ends []limitEnd
-	for now := start; now.Before(start.Add(strategyLength)); now = now.Add(wayStep) {
+	for now := start; now.Before(start.Add(strategyLength)); now = now.Add(strategyStep) {
 		w.tick(now)
 		for len(ends) > 0 && !now.Before(ends[0].at) {
 			w.end(now, int(ends[0].id.Number))
 			ends = ends[1:]
 		}
-		for n := rng.ExpFloat64(); n < strategyLoad*wayStep.Seconds(); n += rng.ExpFloat64() {
+		for n := rng.ExpFloat64(); n < strategyLoad*strategyStep.Seconds(); n += rng.ExpFloat64() {
 			node := rng.IntN(strategyNodes)
 			if !w.ask(now, node) {
 				continue
