--- a/internal/dispatch/limit_ways_test.go
+++ b/internal/dispatch/limit_ways_test.go
@@ -80,15 +80,15 @@
 	return w
 }
 
-const wayKey = "t0"
+const strategyKey = "t0"
 
 func (w *byAllocator) report(now time.Time, node, waiting int) int {
-	r, l, ok := w.limiters[node].Report(now, wayKey, waiting)
+	r, l, ok := w.limiters[node].Report(now, strategyKey, waiting)
 	if !ok {
 		return 0
 	}
-	s := w.allocator.Report(now, wayKey, l, fmt.Sprint(node), 1, r)
-	return w.limiters[node].Answer(now, wayKey, s, waiting)
+	s := w.allocator.Report(now, strategyKey, l, fmt.Sprint(node), 1, r)
+	return w.limiters[node].Answer(now, strategyKey, s, waiting)
 }
 
 func (w *byAllocator) tick(now time.Time) {
@@ -100,7 +100,7 @@
 }
 
 func (w *byAllocator) ask(now time.Time, node int) bool {
-	switch v, _ := w.limiters[node].Take(now, wayKey, w.limit); v {
+	switch v, _ := w.limiters[node].Take(now, strategyKey, w.limit); v {
 	case ratelimit.Admitted:
 		return true
 	case ratelimit.Ask:
