--- a/internal/dispatch/limit_ways_test.go
+++ b/internal/dispatch/limit_ways_test.go
@@ -134,8 +134,8 @@
 }
 func (w *atDispatcher) end(time.Time, int) { w.flight-- }
 
-// wayResult is what a play shows.
-type wayResult struct {
+// strategyResult is what a play shows.
+type strategyResult struct {
 	// part is the greatest number in 4 s over what is aimed at, used the part of the limit
 	// that was sent.
 	part, used float64
@@ -143,7 +143,7 @@
 
 // playWay lets requests come to all nodes, each of which takes the target with the limit if it
 // may, else another one.
-func playWay(w limitStrategy, rate float64, takes time.Duration, seed uint64) wayResult {
+func playWay(w limitStrategy, rate float64, takes time.Duration, seed uint64) strategyResult {
 	rng := rand.New(rand.NewPCG(seed, 5))
 	var sent []time.Time
 	var ends []limitEnd
@@ -167,7 +167,7 @@
 			})
 		}
 	}
-	return wayResult{
+	return strategyResult{
 		part: float64(maxInWindow(sent)) / (1.1*4*rate + 2),
 		used: float64(len(sent)) / (rate * strategyLength.Seconds()),
 	}
