--- a/internal/dispatch/limit_ways_test.go
+++ b/internal/dispatch/limit_ways_test.go
@@ -136,9 +136,9 @@
 
 // strategyResult is what a play shows.
 type strategyResult struct {
-	// part is the greatest number in 4 s over what is aimed at, used the part of the limit
+	// peak is the greatest number in 4 s over what is aimed at, used the part of the limit
 	// that was sent.
-	part, used float64
+	peak, used float64
 }
 
 // playWay lets requests come to all nodes, each of which takes the target with the limit if it
@@ -168,7 +168,7 @@
 		}
 	}
 	return strategyResult{
-		part: float64(maxInWindow(sent)) / (1.1*4*rate + 2),
+		peak: float64(maxInWindow(sent)) / (1.1*4*rate + 2),
 		used: float64(len(sent)) / (rate * strategyLength.Seconds()),
 	}
 }
@@ -237,7 +237,7 @@
 				worst, used := 0.0, 0.0
 				for seed := range uint64(*limitRuns) {
 					r := playWay(way.make(rate, takes, rand.New(rand.NewPCG(seed, 6))), rate, takes, seed)
-					worst = max(worst, r.part)
+					worst = max(worst, r.peak)
 					used += r.used / float64(*limitRuns)
 				}
 				t.Logf("%-32s limit %4.1f, work %5v: greatest part of the aim %5.2f, used %4.2f", way.name, rate, takes, worst, used)
