--- a/internal/dispatch/limit_ways_test.go
+++ b/internal/dispatch/limit_ways_test.go
@@ -141,9 +141,9 @@
 	peak, used float64
 }
 
-// playWay lets requests come to all nodes, each of which takes the target with the limit if it
+// simulateStrategy lets requests come to all nodes, each of which takes the target with the limit if it
 // may, else another one.
-func playWay(w limitStrategy, rate float64, takes time.Duration, seed uint64) strategyResult {
+func simulateStrategy(w limitStrategy, rate float64, takes time.Duration, seed uint64) strategyResult {
 	rng := rand.New(rand.NewPCG(seed, 5))
 	var sent []time.Time
 	var ends []limitEnd
@@ -236,7 +236,7 @@
 			for _, takes := range []time.Duration{50 * time.Millisecond, 700 * time.Millisecond} {
 				worst, used := 0.0, 0.0
 				for seed := range uint64(*limitRuns) {
-					r := playWay(way.make(rate, takes, rand.New(rand.NewPCG(seed, 6))), rate, takes, seed)
+					r := simulateStrategy(way.make(rate, takes, rand.New(rand.NewPCG(seed, 6))), rate, takes, seed)
 					worst = max(worst, r.peak)
 					used += r.used / float64(*limitRuns)
 				}
