--- a/internal/dispatch/limit_ways_test.go
+++ b/internal/dispatch/limit_ways_test.go
@@ -33,14 +33,14 @@
 	end(now time.Time, node int)
 }
 
-// eachAlone has each node keep to a part of the limit by itself.
-type eachAlone struct {
+// perNode has each node keep to a part of the limit by itself.
+type perNode struct {
 	rate   float64
 	pacers []*ratelimit.Pacer
 }
 
-func newEachAlone(rate float64, rng *rand.Rand) *eachAlone {
-	w := &eachAlone{
+func newEachAlone(rate float64, rng *rand.Rand) *perNode {
+	w := &perNode{
 		rate: rate,
 	}
 	for range strategyNodes {
@@ -49,11 +49,11 @@
 	return w
 }
 
-func (w *eachAlone) tick(time.Time) {}
-func (w *eachAlone) ask(now time.Time, node int) bool {
+func (w *perNode) tick(time.Time) {}
+func (w *perNode) ask(now time.Time, node int) bool {
 	return w.pacers[node].Take(now, w.rate, 1) == 0
 }
-func (w *eachAlone) end(time.Time, int) {}
+func (w *perNode) end(time.Time, int) {}
 
 // byAllocator takes the target for the key of the allocator that keeps workspaces' limits.
 type byAllocator struct {
