--- a/internal/dispatch/limit_ways_test.go
+++ b/internal/dispatch/limit_ways_test.go
@@ -39,7 +39,7 @@
 	pacers []*ratelimit.Pacer
 }
 
-func newEachAlone(rate float64, rng *rand.Rand) *perNode {
+func newPerNode(rate float64, rng *rand.Rand) *perNode {
 	w := &perNode{
 		rate: rate,
 	}
@@ -187,12 +187,12 @@
 	}{
 		{
 			name: "each node keeps the limit",
-			make: func(rate float64, _ time.Duration, rng *rand.Rand) limitStrategy { return newEachAlone(rate, rng) },
+			make: func(rate float64, _ time.Duration, rng *rand.Rand) limitStrategy { return newPerNode(rate, rng) },
 		},
 		{
 			name: "each node an equal part",
 			make: func(rate float64, _ time.Duration, rng *rand.Rand) limitStrategy {
-				return newEachAlone(rate/strategyNodes, rng)
+				return newPerNode(rate/strategyNodes, rng)
 			},
 		},
 		{
