--- a/internal/dispatch/play_test.go
+++ b/internal/dispatch/play_test.go
@@ -146,8 +146,8 @@
 		Window:  10 * time.Second,
 	}, p.rng.Float64)
 	p.desk.Configure(p.clock(), p.list)
-	if p.s.moves > 0 {
-		p.after(p.s.moves, p.begin)
+	if p.s.dispatcherMoves > 0 {
+		p.after(p.s.dispatcherMoves, p.begin)
 	}
 }
 
--- a/internal/dispatch/service_test.go
+++ b/internal/dispatch/service_test.go
@@ -22,8 +22,8 @@
 	// slow is the share of targets that work slowFactor times as long from slowFrom
 	// on; they are harmed and don't count.
 	slow float64
-	// moves is after how long the role goes to another desk, 0 for never.
-	moves time.Duration
+	// dispatcherMoves is after how long the role goes to another desk, 0 for never.
+	dispatcherMoves time.Duration
 	// mostLost is the share of requests that may be lost: that of a choice which doesn't
 	// look at coverage, and a tenth of it for chance.
 	mostLost float64
@@ -133,16 +133,16 @@
 		seeds:     8,
 	},
 	{
-		name:      "moving",
-		halls:     []int{6, 5, 5},
-		slots:     3,
-		perSecond: 63,
-		work:      240 * time.Millisecond,
-		kilobytes: 1,
-		period:    9 * time.Second,
-		lost:      0.75,
-		moves:     3 * time.Second,
-		mostLost:  0.06,
-		seeds:     40,
+		name:            "moving",
+		halls:           []int{6, 5, 5},
+		slots:           3,
+		perSecond:       63,
+		work:            240 * time.Millisecond,
+		kilobytes:       1,
+		period:          9 * time.Second,
+		lost:            0.75,
+		dispatcherMoves: 3 * time.Second,
+		mostLost:        0.06,
+		seeds:           40,
 	},
 }
