--- a/internal/dispatch/floor_test.go
+++ b/internal/dispatch/floor_test.go
@@ -35,8 +35,8 @@
 			if low > mostLow {
 				t.Errorf("%.2f%% of the windows with too few targets, want at most %.2f%%", 100*low, 100*mostLow)
 			}
-			if lost > s.mostLost {
-				t.Errorf("%.2f%% of the requests lost, want at most %.2f%%", 100*lost, 100*s.mostLost)
+			if lost > s.maxLost {
+				t.Errorf("%.2f%% of the requests lost, want at most %.2f%%", 100*lost, 100*s.maxLost)
 			}
 		})
 	}
--- a/internal/dispatch/service_test.go
+++ b/internal/dispatch/service_test.go
@@ -24,9 +24,9 @@
 	slow float64
 	// dispatcherMoves is after how long the role goes to another desk, 0 for never.
 	dispatcherMoves time.Duration
-	// mostLost is the share of requests that may be lost: that of a choice which doesn't
+	// maxLost is the share of requests that may be lost: that of a choice which doesn't
 	// look at coverage, and a tenth of it for chance.
-	mostLost float64
+	maxLost float64
 	// seeds is how many plays there are.
 	seeds uint64
 }
@@ -53,7 +53,7 @@
 		kilobytes: 1,
 		period:    9 * time.Second,
 		lost:      0.75,
-		mostLost:  0.03,
+		maxLost:   0.03,
 		seeds:     40,
 	},
 	{
@@ -66,7 +66,7 @@
 		period:    9 * time.Second,
 		lost:      0.75,
 		slow:      0.4,
-		mostLost:  0.038,
+		maxLost:   0.038,
 		seeds:     40,
 	},
 	{
@@ -78,7 +78,7 @@
 		kilobytes: 1,
 		period:    12 * time.Second,
 		lost:      0.9,
-		mostLost:  0.028,
+		maxLost:   0.028,
 		seeds:     40,
 	},
 	{
@@ -91,7 +91,7 @@
 		repeatable: true,
 		period:     9 * time.Second,
 		lost:       0.75,
-		mostLost:   0.004,
+		maxLost:    0.004,
 		seeds:      40,
 	},
 	{
@@ -104,7 +104,7 @@
 		repeatable: true,
 		period:     9 * time.Second,
 		lost:       0.75,
-		mostLost:   0.022,
+		maxLost:    0.022,
 		seeds:      40,
 	},
 	{
@@ -117,7 +117,7 @@
 		repeatable: true,
 		period:     12 * time.Second,
 		lost:       0.9,
-		mostLost:   0.029,
+		maxLost:    0.029,
 		seeds:      40,
 	},
 	{
@@ -129,7 +129,7 @@
 		kilobytes: 1,
 		period:    12 * time.Second,
 		lost:      0.9,
-		mostLost:  0.03,
+		maxLost:   0.03,
 		seeds:     8,
 	},
 	{
@@ -142,7 +142,7 @@
 		period:          9 * time.Second,
 		lost:            0.75,
 		dispatcherMoves: 3 * time.Second,
-		mostLost:        0.06,
+		maxLost:         0.06,
 		seeds:           40,
 	},
 }
