--- a/internal/dispatch/ask.go
+++ b/internal/dispatch/ask.go
@@ -8,113 +8,113 @@
 	"ploverjunction.example/ploverjunction/internal/signal"
 )
 
-// Target is one target that a desk may grant.
+// Target is a target that a scheduler may grant.
 type Target struct {
 	Key      string
 	DataHall string
-	// Slots is how many requests the target works on at once.
+	// Slots is the number of requests that the target serves concurrently.
 	Slots int
-	// Leaving targets get no work.
+	// Leaving targets are draining and get no work.
 	Leaving bool
-	// Named is set where the key names one life of the target, which leaves for good.
+	// Named is set where the key identifies one incarnation of the target, which drains for good.
 	Named bool
-	// Warmup is how much longer the target works more slowly, from when that is published, and
-	// WarmupRate how many requests a second it takes meanwhile from all nodes; 0 is no bound.
+	// Warmup is how much longer the target is slow, counted from publication. WarmupRate is the
+	// rate, in requests per second from all nodes, that it takes meanwhile; 0 means no bound.
 	Warmup     time.Duration
 	WarmupRate float64
 }
 
-// ID names one ask: the node that asks and the number that it gave.
+// ID identifies a grant request by the requesting node and its sequence number.
 type ID struct {
 	Node   string
 	Number uint64
 }
 
-// Ask asks for a target for one attempt.
+// Ask requests a grant for one attempt.
 type Ask struct {
 	ID         ID
 	DataHall   string
 	Repeatable bool
-	// Again is set for attempts after a request's first one.
+	// Again is set for attempts after the first one of a request.
 	Again bool
-	// Hedge is set where an earlier attempt still goes on; Age is how long it has
-	// waited for its answer.
+	// Hedge is set where an earlier attempt is still under way; Age is how long that one has waited
+	// for its answer.
 	Hedge bool
 	Age   time.Duration
 	// Kilobytes is the expected size of the answer in KiB.
 	Kilobytes int
 	// Priority is the rank under overload; 0 is served first.
 	Priority int
-	// Route names the route: requests of one route take similar time.
+	// Route is the route name; requests of one route have similar response times.
 	Route string
-	// Aim is until when an answer is worth most, Deadline until when it counts.
+	// Aim is the soft deadline, after which an answer is worth less; after Deadline it is worth
+	// nothing.
 	Aim      time.Time
 	Deadline time.Time
-	// Tried are keys of targets that the node can't reach or that the request was sent
-	// to before; beside a hedge the attempt at the last one goes on.
+	// Tried are keys of targets that the node cannot reach or that the request was sent to before.
+	// For a hedge, the attempt at the last one is still under way.
 	Tried []string
-	// Barred are keys of targets that told the node that they want no requests from it
-	// now: it sends them none, so that it is never granted one.
+	// Barred are keys of targets that are unavailable to the node because they asked it to back off.
+	// They are never granted to it.
 	Barred []string
-	// Draining are keys of targets that told the node that they leave.
+	// Draining are keys of targets that signalled to the node that they drain.
 	Draining []string
-	// Closed are data halls whose targets the request must not be sent to.
+	// Closed are the data halls that the request must not be sent to.
 	Closed []string
-	// Refused is how many requests for the service the node refused since its last ask, before
-	// it asked for a target.
+	// Refused is the number of requests for the service that the node refused since its last grant
+	// request, before a target was requested for them.
 	Refused int
-	// Limits are those of targets that the node knows, told by targets themselves or by
-	// other nodes.
+	// Limits are the target limits known to the node, received from targets or from other nodes.
 	Limits []TargetLimit
-	// Passing is set where the node can ask for a target of another data hall: the ask
-	// then isn't queued.
+	// Passing is set where the node can request a target in another data hall instead: the request
+	// is then not queued.
 	Passing bool
-	// Elsewhere is what the node got from other dispatchers of the same targets.
+	// Elsewhere counts the attempts that other dispatchers of the same targets granted to the node.
 	Elsewhere Spending
 }
 
 // final reports whether no other attempt can follow a failure of this one.
 func (a *Ask) final() bool { return !a.Repeatable || a.Again && !a.Hedge }
 
-// Verdict answers an ask.
+// Verdict is the decision on a grant request.
 type Verdict uint8
 
 // Verdicts.
 const (
 	// Granted means that the request may go to the target.
 	Granted Verdict = iota
-	// Queued means that a grant or a refusal follows.
+	// Queued means that a grant or a refusal will follow.
 	Queued
 	// Refused means that no target can take the request in time.
 	Refused
-	// Spent means that the retry budget pays for no other attempt.
+	// Spent means that the retry budget is exhausted.
 	Spent
-	// Full means that no target is free for a passing ask, which was not counted.
+	// Full means that no target is free for a non-queueing request, which was not counted.
 	Full
 )
 
-// String returns the verdict in words.
+// String returns the decision as logged.
 func (v Verdict) String() string {
 	return [...]string{"granted", "queued", "refused", "spent", "full"}[v]
 }
 
-// Grant is the answer to an ask.
+// Grant is the answer to a grant request.
 type Grant struct {
 	ID      ID
 	Verdict Verdict
 	Target  string
-	// RetryAfter is when a refused caller may come back.
+	// RetryAfter is the delay after which a refused caller may retry.
 	RetryAfter time.Duration
-	// HedgeAfter is after how long without an answer a second target may be asked for.
+	// HedgeAfter is the time without an answer after which a hedge may be requested.
 	HedgeAfter time.Duration
-	// Doubt is how likely the target was not to answer well.
+	// Doubt is the estimated probability that the target does not answer well.
 	Doubt float64
-	// Trial is set where the target would have been left out else.
+	// Trial is set where the target was granted only because it lacked work.
 	Trial bool
-	// Limit is the target's limit, which pays for the grant, and LimitAt when the target
-	// answered so.
+	// Limit is the target's limit that pays for the grant, and LimitAt the time of the target's
+	// answer that named it.
 	Limit   signal.Limit
 	LimitAt time.Time
-	// Limits are those that the ask didn't name.
+	// Limits are the target limits that differ from those in the request.
 	Limits []TargetLimit
 }
--- a/internal/dispatch/backoff.go
+++ b/internal/dispatch/backoff.go
@@ -8,8 +8,8 @@
 )
 
 const (
-	// backoffFirst is how long a target is not granted to any node after it sent one of them
-	// a backoff, backoffMax the same after it refused the next request as well.
+	// backoffFirst is how long a target is not granted to any node after it sent one of them a
+	// backoff, backoffMax the same after it refused the next request as well.
 	backoffFirst = 500 * time.Millisecond
 	backoffMax   = time.Second
 )
@@ -62,7 +62,7 @@
 		return
 	}
 	if f, ok := t.flights[id]; ok && f.begun.Before(t.backoff.since) {
-		// The attempt was under way when another one was turned away.
+		// The attempt was under way when another one was refused.
 		return
 	}
 	pause := backoffFirst
--- a/internal/dispatch/barred.go
+++ b/internal/dispatch/barred.go
@@ -4,8 +4,8 @@
 
 import "time"
 
-// unavailable reports whether the node that asks may send to none of the targets that are not draining.
-// Where all are draining, others may appear at any moment.
+// unavailable reports whether none of the targets that do not drain is available to the requesting
+// node. Where all are draining, others may join at any time.
 func (d *Desk) unavailable(now time.Time, a *Ask) bool {
 	if len(a.Barred)+len(a.Closed) == 0 {
 		return false
@@ -22,7 +22,7 @@
 	return stay > 0
 }
 
-// renew updates the barred targets of a waiting ask that was sent again.
+// renew updates the unavailable targets of a waiting request from a repeated one.
 func (d *Desk) renew(now time.Time, a *Ask) Grant {
 	if d.unavailable(now, a) {
 		d.queue.drop(a.ID)
--- a/internal/dispatch/budget.go
+++ b/internal/dispatch/budget.go
@@ -4,36 +4,37 @@
 
 import "time"
 
-// Parts of what the settings allow that are used. Parts of the fleet that lost each
-// other have a dispatcher each, so that two reserves may be spent in one window.
+// Shares of the configured budget that are used. Partitions of the network have a dispatcher each,
+// so that two reserves may be spent in one window.
 const (
 	usableShare   = 0.95
 	usableReserve = 0.5
-	// windowBuckets is into how many parts the window is divided.
+	// windowBuckets is the number of buckets in a window.
 	windowBuckets = 20
 )
 
-// Budget bounds what is sent beyond the first attempt of each request.
+// Budget bounds the attempts beyond the first one of each request.
 type Budget struct {
-	// Share is the number of repeats that each request pays for.
+	// Share is the number of retries that each request pays for.
 	Share float64
-	// Reserve is how many more there may be in each window.
+	// Reserve is the number of further retries in each window.
 	Reserve float64
 	// Window is the length of the sliding window.
 	Window time.Duration
 }
 
-// window counts first attempts and repeats in a sliding window.
+// window counts first attempts and retries in a sliding window.
 type window struct {
 	firsts  [windowBuckets]float64
 	retries [windowBuckets]float64
 	bucket  int64
-	// since is when this desk began to serve, last its last ask.
+	// since is when this scheduler began to serve, lastRequest when it got its last grant request.
 	since       time.Time
 	lastRequest time.Time
 }
 
-// recordRequest notes an ask. A desk that got none for a while has just taken up the role.
+// recordRequest records a grant request. A scheduler that got none for half a window has just taken up
+// the role of dispatcher.
 func (w *window) recordRequest(now time.Time, b Budget) {
 	if now.Sub(w.lastRequest) > b.Window/2 {
 		w.since = now
@@ -41,7 +42,7 @@
 	w.lastRequest = now
 }
 
-// advance drops the parts that have left the window.
+// advance drops the buckets that have left the window.
 func (w *window) advance(now time.Time, begun time.Time, b Budget) {
 	bucket := int64(now.Sub(begun) / (b.Window / windowBuckets))
 	for w.bucket < bucket {
@@ -57,7 +58,7 @@
 func (w *window) addFirst(n float64) { w.firsts[w.bucket%windowBuckets] += n }
 func (w *window) addRetry(n float64) { w.retries[w.bucket%windowBuckets] += n }
 
-// sums returns the first attempts and the repeats in the window.
+// sums returns the first attempts and the retries in the window.
 func (w *window) sums() (firsts, repeats float64) {
 	for i := range w.firsts {
 		firsts += w.firsts[i]
@@ -66,10 +67,10 @@
 	return firsts, repeats
 }
 
-// allowed returns how many repeats the budget pays for in the window, and spent how
-// many of them were made. part is the share of the reserve that this desk may use.
+// allowed returns the retries that the budget allows in the window and those spent. share is the
+// share of the reserve that this scheduler may use.
 func (w *window) allowed(now time.Time, b Budget, share float64) (all, spent float64) {
-	// Whoever had the role before may have spent what the window allows.
+	// The previous dispatcher may have spent what the window allows.
 	share *= min(now.Sub(w.since).Seconds()/b.Window.Seconds(), 1)
 	firsts, repeats := w.sums()
 	return usableShare*b.Share*firsts + usableReserve*b.Reserve*share, repeats
--- a/internal/dispatch/choose.go
+++ b/internal/dispatch/choose.go
@@ -7,11 +7,11 @@
 	"time"
 )
 
-// bestCostInterval is how long the quality of the best target is used again for an ask that
-// waits. It changes as beliefs do, within some hundreds of milliseconds.
+// bestCostInterval is how long the cost of the best target is cached for a waiting request. Failure
+// probabilities change within some hundreds of milliseconds.
 const bestCostInterval = 50 * time.Millisecond
 
-// free returns the targets that have a free slot.
+// free returns the targets with a free slot. The result is valid until the next call.
 func (d *Desk) free(now time.Time) []*target {
 	d.freeBuffer = d.freeBuffer[:0]
 	for _, t := range d.order {
@@ -22,8 +22,7 @@
 	return d.freeBuffer
 }
 
-// best returns which of the free targets an ask should get now, or nil if it should
-// wait.
+// best returns the free target that a request should get now, or nil if it should wait.
 func (d *Desk) best(now time.Time, w *waiting, free []*target) *target {
 	t := d.cheapest(now, w.ask, free)
 	if t == nil || !d.accepts(now, w, t) {
@@ -32,7 +31,7 @@
 	return t
 }
 
-// accepts reports whether an ask should take a target now and not wait for a better one.
+// accepts reports whether a request should take the target now rather than wait for a better one.
 func (d *Desk) accepts(now time.Time, w *waiting, t *target) bool {
 	a := w.ask
 	waited := float64(now.Sub(w.since)) / float64(max(d.maxWait(w.since, a), 1))
@@ -43,20 +42,18 @@
 		w.bestCost = d.baseCost(now, d.cheapest(now, a, d.order), a)
 		w.bestCostAt = now
 	}
-	// The longer an ask has waited the worse a target it takes: one that failed
-	// gets work again when its slots are needed.
+	// The longer a request has waited, the worse a target it takes: one that failed gets work again
+	// when its slots are needed.
 	worse := d.baseCost(now, t, a) - w.bestCost
 	return worse <= a.waitCost(now.Sub(w.since))+waited*a.failureCost()*d.model.LostFailing()
 }
 
-// safeTimeShare is the share of answers that must still be in time after an ask has
-// waited.
+// safeTimeShare is the share of answers that must still be in time after a request has waited.
 const safeTimeShare = 0.9
 
-// maxWait returns how long an ask waits for a better target than is free. What
-// can be repeated once more waits as long as an answer can still be in time. A
-// last attempt waits longer: a late answer is worth more than a failure, and
-// failing targets always have free slots.
+// maxWait returns how long a request waits for a better target than is free. A request that can be
+// retried waits as long as an answer can still be in time. A final attempt waits longer: a late
+// answer is worth more than a failure, and failing targets always have free slots.
 func (d *Desk) maxWait(since time.Time, a *Ask) time.Duration {
 	if !a.Repeatable || a.Again {
 		return time.Duration(finalWaitShare * float64(a.Deadline.Sub(since)))
@@ -77,8 +74,8 @@
 	return t.Slots
 }
 
-// cheapest returns the target with the least cost of some; targets that were tried
-// before count only when there is no other.
+// cheapest returns the target of the lowest cost among some. Targets already tried are chosen only
+// if there is no other.
 func (d *Desk) cheapest(now time.Time, a *Ask, some []*target) *target {
 	var best *target
 	least, bestTried := 0.0, false
--- a/internal/dispatch/configure.go
+++ b/internal/dispatch/configure.go
@@ -9,7 +9,7 @@
 	"ploverjunction.example/ploverjunction/internal/health"
 )
 
-// Configure takes the targets in force. What is known of those that stay is kept.
+// Configure sets the targets in force. The state of targets that stay is kept.
 func (d *Desk) Configure(now time.Time, list []Target) {
 	old := d.targets
 	first := len(old) == 0
@@ -34,8 +34,7 @@
 	}
 }
 
-// update gives a target what is published of it. One that says that it works more slowly, for a time
-// that it did not say before, has just become so.
+// update applies the published data of a target. A changed warm-up begins now.
 func (d *Desk) update(now time.Time, t *target, published Target) {
 	changed := published.Warmup != t.Warmup
 	t.Target = published
@@ -59,13 +58,13 @@
 	}
 }
 
-// join notes that a target joins those that the desk has.
+// join records that a target joins the others.
 func (d *Desk) join(now time.Time, t *target, published Target) {
 	t.warmUntil = now.Add(published.Warmup)
 	d.newTargets = append(d.newTargets, published.Key)
 }
 
-// Change takes targets that are new or changed, and the keys of those that are gone. All others
+// Change applies targets that are new or changed and removes those with the keys in gone. All others
 // stay as they are.
 func (d *Desk) Change(now time.Time, changed []Target, gone []string) {
 	dropped := false
--- a/internal/dispatch/cost.go
+++ b/internal/dispatch/cost.go
@@ -4,32 +4,31 @@
 
 import "time"
 
-// Weights of what a choice costs. The unit is the worth of one answer.
+// Weights of the cost of a choice, in units of the value of one answer.
 const (
-	// unrepeatableFailureCost is the cost of a failed request that can't be repeated: its
-	// answer is lost, and the share of requests that are served at all counts for
-	// much more than one answer.
+	// unrepeatableFailureCost is the cost of a failed request that cannot be repeated: its answer is
+	// lost, and the share of requests that are served at all counts much more than one answer.
 	unrepeatableFailureCost = 6
-	// repeatableFailureCost is the same where another target can be asked, for which the
-	// retry budget must pay.
+	// repeatableFailureCost applies where another target can be requested, at the expense of the
+	// retry budget.
 	repeatableFailureCost = 1.5
-	// retryFailureCost is the same where the attempt is a second one already.
+	// retryFailureCost applies where the attempt is already a retry.
 	retryFailureCost = 4
 	// crossHallCost is the cost of one KiB between data halls, from the users' prices.
 	crossHallCost = 0.03
-	// loadCost is what a full target costs more than an empty one: some slow down
-	// when they are nearly full.
+	// loadCost is the extra cost of a full target over an empty one: some targets slow down when
+	// they are nearly full.
 	loadCost = 0.04
-	// warmupCost is what a starting target costs more than a warm one.
+	// warmupCost is the extra cost of a target that warms up.
 	warmupCost = 0.05
-	// tieBreakNoise breaks ties by chance.
+	// tieBreakNoise scales the random term that breaks ties.
 	tieBreakNoise = 0.002
-	// waitCost and waitRate, by the second, are what waiting for a better target
-	// costs; a target that is worse by less than that is taken at once.
+	// waitCost, plus waitRate per second, is the cost of waiting for a better target; a target that
+	// is worse by less than that is taken at once.
 	waitCost = 0.03
 	waitRate = 2.5
-	// maxWaitCost bounds that cost for what no other attempt can follow: waiting makes up
-	// for bytes between data halls then, not for doubt.
+	// maxWaitCost bounds the wait cost of final attempts: it then makes up for bytes between data
+	// halls, not for the probability of a failure.
 	maxWaitCost = 0.5
 )
 
@@ -45,7 +44,7 @@
 	}
 }
 
-// waitCost returns what it costs an ask to have waited.
+// waitCost returns the cost of having waited.
 func (a *Ask) waitCost(waited time.Duration) float64 {
 	c := waitRate * waited.Seconds()
 	if !a.Repeatable || a.Again {
@@ -54,7 +53,7 @@
 	return waitCost + c
 }
 
-// baseCost returns what a target costs apart from its load.
+// baseCost returns the cost of a target without its load.
 func (d *Desk) baseCost(now time.Time, t *target, a *Ask) float64 {
 	c := a.failureCost() * t.lossProbability(now)
 	if t.DataHall != a.DataHall {
@@ -66,7 +65,7 @@
 	return c - d.coverageGain(now, t, a)
 }
 
-// cost returns what a target costs with its load.
+// cost returns the cost of a target including its load.
 func (d *Desk) cost(now time.Time, t *target, a *Ask) float64 {
 	c := d.baseCost(now, t, a)
 	c += loadCost * float64(len(t.flights)+1) / float64(max(t.Slots, 1))
--- a/internal/dispatch/coverage.go
+++ b/internal/dispatch/coverage.go
@@ -7,52 +7,52 @@
 	"time"
 )
 
-// The users judge windows of two seconds in which a tenth of the requests or more was
-// not served: requests must have reached a share of the targets, the floor, of those that
-// worked in the window and the two seconds before it. A loss of power ends a tenth of the
-// requests with no sign before it, so that this must hold at any time.
+// Parameters of the coverage. The users judge windows of 2 s in which at least a tenth of the
+// requests was not served: requests must have reached a share of the targets, the floor, of those
+// that worked in the window and in the 2 s before it. A loss of power ends a tenth of the requests
+// without warning, so the floor must hold at any time.
 const (
-	// defaultFloor is the floor of a desk that was told of none: the users'.
+	// defaultFloor is the users' floor.
 	defaultFloor = 0.7
-	// coverSettled is how long a target must have worked to count: the window and the
-	// time before it.
+	// coverSettled is how long a target must have worked to count: the window and the time before
+	// it.
 	coverSettled = 4 * time.Second
 	// coverMinProbability is the probability of counting below which a target is left out of the
-	// sum: many that surely fail would cost time and change nothing.
+	// sum: many targets that surely fail would cost time and change nothing.
 	coverMinProbability = 0.005
-	// coverInterval is how long a coverage is used again while no idle target got work.
+	// coverInterval is how long a coverage is cached while no idle target gets work.
 	coverInterval = 20 * time.Millisecond
 )
 
-// shortPrice is what it costs, in the unit of a choice, that too few targets are reached when a
-// tenth of the requests is lost.
+// shortPrice is the cost, in the unit of the choice, of a coverage below the floor when a tenth of
+// the requests is lost.
 const shortPrice = 50
 
-// exactMaxTargets is up to how many targets the probability of too few is worked out exactly, in a time
-// that goes by their square.
+// exactMaxTargets is the number of targets up to which the probability of a coverage below the floor
+// is calculated exactly, in quadratic time.
 const exactMaxTargets = 150
 
-// trialMinGain is from which worth on a request counts as a trial of its target: more than
-// a full target costs more than an empty one.
+// trialMinGain is the coverage gain from which a grant counts as a trial request: more than the
+// extra cost of a full target.
 const trialMinGain = 0.05
 
-// coverage says which part of the targets that work has had some lately.
+// coverage estimates what share of the working targets have had recent work.
 type coverage struct {
-	// working is the expected number of targets that count, reached of those that got
-	// work within spreadTime.
+	// working is the expected number of targets that count, reached the expected number of those
+	// that got work within spreadTime.
 	working, reached float64
-	// shortProbability is the probability that fewer than the floor were reached.
+	// shortProbability is the probability that fewer targets were reached than the floor requires.
 	shortProbability float64
-	// price is what it is worth that one more gets work that surely counts.
+	// price is the value of granting one more target that certainly counts.
 	price float64
 	at    time.Time
 }
 
-// Keep sets the floor: the share, from 0 to 1, of the working targets that should have
-// had work within the last 1.5 s.
+// Keep sets the floor: the share, from 0 to 1, of the working targets that should have had work
+// within the last 1.5 s.
 func (d *Desk) Keep(floor float64) { d.floor = floor }
 
-// coverage returns the coverage at now and notes which targets are missed.
+// coverage returns the coverage at now and updates the uncovered probability of each target.
 func (d *Desk) coverage(now time.Time) *coverage {
 	c := &d.lastCoverage
 	if past := now.Sub(c.at); past >= 0 && past < coverInterval {
@@ -85,9 +85,9 @@
 	return c
 }
 
-// headroom returns, from 0 to 1, how easily the requests that come keep the floor within
-// spreadTime: 0 where they are too few for it. They are counted over the
-// window of the retry budget, so that a new desk learns first how many come.
+// headroom returns, from 0 to 1, how easily the arriving requests keep the floor within spreadTime;
+// 0 where they are too few. They are counted over the window of the retry budget, so that a new scheduler
+// first learns their rate.
 func (d *Desk) headroom(now time.Time, working float64) float64 {
 	d.window.advance(now, d.started, d.budget)
 	own, _ := d.window.sums()
@@ -96,9 +96,9 @@
 	return min(max(come/max(d.floor*working, 1)-1, 0), 1)
 }
 
-// coverageGain returns what it is worth that the target gets this request: the price of too
-// few, by the probability that the target is one of those that should have had work.
-// Second attempts don't pay for it, they are the last ones of their requests.
+// coverageGain returns the value of granting the target for the coverage: the price, weighted by the
+// probability that the target should have had work. Retries have no gain, because they are the final
+// attempts of their requests.
 func (d *Desk) coverageGain(now time.Time, t *target, a *Ask) float64 {
 	price := d.coverage(now).price
 	if a.Again || len(t.flights) >= d.slots(now, t) {
@@ -107,8 +107,8 @@
 	return price * t.uncovered
 }
 
-// shortProbability returns the probability that those of the reached targets that count are fewer
-// than the floor asks of all that count. Both are given by their probabilities to count.
+// shortProbability returns the probability that the reached targets that count are fewer than the
+// floor requires of all that count. Both lists hold the targets' probabilities to count.
 func shortProbability(reached, idle []float64, floor float64) float64 {
 	if floor <= 0 {
 		return 0
@@ -116,7 +116,7 @@
 	if len(reached)+len(idle) > exactMaxTargets {
 		return approxShortProbability(reached, idle, floor)
 	}
-	// allowed is how many may be missed for each that was reached.
+	// allowed is the number of targets that may be missed for each one reached.
 	allowed := (1 - floor) / floor
 	most := int(min(float64(len(reached))*allowed, float64(len(idle)))) + 1
 	missed := distribution(idle, min(len(idle), most))
@@ -127,8 +127,8 @@
 	return few
 }
 
-// approxShortProbability returns the same in linear time: by the central limit theorem the number of missed
-// targets less those allowed is about normal.
+// approxShortProbability approximates shortProbability in linear time: by the central limit theorem
+// the number of missed targets less those allowed is approximately normal.
 func approxShortProbability(reached, idle []float64, floor float64) float64 {
 	allowed := (1 - floor) / floor
 	mean, variance := 0.0, 0.0
@@ -146,8 +146,8 @@
 	return math.Erfc(-mean/math.Sqrt(2*variance)) / 2
 }
 
-// distribution returns the probabilities that 0, 1 and so on up to most of the events
-// occur, which have these probabilities and don't depend on each other.
+// distribution returns the probabilities that 0, 1 and so on up to most of the independent events
+// occur, given their probabilities.
 func distribution(events []float64, most int) []float64 {
 	out := make([]float64, most+1)
 	out[0] = 1
--- a/internal/dispatch/desk.go
+++ b/internal/dispatch/desk.go
@@ -8,71 +8,73 @@
 	"ploverjunction.example/ploverjunction/internal/health"
 )
 
-// Times and shares of a desk.
+// Parameters of a scheduler.
 const (
-	// flightSlack is how long after its deadline a granted attempt is forgotten.
+	// flightSlack is how long after its deadline a granted attempt is dropped.
 	flightSlack = 500 * time.Millisecond
-	// maxQueueShare is the part of the time left that a queue may take.
+	// maxQueueShare is the greatest expected wait in the queue, as a share of the time to the
+	// deadline.
 	maxQueueShare = 0.6
-	// infeasibleShare is the share of answers that must come in the time that is left.
+	// infeasibleShare is the share of answers that must come within the remaining time for a request
+	// to be feasible.
 	infeasibleShare = 0.25
-	// endedRetention is how long an ask that ended is remembered, some times longer
-	// than a datagram is repeated.
+	// endedRetention is how long ended requests are kept: several times as long as a datagram is
+	// repeated.
 	endedRetention = 2 * time.Second
-	// finalWaitShare is the part of its time that an attempt which no other can follow
-	// waits for a target that isn't failing.
+	// finalWaitShare is the share of its time for which a final attempt waits for a target that is
+	// not failing.
 	finalWaitShare = 0.5
-	// warmupSlotShare is the part of its slots that a starting target gets.
+	// warmupSlotShare is the share of its slots that a target gets while it warms up.
 	warmupSlotShare = 0.5
 )
 
-// Desk chooses the targets of one service. It isn't safe for concurrent use.
+// Desk chooses the targets of one service. It is not safe for concurrent use.
 type Desk struct {
 	started time.Time
 	budget  Budget
 	random  func() float64
 	targets map[string]*target
 	order   []*target
-	// freeBuffer is the memory of the list that free returns.
+	// freeBuffer is reused by free.
 	freeBuffer []*target
-	// examined counts the targets that were looked at for a choice; serveAgain is when all
-	// that waits may be looked at again.
+	// examined counts the targets examined for choices. All waiting requests are examined again from
+	// nextServe on.
 	examined  int
 	nextServe time.Time
 	queue     queue
 	window    window
 	remote    remoteGrants
 	granted   map[ID]string
-	// ended are asks that have ended: a repeated datagram of one of them must not
-	// open it again.
+	// ended holds the requests that have ended: a repeated datagram must not open one of them again.
 	ended map[ID]time.Time
-	// model is what is learned of the service's targets.
+	// model holds the estimates shared by the targets of the service.
 	model *health.Model
-	// rejectedSamples counts times of answers that the histograms did not take.
+	// rejectedSamples counts response times that the histograms rejected.
 	rejectedSamples int
-	// lastAdvance is when Advance last did its work.
+	// lastAdvance is when Advance last ran.
 	lastAdvance time.Time
 	outcomes    outcomes
-	// lastFreeSlot is when a slot was last free for which nothing waited that can be in time.
+	// lastFreeSlot is when a slot was last left over by the waiting requests that can be answered in
+	// time.
 	lastFreeSlot time.Time
 	lastCoverage coverage
 	accepting    accepting
 	floor        float64
-	// warmupUntil is until when any target has a limit because it warms up.
+	// warmupUntil is when the last rate limit of a warming target ends.
 	warmupUntil time.Time
-	// newTargets are targets that joined and may have got no request yet, draining counts those
-	// that are published as draining.
+	// newTargets are keys of targets that joined, in order; those at the head may have had a request
+	// already. draining counts targets published as draining.
 	newTargets []string
 	draining   int
-	// limitShare is the part of the targets' limits that this desk may use, limits how many
-	// targets have one.
+	// limitShare is the share of the targets' limits that this scheduler may use, limits the number of
+	// targets with a limit.
 	limitShare float64
 	limits     int
-	// trials counts grants of targets that would have been left out else.
+	// trials counts the grants made only for the sake of coverage.
 	trials int
 }
 
-// NewDesk returns a desk without targets. random gives numbers from 0 to 1.
+// NewDesk returns a scheduler without targets. random returns values in [0, 1).
 func NewDesk(now time.Time, b Budget, random func() float64) *Desk {
 	return &Desk{
 		started:      now,
@@ -89,7 +91,7 @@
 	}
 }
 
-// Ask answers an ask at once. Asking again with the same ID gives the same answer.
+// Ask answers a grant request at once. A repeated request with the same ID gets the same answer.
 func (d *Desk) Ask(now time.Time, a *Ask) Grant {
 	d.recordSignals(now, a)
 	g := d.answer(now, a)
@@ -97,7 +99,7 @@
 	return g
 }
 
-// answer answers an ask, or repeats the answer that it got before.
+// answer answers a grant request or repeats its previous answer.
 func (d *Desk) answer(now time.Time, a *Ask) Grant {
 	if g, known := d.previousAnswer(a.ID); known {
 		if g.Verdict == Queued {
@@ -116,7 +118,7 @@
 			Verdict: Spent,
 		}
 	}
-	// The choice counts on the ask itself: it is one of those that keep the floor.
+	// The request itself counts in the decision: it is one of those that keep the floor.
 	d.charge(a, 1)
 	g := d.decide(now, a)
 	switch g.Verdict {
@@ -128,7 +130,7 @@
 	return g
 }
 
-// recordSignals records what targets signalled to the node that asks.
+// recordSignals records the target signals that the requesting node has received.
 func (d *Desk) recordSignals(now time.Time, a *Ask) {
 	for _, key := range a.Draining {
 		d.MarkDraining(now, key)
@@ -138,7 +140,7 @@
 	}
 }
 
-// decide answers an ask that the retry budget pays for.
+// decide answers a request that the retry budget allows.
 func (d *Desk) decide(now time.Time, a *Ask) Grant {
 	if d.unavailable(now, a) {
 		return a.withoutTarget(Refused, 0)
@@ -173,8 +175,8 @@
 	}
 }
 
-// withoutTarget returns the answer to an ask that gets no target. One that can be passed on
-// is not refused.
+// withoutTarget returns the answer to a request that gets no target. A non-queueing request gets
+// Full instead of a refusal.
 func (a *Ask) withoutTarget(v Verdict, wait time.Duration) Grant {
 	if a.Passing {
 		v, wait = Full, 0
@@ -186,8 +188,8 @@
 	}
 }
 
-// wait estimates how long an ask of a priority would wait: the work before it, by the
-// slots of targets that work.
+// wait estimates how long a request of the given priority would wait: the work ahead of it, divided
+// by the slots of working targets.
 func (d *Desk) wait(now time.Time, priority int) time.Duration {
 	work, n := d.queue.ahead(now, priority)
 	if c, all := d.limitedCapacity(now); all {
@@ -205,25 +207,25 @@
 	return time.Duration(float64(work) / max(slots, 1))
 }
 
-// infeasible reports whether so little time is left that hardly any answer would come.
-// Others make better use of the slot.
+// infeasible reports whether so little time is left that an answer is unlikely; other requests make
+// better use of the slot.
 func (d *Desk) infeasible(now time.Time, a *Ask) bool {
 	return a.Deadline.Sub(now) < d.minResponseTime(now, a)
 }
 
-// minResponseTime returns the time within which hardly any answer to an ask comes.
+// minResponseTime returns the time within which infeasibleShare of the answers come.
 func (d *Desk) minResponseTime(now time.Time, a *Ask) time.Duration {
 	return d.model.Route(now, a.Route).Within(infeasibleShare)
 }
 
-// margin returns the time within which nearly all answers to an ask come, the usual time
-// while that isn't known.
+// margin returns the time within which nearly all answers come, or the usual time while that is
+// unknown.
 func (d *Desk) margin(now time.Time, a *Ask) time.Duration {
 	route := d.model.Route(now, a.Route)
 	return max(route.Within(safeTimeShare), route.Usual())
 }
 
-// previousAnswer returns the answer that an ask got before.
+// previousAnswer returns the answer that a request got before, if any.
 func (d *Desk) previousAnswer(id ID) (Grant, bool) {
 	if key, ok := d.granted[id]; ok {
 		g := Grant{
@@ -234,7 +236,7 @@
 			HedgeAfter: d.targets[key].hedgeAfter(id),
 		}
 		if t := d.targets[key]; t != nil {
-			// The limit may have become known since: it didn't pay for this grant.
+			// The limit may have become known after the grant and then did not pay for it.
 			paid := t.flights[id].paid
 			g.Limit, g.LimitAt = paid.Limit, paid.At
 		}
@@ -252,9 +254,8 @@
 	}, d.queue.has(id)
 }
 
-// AskAlone answers for a node that reaches no dispatcher: it grants without
-// regard to slots, for it doesn't know what others have in flight. part is this
-// node's share of the reserve of the retry budget.
+// AskAlone answers a grant request on a node that reaches no dispatcher. It ignores slots, because
+// the attempts of other nodes are unknown. share is this node's share of the retry reserve.
 func (d *Desk) AskAlone(now time.Time, a *Ask, share float64) Grant {
 	d.recordSignals(now, a)
 	if !d.affords(now, a, share) {
@@ -273,8 +274,7 @@
 	}
 }
 
-// grant gives an ask a target. trial is set where nothing but its lack of work speaks
-// for it.
+// grant grants a target. trial is set where the target is chosen only because it lacks work.
 func (d *Desk) grant(now time.Time, t *target, a *Ask, trial bool) Grant {
 	trial = trial || d.coverageGain(now, t, a) >= trialMinGain
 	if trial {
@@ -317,15 +317,15 @@
 	}
 }
 
-// idleInterval is how often a desk without work applies what was learned. Each node has a
-// desk for each service, most of which have no work.
+// idleInterval is the interval at which an idle scheduler updates its estimates. Each node has a scheduler for
+// each service, most of them idle.
 const idleInterval = time.Second
 
-// Busy reports whether anything waits or is under way.
+// Busy reports whether any request waits or any attempt is under way.
 func (d *Desk) Busy() bool { return len(d.granted) > 0 || len(d.queue.list) > 0 }
 
-// Advance forgets attempts whose end was never told and returns the grants and
-// refusals that are due.
+// Advance drops attempts whose end was never reported and returns the grants and refusals that are
+// due.
 func (d *Desk) Advance(now time.Time) []Grant {
 	if !d.Busy() && now.Sub(d.lastAdvance) < idleInterval {
 		return nil
@@ -335,7 +335,7 @@
 	for id, key := range d.granted {
 		t := d.targets[key]
 		if t == nil {
-			// The target is gone, and its attempts with it.
+			// The target was removed, and its attempts with it.
 			delete(d.granted, id)
 			continue
 		}
@@ -353,15 +353,14 @@
 	return d.serve(now)
 }
 
-// Cancel ends an ask that waits or was granted without saying anything of a
-// target.
+// Cancel ends a waiting request or a granted attempt without a result for the target.
 func (d *Desk) Cancel(now time.Time, id ID) []Grant {
 	if key, ok := d.granted[id]; ok {
 		return d.Done(now, id, key, ResultIgnored, 0)
 	}
 	d.ended[id] = now
 	if d.queue.has(id) {
-		// Its caller has left.
+		// The caller has gone.
 		d.queue.drop(id)
 		d.outcomes.record(now, false)
 	}
--- a/internal/dispatch/divide.go
+++ b/internal/dispatch/divide.go
@@ -7,15 +7,15 @@
 	"slices"
 )
 
-// partitionMinTargets is how many targets of a service each data hall must have for the service to be
-// divided by data halls: with fewer, too many requests find no free slot in their own part.
-// Messages of a divided service stay in their data hall, and no dispatcher has all targets.
+// partitionMinTargets is the number of targets of a service that each data hall must have for the
+// service to be partitioned by data halls: with fewer, too many requests find no free slot in their
+// own partition. Messages of a partitioned service stay in their data hall, and no dispatcher
+// handles all targets.
 const partitionMinTargets = 30
 
-// Divide returns the data halls by which the targets of a service are divided, sorted: each
-// has a desk of its own. It returns nil where one desk should have them all. All nodes
-// must come to the same answer, so that it depends on the published targets alone, of which
-// count says how many each data hall has.
+// Divide returns the data halls by which the targets of a service are partitioned, sorted, or nil
+// where one scheduler should handle them all. Each partition has its own scheduler. The result depends only on
+// count, the number of published targets by data hall, because all nodes must get the same one.
 func Divide(count map[string]int) []string {
 	if len(count) < 2 {
 		return nil
--- a/internal/dispatch/end.go
+++ b/internal/dispatch/end.go
@@ -8,8 +8,7 @@
 	"ploverjunction.example/ploverjunction/internal/health"
 )
 
-// Done records the end of a granted attempt and returns the grants that its slot
-// makes possible.
+// Done records the end of a granted attempt and returns the grants that its slot makes possible.
 func (d *Desk) Done(now time.Time, id ID, key string, r Result, took time.Duration) []Grant {
 	delete(d.granted, id)
 	d.ended[id] = now
@@ -36,7 +35,7 @@
 		t.limit.pacer.Return()
 	}
 	if ok && r == ResultUnreached && t.lastGranted.Equal(f.begun) {
-		// Nothing reached the target: it still waits for work.
+		// Nothing reached the target: it still lacks work.
 		t.lastGranted = f.previousGrant
 		d.lastCoverage = coverage{}
 	}
@@ -46,7 +45,7 @@
 	return d.serve(now)
 }
 
-// Lost notes of an attempt, before its end is reported, that its request ends with it.
+// Lost marks an attempt, before its end is reported, as the final one of its request.
 func (d *Desk) Lost(key string, id ID) {
 	if t := d.targets[key]; t != nil {
 		if f, ok := t.flights[id]; ok {
@@ -56,7 +55,7 @@
 	}
 }
 
-// Note records what a node saw of a target that another desk granted.
+// Note records the result of an attempt that another scheduler granted.
 func (d *Desk) Note(now time.Time, key, route string, r Result, took time.Duration) {
 	rt := d.model.Route(now, route)
 	if t := d.targets[key]; t != nil {
@@ -69,7 +68,7 @@
 	d.learn(rt, r, took)
 }
 
-// learn records how long a good answer took.
+// learn records the response time of a good answer.
 func (d *Desk) learn(route *health.Route, r Result, took time.Duration) {
 	if r != ResultGood {
 		return
--- a/internal/dispatch/hedge.go
+++ b/internal/dispatch/hedge.go
@@ -4,23 +4,21 @@
 
 import "time"
 
-// Parameters of second attempts beside one that goes on.
+// Parameters of hedges: second attempts beside one that is under way.
 const (
-	// hedgeQuantile is the share of good answers that have come when a second target may
-	// be asked for the first time.
+	// hedgeQuantile is the share of good answers that have come when a hedge may first be requested.
 	hedgeQuantile = 0.75
-	// hedgeMinSilence is the probability of silence from which a second attempt is made
-	// while the retry budget is hardly used, hedgeMost the same when it is spent but
-	// for hedgeKept: that part is for attempts that failed.
+	// hedgeMinSilence is the silence probability from which a hedge is granted while at most
+	// hedgeFree of the retry budget is spent. It rises to hedgeMaxSilence when the budget is spent
+	// but for hedgeReserve, which is withheld for attempts that failed.
 	hedgeMinSilence = 0.1
 	hedgeMaxSilence = 0.9
 	hedgeFree       = 0.4
 	hedgeReserve    = 0.1
 )
 
-// allowsHedge reports whether a second attempt beside one that goes on is worth a repeat:
-// the more of the retry budget is spent, the surer it must be that the first one
-// gets no answer.
+// allowsHedge reports whether a hedge is worth a retry: the more of the retry budget is spent, the
+// surer it must be that the first attempt gets no answer.
 func (d *Desk) allowsHedge(now time.Time, a *Ask) bool {
 	d.window.advance(now, d.started, d.budget)
 	all, repeats := d.retries(now, 1)
@@ -32,8 +30,7 @@
 	return spent < 1-hedgeReserve && d.silenceProbability(now, a) >= hedgeMinSilence+price*(hedgeMaxSilence-hedgeMinSilence)
 }
 
-// silenceProbability returns the probability that the attempt of a request that goes on gets no
-// answer.
+// silenceProbability returns the probability that the attempt under way gets no answer.
 func (d *Desk) silenceProbability(now time.Time, a *Ask) float64 {
 	route := d.model.Route(now, a.Route)
 	p := d.model.Share()
@@ -43,7 +40,7 @@
 	return d.model.Silent(route, p, a.Age)
 }
 
-// hedgeAfter returns what the grant of an attempt said.
+// hedgeAfter returns the HedgeAfter of an attempt's grant.
 func (t *target) hedgeAfter(id ID) time.Duration {
 	if t == nil || t.flights[id].route == nil {
 		return 0
--- a/internal/dispatch/ledger.go
+++ b/internal/dispatch/ledger.go
@@ -4,17 +4,16 @@
 
 import "time"
 
-// Spending counts what the retry budget of a service pays for: first attempts, and
-// repeats taken from it, in one window.
+// Spending counts first attempts, and retries charged to the retry budget of a service, in one
+// window.
 type Spending struct {
 	Firsts  int
 	Repeats int
 }
 
-// Ledger counts what one node got from each dispatcher of a service in the window
-// of the retry budget. A node tells each dispatcher what it got from the others:
-// the one that takes up the role then knows what was spent before it. It isn't
-// safe for concurrent use.
+// Ledger counts the attempts that each dispatcher of a service granted to one node, in the window of
+// the retry budget. A node reports to each dispatcher what the others granted, so that a new
+// dispatcher knows what was spent before it. It is not safe for concurrent use.
 type Ledger struct {
 	started time.Time
 	budget  Budget
@@ -30,7 +29,7 @@
 	}
 }
 
-// Took notes an attempt that a dispatcher answered; again is set for a repeat.
+// Took records an attempt that a dispatcher granted; again is set for a retry.
 func (l *Ledger) Took(now time.Time, dispatcher string, again bool) {
 	w := l.windows[dispatcher]
 	if w == nil {
@@ -45,7 +44,7 @@
 	}
 }
 
-// Elsewhere returns what other dispatchers than the one named gave.
+// Elsewhere returns what dispatchers other than the named one granted.
 func (l *Ledger) Elsewhere(now time.Time, dispatcher string) Spending {
 	var s Spending
 	for name, w := range l.windows {
@@ -61,13 +60,13 @@
 	return s
 }
 
-// remoteReport is what a node said of its dealings with other dispatchers.
+// remoteReport is what a node reported of the grants of other dispatchers.
 type remoteReport struct {
 	Spending
 	at time.Time
 }
 
-// remoteGrants is what all nodes said. Each word counts until the node's next one or
+// remoteGrants holds the latest report of each node. A report counts until the node's next one or
 // until the window has passed.
 type remoteGrants map[string]remoteReport
 
@@ -82,7 +81,7 @@
 	}
 }
 
-// sums returns the first attempts and the repeats that others gave in the window.
+// sums returns the first attempts and the retries that other dispatchers granted in the window.
 func (e remoteGrants) sums(now time.Time, b Budget) (firsts, repeats float64) {
 	for node, t := range e {
 		if now.Sub(t.at) > b.Window {
--- a/internal/dispatch/limit.go
+++ b/internal/dispatch/limit.go
@@ -11,32 +11,32 @@
 )
 
 const (
-	// limitBurst is how much of a target's limit may be saved up while nothing comes.
+	// limitBurst is the time for which an unused limit accumulates.
 	limitBurst = 200 * time.Millisecond
-	// minLimitRate is the rate, in requests a second, at which targets are asked that accept
-	// less: only an answer tells that a limit has been lifted.
+	// minLimitRate is the least rate, in requests per second, at which a target is granted whatever
+	// its limit: only an answer shows that a limit was lifted.
 	minLimitRate = 0.1
-	// liftedWarmup is for how long a target without a limit any more gets a part of its slots.
+	// liftedWarmup is how long a target gets part of its slots after its limit was lifted.
 	liftedWarmup = 2 * time.Second
-	// limitWindow is the time over which grants of a target with a limit are counted.
+	// limitWindow is the time over which grants of a limited target are counted.
 	limitWindow = 4 * time.Second
 )
 
-// TargetLimit is the limit of a target, as it answered a node at a time.
+// TargetLimit is the limit of a target, as answered to a node at a time.
 type TargetLimit struct {
 	Target string
 	signal.Limit
 	At time.Time
 }
 
-// limitState is the limit of a target and what was granted of it. A target that warms up has another
-// one, which its service states.
+// limitState is the limit of a target and its grants. A target that warms up has a second limit, set
+// by its service.
 type limitState struct {
 	signal.Limit
-	// warmup is in requests a second, 0 for none; it holds until warmupUntil.
+	// warmup is in requests per second, 0 for none, and holds until warmupUntil.
 	warmup      float64
 	warmupUntil time.Time
-	// at is when the target answered so, by the node that told.
+	// at is the time of the target's answer, reportedBy the node that reported it.
 	at         time.Time
 	reportedBy string
 	started    time.Time
@@ -44,16 +44,16 @@
 	grants     window
 }
 
-// warming reports whether the limit of a target that warms up is the one to keep.
+// warming reports whether the warm-up limit is the one in force.
 func (l *limitState) warming(now time.Time) bool {
 	return l.warmup > 0 && now.Before(l.warmupUntil) && (!l.Set || l.warmup < LimitRate(l.Limit))
 }
 
-// bounded reports whether the target has a limit at now.
+// bounded reports whether the target has a limit.
 func (l *limitState) bounded(now time.Time) bool { return l.Set || l.warming(now) }
 
-// rate returns the rate at which the target is granted, in requests a second. part is the part
-// of the limit that this desk may use.
+// rate returns the rate at which the target is granted, in requests per second. share is the share
+// of the limit that this scheduler may use.
 func (l *limitState) rate(now time.Time, share float64) float64 {
 	if l.warming(now) {
 		return share * l.warmup
@@ -61,7 +61,7 @@
 	return share * LimitRate(l.Limit)
 }
 
-// warm begins or renews the limit of a target that warms up for a time.
+// warm begins or renews the limit of a target that warms up.
 func (l *limitState) warm(now time.Time, rate float64, warmup time.Duration) {
 	if rate <= 0 || warmup <= 0 {
 		return
@@ -72,35 +72,35 @@
 	l.warmup, l.warmupUntil = rate, now.Add(warmup)
 }
 
-// reset begins to count grants: other dispatchers, or this one unaware of the limit, may have granted
-// all of it.
+// reset starts counting grants with nothing available: other dispatchers, or this one before it
+// received the limit, may have used all of it.
 func (l *limitState) reset(now time.Time) {
 	l.pacer = *ratelimit.NewPacer(now, 0)
 	l.started, l.grants = now, window{}
 }
 
-// LimitRate returns the rate at which a target with a limit is used, in requests a second.
+// LimitRate returns the rate at which a limited target is granted, in requests per second.
 func LimitRate(l signal.Limit) float64 { return max(l.Rate, minLimitRate) }
 
-// wait returns after how long the target may be granted.
+// wait returns the time until the target may be granted.
 func (l *limitState) wait(now time.Time, share float64) time.Duration {
 	if !l.bounded(now) {
 		return 0
 	}
 	rate := l.rate(now, share)
 	if l.warming(now) {
-		// A target that warms up falls over by what comes in one second: nothing is saved up.
+		// Requests of a single second can overload a target that warms up: nothing accumulates.
 		return l.pacer.Wait(now, rate, 1)
 	}
 	if share < 1 {
-		// Others may save up as much, to grant it at the same moment.
+		// Other dispatchers may accumulate as much and grant it at the same time.
 		l.pacer.Wait(now, rate, math.Inf(1))
 		l.pacer.Lapse(rate * limitBurst.Seconds())
 	}
 	return l.pacer.Wait(now, rate, 1+rate*limitBurst.Seconds())
 }
 
-// take pays for a grant. A grant that the limit doesn't pay for puts off the next ones.
+// take pays for a grant. If the limit does not cover it, later grants are delayed.
 func (l *limitState) take(now time.Time, share float64) {
 	if !l.bounded(now) {
 		return
@@ -111,7 +111,7 @@
 	l.grants.addFirst(1)
 }
 
-// granted returns how often the target was granted in the last limitWindow.
+// granted returns the number of grants in the last limitWindow.
 func (l *limitState) granted(now time.Time) int {
 	if !l.bounded(now) {
 		return 0
@@ -121,20 +121,19 @@
 	return int(n)
 }
 
-// limitBudget gives the window over which grants are counted.
+// limitBudget sets the window over which grants are counted.
 var limitBudget = Budget{
 	Window: limitWindow,
 }
 
-// Lead sets which part of the targets' limits this desk may use, 1 for all: others may grant
-// the same targets at the same time.
+// Lead sets the share of the targets' limits that this scheduler may use, 1 for all: others may grant the
+// same targets at the same time.
 func (d *Desk) Lead(share float64) { d.limitShare = share }
 
 // Limited reports whether any target has a limit.
 func (d *Desk) Limited(now time.Time) bool { return d.limits > 0 || now.Before(d.warmupUntil) }
 
-// warm notes that a target works more slowly for a time from now on, and how many requests it may
-// get meanwhile.
+// warm applies the published warm-up of a target, from now on.
 func (d *Desk) warm(now time.Time, t *target) {
 	if t.Warmup <= 0 {
 		return
@@ -145,8 +144,8 @@
 	}
 }
 
-// Observe records the limit of a target as a node told of it. What the target answered later
-// stays. It reports whether the limit changed.
+// Observe records the limit of a target as reported by a node, unless a later answer of the target
+// is known. It reports whether the limit changed.
 func (d *Desk) Observe(now time.Time, by string, s TargetLimit) bool {
 	t := d.targets[s.Target]
 	if t == nil || !s.At.After(t.limit.at) {
@@ -170,12 +169,12 @@
 	return true
 }
 
-// MaxLimits bounds the limits in one message, of some 40 bytes each: it must fit into a datagram
-// beside the rest of an ask.
+// MaxLimits bounds the limits in one message, of some 40 bytes each: they must fit into a datagram
+// beside the rest of a grant request.
 const MaxLimits = 8
 
-// limitUpdates returns the limits of targets that an ask didn't name, and those lifted that it did.
-// Nodes that may have to choose alone learn of them before they need to.
+// limitUpdates returns the target limits that differ from those in the request, lifted ones
+// included. A node receives them before it may have to choose in isolation.
 func (d *Desk) limitUpdates(a *Ask) []TargetLimit {
 	if d.limits == 0 && len(a.Limits) == 0 {
 		return nil
@@ -185,7 +184,7 @@
 		named[l.Target] = l.Limit
 	}
 	var out []TargetLimit
-	// Begins anywhere, so that each limit is sent in time where there are many.
+	// Starts at a random target, so that each of many limits is sent in time.
 	from := int(d.random() * float64(len(d.order)))
 	for i := range d.order {
 		t := d.order[(from+i)%len(d.order)]
@@ -207,18 +206,18 @@
 	return b
 }
 
-// exhausted reports whether the target's limit pays for no grant at now.
+// exhausted reports whether the target's limit pays for no grant now.
 func (d *Desk) exhausted(now time.Time, t *target) bool { return t.limit.wait(now, d.limitShare) > 0 }
 
-// capacity is what the targets that stay can do where each of them has a limit.
+// capacity is what the targets that do not drain can serve where each of them has a limit.
 type capacity struct {
-	// rate is the sum of the limits in requests a second, next after how long the first
-	// target may be granted.
+	// rate is the sum of the limits in requests per second, next the time until the first target may
+	// be granted.
 	rate float64
 	next time.Duration
 }
 
-// limitedCapacity returns the capacity of the targets that stay if each of them has a limit.
+// limitedCapacity returns the capacity of the targets that do not drain if each of them has a limit.
 func (d *Desk) limitedCapacity(now time.Time) (c capacity, all bool) {
 	if !d.Limited(now) {
 		return c, false
@@ -240,13 +239,13 @@
 	return c, all
 }
 
-// wait returns how long a request waits behind others.
+// wait returns the expected wait of a request behind others.
 func (c capacity) wait(behind int) time.Duration {
 	return c.next + time.Duration(float64(behind)/c.rate*float64(time.Second))
 }
 
-// limitedSlots returns how many slots the target's limit keeps busy by requests that take so
-// long (Little's law), at most those that it has.
+// limitedSlots returns the number of slots that the target's limit keeps busy with requests of the
+// given duration (Little's law), at most those that it has.
 func (t *target) limitedSlots(now time.Time, share float64, takes time.Duration) float64 {
 	slots := float64(t.Slots)
 	if t.limit.bounded(now) && takes > 0 {
--- a/internal/dispatch/overload.go
+++ b/internal/dispatch/overload.go
@@ -5,17 +5,17 @@
 import "time"
 
 const (
-	// slotsShortAfter is for how long no good slot may have been free until slots count as short.
+	// slotsShortAfter is the time without a good free slot after which slots are short.
 	slotsShortAfter = 500 * time.Millisecond
-	// goodSlotBelow is the probability of failing below which a target's free slot is a good one:
-	// failing targets always have some.
+	// goodSlotBelow is the failure probability below which a target's free slot is a good one:
+	// failing targets always have free slots.
 	goodSlotBelow = 0.5
-	// retryAfterJitter is by which part of the wait the times differ that refused callers are
-	// told, so that they don't all return at once.
+	// retryAfterJitter is the share of the wait over which RetryAfter is spread, so that refused
+	// callers do not all return at once.
 	retryAfterJitter = 0.4
 )
 
-// updateFreeSlot notes whether there is a good slot that nothing took.
+// updateFreeSlot records whether a good slot is left over.
 func (d *Desk) updateFreeSlot(now time.Time, free []*target) {
 	for _, t := range free {
 		if t.failureProbability(now) < goodSlotBelow {
@@ -26,17 +26,17 @@
 	d.queue.slotsShort = d.slotsShort(now)
 }
 
-// slotsShort reports whether asks wait for slots, and not for better targets than are free.
+// slotsShort reports whether requests wait for slots rather than for better targets.
 func (d *Desk) slotsShort(now time.Time) bool { return now.Sub(d.lastFreeSlot) > slotsShortAfter }
 
-// overloaded reports whether an ask that can't be in time will hardly be served: for as long as
-// it could wait no good slot was left over by what can. A burst that is over sooner is worked
-// off, for a late answer is worth more than none.
+// overloaded reports whether a request that cannot be answered in time is unlikely to be served: for
+// as long as it could wait, requests that can be answered in time left over no good slot. A shorter
+// burst is worked off, because a late answer is worth more than none.
 func (d *Desk) overloaded(now time.Time, a *Ask) bool {
 	return now.Sub(d.lastFreeSlot) > a.Deadline.Sub(a.Aim)
 }
 
-// maxExpectedWait returns the longest wait that an ask may expect and still be queued.
+// maxExpectedWait returns the longest expected wait with which a request is still queued.
 func (d *Desk) maxExpectedWait(now time.Time, a *Ask) time.Duration {
 	if d.overloaded(now, a) {
 		return a.Aim.Sub(now) - d.margin(now, a)
@@ -44,7 +44,7 @@
 	return time.Duration(maxQueueShare * float64(a.Deadline.Sub(now)))
 }
 
-// retryAfter returns when a refused caller may come back: when about what waits now is done.
+// retryAfter returns when a refused caller may retry: about when the waiting requests are served.
 func (d *Desk) retryAfter(wait time.Duration) time.Duration {
 	return wait + time.Duration(retryAfterJitter*(d.random()-0.5)*float64(wait))
 }
--- a/internal/dispatch/queue.go
+++ b/internal/dispatch/queue.go
@@ -7,25 +7,24 @@
 	"time"
 )
 
-// waiting is one ask in the queue.
+// waiting is a queued request.
 type waiting struct {
 	ask   *Ask
 	since time.Time
-	// usualTime is the usual time of an answer to it, margin the time within which nearly all
-	// of them come.
+	// usualTime is the usual response time, margin the time within which nearly all answers come.
 	usualTime time.Duration
 	margin    time.Duration
-	// minResponseTime is the least time in which an answer may come.
+	// minResponseTime is the least remaining time in which an answer may come.
 	minResponseTime time.Duration
-	// bestCost is what the best target cost, busy ones too, at leastAt.
+	// bestCost is the cost of the best target at bestCostAt, busy ones included.
 	bestCost   float64
 	bestCostAt time.Time
 }
 
-// queue holds asks by priority and then by their arrival.
+// queue holds requests by priority and then by arrival.
 type queue struct {
 	list []*waiting
-	// slotsShort is set while slots are what asks wait for.
+	// slotsShort is set while requests wait for slots rather than for better targets.
 	slotsShort bool
 }
 
@@ -37,8 +36,8 @@
 	q.list = slices.Insert(q.list, at, w)
 }
 
-// ahead returns how much work of the same or a more urgent priority waits that can
-// still be answered in time: the sum of its usual times, and how many asks that is.
+// ahead returns the work of the same or a more urgent priority that can still be answered in time:
+// the sum of the usual response times and the number of requests.
 func (q *queue) ahead(now time.Time, priority int) (sum time.Duration, n int) {
 	for _, w := range q.list {
 		if w.ask.Priority <= priority && q.inTime(now, w) {
@@ -49,9 +48,10 @@
 	return sum, n
 }
 
-// inTime reports whether an answer to a waiting ask can still meet its aim. While slots are short,
-// nearly all answers must, not half of them: slots would go to requests that come too late. A last
-// attempt keeps its place: behind the others it would end at a target that fails.
+// inTime reports whether a waiting request can still be answered by its soft deadline. While slots
+// are short this holds for nearly all answers, not for half of them: slots would go to requests that
+// are answered too late. A final attempt keeps its place: behind the others it would end at a
+// failing target.
 func (q *queue) inTime(now time.Time, w *waiting) bool {
 	if q.slotsShort && !w.ask.final() {
 		return now.Add(w.margin).Before(w.ask.Aim)
@@ -63,7 +63,8 @@
 	return slices.ContainsFunc(q.list, func(w *waiting) bool { return w.ask.ID == id })
 }
 
-// updateUnavailable updates what a waiting ask can't get, by the ask that was sent again.
+// updateUnavailable updates the unavailable targets and closed data halls of a waiting request from
+// a repeated one.
 func (q *queue) updateUnavailable(a *Ask) {
 	for _, w := range q.list {
 		if w.ask.ID == a.ID && !(slices.Equal(w.ask.Barred, a.Barred) && slices.Equal(w.ask.Closed, a.Closed)) {
@@ -77,9 +78,9 @@
 	q.list = slices.DeleteFunc(q.list, func(w *waiting) bool { return w.ask.ID == id })
 }
 
-// each gives the asks in order and removes those for which taken returns true. Asks
-// that can still be answered in time come first: under overload the others would
-// make all of them late.
+// each calls taken for the requests in order and removes those for which it returns true. Requests
+// that can still be answered in time come first: under overload the others would make all of them
+// late.
 func (q *queue) each(now time.Time, taken func(*waiting) bool) {
 	for _, inTime := range [...]bool{true, false} {
 		q.list = slices.DeleteFunc(q.list, func(w *waiting) bool {
@@ -88,8 +89,8 @@
 	}
 }
 
-// expire refuses what can't be served any more; overloaded tells of an ask whether that is
-// so as soon as it can't be in time.
+// expire removes and refuses the requests that cannot be served any more. Those for which overloaded
+// returns true are refused as soon as they cannot be answered in time.
 func (q *queue) expire(now time.Time, overloaded func(*Ask) bool) []Grant {
 	var out []Grant
 	q.list = slices.DeleteFunc(q.list, func(w *waiting) bool {
--- a/internal/dispatch/result.go
+++ b/internal/dispatch/result.go
@@ -8,12 +8,12 @@
 	"ploverjunction.example/ploverjunction/internal/health"
 )
 
-// Result is what one attempt showed of its target.
+// Result is the outcome of one attempt with respect to its target.
 type Result uint8
 
 // Results of attempts.
 const (
-	// ResultGood means that the target did the work.
+	// ResultGood means that the target served the request.
 	ResultGood Result = iota
 	// ResultBad means that the target failed the request.
 	ResultBad
@@ -21,22 +21,21 @@
 	ResultShed
 	// ResultUnreached means that there was no connection to the target.
 	ResultUnreached
-	// ResultIgnored says nothing about the target.
+	// ResultIgnored carries no information about the target.
 	ResultIgnored
-	// ResultGone means that the target is gone or another process has its address.
+	// ResultGone means that the target is gone or that another process has its address.
 	ResultGone
-	// ResultBackoff means that the target refused the request before running it and wants
-	// nothing from the node for a time.
+	// ResultBackoff means that the target refused the request before running it and asked the node
+	// to back off.
 	ResultBackoff
 )
 
-// String returns the result in words.
+// String returns the result as logged.
 func (r Result) String() string {
 	return [...]string{"good", "bad", "shed", "unreached", "ignored", "gone", "resting"}[r]
 }
 
-// kindOf returns what the end of an attempt shows. idle is set when the target had
-// free slots.
+// kindOf returns the health event of a result. idle is set where the target had free slots.
 func kindOf(r Result, route *health.Route, took time.Duration, idle bool) health.Kind {
 	switch r {
 	case ResultGood:
--- a/internal/dispatch/serve.go
+++ b/internal/dispatch/serve.go
@@ -7,21 +7,21 @@
 	"time"
 )
 
-// servePause is how long the next look at all waiting asks is put off for each target that the last
-// one examined. The cost of an attempt's end must not grow with the product of asks and targets:
-// under overload a dispatcher would fall behind for good.
+// servePause is the time until the next pass over all waiting requests, for each target that the
+// last pass examined. The cost of an attempt's end must not grow with the product of requests and
+// targets, or an overloaded dispatcher would never catch up.
 const servePause = time.Microsecond
 
-// traits are what the choices for several asks have in common.
+// traits are the properties that decide whether a waiting request accepts a target.
 type traits struct {
 	dataHall   string
 	route      string
 	repeatable bool
 	again      bool
 	kilobytes  int
-	// barred is set where some targets can't be had.
+	// barred is set where some targets are unavailable to the request.
 	barred bool
-	// late is set where an answer can't be worth most any more.
+	// late is set where the request cannot be answered by its soft deadline any more.
 	late bool
 }
 
@@ -38,8 +38,8 @@
 	}
 }
 
-// serve refuses what can't be served any more and grants what the queue can have now.
-// A slot goes to an ask of its own data hall first.
+// serve refuses the requests that cannot be served any more and grants what the others can have now.
+// A slot goes to a request of its own data hall first.
 func (d *Desk) serve(now time.Time) []Grant {
 	out := d.expire(now)
 	defer func() { d.updateFreeSlot(now, d.free(now)) }()
@@ -50,8 +50,8 @@
 			break
 		}
 		free := d.free(now)
-		// declined are the traits of asks of which one takes none of the free targets: those
-		// behind it have waited less, and take no worse ones.
+		// declined are the traits of requests of which one accepts none of the free targets. Those
+		// behind it have waited less and accept no worse ones.
 		declined := map[traits]bool{}
 		d.queue.each(now, func(w *waiting) bool {
 			k := d.queue.traits(now, w)
@@ -79,7 +79,7 @@
 	return out
 }
 
-// expire refuses the asks that wait in vain.
+// expire refuses the waiting requests that cannot be served any more.
 func (d *Desk) expire(now time.Time) []Grant {
 	out := d.queue.expire(now, func(a *Ask) bool { return d.overloaded(now, a) })
 	if len(out) == 0 {
@@ -95,8 +95,7 @@
 	return out
 }
 
-// serveFreed gives a slot that has become free to an ask that waits, without a look at the
-// other targets.
+// serveFreed grants a freed slot to a waiting request without examining the other targets.
 func (d *Desk) serveFreed(now time.Time, t *target) []Grant {
 	out := d.expire(now)
 	defer func() {
--- a/internal/dispatch/sparse.go
+++ b/internal/dispatch/sparse.go
@@ -4,24 +4,25 @@
 
 import "time"
 
-// Where requests are few for the targets, one that is sent to each in turn learns nothing of any: a
-// target that fails part of its requests gets the next one before that is known. The choice then
-// stays with targets that answered lately, as many as the load keeps busy, which is the myopic
-// policy for channels with two states (Zhao, Krishnamachari and Liu, "On myopic sensing for
-// multi-channel opportunistic access", IEEE Trans. Wireless Commun. 2008). Targets that join still
-// get a first request each.
+// Where requests are few for the number of targets, spreading them yields no usable estimate of any
+// target: one that fails a share of its requests gets its next one before that is known. The choice
+// then stays with targets that answered recently, as many as the load keeps busy, which is the
+// myopic policy for channels with two states (Zhao, Krishnamachari and Liu, "On myopic sensing for
+// multi-channel opportunistic access", IEEE Trans. Wireless Commun. 2008). Each new target still
+// gets a first request.
 
 const (
-	// newTargetShare is the greatest share of the requests that goes to targets that joined.
+	// newTargetShare is the greatest share of the requests that goes to new targets.
 	newTargetShare = 0.25
-	// minCounted is how many requests a rate is told by, or countedTime over which time they
-	// are counted.
+	// minCounted is the number of requests from which their rate is known, countedTime the time
+	// after which it is known in any case.
 	minCounted  = 20
 	countedTime = time.Second
 )
 
-// arrivalRate returns how many first attempts come in a second since this desk has the role, and whether
-// that is known yet. Nodes have desks long before they take it up.
+// arrivalRate returns the rate of first attempts, per second, since this scheduler took up the role of
+// dispatcher, and whether enough of them were counted. Nodes have schedulers long before they take up the
+// role.
 func (d *Desk) arrivalRate(now time.Time) (rate float64, known bool) {
 	d.window.advance(now, d.started, d.budget)
 	firsts, _ := d.window.sums()
@@ -29,15 +30,16 @@
 	return firsts / counted.Seconds(), firsts >= minCounted || counted >= countedTime
 }
 
-// sparse reports whether the requests that come can't reach the floor of the targets within the
-// time that it asks for, however they are spread.
+// sparse reports whether requests are too few to reach the floor of the targets within spreadTime,
+// however they are spread.
 func (d *Desk) sparse(now time.Time) bool {
 	staying := float64(len(d.order) - d.draining)
 	rate, known := d.arrivalRate(now)
 	return known && rate*spreadTime.Seconds() < d.floor*staying
 }
 
-// nextNewTarget returns the target that waits longest for its first request, or nil if none is due.
+// nextNewTarget returns the target that has waited longest for its first request, or nil if none is
+// due.
 func (d *Desk) nextNewTarget(now time.Time, a *Ask) *target {
 	for len(d.newTargets) > 0 {
 		t := d.targets[d.newTargets[0]]
--- a/internal/dispatch/spread.go
+++ b/internal/dispatch/spread.go
@@ -4,45 +4,44 @@
 
 import "time"
 
-// Parameters of the spread of work over targets. The users' floor asks for 70% of
-// the sound targets within 2 s while more than a tenth of the requests fail. Which
-// ones the users take for sound can't be known here, and they may be few: nearly
-// all must get work.
+// Parameters of the spread of work over targets. The users' floor requires that 70% of the working
+// targets get work within 2 s while more than a tenth of the requests fail. Which targets the users
+// count as working is unknown here, and they may be few: nearly all must get work.
 const (
-	// spreadFailureShare is the share of failed requests from which on work is spread.
+	// spreadFailureShare is the share of failed requests from which work is spread.
 	spreadFailureShare = 0.085
-	// spreadMinRequests is how many requests must have ended for a share to count.
+	// spreadMinRequests is the number of ended requests below which the share is not used.
 	spreadMinRequests = 20
-	// spreadTime is within which time a target should get work, failingShare how
-	// many of the targets while many requests fail.
+	// spreadTime is the time within which a target should get work, failingShare the share of the
+	// targets that should while many requests fail.
 	spreadTime   = 1500 * time.Millisecond
 	failingShare = 0.95
-	// repeatableShare is how many get some by requests that can be repeated while few
-	// fail: such a request costs little where the target fails, and what it shows keeps
-	// the others away.
+	// repeatableShare is the share of targets that should get work from repeatable requests while
+	// few fail. Such a request costs little where the target fails, and its result keeps the others
+	// away.
 	repeatableShare = 0.9
-	// trialShare and trialTime are the same by requests that can't be repeated, which
-	// cost more.
+	// trialShare and trialTime are the share and the time for requests that cannot be repeated,
+	// whose failures cost more.
 	trialShare = 0.85
 	trialTime  = 5 * time.Second
-	// spreadWithin is within which time all targets that lack work should get some,
-	// so that they have it before two seconds are over; spreadInterval is the greatest
-	// time between two requests that go to a target for this reason.
+	// spreadWithin is the time within which all targets that lack work should get some, so that they
+	// have it before 2 s are over. spreadInterval is the greatest time between two requests granted
+	// for this reason.
 	spreadWithin   = 200 * time.Millisecond
 	spreadInterval = 100 * time.Millisecond
-	// maxSpreadCrossCost is the greatest cost of bytes between data halls for which a
-	// request is used to spread work while few fail: that of a few KiB.
+	// maxSpreadCrossCost is the greatest cost of bytes between data halls, that of a few KiB, for
+	// which a request is used to spread work while few fail.
 	maxSpreadCrossCost = 0.1
-	// outcomePeriod is how long the two halves of the counts of ends last.
+	// outcomePeriod is the length of each of the two periods over which outcomes are counted.
 	outcomePeriod = time.Second
 )
 
-// outcomes counts how requests ended in the last one to two seconds.
+// outcomes counts request outcomes over the last one to two seconds.
 type outcomes struct {
 	all     [2]int
 	bad     [2]int
 	rotated time.Time
-	// lastSpread is when a request last went to a neglected target.
+	// lastSpread is when a request last went to a starved or new target.
 	lastSpread time.Time
 }
 
@@ -57,8 +56,8 @@
 	}
 }
 
-// record counts a request that was served, or not: refused, failed at its last
-// attempt, or left by its caller.
+// record counts a request that was served or not: refused, failed at its final attempt, or abandoned
+// by its caller.
 func (e *outcomes) record(now time.Time, served bool) {
 	e.advance(now)
 	e.all[0]++
@@ -67,11 +66,11 @@
 	}
 }
 
-// maxRefused bounds the refusals that one ask tells of.
+// maxRefused bounds the refusals that one grant request reports.
 const maxRefused = 1000
 
-// recordRefused counts requests that were refused before a target was asked for: for limits of workspaces,
-// say. Callers whose requests are not served are as many, whatever the reason.
+// recordRefused counts requests that were refused before a target was requested, for example because
+// of workspace limits. Their callers are not served either, so they count like failures.
 func (e *outcomes) recordRefused(now time.Time, n int) {
 	e.advance(now)
 	e.all[0] += n
@@ -85,16 +84,16 @@
 	return all >= spreadMinRequests && float64(bad) >= spreadFailureShare*float64(all)
 }
 
-// spread is how far work is spread: the part of the targets that should have had
-// some within a time. It is calm while few requests fail.
+// spread defines how far work is spread: the share of the targets that should have had work within a
+// time. calm is set while few requests fail.
 type spread struct {
 	share  float64
 	within time.Duration
 	calm   bool
 }
 
-// maxIdle returns within which time a target should get work. One that has answered a
-// trial gets the next one soon.
+// maxIdle returns the longest time that a target should be without work. One that has answered a
+// trial request gets the next one soon.
 func (s spread) maxIdle(t *target) time.Duration {
 	if t.health.Answering() {
 		return min(s.within, spreadTime)
@@ -102,7 +101,7 @@
 	return s.within
 }
 
-// spreadOf returns how far work is spread by an ask.
+// spreadOf returns how far a request may spread work.
 func (d *Desk) spreadOf(now time.Time, a *Ask) spread {
 	switch {
 	case d.outcomes.failing(now):
@@ -125,9 +124,8 @@
 	}
 }
 
-// starved returns a target that got no work for a while, if too many targets are
-// left out: of those the one that is least likely to fail. Beliefs may be wrong, and
-// leaving out what works would overload the rest.
+// starved returns the target least likely to fail among those without recent work, or nil if these
+// are few. Estimates may be wrong, and leaving out working targets would overload the rest.
 func (d *Desk) starved(now time.Time, a *Ask) *target {
 	if a.Again {
 		return nil
--- a/internal/dispatch/status.go
+++ b/internal/dispatch/status.go
@@ -8,29 +8,29 @@
 	"ploverjunction.example/ploverjunction/internal/signal"
 )
 
-// Status describes a desk.
+// Status describes a scheduler.
 type Status struct {
-	// Waiting and InFlight count asks, Slots what all targets can work on.
+	// Waiting and InFlight count requests, Slots the slots of all targets.
 	Waiting  int
 	InFlight int
 	Slots    int
-	// Unlearned counts times of answers that could not be taken in.
+	// Unlearned counts response times that the histograms rejected.
 	Unlearned int
-	// Prior is the part of the time that targets of the service are failing.
+	// Prior is the estimated share of the time in which targets of the service are failing.
 	Prior float64
-	// Enter and Leave are how often, in 1/s, targets begin and end to fail.
+	// Enter and Leave are the rates, in 1/s, at which targets begin and cease to fail.
 	Enter, Leave float64
-	// LostFailing is the share of requests that a failing target doesn't answer.
+	// LostFailing is the share of requests that a failing target does not answer.
 	LostFailing float64
-	// Asked is how many asks came in the window of the retry budget.
+	// Asked is the number of requests in the window of the retry budget.
 	Asked int
-	// RepeatsLeft is how many repeats the retry budget still pays for.
+	// RepeatsLeft is the number of retries that the retry budget still allows.
 	RepeatsLeft float64
-	// Working is the expected number of targets that have worked for some seconds,
-	// Reached how many of them got work lately, Short the probability that these are too
-	// few of them.
+	// Working is the expected number of targets that have worked for some seconds, Reached the
+	// expected number of those with recent work, Short the probability that these are fewer than the
+	// floor requires.
 	Working, Reached, Short float64
-	// Trials counts grants of targets that would have been left out else.
+	// Trials counts the grants made only for the sake of coverage.
 	Trials int
 	// Targets are all targets, in the order of their configuration.
 	Targets []TargetStatus
@@ -39,27 +39,28 @@
 // TargetStatus describes one target.
 type TargetStatus struct {
 	Key string
-	// Failing is the belief that the target is failing, from 0 to 1.
+	// Failing is the estimated probability that the target is failing.
 	Failing  float64
 	InFlight int
 	Slots    int
 	Leaving  bool
-	// Limit is the target's limit, by LimitBy, and LimitAt when the target answered so.
+	// Limit is the target's limit, LimitBy the node that reported it, and LimitAt the time of the
+	// target's answer.
 	Limit   signal.Limit
 	LimitBy string
 	LimitAt time.Time
-	// Granted is how often the target was granted in the last 4 s, for one with a limit.
+	// Granted is the number of grants in the last 4 s, for a target with a limit.
 	Granted int
 }
 
-// Asked returns how many asks came in the window of the retry budget.
+// Asked returns the number of requests in the window of the retry budget.
 func (d *Desk) Asked(now time.Time) int {
 	d.window.advance(now, d.started, d.budget)
 	firsts, repeats := d.window.sums()
 	return int(firsts + repeats)
 }
 
-// Status returns the state of the desk.
+// Status returns the state of the scheduler.
 func (d *Desk) Status(now time.Time) Status {
 	s := Status{
 		Waiting:     len(d.queue.list),
--- a/internal/dispatch/target.go
+++ b/internal/dispatch/target.go
@@ -9,33 +9,33 @@
 	"ploverjunction.example/ploverjunction/internal/health"
 )
 
-// flight is one attempt that was granted.
+// flight is a granted attempt under way.
 type flight struct {
 	begun time.Time
 	until time.Time
-	// previousGrant is when the target had got work before.
+	// previousGrant is the time of the target's grant before this one.
 	previousGrant time.Time
 	// final is set where no other attempt can follow a failure.
 	final bool
-	// paid is the limit that the target named, which paid for the grant; paced is set where any
-	// limit did.
+	// paid is the limit named by the target that paid for the grant; paced is set where any limit
+	// did, a warm-up limit included.
 	paid  TargetLimit
 	paced bool
-	// route is what is known of the request's route, event the number of the attempt
-	// in the target's health.
+	// route holds the response times of the request's route, event the number of the attempt in the
+	// target's health.
 	route *health.Route
 	event uint64
 }
 
-// target is what a desk knows of one target.
+// target is the state of one target.
 type target struct {
 	Target
 	health *health.Target
 	// goneUntil is until when a target that is gone gets no work.
 	goneUntil time.Time
 	warmUntil time.Time
-	// drainingUntil is until when the target leaves by its own word, which any node may have heard;
-	// the zero time means that it said nothing.
+	// drainingUntil is until when the target drains by its own signal, received by any node. It is
+	// zero where there was none.
 	drainingUntil time.Time
 	backoff       backoff
 	limit         limitState
@@ -46,22 +46,21 @@
 	uncovered float64
 }
 
-// goneDuration is how long a target that is gone gets no work; its registration ends
-// meanwhile.
+// goneDuration is how long a target that is gone gets no work; its registration ends meanwhile.
 const goneDuration = 5 * time.Second
 
 const (
-	// drainWithID is how long a target that can't begin another life under its key leaves, by
-	// its own word: longer than any takes to end.
+	// drainWithID is how long a target drains by its own signal if its next incarnation has another
+	// key. It is longer than any shutdown takes.
 	drainWithID = 24 * time.Hour
-	// drainWithoutID is the same for one whose next life has the same key.
+	// drainWithoutID is the same for a target whose next incarnation has the same key.
 	drainWithoutID = time.Minute
 )
 
-// drains reports whether the target takes no new work at now, from any node.
+// drains reports whether the target takes no new work from any node.
 func (t *target) drains(now time.Time) bool { return t.Leaving || now.Before(t.drainingUntil) }
 
-// open reports whether an ask may get the target at now.
+// open reports whether the target may be granted to the request.
 func (t *target) open(now time.Time, a *Ask) bool {
 	return !t.drains(now) && !slices.Contains(a.Closed, t.DataHall) && !slices.Contains(a.Barred, t.Key)
 }
@@ -72,7 +71,7 @@
 	}
 }
 
-// failureProbability returns the probability that the target is failing at now.
+// failureProbability returns the estimated probability that the target is failing.
 func (t *target) failureProbability(now time.Time) float64 {
 	if now.Before(t.goneUntil) {
 		return 1
@@ -80,7 +79,7 @@
 	return t.health.Failing(now)
 }
 
-// lossProbability returns the probability that a request sent at now is not answered well.
+// lossProbability returns the estimated probability that a request sent now is not answered well.
 func (t *target) lossProbability(now time.Time) float64 {
 	if now.Before(t.goneUntil) {
 		return 1
@@ -91,7 +90,8 @@
 // usedRecently reports whether the target got work within spreadTime.
 func (t *target) usedRecently(now time.Time) bool { return now.Sub(t.lastGranted) < spreadTime }
 
-// steady returns the probability that the target counts at now.
+// steady returns the estimated probability that the target has worked for coverSettled and so counts
+// for the floor.
 func (t *target) steady(now time.Time) float64 {
 	if now.Before(t.goneUntil) || t.backoff.active() || t.limit.bounded(now) && t.limit.rate(now, 1)*spreadTime.Seconds() < 1 {
 		return 0
