--- a/internal/dispatch/backoff.go
+++ b/internal/dispatch/backoff.go
@@ -61,7 +61,7 @@
 	if t == nil {
 		return
 	}
-	if f, ok := t.flights[id]; ok && f.begun.Before(t.backoff.since) {
+	if f, ok := t.flights[id]; ok && f.started.Before(t.backoff.since) {
 		// The attempt was under way when another one was refused.
 		return
 	}
--- a/internal/dispatch/desk.go
+++ b/internal/dispatch/desk.go
@@ -290,7 +290,7 @@
 	doubt := t.lossProbability(now)
 	route := d.model.Route(now, a.Route)
 	t.flights[a.ID] = flight{
-		begun:         now,
+		started:       now,
 		until:         a.Deadline.Add(flightSlack),
 		previousGrant: before,
 		final:         a.final(),
--- a/internal/dispatch/end.go
+++ b/internal/dispatch/end.go
@@ -34,7 +34,7 @@
 	if ok && r == ResultUnreached && f.paced {
 		t.limit.pacer.Return()
 	}
-	if ok && r == ResultUnreached && t.lastGranted.Equal(f.begun) {
+	if ok && r == ResultUnreached && t.lastGranted.Equal(f.started) {
 		// Nothing reached the target: it still lacks work.
 		t.lastGranted = f.previousGrant
 		d.lastCoverage = coverage{}
--- a/internal/dispatch/target.go
+++ b/internal/dispatch/target.go
@@ -11,8 +11,8 @@
 
 // flight is a granted attempt under way.
 type flight struct {
-	begun time.Time
-	until time.Time
+	started time.Time
+	until   time.Time
 	// previousGrant is the time of the target's grant before this one.
 	previousGrant time.Time
 	// final is set where no other attempt can follow a failure.
