--- a/internal/dispatch/choose.go
+++ b/internal/dispatch/choose.go
@@ -24,7 +24,7 @@
 
 // best returns the free target that a request should get now, or nil if it should wait.
 func (d *Desk) best(now time.Time, w *waiting, free []*target) *target {
-	t := d.cheapest(now, w.ask, free)
+	t := d.cheapest(now, w.request, free)
 	if t == nil || !d.accepts(now, w, t) {
 		return nil
 	}
@@ -33,7 +33,7 @@
 
 // accepts reports whether a request should take the target now rather than wait for a better one.
 func (d *Desk) accepts(now time.Time, w *waiting, t *target) bool {
-	a := w.ask
+	a := w.request
 	waited := float64(now.Sub(w.since)) / float64(max(d.maxWait(w.since, a), 1))
 	if waited >= 1 {
 		return true
--- a/internal/dispatch/desk.go
+++ b/internal/dispatch/desk.go
@@ -152,7 +152,7 @@
 		return d.grant(now, t, a, true)
 	}
 	w := &waiting{
-		ask:             a,
+		request:         a,
 		since:           now,
 		usualTime:       d.model.Route(now, a.Route).Usual(),
 		minResponseTime: d.minResponseTime(now, a),
--- a/internal/dispatch/queue.go
+++ b/internal/dispatch/queue.go
@@ -9,8 +9,8 @@
 
 // waiting is a queued request.
 type waiting struct {
-	ask   *Ask
-	since time.Time
+	request *Ask
+	since   time.Time
 	// usualTime is the usual response time, margin the time within which nearly all answers come.
 	usualTime time.Duration
 	margin    time.Duration
@@ -30,7 +30,7 @@
 
 func (q *queue) add(w *waiting) {
 	at := len(q.list)
-	for at > 0 && q.list[at-1].ask.Priority > w.ask.Priority {
+	for at > 0 && q.list[at-1].request.Priority > w.request.Priority {
 		at--
 	}
 	q.list = slices.Insert(q.list, at, w)
@@ -40,7 +40,7 @@
 // the sum of the usual response times and the number of requests.
 func (q *queue) ahead(now time.Time, priority int) (sum time.Duration, n int) {
 	for _, w := range q.list {
-		if w.ask.Priority <= priority && q.inTime(now, w) {
+		if w.request.Priority <= priority && q.inTime(now, w) {
 			sum += w.usualTime
 			n++
 		}
@@ -53,29 +53,29 @@
 // are answered too late. A final attempt keeps its place: behind the others it would end at a
 // failing target.
 func (q *queue) inTime(now time.Time, w *waiting) bool {
-	if q.slotsShort && !w.ask.final() {
-		return now.Add(w.margin).Before(w.ask.Aim)
+	if q.slotsShort && !w.request.final() {
+		return now.Add(w.margin).Before(w.request.Aim)
 	}
-	return now.Add(w.usualTime).Before(w.ask.Aim)
+	return now.Add(w.usualTime).Before(w.request.Aim)
 }
 
 func (q *queue) has(id ID) bool {
-	return slices.ContainsFunc(q.list, func(w *waiting) bool { return w.ask.ID == id })
+	return slices.ContainsFunc(q.list, func(w *waiting) bool { return w.request.ID == id })
 }
 
 // updateUnavailable updates the unavailable targets and closed data halls of a waiting request from
 // a repeated one.
 func (q *queue) updateUnavailable(a *Ask) {
 	for _, w := range q.list {
-		if w.ask.ID == a.ID && !(slices.Equal(w.ask.Barred, a.Barred) && slices.Equal(w.ask.Closed, a.Closed)) {
-			w.ask.Barred, w.ask.Closed = a.Barred, a.Closed
+		if w.request.ID == a.ID && !(slices.Equal(w.request.Barred, a.Barred) && slices.Equal(w.request.Closed, a.Closed)) {
+			w.request.Barred, w.request.Closed = a.Barred, a.Closed
 			w.bestCostAt = time.Time{}
 		}
 	}
 }
 
 func (q *queue) drop(id ID) {
-	q.list = slices.DeleteFunc(q.list, func(w *waiting) bool { return w.ask.ID == id })
+	q.list = slices.DeleteFunc(q.list, func(w *waiting) bool { return w.request.ID == id })
 }
 
 // each calls taken for the requests in order and removes those for which it returns true. Requests
@@ -94,11 +94,11 @@
 func (q *queue) expire(now time.Time, overloaded func(*Ask) bool) []Grant {
 	var out []Grant
 	q.list = slices.DeleteFunc(q.list, func(w *waiting) bool {
-		if w.ask.Deadline.Sub(now) >= w.minResponseTime && (q.inTime(now, w) || !overloaded(w.ask)) {
+		if w.request.Deadline.Sub(now) >= w.minResponseTime && (q.inTime(now, w) || !overloaded(w.request)) {
 			return false
 		}
 		out = append(out, Grant{
-			ID:      w.ask.ID,
+			ID:      w.request.ID,
 			Verdict: Refused,
 		})
 		return true
--- a/internal/dispatch/serve.go
+++ b/internal/dispatch/serve.go
@@ -26,7 +26,7 @@
 }
 
 func (q *queue) traits(now time.Time, w *waiting) traits {
-	a := w.ask
+	a := w.request
 	return traits{
 		dataHall:   a.DataHall,
 		route:      a.Route,
@@ -60,16 +60,16 @@
 			}
 			t := d.best(now, w, free)
 			if t == nil {
-				declined[k] = len(w.ask.Tried)+len(w.ask.Barred)+len(w.ask.Closed) == 0
+				declined[k] = len(w.request.Tried)+len(w.request.Barred)+len(w.request.Closed) == 0
 				return false
 			}
-			if near && t.DataHall != w.ask.DataHall {
+			if near && t.DataHall != w.request.DataHall {
 				return false
 			}
 			if k.late {
 				d.lastFreeSlot = now
 			}
-			out = append(out, d.grant(now, t, w.ask, false))
+			out = append(out, d.grant(now, t, w.request, false))
 			if len(t.flights) >= d.slots(now, t) {
 				free = slices.DeleteFunc(free, func(o *target) bool { return o == t })
 			}
@@ -109,7 +109,7 @@
 		}
 		declined := map[traits]bool{}
 		d.queue.each(now, func(w *waiting) bool {
-			a := w.ask
+			a := w.request
 			k := d.queue.traits(now, w)
 			if len(t.flights) >= d.slots(now, t) || near && t.DataHall != a.DataHall ||
 				slices.Contains(a.Tried, t.Key) || !t.open(now, a) || declined[k] {
