--- a/internal/dispatch/serve.go
+++ b/internal/dispatch/serve.go
@@ -17,7 +17,7 @@
 	dataHall   string
 	route      string
 	repeatable bool
-	again      bool
+	retry      bool
 	kilobytes  int
 	// barred is set where some targets are unavailable to the request.
 	barred bool
@@ -31,7 +31,7 @@
 		dataHall:   a.DataHall,
 		route:      a.Route,
 		repeatable: a.Repeatable,
-		again:      a.Again,
+		retry:      a.Again,
 		kilobytes:  a.Kilobytes,
 		barred:     len(a.Barred)+len(a.Closed) > 0,
 		late:       !q.inTime(now, w),
