--- a/internal/dispatch/serve.go
+++ b/internal/dispatch/serve.go
@@ -19,8 +19,8 @@
 	repeatable bool
 	retry      bool
 	kilobytes  int
-	// barred is set where some targets are unavailable to the request.
-	barred bool
+	// restricted is set where some targets are unavailable to the request.
+	restricted bool
 	// late is set where the request cannot be answered by its soft deadline any more.
 	late bool
 }
@@ -33,7 +33,7 @@
 		repeatable: a.Repeatable,
 		retry:      a.Again,
 		kilobytes:  a.Kilobytes,
-		barred:     len(a.Barred)+len(a.Closed) > 0,
+		restricted: len(a.Barred)+len(a.Closed) > 0,
 		late:       !q.inTime(now, w),
 	}
 }
@@ -116,7 +116,7 @@
 				return false
 			}
 			if !d.accepts(now, w, t) {
-				declined[k] = !k.barred
+				declined[k] = !k.restricted
 				return false
 			}
 			if k.late {
