--- a/internal/dispatch/barred.go
+++ b/internal/dispatch/barred.go
@@ -10,16 +10,16 @@
 	if len(a.Barred)+len(a.Closed) == 0 {
 		return false
 	}
-	stay := 0
+	staying := 0
 	for _, t := range d.order {
 		if t.open(now, a) {
 			return false
 		}
 		if !t.drains(now) {
-			stay++
+			staying++
 		}
 	}
-	return stay > 0
+	return staying > 0
 }
 
 // renew updates the unavailable targets of a waiting request from a repeated one.
