--- a/internal/dispatch/budget.go
+++ b/internal/dispatch/budget.go
@@ -43,8 +43,8 @@
 }
 
 // advance drops the buckets that have left the window.
-func (w *window) advance(now time.Time, begun time.Time, b Budget) {
-	bucket := int64(now.Sub(begun) / (b.Window / windowBuckets))
+func (w *window) advance(now time.Time, started time.Time, b Budget) {
+	bucket := int64(now.Sub(started) / (b.Window / windowBuckets))
 	for w.bucket < bucket {
 		w.bucket++
 		w.firsts[w.bucket%windowBuckets] = 0
