--- a/internal/dispatch/budget.go
+++ b/internal/dispatch/budget.go
@@ -59,12 +59,12 @@
 func (w *window) addRetry(n float64) { w.retries[w.bucket%windowBuckets] += n }
 
 // sums returns the first attempts and the retries in the window.
-func (w *window) sums() (firsts, repeats float64) {
+func (w *window) sums() (firsts, retries float64) {
 	for i := range w.firsts {
 		firsts += w.firsts[i]
-		repeats += w.retries[i]
+		retries += w.retries[i]
 	}
-	return firsts, repeats
+	return firsts, retries
 }
 
 // allowed returns the retries that the budget allows in the window and those spent. share is the
