--- a/internal/dispatch/budget.go
+++ b/internal/dispatch/budget.go
@@ -72,6 +72,6 @@
 func (w *window) allowed(now time.Time, b Budget, share float64) (all, spent float64) {
 	// The previous dispatcher may have spent what the window allows.
 	share *= min(now.Sub(w.since).Seconds()/b.Window.Seconds(), 1)
-	firsts, repeats := w.sums()
-	return usableShare*b.Share*firsts + usableReserve*b.Reserve*share, repeats
+	firsts, retries := w.sums()
+	return usableShare*b.Share*firsts + usableReserve*b.Reserve*share, retries
 }
