--- a/internal/dispatch/desk.go
+++ b/internal/dispatch/desk.go
@@ -287,7 +287,7 @@
 	t.limit.take(now, d.limitShare)
 	before := t.lastGranted
 	t.lastGranted = now
-	doubt := t.lossProbability(now)
+	lossProbability := t.lossProbability(now)
 	route := d.model.Route(now, a.Route)
 	t.flights[a.ID] = flight{
 		started:       now,
@@ -310,7 +310,7 @@
 		Target:  t.Key,
 
 		HedgeAfter: route.Within(hedgeQuantile),
-		Doubt:      doubt,
+		Doubt:      lossProbability,
 		Trial:      trial,
 		Limit:      t.limit.Limit,
 		LimitAt:    t.limit.at,
