--- a/internal/dispatch/hedge.go
+++ b/internal/dispatch/hedge.go
@@ -21,11 +21,11 @@
 // surer it must be that the first attempt gets no answer.
 func (d *Desk) allowsHedge(now time.Time, a *Ask) bool {
 	d.window.advance(now, d.started, d.budget)
-	all, repeats := d.retries(now, 1)
+	all, retries := d.retries(now, 1)
 	if all < 1 || a.Age <= 0 || d.infeasible(now, a) {
 		return false
 	}
-	spent := repeats / all
+	spent := retries / all
 	price := min(max((spent-hedgeFree)/(1-hedgeReserve-hedgeFree), 0), 1)
 	return spent < 1-hedgeReserve && d.silenceProbability(now, a) >= hedgeMinSilence+price*(hedgeMaxSilence-hedgeMinSilence)
 }
