--- a/internal/dispatch/ledger.go
+++ b/internal/dispatch/ledger.go
@@ -49,12 +49,12 @@
 	var s Spending
 	for name, w := range l.windows {
 		w.advance(now, l.started, l.budget)
-		firsts, repeats := w.sums()
-		if firsts == 0 && repeats == 0 {
+		firsts, retries := w.sums()
+		if firsts == 0 && retries == 0 {
 			delete(l.windows, name)
 		} else if name != dispatcher {
 			s.Firsts += int(firsts)
-			s.Repeats += int(repeats)
+			s.Repeats += int(retries)
 		}
 	}
 	return s
