--- a/internal/dispatch/ledger.go
+++ b/internal/dispatch/ledger.go
@@ -82,14 +82,14 @@
 }
 
 // sums returns the first attempts and the retries that other dispatchers granted in the window.
-func (e remoteGrants) sums(now time.Time, b Budget) (firsts, repeats float64) {
+func (e remoteGrants) sums(now time.Time, b Budget) (firsts, retries float64) {
 	for node, t := range e {
 		if now.Sub(t.at) > b.Window {
 			delete(e, node)
 			continue
 		}
 		firsts += float64(t.Firsts)
-		repeats += float64(t.Repeats)
+		retries += float64(t.Repeats)
 	}
-	return firsts, repeats
+	return firsts, retries
 }
