--- a/internal/dispatch/pay.go
+++ b/internal/dispatch/pay.go
@@ -25,9 +25,9 @@
 // retries returns the retries that the budget allows in the window and those spent, remote grants
 // included. share is the usable share of the reserve.
 func (d *Desk) retries(now time.Time, share float64) (all, spent float64) {
-	firsts, repeats := d.remote.sums(now, d.budget)
+	firsts, retries := d.remote.sums(now, d.budget)
 	all, spent = d.window.allowed(now, d.budget, share)
-	return all + usableShare*d.budget.Share*firsts, spent + repeats
+	return all + usableShare*d.budget.Share*firsts, spent + retries
 }
 
 // retriesLeft returns the retries that the budget still allows.
