--- a/internal/dispatch/serve.go
+++ b/internal/dispatch/serve.go
@@ -43,8 +43,8 @@
 func (d *Desk) serve(now time.Time) []Grant {
 	out := d.expire(now)
 	defer func() { d.updateFreeSlot(now, d.free(now)) }()
-	looks := d.examined
-	defer func() { d.nextServe = now.Add(servePause * time.Duration(d.examined-looks)) }()
+	examinedBefore := d.examined
+	defer func() { d.nextServe = now.Add(servePause * time.Duration(d.examined-examinedBefore)) }()
 	for _, near := range [...]bool{true, false} {
 		if len(d.queue.list) == 0 {
 			break
