--- a/internal/dispatch/status.go
+++ b/internal/dispatch/status.go
@@ -56,8 +56,8 @@
 // Asked returns the number of requests in the window of the retry budget.
 func (d *Desk) Asked(now time.Time) int {
 	d.window.advance(now, d.started, d.budget)
-	firsts, repeats := d.window.sums()
-	return int(firsts + repeats)
+	firsts, retries := d.window.sums()
+	return int(firsts + retries)
 }
 
 // Status returns the state of the scheduler.
