--- a/internal/dispatch/coverage.go
+++ b/internal/dispatch/coverage.go
@@ -92,8 +92,8 @@
 	d.window.advance(now, d.started, d.budget)
 	own, _ := d.window.sums()
 	others, _ := d.remote.sums(now, d.budget)
-	come := (own + others) * spreadTime.Seconds() / d.budget.Window.Seconds()
-	return min(max(come/max(d.floor*working, 1)-1, 0), 1)
+	arrivals := (own + others) * spreadTime.Seconds() / d.budget.Window.Seconds()
+	return min(max(arrivals/max(d.floor*working, 1)-1, 0), 1)
 }
 
 // coverageGain returns the value of granting the target for the coverage: the price, weighted by the
