--- a/internal/dispatch/backoff_test.go
+++ b/internal/dispatch/backoff_test.go
@@ -86,7 +86,7 @@
 
 // A target that asks for rest isn't held to fail, and works again at once after it.
 func TestRestIsNoFailure(t *testing.T) {
-	d := newDesk(pool(2)...)
+	d := newScheduler(pool(2)...)
 	now := start
 	for n := uint64(0); ; n++ {
 		g := d.Ask(now, newRequest(now, n))
--- a/internal/dispatch/barred_test.go
+++ b/internal/dispatch/barred_test.go
@@ -51,7 +51,7 @@
 			for i := range list {
 				list[i].Named = true
 			}
-			d := newDesk(list...)
+			d := newScheduler(list...)
 			tt.tell(d)
 			now := start
 			for n := range uint64(200) {
@@ -94,7 +94,7 @@
 
 // A target without an ID has the same key in its next life: a word of leaving ends.
 func TestWordOfLeavingWithoutAnID(t *testing.T) {
-	d := newDesk(pool(2)...)
+	d := newScheduler(pool(2)...)
 	d.MarkDraining(start, "t0")
 	if got := grantCounts(d, start.Add(50*time.Second), 100)["t0"]; got != 0 {
 		t.Errorf("%d requests while it leaves", got)
@@ -121,7 +121,7 @@
 
 func simulateUnavailable(t *testing.T, rng *rand.Rand) {
 	const targets, asks = 8, 400
-	d := newDesk(pool(targets)...)
+	d := newScheduler(pool(targets)...)
 	open := map[uint64]*dispatch.Ask{}
 	running := map[uint64]string{}
 	now := start
@@ -178,7 +178,7 @@
 // Where all targets that stay are barred for a node its asks are refused at once, also those
 // that wait; other nodes' asks are served.
 func TestAllBarred(t *testing.T) {
-	d := newDesk(pool(2)...)
+	d := newScheduler(pool(2)...)
 	bars := func(n uint64) *dispatch.Ask {
 		a := newRequest(start, n)
 		a.Barred = []string{"t0", "t1"}
--- a/internal/dispatch/bench_test.go
+++ b/internal/dispatch/bench_test.go
@@ -15,7 +15,7 @@
 func BenchmarkAsk(b *testing.B) {
 	for _, targets := range []int{15, 170, 500} {
 		b.Run(fmt.Sprint(targets), func(b *testing.B) {
-			d := newDesk(pool(targets)...)
+			d := newScheduler(pool(targets)...)
 			now := start
 			running := make([]dispatch.Grant, targets)
 			step := usualTime / time.Duration(targets)
--- a/internal/dispatch/budget_test.go
+++ b/internal/dispatch/budget_test.go
@@ -13,7 +13,7 @@
 
 // Whatever fails, repeats stay within the share and the reserve.
 func TestRepeatsStayWithinTheBudget(t *testing.T) {
-	d := newDesk(pool(20)...)
+	d := newScheduler(pool(20)...)
 	now := start
 	firsts, repeats := 0, 0
 	for n := range uint64(400) {
@@ -37,7 +37,7 @@
 
 // Second attempts of slow requests must leave repeats for those that failed.
 func TestHedgesLeaveTheBudgetToFailures(t *testing.T) {
-	d := newDesk(pool(20)...)
+	d := newScheduler(pool(20)...)
 	now := start
 	// The reserve grows with the time for which a node has the role.
 	for n := range uint64(25) {
--- a/internal/dispatch/coverage_test.go
+++ b/internal/dispatch/coverage_test.go
@@ -188,7 +188,7 @@
 		targets[i].DataHall = "b"
 	}
 	targets[0].DataHall, targets[1].DataHall = "a", "a"
-	d := newDesk(targets...)
+	d := newScheduler(targets...)
 	for n := range uint64(60) {
 		now := start.Add(time.Duration(n) * 500 * time.Millisecond)
 		a := newRequest(now, n)
--- a/internal/dispatch/desk_test.go
+++ b/internal/dispatch/desk_test.go
@@ -14,7 +14,7 @@
 // start is when all desks of these tests begin.
 var start = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-func newDesk(targets ...dispatch.Target) *dispatch.Desk {
+func newScheduler(targets ...dispatch.Target) *dispatch.Desk {
 	d := dispatch.NewDesk(start, dispatch.Budget{
 		Share:   0.2,
 		Reserve: 50,
@@ -69,7 +69,7 @@
 }
 
 func ExampleDesk_Ask() {
-	d := newDesk(dispatch.Target{
+	d := newScheduler(dispatch.Target{
 		Key:   "only",
 		Slots: 1,
 	})
@@ -93,7 +93,7 @@
 func TestSlotsAreNeverExceeded(t *testing.T) {
 	for seed := range uint64(20) {
 		rng := rand.New(rand.NewPCG(seed, 0))
-		d := newDesk(pool(5)...)
+		d := newScheduler(pool(5)...)
 		busy := map[string]int{}
 		running := map[uint64]string{}
 		answers := map[uint64]int{}
@@ -141,7 +141,7 @@
 // One quick failure is enough to send what can't be repeated elsewhere, and the
 // target gets work again after some seconds.
 func TestFailureIsAvoidedAtOnceAndForgotten(t *testing.T) {
-	d := newDesk(pool(6)...)
+	d := newScheduler(pool(6)...)
 	first := d.Ask(start, newRequest(start, 1))
 	d.Done(start.Add(3*time.Millisecond), first.ID, first.Target, dispatch.ResultBad, 3*time.Millisecond)
 	used := func(from time.Time, n uint64) int {
@@ -160,7 +160,7 @@
 		t.Errorf("%d of 100 requests went to the target that had just failed", hits)
 	}
 	// In the other data hall and unproved, it needs the load of the others.
-	d = newDesk(pool(1)...)
+	d = newScheduler(pool(1)...)
 	d.Ask(start, newRequest(start, 1))
 	d.Done(start, dispatch.ID{
 		Node:   "n",
@@ -175,7 +175,7 @@
 // While a target that isn't failing is busy, what can't be repeated waits for it
 // and does not go to one that is failing and therefore free.
 func TestWaitsForATargetThatIsNotFailing(t *testing.T) {
-	d := newDesk(goodAndBad(3)...)
+	d := newScheduler(goodAndBad(3)...)
 	d.Note(start, "bad", "", dispatch.ResultBad, time.Millisecond)
 	d.Note(start, "bad", "", dispatch.ResultBad, time.Millisecond)
 	if g := d.Ask(start, newRequest(start, 1)); g.Target != "good" {
@@ -196,7 +196,7 @@
 // The last attempt of something that can be repeated waits for a target that isn't
 // failing as well: after it the request is lost.
 func TestLastAttemptWaitsForATargetThatIsNotFailing(t *testing.T) {
-	d := newDesk(goodAndBad(3)...)
+	d := newScheduler(goodAndBad(3)...)
 	// The retry budget must have something to give.
 	first := d.Ask(start, newRequest(start, 1))
 	d.Done(start, first.ID, first.Target, dispatch.ResultGood, time.Millisecond)
@@ -220,7 +220,7 @@
 
 // A datagram that arrives twice must not take a slot again after the attempt ended.
 func TestAskThatEndedIsNotOpenedAgain(t *testing.T) {
-	d := newDesk(pool(1)...)
+	d := newScheduler(pool(1)...)
 	g := d.Ask(start, newRequest(start, 1))
 	d.Done(start, g.ID, g.Target, dispatch.ResultGood, time.Millisecond)
 	d.Ask(start.Add(time.Millisecond), newRequest(start, 1))
@@ -240,7 +240,7 @@
 		dispatch.ResultGone,
 	}
 	for _, r := range results {
-		d := newDesk(pool(1)...)
+		d := newScheduler(pool(1)...)
 		g := d.Ask(start, newRequest(start, 1))
 		d.Done(start, g.ID, g.Target, r, time.Millisecond)
 		if s := d.Status(start); s.InFlight != 0 {
@@ -251,7 +251,7 @@
 
 // An attempt whose end is never told holds its slot only until its deadline.
 func TestLostEndFreesTheSlotAtTheDeadline(t *testing.T) {
-	d := newDesk(dispatch.Target{
+	d := newScheduler(dispatch.Target{
 		Key:   "only",
 		Slots: 1,
 	})
@@ -266,7 +266,7 @@
 
 // Under overload asks that can be answered in time go before those that can't.
 func TestInTimeGoesFirst(t *testing.T) {
-	d := newDesk(dispatch.Target{
+	d := newScheduler(dispatch.Target{
 		Key:   "only",
 		Slots: 1,
 	})
@@ -287,7 +287,7 @@
 
 // Under overload the more urgent goes first.
 func TestPriorityGoesFirst(t *testing.T) {
-	d := newDesk(dispatch.Target{
+	d := newScheduler(dispatch.Target{
 		Key:   "only",
 		Slots: 1,
 	})
@@ -307,7 +307,7 @@
 
 // A target that joins gets work though others have proved themselves.
 func TestTargetThatJoinsGetsWork(t *testing.T) {
-	d := newDesk(pool(4)...)
+	d := newScheduler(pool(4)...)
 	d.Configure(start, append(pool(4), dispatch.Target{
 		Key:      "new",
 		DataHall: "a",
@@ -333,7 +333,7 @@
 
 // Large answers stay in their data hall as long as a target there works.
 func TestLargeAnswersStayInTheDataHall(t *testing.T) {
-	d := newDesk(pool(4)...)
+	d := newScheduler(pool(4)...)
 	for n := range uint64(6) {
 		a := newRequest(start, n)
 		a.Repeatable, a.Kilobytes = true, 90
@@ -346,7 +346,7 @@
 
 // A node that reaches no dispatcher gets a target whatever it knows of slots.
 func TestAloneNeverWaits(t *testing.T) {
-	d := newDesk(pool(1)...)
+	d := newScheduler(pool(1)...)
 	for n := range uint64(10) {
 		if g := d.AskAlone(start, newRequest(start, n), 0.1); g.Verdict != dispatch.Granted {
 			t.Fatalf("ask %d: %v", n, g.Verdict)
@@ -356,7 +356,7 @@
 
 // Leaving targets get nothing, not even alone.
 func TestLeavingTargetGetsNothing(t *testing.T) {
-	d := newDesk(dispatch.Target{
+	d := newScheduler(dispatch.Target{
 		Key:     "leaving",
 		Slots:   3,
 		Leaving: true,
--- a/internal/dispatch/divide_test.go
+++ b/internal/dispatch/divide_test.go
@@ -82,7 +82,7 @@
 // An ask that can be passed on leaves no trace at a desk without a free target: not in the
 // queue, not in the retry budget, not among the refusals.
 func TestPassingAskLeavesNoTrace(t *testing.T) {
-	d := newDesk(dispatch.Target{
+	d := newScheduler(dispatch.Target{
 		Key:      "only",
 		DataHall: "a",
 		Slots:    1,
--- a/internal/dispatch/hedge_test.go
+++ b/internal/dispatch/hedge_test.go
@@ -15,7 +15,7 @@
 // newTrainedDesk returns a desk of targets that have answered for some time, and when
 // that was. All their answers took between half the usual time and one and a half.
 func newTrainedDesk(targets ...dispatch.Target) (*dispatch.Desk, time.Time) {
-	d := newDesk(targets...)
+	d := newScheduler(targets...)
 	now := start
 	for n := range uint64(400) {
 		now = now.Add(30 * time.Millisecond)
--- a/internal/dispatch/limit_test.go
+++ b/internal/dispatch/limit_test.go
@@ -122,7 +122,7 @@
 func TestLimitIsUsedAndKept(t *testing.T) {
 	for _, rate := range []float64{0.5, 1.6, 2.6, 10, 50} {
 		t.Run(fmt.Sprint(rate), func(t *testing.T) {
-			d := newDesk(pool(3)...)
+			d := newScheduler(pool(3)...)
 			p := newLimitSimulation(d)
 			p.run(100, 2*time.Second)
 			d.Observe(p.now, "n", limitOf("t0", rate, p.now))
@@ -142,7 +142,7 @@
 
 // What is saved up while nothing comes is no burst afterwards.
 func TestLimitSavesNothingUp(t *testing.T) {
-	d := newDesk(pool(1)...)
+	d := newScheduler(pool(1)...)
 	p := newLimitSimulation(d)
 	d.Observe(p.now, "n", limitOf("t0", 2.6, p.now))
 	p.run(0, 30*time.Second)
@@ -155,7 +155,7 @@
 // A dispatcher that hears of a limit for the first time may not be the only one that granted the
 // target.
 func TestLimitOfANewDispatcherBeginsEmpty(t *testing.T) {
-	d := newDesk(pool(1)...)
+	d := newScheduler(pool(1)...)
 	a := newRequest(start, 1)
 	a.Limits = []dispatch.TargetLimit{
 		limitOf("t0", 2, start.Add(-10*time.Second)),
@@ -205,7 +205,7 @@
 			told: limitOf("t0", 4, at(3)),
 		},
 	}
-	d := newDesk(pool(1)...)
+	d := newScheduler(pool(1)...)
 	for _, s := range steps {
 		d.Observe(at(10), "n", s.told)
 		if got := d.Status(at(10)).Targets[0].Limit; got != s.want {
@@ -220,7 +220,7 @@
 // A target that accepts nothing is asked now and then, for only an answer tells that it accepts
 // more.
 func TestLimitOfZero(t *testing.T) {
-	d := newDesk(pool(2)...)
+	d := newScheduler(pool(2)...)
 	p := newLimitSimulation(d)
 	d.Observe(p.now, "n", limitOf("t0", 0, p.now))
 	p.run(40, 60*time.Second)
@@ -231,7 +231,7 @@
 
 // A limit isn't held against the health of its target, nor is what it turns away beyond it.
 func TestLimitIsNoEvidence(t *testing.T) {
-	d := newDesk(pool(2)...)
+	d := newScheduler(pool(2)...)
 	p := newLimitSimulation(d)
 	p.run(40, 5*time.Second)
 	d.Observe(p.now, "n", limitOf("t0", 1, p.now))
@@ -252,7 +252,7 @@
 
 // Once its limit is lifted a target doesn't get at once what waited for it.
 func TestNoHerdWhenALimitIsLifted(t *testing.T) {
-	d := newDesk(dispatch.Target{
+	d := newScheduler(dispatch.Target{
 		Key:   "t0",
 		Slots: 20,
 	})
@@ -270,7 +270,7 @@
 
 // Where no connection to the target came about, the limit is paid back.
 func TestUnreachedTargetsArePaidBack(t *testing.T) {
-	d := newDesk(pool(1)...)
+	d := newScheduler(pool(1)...)
 	d.Observe(start, "n", limitOf("t0", 1, start))
 	now := start.Add(time.Second)
 	if g := d.Ask(now, newRequest(now, 1)); g.Verdict != dispatch.Granted {
@@ -286,7 +286,7 @@
 // until what waits is served, and the limits are used.
 func TestLimitsAreCapacity(t *testing.T) {
 	const rate, length = 2.0, 30 * time.Second
-	d := newDesk(pool(3)...)
+	d := newScheduler(pool(3)...)
 	p := newLimitSimulation(d)
 	p.run(60, 2*time.Second)
 	for i := range 3 {
@@ -321,7 +321,7 @@
 // A service whose only target accepts a request each ten seconds holds none for a grant that comes
 // after its caller's time.
 func TestLimitBelowCallersPatience(t *testing.T) {
-	d := newDesk(pool(1)...)
+	d := newScheduler(pool(1)...)
 	d.Observe(start, "n", limitOf("t0", 0.1, start))
 	g := d.Ask(start, newRequest(start, 1))
 	if g.Verdict != dispatch.Refused || g.RetryAfter < 7*time.Second || g.RetryAfter > 13*time.Second {
@@ -331,7 +331,7 @@
 
 // Whoever asks is told of limits that it doesn't name, and of those lifted that it does.
 func TestLimitsAreTold(t *testing.T) {
-	d := newDesk(pool(3)...)
+	d := newScheduler(pool(3)...)
 	d.Observe(start, "n", limitOf("t0", 2, start))
 	d.Observe(start, "n", limitOf("t1", 3, start))
 	d.Observe(start, "n", lifted("t1", start.Add(time.Second)))
@@ -353,7 +353,7 @@
 // Of more limits than fit into a message all are told after some asks.
 func TestManyLimitsAreToldByTurns(t *testing.T) {
 	const targets = 30
-	d := newDesk(pool(targets)...)
+	d := newScheduler(pool(targets)...)
 	for i := range targets {
 		d.Observe(start, "n", limitOf(fmt.Sprintf("t%d", i), 2, start))
 	}
@@ -375,7 +375,7 @@
 // A grant whose answer was lost is told again as it was: a limit that became known meanwhile didn't
 // pay for it.
 func TestRepeatedGrantIsNotPaidFor(t *testing.T) {
-	d := newDesk(pool(1)...)
+	d := newScheduler(pool(1)...)
 	if g := d.Ask(start, newRequest(start, 1)); g.Verdict != dispatch.Granted || g.Limit.Set {
 		t.Fatalf("%+v", g)
 	}
--- a/internal/dispatch/serve_test.go
+++ b/internal/dispatch/serve_test.go
@@ -18,7 +18,7 @@
 	for i := range list {
 		list[i].DataHall = "a"
 	}
-	d := newDesk(list...)
+	d := newScheduler(list...)
 	var running []dispatch.Grant
 	for n := uint64(1); waiting > 0; n++ {
 		a := newRequest(now, n)
--- a/internal/dispatch/sparse_test.go
+++ b/internal/dispatch/sparse_test.go
@@ -267,7 +267,7 @@
 // Guards against a dispatcher that takes up its role, has counted few requests so far and leaves targets out.
 func TestNewDispatcherOfABusyServiceSpreadsWork(t *testing.T) {
 	const targets = 88
-	d := newDesk(pool(targets)...)
+	d := newScheduler(pool(targets)...)
 	d.Keep(floorShare)
 	for i := range targets {
 		d.Note(start, fmt.Sprintf("t%d", i), "", dispatch.ResultGood, 300*time.Millisecond)
--- a/internal/dispatch/spread_test.go
+++ b/internal/dispatch/spread_test.go
@@ -25,7 +25,7 @@
 // All targets that work share it, also after a time in which many failed and few
 // requests come: to prefer those that worked last would leave the others out.
 func TestTargetsThatWorkShareIt(t *testing.T) {
-	d := newDesk(pool(20)...)
+	d := newScheduler(pool(20)...)
 	last := map[string]time.Time{}
 	running := map[uint64]dispatch.Grant{}
 	now := start
@@ -57,7 +57,7 @@
 // While many requests fail, no target that takes work is left out for long: others
 // would have to carry its share.
 func TestEveryTargetGetsWorkWhileManyRequestsFail(t *testing.T) {
-	d := newDesk(pool(9)...)
+	d := newScheduler(pool(9)...)
 	last := map[string]time.Time{}
 	now := start
 	for n := range uint64(600) {
@@ -89,7 +89,7 @@
 // repeated, also those that failed some seconds ago.
 func TestTargetsComeBackToALargeService(t *testing.T) {
 	const targets = 100
-	d := newDesk(pool(targets)...)
+	d := newScheduler(pool(targets)...)
 	for i := range 40 {
 		for range 2 {
 			d.Note(start, fmt.Sprintf("t%d", i), "", dispatch.ResultBad, time.Millisecond)
@@ -115,7 +115,7 @@
 // Requests whose callers leave while their first attempt goes on are not served
 // either: work is spread when there are many of them.
 func TestCallersThatLeaveSpreadWork(t *testing.T) {
-	d := newDesk(pool(9)...)
+	d := newScheduler(pool(9)...)
 	last := map[string]time.Time{}
 	now := start
 	for n := range uint64(600) {
@@ -156,7 +156,7 @@
 		farMost = 9
 	)
 	for _, leave := range []bool{false, true} {
-		d := newDesk(pool(targets)...)
+		d := newScheduler(pool(targets)...)
 		last := map[string]time.Time{}
 		now, crossed, least := start, 0, targets
 		for n := range uint64(400) {
@@ -194,7 +194,7 @@
 		targets = 100
 		failing = 30
 	)
-	d := newDesk(pool(targets)...)
+	d := newScheduler(pool(targets)...)
 	rng := rand.New(rand.NewPCG(3, 4))
 	last := map[string]time.Time{}
 	for n := range uint64(3200) {
@@ -225,7 +225,7 @@
 // Guards against targets left out while limits of workspaces have many requests refused, none of which a dispatcher sees.
 func TestRequestsRefusedForLimitsSpreadWork(t *testing.T) {
 	const targets = 40
-	d := newDesk(pool(targets)...)
+	d := newScheduler(pool(targets)...)
 	d.Keep(0)
 	last := map[string]time.Time{}
 	for n := range uint64(2000) {
--- a/internal/dispatch/warmup_test.go
+++ b/internal/dispatch/warmup_test.go
@@ -80,12 +80,12 @@
 	}{
 		{
 			name: "known so from the start",
-			desk: func() *dispatch.Desk { return newDesk(warmingTargets(2, left)...) },
+			desk: func() *dispatch.Desk { return newScheduler(warmingTargets(2, left)...) },
 		},
 		{
 			name: "cold again",
 			desk: func() *dispatch.Desk {
-				d := newDesk(pool(2)...)
+				d := newScheduler(pool(2)...)
 				d.Change(start, warmingTargets(2, left), nil)
 				return d
 			},
@@ -93,7 +93,7 @@
 		{
 			name: "a third joins",
 			desk: func() *dispatch.Desk {
-				d := newDesk(warmingTargets(2, left)...)
+				d := newScheduler(warmingTargets(2, left)...)
 				d.Change(start, append(warmingTargets(3, left)[2:], warmingTargets(2, left)...), nil)
 				return d
 			},
@@ -101,7 +101,7 @@
 		{
 			name: "the rest is told as it shrinks",
 			desk: func() *dispatch.Desk {
-				d := newDesk(warmingTargets(2, left+time.Second)...)
+				d := newScheduler(warmingTargets(2, left+time.Second)...)
 				d.Change(start, warmingTargets(2, left), nil)
 				return d
 			},
@@ -129,7 +129,7 @@
 // Guards against callers who wait for targets that are all cold and can't serve them.
 func TestColdServiceRefusesAtOnce(t *testing.T) {
 	const targets, asks = 4, 600
-	d := newDesk(warmingTargets(targets, 10*time.Second)...)
+	d := newScheduler(warmingTargets(targets, 10*time.Second)...)
 	refused := 0
 	for n := range uint64(asks) {
 		now := start.Add(time.Duration(n) * 2 * time.Millisecond)
