--- a/internal/dispatch/choose_test.go
+++ b/internal/dispatch/choose_test.go
@@ -28,7 +28,7 @@
 // A request of some KiB waits some milliseconds for a slot in its own data hall
 // before it goes to another one.
 func TestWaitsForItsOwnDataHall(t *testing.T) {
-	d, now := newTrainedDesk(twoHalls()...)
+	d, now := newTrainedScheduler(twoHalls()...)
 	d.Ask(now, newRequest(now, 1))
 	a := newRequest(now, 2)
 	a.Kilobytes = 5
@@ -44,7 +44,7 @@
 // A slot that becomes free goes to a request of its own data hall, though another
 // one has waited longer.
 func TestSlotGoesToItsOwnDataHall(t *testing.T) {
-	d, now := newTrainedDesk(twoHalls()...)
+	d, now := newTrainedScheduler(twoHalls()...)
 	var far dispatch.Grant
 	for n, hall := range []string{"b", "a", "a", "b"} {
 		a := newRequest(now, uint64(n+1))
@@ -63,7 +63,7 @@
 // Where nothing can be repeated, a target that failed is tried again after some
 // seconds, though the others have free slots.
 func TestTargetIsTriedAgainWhereNothingCanBeRepeated(t *testing.T) {
-	d, now := newTrainedDesk(pool(6)...)
+	d, now := newTrainedScheduler(pool(6)...)
 	for range 3 {
 		d.Note(now, "t0", "", dispatch.ResultBad, time.Millisecond)
 	}
@@ -85,7 +85,7 @@
 // Targets are tried by what can be repeated; large answers don't cross data halls for
 // it.
 func TestTrialsOfLargeAnswersStayInTheDataHall(t *testing.T) {
-	d, now := newTrainedDesk(pool(6)...)
+	d, now := newTrainedScheduler(pool(6)...)
 	for range 3 {
 		d.Note(now, "t1", "", dispatch.ResultBad, time.Millisecond)
 	}
@@ -111,7 +111,7 @@
 // The slots of failing targets don't count in what a queue can be served with: what
 // would wait too long is refused at once and told when to come back.
 func TestFailingTargetsServeNoQueue(t *testing.T) {
-	d, now := newTrainedDesk(goodAndBad(2)...)
+	d, now := newTrainedScheduler(goodAndBad(2)...)
 	for range 4 {
 		d.Note(now, "bad", "", dispatch.ResultBad, time.Millisecond)
 	}
--- a/internal/dispatch/coverage_test.go
+++ b/internal/dispatch/coverage_test.go
@@ -101,7 +101,7 @@
 // The status of a desk tells when targets that may work again get nothing: first
 // they surely fail and count for nothing, later they are missed.
 func TestStatusTellsOfMissedTargets(t *testing.T) {
-	d, now := newTrainedDesk(pool(6)...)
+	d, now := newTrainedScheduler(pool(6)...)
 	for _, key := range []string{"t0", "t1", "t2"} {
 		for range 3 {
 			d.Note(now, key, "", dispatch.ResultBad, time.Millisecond)
@@ -125,7 +125,7 @@
 // target lacks.
 func TestUnreachedTargetStillLacksWork(t *testing.T) {
 	for _, unreached := range []bool{false, true} {
-		d, now := newTrainedDesk(pool(3)...)
+		d, now := newTrainedScheduler(pool(3)...)
 		now = now.Add(3 * time.Second)
 		for _, key := range []string{"t1", "t2"} {
 			d.Note(now, key, "", dispatch.ResultGood, usualTime)
@@ -150,7 +150,7 @@
 // Nor does what another desk granted.
 func TestUnreachedTargetOfAnotherDeskLacksWork(t *testing.T) {
 	for _, r := range []dispatch.Result{dispatch.ResultUnreached, dispatch.ResultIgnored} {
-		d, now := newTrainedDesk(pool(3)...)
+		d, now := newTrainedScheduler(pool(3)...)
 		now = now.Add(3 * time.Second)
 		for _, key := range []string{"t1", "t2"} {
 			d.Note(now, key, "", dispatch.ResultGood, usualTime)
@@ -166,7 +166,7 @@
 // which the request is lost, goes where an answer is likeliest.
 func TestSecondAttemptsDoNotPayForCoverage(t *testing.T) {
 	for _, again := range []bool{false, true} {
-		d, now := newTrainedDesk(pool(3)...)
+		d, now := newTrainedScheduler(pool(3)...)
 		d.Note(now, "t1", "", dispatch.ResultBad, time.Millisecond)
 		now = now.Add(6 * time.Second)
 		for _, key := range []string{"t0", "t2"} {
--- a/internal/dispatch/hedge_test.go
+++ b/internal/dispatch/hedge_test.go
@@ -12,9 +12,9 @@
 // usualTime is the time of an answer in these tests.
 const usualTime = 200 * time.Millisecond
 
-// newTrainedDesk returns a desk of targets that have answered for some time, and when
+// newTrainedScheduler returns a desk of targets that have answered for some time, and when
 // that was. All their answers took between half the usual time and one and a half.
-func newTrainedDesk(targets ...dispatch.Target) (*dispatch.Desk, time.Time) {
+func newTrainedScheduler(targets ...dispatch.Target) (*dispatch.Desk, time.Time) {
 	d := newScheduler(targets...)
 	now := start
 	for n := range uint64(400) {
@@ -62,7 +62,7 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			d, now := newTrainedDesk(pool(6)...)
+			d, now := newTrainedScheduler(pool(6)...)
 			first := newRequest(now, 1)
 			first.Repeatable = true
 			g := d.Ask(now, first)
@@ -77,7 +77,7 @@
 // The more of the retry budget is spent, the surer it must be that the first target
 // is silent.
 func TestHedgeIsDearWhenTheBudgetRunsOut(t *testing.T) {
-	d, now := newTrainedDesk(pool(20)...)
+	d, now := newTrainedScheduler(pool(20)...)
 	age := 2 * usualTime
 	for n := range uint64(200) {
 		a := newRequest(now, n)
@@ -106,7 +106,7 @@
 // A second attempt waits for a target that isn't failing, also when its answer will
 // be late: after it there is no other.
 func TestHedgeWaitsForATargetThatIsNotFailing(t *testing.T) {
-	d, now := newTrainedDesk(goodAndBad(3)...)
+	d, now := newTrainedScheduler(goodAndBad(3)...)
 	for range 4 {
 		d.Note(now, "bad", "", dispatch.ResultBad, time.Millisecond)
 	}
@@ -127,7 +127,7 @@
 // What hardly any answer would come for in the time that is left is refused at once
 // and leaves the slot to others.
 func TestHopelessIsRefused(t *testing.T) {
-	d, now := newTrainedDesk(dispatch.Target{
+	d, now := newTrainedScheduler(dispatch.Target{
 		Key:      "only",
 		DataHall: "a",
 		Slots:    1,
