--- a/internal/dispatch/serve_test.go
+++ b/internal/dispatch/serve_test.go
@@ -10,9 +10,9 @@
 	"ploverjunction.example/ploverjunction/internal/dispatch"
 )
 
-// newOverloadedDesk returns a desk whose targets have no free slot, with asks of several routes
+// newOverloadedScheduler returns a desk whose targets have no free slot, with asks of several routes
 // that wait, and the grants under way.
-func newOverloadedDesk(tb testing.TB, targets, waiting int, now time.Time) (*dispatch.Desk, []dispatch.Grant) {
+func newOverloadedScheduler(tb testing.TB, targets, waiting int, now time.Time) (*dispatch.Desk, []dispatch.Grant) {
 	tb.Helper()
 	list := pool(targets)
 	for i := range list {
@@ -44,7 +44,7 @@
 	for _, targets := range []int{86, 431} {
 		b.Run(fmt.Sprint(targets), func(b *testing.B) {
 			now := start
-			d, running := newOverloadedDesk(b, targets, 300, now)
+			d, running := newOverloadedScheduler(b, targets, 300, now)
 			for n := uint64(1 << 20); b.Loop(); n++ {
 				now = now.Add(time.Millisecond / 2)
 				g := running[0]
@@ -64,7 +64,7 @@
 // A slot that becomes free goes to an ask that waits at once, however many wait.
 func TestFreedSlotIsUsedAtOnce(t *testing.T) {
 	now := start
-	d, running := newOverloadedDesk(t, 86, 300, now)
+	d, running := newOverloadedScheduler(t, 86, 300, now)
 	for i, g := range running[:200] {
 		now = now.Add(10 * time.Microsecond)
 		if out := d.Done(now, g.ID, g.Target, dispatch.ResultGood, usualTime); len(out) != 1 {
