--- a/internal/dispatch/play_test.go
+++ b/internal/dispatch/play_test.go
@@ -89,17 +89,17 @@
 
 // simulation is one run of a model.
 type simulation struct {
-	s       *serviceModel
-	desk    *dispatch.Desk
-	rng     *rand.Rand
-	targets []*modelTarget
-	list    []dispatch.Target
-	byKey   map[string]*modelTarget
-	hallOf  map[string]string
-	steps   eventQueue
-	now     time.Duration
-	next    uint64
-	asks    map[uint64]*dispatch.Ask
+	s         *serviceModel
+	scheduler *dispatch.Desk
+	rng       *rand.Rand
+	targets   []*modelTarget
+	list      []dispatch.Target
+	byKey     map[string]*modelTarget
+	hallOf    map[string]string
+	steps     eventQueue
+	now       time.Duration
+	next      uint64
+	asks      map[uint64]*dispatch.Ask
 	// all and lost count requests, crossed the answers from other data halls.
 	all, lost, crossed int
 }
@@ -140,12 +140,12 @@
 
 // begin gives the role to a new desk, which knows nothing of what was before.
 func (p *simulation) begin() {
-	p.desk = dispatch.NewDesk(p.clock(), dispatch.Budget{
+	p.scheduler = dispatch.NewDesk(p.clock(), dispatch.Budget{
 		Share:   0.2,
 		Reserve: 50,
 		Window:  10 * time.Second,
 	}, p.rng.Float64)
-	p.desk.Configure(p.clock(), p.list)
+	p.scheduler.Configure(p.clock(), p.list)
 	if p.s.dispatcherMoves > 0 {
 		p.after(p.s.dispatcherMoves, p.begin)
 	}
@@ -174,7 +174,7 @@
 }
 
 func (p *simulation) advance() {
-	p.take(p.desk.Advance(p.clock()))
+	p.take(p.scheduler.Advance(p.clock()))
 	p.after(50*time.Millisecond, p.advance)
 }
 
@@ -199,7 +199,7 @@
 
 func (p *simulation) ask(a *dispatch.Ask) {
 	p.asks[a.ID.Number] = a
-	p.take([]dispatch.Grant{p.desk.Ask(p.clock(), a)})
+	p.take([]dispatch.Grant{p.scheduler.Ask(p.clock(), a)})
 }
 
 // take begins the attempts that were granted.
@@ -231,7 +231,7 @@
 	case p.rng.Float64() < errorShare:
 		result = dispatch.ResultBad
 	}
-	by := p.desk
+	by := p.scheduler
 	p.after(took, func() { p.end(by, g, a, result, took) })
 }
 
