--- a/internal/dispatch/play_test.go
+++ b/internal/dispatch/play_test.go
@@ -99,18 +99,18 @@
 	steps     eventQueue
 	now       time.Duration
 	next      uint64
-	asks      map[uint64]*dispatch.Ask
+	requests  map[uint64]*dispatch.Ask
 	// all and lost count requests, crossed the answers from other data halls.
 	all, lost, crossed int
 }
 
 func newSimulation(s *serviceModel, seed uint64) *simulation {
 	p := &simulation{
-		s:      s,
-		rng:    rand.New(rand.NewPCG(seed, 77)),
-		byKey:  map[string]*modelTarget{},
-		hallOf: map[string]string{},
-		asks:   map[uint64]*dispatch.Ask{},
+		s:        s,
+		rng:      rand.New(rand.NewPCG(seed, 77)),
+		byKey:    map[string]*modelTarget{},
+		hallOf:   map[string]string{},
+		requests: map[uint64]*dispatch.Ask{},
 	}
 	var list []dispatch.Target
 	for hall, n := range s.halls {
@@ -198,7 +198,7 @@
 }
 
 func (p *simulation) ask(a *dispatch.Ask) {
-	p.asks[a.ID.Number] = a
+	p.requests[a.ID.Number] = a
 	p.take([]dispatch.Grant{p.scheduler.Ask(p.clock(), a)})
 }
 
@@ -207,7 +207,7 @@
 	for _, g := range grants {
 		switch g.Verdict {
 		case dispatch.Granted:
-			p.attempt(g, p.asks[g.ID.Number])
+			p.attempt(g, p.requests[g.ID.Number])
 		case dispatch.Refused, dispatch.Spent:
 			p.lost++
 		}
