--- a/internal/dispatch/play_test.go
+++ b/internal/dispatch/play_test.go
@@ -134,12 +134,12 @@
 		}
 	}
 	p.list = list
-	p.begin()
+	p.newDispatcher()
 	return p
 }
 
-// begin gives the role to a new desk, which knows nothing of what was before.
-func (p *simulation) begin() {
+// newDispatcher gives the role to a new desk, which knows nothing of what was before.
+func (p *simulation) newDispatcher() {
 	p.scheduler = dispatch.NewDesk(p.clock(), dispatch.Budget{
 		Share:   0.2,
 		Reserve: 50,
@@ -147,7 +147,7 @@
 	}, p.rng.Float64)
 	p.scheduler.Configure(p.clock(), p.list)
 	if p.s.dispatcherMoves > 0 {
-		p.after(p.s.dispatcherMoves, p.begin)
+		p.after(p.s.dispatcherMoves, p.newDispatcher)
 	}
 }
 
