--- a/internal/dispatch/backoff_model_test.go
+++ b/internal/dispatch/backoff_model_test.go
@@ -49,7 +49,7 @@
 	// for how long.
 	result    dispatch.Result
 	signalled bool
-	desk      *dispatch.Desk
+	scheduler *dispatch.Desk
 	rng       *rand.Rand
 	steps     eventQueue
 	now       time.Duration
@@ -107,7 +107,7 @@
 	for i := range p.unavailableUntil {
 		p.unavailableUntil[i] = map[string]time.Duration{}
 	}
-	p.desk = dispatch.NewDesk(start, dispatch.Budget{
+	p.scheduler = dispatch.NewDesk(start, dispatch.Budget{
 		Share:   0.2,
 		Reserve: 60,
 		Window:  10 * time.Second,
@@ -121,7 +121,7 @@
 			Named:    true,
 		})
 	}
-	p.desk.Configure(start, list)
+	p.scheduler.Configure(start, list)
 	p.arrive()
 	p.tick()
 	for len(p.steps) > 0 && p.steps[0].at < backoffEnd+backoffDeadline {
@@ -142,7 +142,7 @@
 }
 
 func (p *backoffSimulation) tick() {
-	p.take(p.desk.Advance(p.clock()))
+	p.take(p.scheduler.Advance(p.clock()))
 	p.after(50*time.Millisecond, p.tick)
 }
 
@@ -211,7 +211,7 @@
 		return
 	}
 	p.asks[p.next] = r
-	p.take([]dispatch.Grant{p.desk.Ask(p.clock(), &a)})
+	p.take([]dispatch.Grant{p.scheduler.Ask(p.clock(), &a)})
 }
 
 func (p *backoffSimulation) refuse(r *backoffRequest) {
@@ -240,7 +240,7 @@
 func (p *backoffSimulation) send(r *backoffRequest, g dispatch.Grant) {
 	delete(p.asks, g.ID.Number)
 	if p.now < p.unavailableUntil[r.node()][g.Target] {
-		p.take(p.desk.Done(p.clock(), g.ID, g.Target, dispatch.ResultIgnored, 0))
+		p.take(p.scheduler.Done(p.clock(), g.ID, g.Target, dispatch.ResultIgnored, 0))
 		p.ask(r)
 		return
 	}
@@ -252,7 +252,7 @@
 	}
 	took := time.Duration(float64(backoffWork) * (0.5 + p.rng.ExpFloat64()/2))
 	p.after(took, func() {
-		p.take(p.desk.Done(p.clock(), g.ID, g.Target, dispatch.ResultGood, took))
+		p.take(p.scheduler.Done(p.clock(), g.ID, g.Target, dispatch.ResultGood, took))
 		switch {
 		case !r.counts:
 		case p.now-r.came <= backoffSoftDeadline:
@@ -271,9 +271,9 @@
 	}
 	p.unavailableUntil[r.node()][g.Target] = p.now + p.backoff
 	if p.signalled {
-		p.desk.BackOff(p.clock(), g.Target, g.ID, p.backoff)
+		p.scheduler.BackOff(p.clock(), g.Target, g.ID, p.backoff)
 	}
-	p.take(p.desk.Done(p.clock(), g.ID, g.Target, p.result, 3*time.Millisecond))
+	p.take(p.scheduler.Done(p.clock(), g.ID, g.Target, p.result, 3*time.Millisecond))
 	if r.attempts == backoffAttempts || p.now-r.came > backoffDeadline {
 		p.refuse(r)
 		return
