--- a/internal/dispatch/backoff_model_test.go
+++ b/internal/dispatch/backoff_model_test.go
@@ -54,7 +54,7 @@
 	steps     eventQueue
 	now       time.Duration
 	next      uint64
-	asks      map[uint64]*backoffRequest
+	requests  map[uint64]*backoffRequest
 	// unavailableUntil are until when a node sends a target nothing.
 	unavailableUntil [backoffNodes]map[string]time.Duration
 	// reached are the times at which requests reached each target.
@@ -101,7 +101,7 @@
 		result:      result,
 		signalled:   told,
 		rng:         rand.New(rand.NewPCG(seed, 9)),
-		asks:        map[uint64]*backoffRequest{},
+		requests:    map[uint64]*backoffRequest{},
 		reached:     map[string][]time.Duration{},
 	}
 	for i := range p.unavailableUntil {
@@ -210,7 +210,7 @@
 		p.refuse(r)
 		return
 	}
-	p.asks[p.next] = r
+	p.requests[p.next] = r
 	p.take([]dispatch.Grant{p.scheduler.Ask(p.clock(), &a)})
 }
 
@@ -223,13 +223,13 @@
 
 func (p *backoffSimulation) take(grants []dispatch.Grant) {
 	for _, g := range grants {
-		r := p.asks[g.ID.Number]
+		r := p.requests[g.ID.Number]
 		switch {
 		case r == nil || g.Verdict == dispatch.Queued:
 		case g.Verdict == dispatch.Granted:
 			p.send(r, g)
 		default:
-			delete(p.asks, g.ID.Number)
+			delete(p.requests, g.ID.Number)
 			p.refuse(r)
 		}
 	}
@@ -238,7 +238,7 @@
 // send is an attempt at the target that was granted, or a new ask where the node may not use it
 // any more.
 func (p *backoffSimulation) send(r *backoffRequest, g dispatch.Grant) {
-	delete(p.asks, g.ID.Number)
+	delete(p.requests, g.ID.Number)
 	if p.now < p.unavailableUntil[r.node()][g.Target] {
 		p.take(p.scheduler.Done(p.clock(), g.ID, g.Target, dispatch.ResultIgnored, 0))
 		p.ask(r)
