--- a/internal/dispatch/backoff_model_test.go
+++ b/internal/dispatch/backoff_model_test.go
@@ -63,7 +63,7 @@
 }
 
 type backoffRequest struct {
-	ask      *dispatch.Ask
+	request  *dispatch.Ask
 	came     time.Duration
 	attempts int
 	counts   bool
@@ -164,7 +164,7 @@
 	r := &backoffRequest{
 		came:   p.now,
 		counts: p.now >= backoffWarmup,
-		ask: &dispatch.Ask{
+		request: &dispatch.Ask{
 			ID: dispatch.ID{
 				Node: fmt.Sprint(p.rng.IntN(backoffNodes)),
 			},
@@ -185,7 +185,7 @@
 // node returns the number of the node that a request came to.
 func (r *backoffRequest) node() int {
 	var i int
-	_, _ = fmt.Sscanf(r.ask.ID.Node, "%d", &i)
+	_, _ = fmt.Sscanf(r.request.ID.Node, "%d", &i)
 	return i
 }
 
@@ -201,11 +201,11 @@
 
 func (p *backoffSimulation) ask(r *backoffRequest) {
 	p.next++
-	a := *r.ask
+	a := *r.request
 	a.ID.Number = p.next
 	a.Again = r.attempts > 0
 	a.Barred = p.unavailable(r.node())
-	r.ask = &a
+	r.request = &a
 	if len(a.Barred) == backoffTargets {
 		p.refuse(r)
 		return
