--- a/internal/dispatch/overload_test.go
+++ b/internal/dispatch/overload_test.go
@@ -30,11 +30,11 @@
 
 // overloadSimulation is one play.
 type overloadSimulation struct {
-	desk  *dispatch.Desk
-	rng   *rand.Rand
-	steps eventQueue
-	now   time.Duration
-	next  uint64
+	scheduler *dispatch.Desk
+	rng       *rand.Rand
+	steps     eventQueue
+	now       time.Duration
+	next      uint64
 	// load is in requests a second at a time.
 	load func(at time.Duration) float64
 	// gray is the share of the targets that hang most of their requests, in turns.
@@ -74,7 +74,7 @@
 		gray: gray,
 		asks: map[uint64]*overRequest{},
 	}
-	o.desk = dispatch.NewDesk(start, dispatch.Budget{
+	o.scheduler = dispatch.NewDesk(start, dispatch.Budget{
 		Share:   0.2,
 		Reserve: 190,
 		Window:  10 * time.Second,
@@ -87,7 +87,7 @@
 			Slots:    overSlots,
 		})
 	}
-	o.desk.Configure(start, list)
+	o.scheduler.Configure(start, list)
 	o.arrive()
 	o.tick()
 	for len(o.steps) > 0 && o.steps[0].at < overEnd+overDeadline {
@@ -108,7 +108,7 @@
 }
 
 func (o *overloadSimulation) tick() {
-	o.take(o.desk.Advance(o.clock()))
+	o.take(o.scheduler.Advance(o.clock()))
 	o.after(50*time.Millisecond, o.tick)
 }
 
@@ -136,7 +136,7 @@
 	if r.came >= overWarm {
 		o.got.all++
 	}
-	o.take([]dispatch.Grant{o.desk.Ask(o.clock(), r.ask)})
+	o.take([]dispatch.Grant{o.scheduler.Ask(o.clock(), r.ask)})
 }
 
 func (o *overloadSimulation) take(grants []dispatch.Grant) {
@@ -185,7 +185,7 @@
 				o.got.late++
 			}
 		}
-		o.take(o.desk.Done(o.clock(), r.ask.ID, g.Target, result, o.now-sent))
+		o.take(o.scheduler.Done(o.clock(), r.ask.ID, g.Target, result, o.now-sent))
 	})
 }
 
