--- a/internal/dispatch/overload_test.go
+++ b/internal/dispatch/overload_test.go
@@ -38,9 +38,9 @@
 	// load is in requests a second at a time.
 	load func(at time.Duration) float64
 	// gray is the share of the targets that hang most of their requests, in turns.
-	gray float64
-	asks map[uint64]*overRequest
-	got  overResult
+	gray     float64
+	requests map[uint64]*overRequest
+	got      overResult
 }
 
 type overRequest struct {
@@ -69,10 +69,10 @@
 
 func simulateOverload(load func(at time.Duration) float64, gray float64, seed uint64) overResult {
 	o := &overloadSimulation{
-		rng:  rand.New(rand.NewPCG(seed, 5)),
-		load: load,
-		gray: gray,
-		asks: map[uint64]*overRequest{},
+		rng:      rand.New(rand.NewPCG(seed, 5)),
+		load:     load,
+		gray:     gray,
+		requests: map[uint64]*overRequest{},
 	}
 	o.scheduler = dispatch.NewDesk(start, dispatch.Budget{
 		Share:   0.2,
@@ -132,7 +132,7 @@
 		},
 		came: o.now,
 	}
-	o.asks[o.next] = r
+	o.requests[o.next] = r
 	if r.came >= overWarm {
 		o.got.all++
 	}
@@ -141,13 +141,13 @@
 
 func (o *overloadSimulation) take(grants []dispatch.Grant) {
 	for _, g := range grants {
-		r := o.asks[g.ID.Number]
+		r := o.requests[g.ID.Number]
 		switch {
 		case r == nil || g.Verdict == dispatch.Queued:
 		case g.Verdict == dispatch.Granted:
 			o.work(r, g)
 		default:
-			delete(o.asks, g.ID.Number)
+			delete(o.requests, g.ID.Number)
 			if r.came >= overWarm {
 				o.got.refused++
 				o.got.waited += o.now - r.came
@@ -174,7 +174,7 @@
 	}
 	sent := o.now
 	o.after(took, func() {
-		delete(o.asks, g.ID.Number)
+		delete(o.requests, g.ID.Number)
 		if r.came >= overWarm {
 			switch {
 			case result != dispatch.ResultGood:
