--- a/internal/dispatch/overload_test.go
+++ b/internal/dispatch/overload_test.go
@@ -44,8 +44,8 @@
 }
 
 type overRequest struct {
-	ask  *dispatch.Ask
-	came time.Duration
+	request *dispatch.Ask
+	came    time.Duration
 }
 
 // overResult counts the requests that came after overWarm.
@@ -118,7 +118,7 @@
 	}
 	o.next++
 	r := &overRequest{
-		ask: &dispatch.Ask{
+		request: &dispatch.Ask{
 			ID: dispatch.ID{
 				Node:   "n",
 				Number: o.next,
@@ -136,7 +136,7 @@
 	if r.came >= overWarm {
 		o.got.all++
 	}
-	o.take([]dispatch.Grant{o.scheduler.Ask(o.clock(), r.ask)})
+	o.take([]dispatch.Grant{o.scheduler.Ask(o.clock(), r.request)})
 }
 
 func (o *overloadSimulation) take(grants []dispatch.Grant) {
@@ -185,7 +185,7 @@
 				o.got.late++
 			}
 		}
-		o.take(o.scheduler.Done(o.clock(), r.ask.ID, g.Target, result, o.now-sent))
+		o.take(o.scheduler.Done(o.clock(), r.request.ID, g.Target, result, o.now-sent))
 	})
 }
 
