--- a/internal/dispatch/limit_test.go
+++ b/internal/dispatch/limit_test.go
@@ -33,9 +33,9 @@
 
 // limitSimulation plays requests on a desk, one after another in a fixed time.
 type limitSimulation struct {
-	desk *dispatch.Desk
-	now  time.Time
-	next uint64
+	scheduler *dispatch.Desk
+	now       time.Time
+	next      uint64
 	// takes is how long a request takes.
 	takes time.Duration
 	// granted are the times of grants by target, waits those for which refused callers
@@ -56,11 +56,11 @@
 
 func newLimitSimulation(d *dispatch.Desk) *limitSimulation {
 	return &limitSimulation{
-		desk:    d,
-		now:     start,
-		takes:   50 * time.Millisecond,
-		granted: map[string][]time.Time{},
-		asked:   map[uint64]time.Time{},
+		scheduler: d,
+		now:       start,
+		takes:     50 * time.Millisecond,
+		granted:   map[string][]time.Time{},
+		asked:     map[uint64]time.Time{},
 	}
 }
 
@@ -72,15 +72,15 @@
 		for len(p.ends) > 0 && !p.now.Before(p.ends[0].at) {
 			e := p.ends[0]
 			p.ends = p.ends[1:]
-			p.take(p.desk.Done(p.now, e.id, e.target, dispatch.ResultGood, p.takes))
+			p.take(p.scheduler.Done(p.now, e.id, e.target, dispatch.ResultGood, p.takes))
 		}
 		for due += rate * step.Seconds(); due >= 1; due-- {
 			p.next++
 			p.asked[p.next] = p.now
-			p.take([]dispatch.Grant{p.desk.Ask(p.now, newRequest(p.now, p.next))})
+			p.take([]dispatch.Grant{p.scheduler.Ask(p.now, newRequest(p.now, p.next))})
 		}
 		if p.now.Sub(start)%(50*time.Millisecond) == 0 {
-			p.take(p.desk.Advance(p.now))
+			p.take(p.scheduler.Advance(p.now))
 		}
 	}
 }
