--- a/internal/dispatch/limit_test.go
+++ b/internal/dispatch/limit_test.go
@@ -40,12 +40,12 @@
 	takes time.Duration
 	// granted are the times of grants by target, waits those for which refused callers
 	// are told to wait.
-	granted map[string][]time.Time
-	refused int
-	waits   []time.Duration
-	held    time.Duration
-	asked   map[uint64]time.Time
-	ends    []limitEnd
+	granted     map[string][]time.Time
+	refused     int
+	waits       []time.Duration
+	held        time.Duration
+	requestedAt map[uint64]time.Time
+	ends        []limitEnd
 }
 
 type limitEnd struct {
@@ -56,11 +56,11 @@
 
 func newLimitSimulation(d *dispatch.Desk) *limitSimulation {
 	return &limitSimulation{
-		scheduler: d,
-		now:       start,
-		takes:     50 * time.Millisecond,
-		granted:   map[string][]time.Time{},
-		asked:     map[uint64]time.Time{},
+		scheduler:   d,
+		now:         start,
+		takes:       50 * time.Millisecond,
+		granted:     map[string][]time.Time{},
+		requestedAt: map[uint64]time.Time{},
 	}
 }
 
@@ -76,7 +76,7 @@
 		}
 		for due += rate * step.Seconds(); due >= 1; due-- {
 			p.next++
-			p.asked[p.next] = p.now
+			p.requestedAt[p.next] = p.now
 			p.take([]dispatch.Grant{p.scheduler.Ask(p.now, newRequest(p.now, p.next))})
 		}
 		if p.now.Sub(start)%(50*time.Millisecond) == 0 {
@@ -98,7 +98,7 @@
 		case dispatch.Refused:
 			p.refused++
 			p.waits = append(p.waits, g.RetryAfter)
-			p.held += p.now.Sub(p.asked[g.ID.Number])
+			p.held += p.now.Sub(p.requestedAt[g.ID.Number])
 		}
 	}
 }
