--- a/internal/dispatch/limit_test.go
+++ b/internal/dispatch/limit_test.go
@@ -43,7 +43,7 @@
 	granted     map[string][]time.Time
 	refused     int
 	waits       []time.Duration
-	held        time.Duration
+	waited      time.Duration
 	requestedAt map[uint64]time.Time
 	ends        []limitEnd
 }
@@ -98,7 +98,7 @@
 		case dispatch.Refused:
 			p.refused++
 			p.waits = append(p.waits, g.RetryAfter)
-			p.held += p.now.Sub(p.requestedAt[g.ID.Number])
+			p.waited += p.now.Sub(p.requestedAt[g.ID.Number])
 		}
 	}
 }
@@ -294,7 +294,7 @@
 	}
 	p.run(60, 4*time.Second)
 	p.granted = map[string][]time.Time{}
-	p.refused, p.held, p.waits = 0, 0, nil
+	p.refused, p.waited, p.waits = 0, 0, nil
 	p.run(60, length)
 	granted := 0
 	for key, times := range p.granted {
@@ -306,7 +306,7 @@
 	if least := 0.9 * 3 * rate * length.Seconds(); float64(granted) < least {
 		t.Errorf("%d granted, want %v", granted, least)
 	}
-	if mean := p.held / time.Duration(p.refused); mean > 10*time.Millisecond {
+	if mean := p.waited / time.Duration(p.refused); mean > 10*time.Millisecond {
 		t.Errorf("%d refused after %v in the mean", p.refused, mean)
 	}
 	least, longest := p.waits[0], p.waits[0]
