--- a/internal/dispatch/sparse_test.go
+++ b/internal/dispatch/sparse_test.go
@@ -84,7 +84,7 @@
 	return h
 }
 
-func (s *sparse) play(seed uint64) sparseResult {
+func (s *sparse) simulate(seed uint64) sparseResult {
 	rng := rand.New(rand.NewPCG(seed, 586))
 	d := dispatch.NewDesk(start, dispatch.Budget{
 		Share:   0.2,
@@ -240,7 +240,7 @@
 			t.Parallel()
 			sum := sparseResult{}
 			for seed := range uint64(3) {
-				p := tt.play(seed)
+				p := tt.simulate(seed)
 				sum.served += p.served
 				sum.all += p.all
 				sum.unused += p.unused
