--- a/internal/dispatch/sparse_test.go
+++ b/internal/dispatch/sparse_test.go
@@ -12,9 +12,9 @@
 	"ploverjunction.example/ploverjunction/internal/dispatch"
 )
 
-// sparse is a part of a service with so many targets that the requests which come reach few of them
+// sparseService is a part of a service with so many targets that the requests which come reach few of them
 // within the time of the floor. Some targets are gray by turns: they fail a part of what they get.
-type sparse struct {
+type sparseService struct {
 	targets int
 	// rate is in requests a second.
 	rate float64
@@ -58,7 +58,7 @@
 }
 
 // pool of the sparse model, with keys from first on.
-func (s *sparse) pool(first, n int) []dispatch.Target {
+func (s *sparseService) pool(first, n int) []dispatch.Target {
 	var out []dispatch.Target
 	for i := range n {
 		out = append(out, dispatch.Target{
@@ -70,7 +70,7 @@
 }
 
 // grayAt reports whether a target is gray at a time.
-func (s *sparse) grayAt(key string, seed uint64, at time.Duration) bool {
+func (s *sparseService) grayAt(key string, seed uint64, at time.Duration) bool {
 	phase := uint64(at / s.period)
 	rng := rand.New(rand.NewPCG(seed+phase, uint64(len(key))*1_000_003+hashKey(key)))
 	return rng.Float64() < s.gray
@@ -84,7 +84,7 @@
 	return h
 }
 
-func (s *sparse) simulate(seed uint64) sparseResult {
+func (s *sparseService) simulate(seed uint64) sparseResult {
 	rng := rand.New(rand.NewPCG(seed, 586))
 	d := dispatch.NewDesk(start, dispatch.Budget{
 		Share:   0.2,
@@ -191,14 +191,14 @@
 func TestSparseServiceStaysWithWhatAnswers(t *testing.T) {
 	tests := []struct {
 		name string
-		sparse
+		sparseService
 		// early and least are the shares of requests that must be served in the first seconds
 		// and later.
 		early, least float64
 	}{
 		{
 			name: "three in ten gray for good",
-			sparse: sparse{
+			sparseService: sparseService{
 				targets: 720,
 				rate:    212,
 				gray:    0.3,
@@ -211,7 +211,7 @@
 		},
 		{
 			name: "gray by turns",
-			sparse: sparse{
+			sparseService: sparseService{
 				targets: 720,
 				rate:    212,
 				gray:    0.3,
@@ -223,7 +223,7 @@
 		},
 		{
 			name: "twice the targets",
-			sparse: sparse{
+			sparseService: sparseService{
 				targets: 1440,
 				rate:    212,
 				gray:    0.3,
