--- a/internal/dispatch/backoff_test.go
+++ b/internal/dispatch/backoff_test.go
@@ -15,7 +15,7 @@
 // A target that turns a node away is likely to turn others away, and well all the same. Three ways
 // to go by that, on the same days: callers get most where it is left alone by all for a moment,
 // and fewest requests are turned away.
-func TestWaysOfRest(t *testing.T) {
+func TestBackoffStrategies(t *testing.T) {
 	ways := []struct {
 		name   string
 		result dispatch.Result
@@ -61,7 +61,7 @@
 
 // While a third of the targets turn requests away the floor of the others holds: in each two
 // seconds requests reach at least 70% of them.
-func TestRestKeepsTheFloor(t *testing.T) {
+func TestBackoffKeepsFloor(t *testing.T) {
 	for _, c := range backoffCases() {
 		if c.share == 1 {
 			continue
@@ -85,7 +85,7 @@
 }
 
 // A target that asks for rest isn't held to fail, and works again at once after it.
-func TestRestIsNoFailure(t *testing.T) {
+func TestBackoffIsNoFailure(t *testing.T) {
 	d := newScheduler(pool(2)...)
 	now := start
 	for n := uint64(0); ; n++ {
--- a/internal/dispatch/barred_test.go
+++ b/internal/dispatch/barred_test.go
@@ -14,7 +14,7 @@
 
 // A target that told any node that it leaves gets nothing more, whoever asks and however: also
 // from a desk that has just begun and hears of it with an ask. Its next life does get work.
-func TestWordOfLeaving(t *testing.T) {
+func TestDrainSignal(t *testing.T) {
 	said := func(d *dispatch.Desk) { d.MarkDraining(start, "t0") }
 	tests := []struct {
 		name string
@@ -93,7 +93,7 @@
 }
 
 // A target without an ID has the same key in its next life: a word of leaving ends.
-func TestWordOfLeavingWithoutAnID(t *testing.T) {
+func TestDrainSignalWithoutID(t *testing.T) {
 	d := newScheduler(pool(2)...)
 	d.MarkDraining(start, "t0")
 	if got := grantCounts(d, start.Add(50*time.Second), 100)["t0"]; got != 0 {
@@ -113,7 +113,7 @@
 
 // Whatever comes, in whatever order, no ask ever gets a target that it bars, and no other ask
 // pays for that: with three in ten targets barred for half of the nodes all are served.
-func TestBarredTargetsAreNeverGranted(t *testing.T) {
+func TestUnavailableTargetsAreNeverGranted(t *testing.T) {
 	for seed := range uint64(40) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) { simulateUnavailable(t, rand.New(rand.NewPCG(seed, 5))) })
 	}
@@ -177,7 +177,7 @@
 
 // Where all targets that stay are barred for a node its asks are refused at once, also those
 // that wait; other nodes' asks are served.
-func TestAllBarred(t *testing.T) {
+func TestAllTargetsUnavailable(t *testing.T) {
 	d := newScheduler(pool(2)...)
 	bars := func(n uint64) *dispatch.Ask {
 		a := newRequest(start, n)
--- a/internal/dispatch/budget_test.go
+++ b/internal/dispatch/budget_test.go
@@ -12,7 +12,7 @@
 )
 
 // Whatever fails, repeats stay within the share and the reserve.
-func TestRepeatsStayWithinTheBudget(t *testing.T) {
+func TestRetriesStayWithinBudget(t *testing.T) {
 	d := newScheduler(pool(20)...)
 	now := start
 	firsts, repeats := 0, 0
@@ -36,7 +36,7 @@
 }
 
 // Second attempts of slow requests must leave repeats for those that failed.
-func TestHedgesLeaveTheBudgetToFailures(t *testing.T) {
+func TestHedgesLeaveBudgetForFailedRequests(t *testing.T) {
 	d := newScheduler(pool(20)...)
 	now := start
 	// The reserve grows with the time for which a node has the role.
@@ -62,7 +62,7 @@
 }
 
 // A role that moves from node to node must not bring a new reserve each time.
-func TestMovingRoleKeepsTheReserve(t *testing.T) {
+func TestNewDispatcherGetsNoNewReserve(t *testing.T) {
 	repeats := 0
 	number := uint64(0)
 	for move := range 6 {
@@ -92,7 +92,7 @@
 // When the role moves after quiet seconds while most requests are refused by their
 // targets, all dispatchers together stay within the budget in each window: the
 // first may have spent what the quiet seconds had saved.
-func TestMovingRoleKeepsTheBudget(t *testing.T) {
+func TestBudgetHoldsAcrossDispatchers(t *testing.T) {
 	const (
 		nodes = 10
 		moves = 5
--- a/internal/dispatch/choose_test.go
+++ b/internal/dispatch/choose_test.go
@@ -27,7 +27,7 @@
 
 // A request of some KiB waits some milliseconds for a slot in its own data hall
 // before it goes to another one.
-func TestWaitsForItsOwnDataHall(t *testing.T) {
+func TestRequestWaitsForOwnDataHall(t *testing.T) {
 	d, now := newTrainedScheduler(twoHalls()...)
 	d.Ask(now, newRequest(now, 1))
 	a := newRequest(now, 2)
@@ -43,7 +43,7 @@
 
 // A slot that becomes free goes to a request of its own data hall, though another
 // one has waited longer.
-func TestSlotGoesToItsOwnDataHall(t *testing.T) {
+func TestFreedSlotGoesToOwnDataHall(t *testing.T) {
 	d, now := newTrainedScheduler(twoHalls()...)
 	var far dispatch.Grant
 	for n, hall := range []string{"b", "a", "a", "b"} {
@@ -62,7 +62,7 @@
 
 // Where nothing can be repeated, a target that failed is tried again after some
 // seconds, though the others have free slots.
-func TestTargetIsTriedAgainWhereNothingCanBeRepeated(t *testing.T) {
+func TestFailedTargetIsTriedByUnrepeatableRequests(t *testing.T) {
 	d, now := newTrainedScheduler(pool(6)...)
 	for range 3 {
 		d.Note(now, "t0", "", dispatch.ResultBad, time.Millisecond)
@@ -110,7 +110,7 @@
 
 // The slots of failing targets don't count in what a queue can be served with: what
 // would wait too long is refused at once and told when to come back.
-func TestFailingTargetsServeNoQueue(t *testing.T) {
+func TestFailingTargetsDoNotCountAsCapacity(t *testing.T) {
 	d, now := newTrainedScheduler(goodAndBad(2)...)
 	for range 4 {
 		d.Note(now, "bad", "", dispatch.ResultBad, time.Millisecond)
--- a/internal/dispatch/coverage_test.go
+++ b/internal/dispatch/coverage_test.go
@@ -12,7 +12,7 @@
 )
 
 // The probability that too few were reached, worked out by hand.
-func TestTooFew(t *testing.T) {
+func TestShortProbability(t *testing.T) {
 	tests := []struct {
 		name          string
 		reached, idle []float64
@@ -74,7 +74,7 @@
 }
 
 // Guards against an approximation for many targets that is not the probability it stands for.
-func TestTooFewOfMany(t *testing.T) {
+func TestApproxShortProbability(t *testing.T) {
 	const most = 0.03
 	rng := rand.New(rand.NewPCG(1, 42))
 	worst := 0.0
@@ -100,7 +100,7 @@
 
 // The status of a desk tells when targets that may work again get nothing: first
 // they surely fail and count for nothing, later they are missed.
-func TestStatusTellsOfMissedTargets(t *testing.T) {
+func TestStatusReportsUncoveredTargets(t *testing.T) {
 	d, now := newTrainedScheduler(pool(6)...)
 	for _, key := range []string{"t0", "t1", "t2"} {
 		for range 3 {
@@ -148,7 +148,7 @@
 }
 
 // Nor does what another desk granted.
-func TestUnreachedTargetOfAnotherDeskLacksWork(t *testing.T) {
+func TestRemoteUnreachedTargetLacksWork(t *testing.T) {
 	for _, r := range []dispatch.Result{dispatch.ResultUnreached, dispatch.ResultIgnored} {
 		d, now := newTrainedScheduler(pool(3)...)
 		now = now.Add(3 * time.Second)
@@ -164,7 +164,7 @@
 
 // The first attempt of a request may go to a target that lacks work; a second one, after
 // which the request is lost, goes where an answer is likeliest.
-func TestSecondAttemptsDoNotPayForCoverage(t *testing.T) {
+func TestRetriesDoNotServeCoverage(t *testing.T) {
 	for _, again := range []bool{false, true} {
 		d, now := newTrainedScheduler(pool(3)...)
 		d.Note(now, "t1", "", dispatch.ResultBad, time.Millisecond)
--- a/internal/dispatch/desk_test.go
+++ b/internal/dispatch/desk_test.go
@@ -140,7 +140,7 @@
 
 // One quick failure is enough to send what can't be repeated elsewhere, and the
 // target gets work again after some seconds.
-func TestFailureIsAvoidedAtOnceAndForgotten(t *testing.T) {
+func TestFailedTargetIsAvoidedThenReused(t *testing.T) {
 	d := newScheduler(pool(6)...)
 	first := d.Ask(start, newRequest(start, 1))
 	d.Done(start.Add(3*time.Millisecond), first.ID, first.Target, dispatch.ResultBad, 3*time.Millisecond)
@@ -174,7 +174,7 @@
 
 // While a target that isn't failing is busy, what can't be repeated waits for it
 // and does not go to one that is failing and therefore free.
-func TestWaitsForATargetThatIsNotFailing(t *testing.T) {
+func TestRequestWaitsForWorkingTarget(t *testing.T) {
 	d := newScheduler(goodAndBad(3)...)
 	d.Note(start, "bad", "", dispatch.ResultBad, time.Millisecond)
 	d.Note(start, "bad", "", dispatch.ResultBad, time.Millisecond)
@@ -195,7 +195,7 @@
 
 // The last attempt of something that can be repeated waits for a target that isn't
 // failing as well: after it the request is lost.
-func TestLastAttemptWaitsForATargetThatIsNotFailing(t *testing.T) {
+func TestFinalAttemptWaitsForWorkingTarget(t *testing.T) {
 	d := newScheduler(goodAndBad(3)...)
 	// The retry budget must have something to give.
 	first := d.Ask(start, newRequest(start, 1))
@@ -219,7 +219,7 @@
 }
 
 // A datagram that arrives twice must not take a slot again after the attempt ended.
-func TestAskThatEndedIsNotOpenedAgain(t *testing.T) {
+func TestRepeatedDatagramDoesNotReopenRequest(t *testing.T) {
 	d := newScheduler(pool(1)...)
 	g := d.Ask(start, newRequest(start, 1))
 	d.Done(start, g.ID, g.Target, dispatch.ResultGood, time.Millisecond)
@@ -230,7 +230,7 @@
 }
 
 // The end of each attempt frees its slot, also where the target failed.
-func TestEverySlotComesBack(t *testing.T) {
+func TestEveryResultFreesTheSlot(t *testing.T) {
 	results := []dispatch.Result{
 		dispatch.ResultGood,
 		dispatch.ResultBad,
@@ -250,7 +250,7 @@
 }
 
 // An attempt whose end is never told holds its slot only until its deadline.
-func TestLostEndFreesTheSlotAtTheDeadline(t *testing.T) {
+func TestUnreportedEndFreesSlotAtDeadline(t *testing.T) {
 	d := newScheduler(dispatch.Target{
 		Key:   "only",
 		Slots: 1,
@@ -265,7 +265,7 @@
 }
 
 // Under overload asks that can be answered in time go before those that can't.
-func TestInTimeGoesFirst(t *testing.T) {
+func TestFeasibleRequestsAreServedFirst(t *testing.T) {
 	d := newScheduler(dispatch.Target{
 		Key:   "only",
 		Slots: 1,
@@ -286,7 +286,7 @@
 }
 
 // Under overload the more urgent goes first.
-func TestPriorityGoesFirst(t *testing.T) {
+func TestUrgentRequestsAreServedFirst(t *testing.T) {
 	d := newScheduler(dispatch.Target{
 		Key:   "only",
 		Slots: 1,
@@ -306,7 +306,7 @@
 }
 
 // A target that joins gets work though others have proved themselves.
-func TestTargetThatJoinsGetsWork(t *testing.T) {
+func TestNewTargetGetsWork(t *testing.T) {
 	d := newScheduler(pool(4)...)
 	d.Configure(start, append(pool(4), dispatch.Target{
 		Key:      "new",
@@ -345,7 +345,7 @@
 }
 
 // A node that reaches no dispatcher gets a target whatever it knows of slots.
-func TestAloneNeverWaits(t *testing.T) {
+func TestIsolatedRequestsNeverWait(t *testing.T) {
 	d := newScheduler(pool(1)...)
 	for n := range uint64(10) {
 		if g := d.AskAlone(start, newRequest(start, n), 0.1); g.Verdict != dispatch.Granted {
@@ -355,7 +355,7 @@
 }
 
 // Leaving targets get nothing, not even alone.
-func TestLeavingTargetGetsNothing(t *testing.T) {
+func TestDrainingTargetGetsNoRequests(t *testing.T) {
 	d := newScheduler(dispatch.Target{
 		Key:     "leaving",
 		Slots:   3,
--- a/internal/dispatch/divide_test.go
+++ b/internal/dispatch/divide_test.go
@@ -81,7 +81,7 @@
 
 // An ask that can be passed on leaves no trace at a desk without a free target: not in the
 // queue, not in the retry budget, not among the refusals.
-func TestPassingAskLeavesNoTrace(t *testing.T) {
+func TestNonQueueingRequestLeavesNoTrace(t *testing.T) {
 	d := newScheduler(dispatch.Target{
 		Key:      "only",
 		DataHall: "a",
@@ -108,7 +108,7 @@
 
 // The parts of a divided service together send no more repeats than the service may,
 // whichever of them get the load and the failures.
-func TestPartsKeepTheBudgetTogether(t *testing.T) {
+func TestPartitionsShareRetryBudget(t *testing.T) {
 	const (
 		parts   = 5
 		reserve = 630
--- a/internal/dispatch/hedge_test.go
+++ b/internal/dispatch/hedge_test.go
@@ -76,7 +76,7 @@
 
 // The more of the retry budget is spent, the surer it must be that the first target
 // is silent.
-func TestHedgeIsDearWhenTheBudgetRunsOut(t *testing.T) {
+func TestHedgeThresholdRisesWithSpentBudget(t *testing.T) {
 	d, now := newTrainedScheduler(pool(20)...)
 	age := 2 * usualTime
 	for n := range uint64(200) {
@@ -105,7 +105,7 @@
 
 // A second attempt waits for a target that isn't failing, also when its answer will
 // be late: after it there is no other.
-func TestHedgeWaitsForATargetThatIsNotFailing(t *testing.T) {
+func TestHedgeWaitsForWorkingTarget(t *testing.T) {
 	d, now := newTrainedScheduler(goodAndBad(3)...)
 	for range 4 {
 		d.Note(now, "bad", "", dispatch.ResultBad, time.Millisecond)
@@ -126,7 +126,7 @@
 
 // What hardly any answer would come for in the time that is left is refused at once
 // and leaves the slot to others.
-func TestHopelessIsRefused(t *testing.T) {
+func TestInfeasibleRequestIsRefused(t *testing.T) {
 	d, now := newTrainedScheduler(dispatch.Target{
 		Key:      "only",
 		DataHall: "a",
--- a/internal/dispatch/limit_test.go
+++ b/internal/dispatch/limit_test.go
@@ -141,7 +141,7 @@
 }
 
 // What is saved up while nothing comes is no burst afterwards.
-func TestLimitSavesNothingUp(t *testing.T) {
+func TestUnusedLimitAllowsNoBurst(t *testing.T) {
 	d := newScheduler(pool(1)...)
 	p := newLimitSimulation(d)
 	d.Observe(p.now, "n", limitOf("t0", 2.6, p.now))
@@ -154,7 +154,7 @@
 
 // A dispatcher that hears of a limit for the first time may not be the only one that granted the
 // target.
-func TestLimitOfANewDispatcherBeginsEmpty(t *testing.T) {
+func TestLimitStartsEmptyOnNewDispatcher(t *testing.T) {
 	d := newScheduler(pool(1)...)
 	a := newRequest(start, 1)
 	a.Limits = []dispatch.TargetLimit{
@@ -169,7 +169,7 @@
 }
 
 // The newest answer of a target wins, in whatever order nodes tell of them.
-func TestNewestAnswerOfALimitWins(t *testing.T) {
+func TestNewestAnswerSetsLimit(t *testing.T) {
 	at := func(s int) time.Time { return start.Add(time.Duration(s) * time.Second) }
 	steps := []struct {
 		name string
@@ -251,7 +251,7 @@
 }
 
 // Once its limit is lifted a target doesn't get at once what waited for it.
-func TestNoHerdWhenALimitIsLifted(t *testing.T) {
+func TestLiftedLimitCausesNoBurst(t *testing.T) {
 	d := newScheduler(dispatch.Target{
 		Key:   "t0",
 		Slots: 20,
@@ -269,7 +269,7 @@
 }
 
 // Where no connection to the target came about, the limit is paid back.
-func TestUnreachedTargetsArePaidBack(t *testing.T) {
+func TestUnreachedAttemptReturnsLimit(t *testing.T) {
 	d := newScheduler(pool(1)...)
 	d.Observe(start, "n", limitOf("t0", 1, start))
 	now := start.Add(time.Second)
@@ -320,7 +320,7 @@
 
 // A service whose only target accepts a request each ten seconds holds none for a grant that comes
 // after its caller's time.
-func TestLimitBelowCallersPatience(t *testing.T) {
+func TestLimitTooLowForDeadlineIsRefused(t *testing.T) {
 	d := newScheduler(pool(1)...)
 	d.Observe(start, "n", limitOf("t0", 0.1, start))
 	g := d.Ask(start, newRequest(start, 1))
@@ -330,7 +330,7 @@
 }
 
 // Whoever asks is told of limits that it doesn't name, and of those lifted that it does.
-func TestLimitsAreTold(t *testing.T) {
+func TestLimitsAreSentWithGrants(t *testing.T) {
 	d := newScheduler(pool(3)...)
 	d.Observe(start, "n", limitOf("t0", 2, start))
 	d.Observe(start, "n", limitOf("t1", 3, start))
@@ -351,7 +351,7 @@
 }
 
 // Of more limits than fit into a message all are told after some asks.
-func TestManyLimitsAreToldByTurns(t *testing.T) {
+func TestManyLimitsAreSentInTurn(t *testing.T) {
 	const targets = 30
 	d := newScheduler(pool(targets)...)
 	for i := range targets {
@@ -374,7 +374,7 @@
 
 // A grant whose answer was lost is told again as it was: a limit that became known meanwhile didn't
 // pay for it.
-func TestRepeatedGrantIsNotPaidFor(t *testing.T) {
+func TestRepeatedGrantKeepsItsLimit(t *testing.T) {
 	d := newScheduler(pool(1)...)
 	if g := d.Ask(start, newRequest(start, 1)); g.Verdict != dispatch.Granted || g.Limit.Set {
 		t.Fatalf("%+v", g)
--- a/internal/dispatch/limit_ways_test.go
+++ b/internal/dispatch/limit_ways_test.go
@@ -175,7 +175,7 @@
 
 // The way that is built keeps to what is aimed at and uses the limit, whatever the limit and the
 // time of work; each of the others fails one of the two.
-func TestWaysOfLimits(t *testing.T) {
+func TestLimitStrategies(t *testing.T) {
 	little := func(rate float64, takes time.Duration) int {
 		return max(int(math.Round(rate*takes.Seconds())), 1)
 	}
--- a/internal/dispatch/sparse_test.go
+++ b/internal/dispatch/sparse_test.go
@@ -188,7 +188,7 @@
 }
 
 // Guards against work that is spread over more targets than the requests can keep known.
-func TestSparseServiceStaysWithWhatAnswers(t *testing.T) {
+func TestSparseServiceUsesAnsweringTargets(t *testing.T) {
 	tests := []struct {
 		name string
 		sparseService
--- a/internal/dispatch/spread_test.go
+++ b/internal/dispatch/spread_test.go
@@ -24,7 +24,7 @@
 
 // All targets that work share it, also after a time in which many failed and few
 // requests come: to prefer those that worked last would leave the others out.
-func TestTargetsThatWorkShareIt(t *testing.T) {
+func TestWorkingTargetsShareLoad(t *testing.T) {
 	d := newScheduler(pool(20)...)
 	last := map[string]time.Time{}
 	running := map[uint64]dispatch.Grant{}
@@ -87,7 +87,7 @@
 
 // A large service with little load uses nearly all of its targets for what can be
 // repeated, also those that failed some seconds ago.
-func TestTargetsComeBackToALargeService(t *testing.T) {
+func TestLargeServiceReusesFailedTargets(t *testing.T) {
 	const targets = 100
 	d := newScheduler(pool(targets)...)
 	for i := range 40 {
@@ -114,7 +114,7 @@
 
 // Requests whose callers leave while their first attempt goes on are not served
 // either: work is spread when there are many of them.
-func TestCallersThatLeaveSpreadWork(t *testing.T) {
+func TestAbandonedRequestsSpreadWork(t *testing.T) {
 	d := newScheduler(pool(9)...)
 	last := map[string]time.Time{}
 	now := start
--- a/internal/dispatch/warmup_test.go
+++ b/internal/dispatch/warmup_test.go
@@ -72,7 +72,7 @@
 }
 
 // Guards against cold targets that fall over by what they get, and such that get less than they bear.
-func TestTargetsThatWarmUpGetWhatTheyBear(t *testing.T) {
+func TestWarmupRateIsUsedAndKept(t *testing.T) {
 	const left = 3 * time.Second
 	tests := []struct {
 		name string
@@ -127,7 +127,7 @@
 }
 
 // Guards against callers who wait for targets that are all cold and can't serve them.
-func TestColdServiceRefusesAtOnce(t *testing.T) {
+func TestWarmingServiceRefusesAtOnce(t *testing.T) {
 	const targets, asks = 4, 600
 	d := newScheduler(warmingTargets(targets, 10*time.Second)...)
 	refused := 0
