--- a/internal/dispatch/backoff_model_test.go
+++ b/internal/dispatch/backoff_model_test.go
@@ -11,10 +11,7 @@
 	"ploverjunction.example/ploverjunction/internal/dispatch"
 )
 
-// This file plays a service some of whose targets turn requests away for a time and ask the
-// node that sent them for rest, and tells what callers get.
-
-// Times and sizes of the service: those of the users' survey drafts.
+// Parameters of the service: those of the users' survey drafts.
 const (
 	backoffNodes        = 40
 	backoffTargets      = 9
@@ -23,30 +20,32 @@
 	backoffSoftDeadline = 1500 * time.Millisecond
 	backoffDeadline     = 4 * time.Second
 	backoffAttempts     = 3
-	// backoffWarmup is from when on requests count, restEnd until when they come.
+	// backoffWarmup is the time from which requests count, backoffEnd the time until which they
+	// arrive.
 	backoffWarmup = 8 * time.Second
 	backoffEnd    = 60 * time.Second
-	// backoffPhase is how long a target turns requests away, restApart the time between the
-	// beginnings of two such times of one target.
+	// backoffPhase is how long a target sheds requests, backoffPeriod the time between the starts of
+	// two such phases of one target.
 	backoffPhase  = 8 * time.Second
 	backoffPeriod = 20 * time.Second
 )
 
-// backoffCase is one kind of day.
+// backoffCase is one combination of load and shedding.
 type backoffCase struct {
-	// load is in requests a second.
+	// load is in requests per second.
 	load float64
-	// share is how many of the targets turn requests away at a time, most the share of
-	// requests that they turn away then.
+	// share is the share of targets that shed requests at the same time, refusedShare the share of
+	// requests that they shed then.
 	share, refusedShare float64
 	backoff             time.Duration
 }
 
-// backoffSimulation is one play.
+// backoffSimulation simulates a service some of whose targets shed requests for a time and ask the
+// sending node to back off, and counts what callers get.
 type backoffSimulation struct {
 	backoffCase
-	// result is how it is told that a request was turned away, told whether the desk hears
-	// for how long.
+	// result is the result reported for a request that was shed, signalled whether the scheduler
+	// receives the backoff.
 	result    dispatch.Result
 	signalled bool
 	scheduler *dispatch.Desk
@@ -55,7 +54,7 @@
 	now       time.Duration
 	next      uint64
 	requests  map[uint64]*backoffRequest
-	// unavailableUntil are until when a node sends a target nothing.
+	// unavailableUntil is until when a node sends a target nothing.
 	unavailableUntil [backoffNodes]map[string]time.Duration
 	// reached are the times at which requests reached each target.
 	reached map[string][]time.Duration
@@ -71,14 +70,14 @@
 
 type backoffResult struct {
 	all, onTime, late, refused, shed int
-	// waited adds up how long those were held that were not served.
+	// waited is the total time until the refusal of refused requests.
 	waited time.Duration
 }
 
 func (r backoffResult) String() string {
 	n := float64(max(r.all, 1))
 	held := r.waited / time.Duration(max(r.refused, 1))
-	return fmt.Sprintf("%.4f in aim, %.4f late, %.4f not served after %v, %.3f turned away a request",
+	return fmt.Sprintf("%.4f by the soft deadline, %.4f late, %.4f not served after %v, %.3f sheds per request",
 		float64(r.onTime)/n, float64(r.late)/n, float64(r.refused)/n, held.Round(time.Millisecond), float64(r.shed)/n)
 }
 
@@ -146,8 +145,8 @@
 	p.after(50*time.Millisecond, p.tick)
 }
 
-// sheds reports whether a target turns requests away now: the first ones of the list do so
-// together.
+// sheds reports whether a target sheds a request now. The first targets of the list do so at the
+// same time.
 func (p *backoffSimulation) sheds(key string) bool {
 	var i int
 	_, _ = fmt.Sscanf(key, "t%d", &i)
@@ -182,7 +181,7 @@
 	p.ask(r)
 }
 
-// node returns the number of the node that a request came to.
+// node returns the number of the node that received the request.
 func (r *backoffRequest) node() int {
 	var i int
 	_, _ = fmt.Sscanf(r.request.ID.Node, "%d", &i)
@@ -235,8 +234,8 @@
 	}
 }
 
-// send is an attempt at the target that was granted, or a new ask where the node may not use it
-// any more.
+// send makes an attempt at the granted target, or requests another grant if the target has become
+// unavailable to the node.
 func (p *backoffSimulation) send(r *backoffRequest, g dispatch.Grant) {
 	delete(p.requests, g.ID.Number)
 	if p.now < p.unavailableUntil[r.node()][g.Target] {
@@ -281,8 +280,8 @@
 	p.ask(r)
 }
 
-// backoffCases returns the days: at a third and at two thirds of what the service can do, a third of
-// its targets or all turn away two in five requests, seven in ten or all.
+// backoffCases returns the cases: loads of a third and of two thirds of the capacity, and a third of
+// the targets or all that shed two in five requests, seven in ten or all.
 func backoffCases() []backoffCase {
 	var out []backoffCase
 	for _, load := range []float64{30, 60} {
--- a/internal/dispatch/backoff_test.go
+++ b/internal/dispatch/backoff_test.go
@@ -12,9 +12,9 @@
 	"ploverjunction.example/ploverjunction/internal/dispatch"
 )
 
-// A target that turns a node away is likely to turn others away, and well all the same. Three ways
-// to go by that, on the same days: callers get most where it is left alone by all for a moment,
-// and fewest requests are turned away.
+// A target that sheds a request of one node is likely to shed those of others, and works well all
+// the same. Of three ways to use this, under the same loads, most requests are answered in time and
+// fewest are shed if no node uses the target for a moment.
 func TestBackoffStrategies(t *testing.T) {
 	ways := []struct {
 		name   string
@@ -22,15 +22,15 @@
 		told   bool
 	}{
 		{
-			name:   "only the node keeps away",
+			name:   "only the node backs off",
 			result: dispatch.ResultBackoff,
 		},
 		{
-			name:   "held against its health",
+			name:   "shed counts against health",
 			result: dispatch.ResultShed,
 		},
 		{
-			name:   "left alone by all for a moment",
+			name:   "all nodes back off briefly",
 			result: dispatch.ResultBackoff,
 			told:   true,
 		},
@@ -42,31 +42,31 @@
 			for seed := range uint64(2) {
 				sum.add(simulateBackoff(c, w.result, w.told, seed))
 			}
-			t.Logf("%s: %g a second, %g of the targets turn away %g for %v: %v", w.name, c.load, c.share, c.refusedShare, c.backoff, sum)
+			t.Logf("%s: %g/s, %g of the targets shed %g for %v: %v", w.name, c.load, c.share, c.refusedShare, c.backoff, sum)
 			got[i].add(sum)
 		}
 		t.Logf("%s: %v", w.name, got[i])
 	}
 	alone, health, all := got[0], got[1], got[2]
 	if held := all.waited / time.Duration(all.refused); held > 100*time.Millisecond {
-		t.Errorf("callers who aren't served hear so after %v", held)
+		t.Errorf("requests that are not served are refused after %v on average", held)
 	}
 	if all.onTime < health.onTime || all.onTime < alone.onTime {
-		t.Errorf("%d in aim, %d and %d otherwise", all.onTime, alone.onTime, health.onTime)
+		t.Errorf("%d requests answered by the soft deadline, want at least %d and %d", all.onTime, alone.onTime, health.onTime)
 	}
 	if all.shed > min(health.shed, alone.shed) {
-		t.Errorf("%d turned away, %d and %d otherwise", all.shed, alone.shed, health.shed)
+		t.Errorf("%d requests shed, want at most %d and %d", all.shed, alone.shed, health.shed)
 	}
 }
 
-// While a third of the targets turn requests away the floor of the others holds: in each two
-// seconds requests reach at least 70% of them.
+// While a third of the targets shed requests the floor of the others holds: in each 2 s requests
+// reach at least 70% of them.
 func TestBackoffKeepsFloor(t *testing.T) {
 	for _, c := range backoffCases() {
 		if c.share == 1 {
 			continue
 		}
-		t.Run(fmt.Sprintf("%g a second, %g for %v", c.load, c.refusedShare, c.backoff), func(t *testing.T) {
+		t.Run(fmt.Sprintf("%g per s, %g for %v", c.load, c.refusedShare, c.backoff), func(t *testing.T) {
 			p := runBackoff(c, dispatch.ResultBackoff, true, 1)
 			for from := backoffWarmup; from+floorWindow <= backoffEnd; from += modelInterval {
 				all, got := 0, 0
@@ -77,14 +77,15 @@
 					}
 				}
 				if float64(got) < floorShare*float64(all) {
-					t.Errorf("from %v on requests reached %d of the %d targets that take them", from, got, all)
+					t.Errorf("from %v on requests reached %d of the %d targets that accept them", from, got, all)
 				}
 			}
 		})
 	}
 }
 
-// A target that asks for rest isn't held to fail, and works again at once after it.
+// A backoff does not raise the failure probability of its target, and no node is granted the target
+// at once.
 func TestBackoffIsNoFailure(t *testing.T) {
 	d := newScheduler(pool(2)...)
 	now := start
@@ -96,12 +97,12 @@
 			break
 		}
 		if n == 100 {
-			t.Fatal("t0 gets nothing")
+			t.Fatal("t0 got no request")
 		}
 	}
 	before := d.Status(now).Targets[0].Failing
 	if before > 0.03 {
-		t.Errorf("the target is held to fail: %v", before)
+		t.Errorf("failure probability of the target is %v", before)
 	}
 	for n := range uint64(20) {
 		if g := d.Ask(now, newRequest(now, 1000+n)); g.Target == "t0" {
--- a/internal/dispatch/budget_test.go
+++ b/internal/dispatch/budget_test.go
@@ -11,7 +11,7 @@
 	"ploverjunction.example/ploverjunction/internal/dispatch"
 )
 
-// Whatever fails, repeats stay within the share and the reserve.
+// Retries stay within the share and the reserve however many requests fail.
 func TestRetriesStayWithinBudget(t *testing.T) {
 	d := newScheduler(pool(20)...)
 	now := start
@@ -31,15 +31,15 @@
 		}
 	}
 	if most := 0.2*float64(firsts) + 50; float64(repeats) > most || repeats < 60 {
-		t.Fatalf("%d repeats of %d requests, at most %v", repeats, firsts, most)
+		t.Fatalf("%d retries of %d requests, want 60 to %v", repeats, firsts, most)
 	}
 }
 
-// Second attempts of slow requests must leave repeats for those that failed.
+// Hedges of slow requests leave retries for requests that failed.
 func TestHedgesLeaveBudgetForFailedRequests(t *testing.T) {
 	d := newScheduler(pool(20)...)
 	now := start
-	// The reserve grows with the time for which a node has the role.
+	// The reserve grows with the time since the node became the dispatcher.
 	for n := range uint64(25) {
 		g := d.Ask(now, newRequest(now, 2000+n))
 		d.Done(now, g.ID, g.Target, dispatch.ResultGood, 200*time.Millisecond)
@@ -61,7 +61,7 @@
 	}
 }
 
-// A role that moves from node to node must not bring a new reserve each time.
+// The reserve of the retry budget is not granted anew each time the dispatcher role moves.
 func TestNewDispatcherGetsNoNewReserve(t *testing.T) {
 	repeats := 0
 	number := uint64(0)
@@ -85,13 +85,13 @@
 		}
 	}
 	if repeats > 50 {
-		t.Fatalf("%d repeats in 10 s, the reserve is 50", repeats)
+		t.Fatalf("%d retries in 10 s, the reserve is 50", repeats)
 	}
 }
 
-// When the role moves after quiet seconds while most requests are refused by their
-// targets, all dispatchers together stay within the budget in each window: the
-// first may have spent what the quiet seconds had saved.
+// The role moves after quiet seconds, while targets refuse most requests. All dispatchers together
+// stay within the budget in each window, although the first may have spent what the quiet seconds
+// saved.
 func TestBudgetHoldsAcrossDispatchers(t *testing.T) {
 	const (
 		nodes = 10
@@ -158,7 +158,7 @@
 	for _, end := range repeats {
 		most := budget.Share*float64(within(firsts, end)) + budget.Reserve
 		if n := within(repeats, end); float64(n) > most {
-			t.Fatalf("%d repeats in the window before %v, at most %.0f", n, end.Sub(start), most)
+			t.Fatalf("%d retries in the window before %v, want at most %.0f", n, end.Sub(start), most)
 		}
 	}
 }
--- a/internal/dispatch/choose_test.go
+++ b/internal/dispatch/choose_test.go
@@ -25,8 +25,8 @@
 	}
 }
 
-// A request of some KiB waits some milliseconds for a slot in its own data hall
-// before it goes to another one.
+// A request of some KiB waits some milliseconds for a slot in its own data hall before it goes to
+// another one.
 func TestRequestWaitsForOwnDataHall(t *testing.T) {
 	d, now := newTrainedScheduler(twoHalls()...)
 	d.Ask(now, newRequest(now, 1))
@@ -41,8 +41,8 @@
 	}
 }
 
-// A slot that becomes free goes to a request of its own data hall, though another
-// one has waited longer.
+// A freed slot goes to a request of its own data hall, although one of another data hall has waited
+// longer.
 func TestFreedSlotGoesToOwnDataHall(t *testing.T) {
 	d, now := newTrainedScheduler(twoHalls()...)
 	var far dispatch.Grant
@@ -60,8 +60,8 @@
 	}
 }
 
-// Where nothing can be repeated, a target that failed is tried again after some
-// seconds, though the others have free slots.
+// If no request can be repeated, a failed target is tried again after some seconds although others
+// have free slots.
 func TestFailedTargetIsTriedByUnrepeatableRequests(t *testing.T) {
 	d, now := newTrainedScheduler(pool(6)...)
 	for range 3 {
@@ -82,8 +82,7 @@
 	}
 }
 
-// Targets are tried by what can be repeated; large answers don't cross data halls for
-// it.
+// Repeatable requests are used to try targets, but large answers do not cross data halls for it.
 func TestTrialsOfLargeAnswersStayInTheDataHall(t *testing.T) {
 	d, now := newTrainedScheduler(pool(6)...)
 	for range 3 {
@@ -104,12 +103,12 @@
 		d.Done(at, g.ID, g.Target, dispatch.ResultGood, usualTime)
 	}
 	if tried[90] || !tried[1] {
-		t.Errorf("the target of the other data hall was tried by answers of these sizes in KiB: %v", tried)
+		t.Errorf("target of the other data hall tried with answers of these sizes in KiB: %v", tried)
 	}
 }
 
-// The slots of failing targets don't count in what a queue can be served with: what
-// would wait too long is refused at once and told when to come back.
+// Slots of failing targets do not count as capacity: requests that would wait too long are refused
+// at once with a RetryAfter.
 func TestFailingTargetsDoNotCountAsCapacity(t *testing.T) {
 	d, now := newTrainedScheduler(goodAndBad(2)...)
 	for range 4 {
@@ -122,14 +121,14 @@
 		g := d.Ask(now, a)
 		if g.Verdict == dispatch.Refused {
 			if g.RetryAfter < 3*usualTime || g.RetryAfter > 6*usualTime {
-				t.Errorf("told to come back after %v", g.RetryAfter)
+				t.Errorf("RetryAfter is %v", g.RetryAfter)
 			}
 			break
 		}
 		queued++
 	}
-	// One at the target, and what it can do in three fifths of the time.
+	// One is at the target, the others are what it can serve in three fifths of the time.
 	if queued < 4 || queued > 6 {
-		t.Errorf("%d asks were taken, want about 5", queued)
+		t.Errorf("%d requests granted or queued, want about 5", queued)
 	}
 }
--- a/internal/dispatch/coverage.go
+++ b/internal/dispatch/coverage.go
@@ -86,8 +86,8 @@
 }
 
 // headroom returns, from 0 to 1, how easily the arriving requests keep the floor within spreadTime;
-// 0 where they are too few. They are counted over the window of the retry budget, so that a new scheduler
-// first learns their rate.
+// 0 where they are too few. They are counted over the window of the retry budget, so that a new
+// scheduler first learns their rate.
 func (d *Desk) headroom(now time.Time, working float64) float64 {
 	d.window.advance(now, d.started, d.budget)
 	own, _ := d.window.sums()
--- a/internal/dispatch/coverage_test.go
+++ b/internal/dispatch/coverage_test.go
@@ -11,7 +11,7 @@
 	"ploverjunction.example/ploverjunction/internal/dispatch"
 )
 
-// The probability that too few were reached, worked out by hand.
+// The expected probabilities are calculated by hand.
 func TestShortProbability(t *testing.T) {
 	tests := []struct {
 		name          string
@@ -38,7 +38,7 @@
 			want:    0.4,
 		},
 		{
-			name:    "one of three missed if another one doesn't count",
+			name:    "one of three missed if another one does not count",
 			floor:   0.7,
 			reached: []float64{1, 1, 0.5},
 			idle:    []float64{0.4},
@@ -73,7 +73,7 @@
 	}
 }
 
-// Guards against an approximation for many targets that is not the probability it stands for.
+// The approximation for many targets stays close to the exact probability.
 func TestApproxShortProbability(t *testing.T) {
 	const most = 0.03
 	rng := rand.New(rand.NewPCG(1, 42))
@@ -98,8 +98,8 @@
 	}
 }
 
-// The status of a desk tells when targets that may work again get nothing: first
-// they surely fail and count for nothing, later they are missed.
+// The status reports when targets that may work again get no work: at first they certainly fail and
+// do not count, later they are uncovered.
 func TestStatusReportsUncoveredTargets(t *testing.T) {
 	d, now := newTrainedScheduler(pool(6)...)
 	for _, key := range []string{"t0", "t1", "t2"} {
@@ -121,8 +121,7 @@
 	}
 }
 
-// A grant whose target could not be reached doesn't make up for the work that the
-// target lacks.
+// A grant whose target could not be reached does not count as work of the target.
 func TestUnreachedTargetStillLacksWork(t *testing.T) {
 	for _, unreached := range []bool{false, true} {
 		d, now := newTrainedScheduler(pool(3)...)
@@ -147,7 +146,7 @@
 	}
 }
 
-// Nor does what another desk granted.
+// The same holds for a grant of another scheduler.
 func TestRemoteUnreachedTargetLacksWork(t *testing.T) {
 	for _, r := range []dispatch.Result{dispatch.ResultUnreached, dispatch.ResultIgnored} {
 		d, now := newTrainedScheduler(pool(3)...)
@@ -162,8 +161,8 @@
 	}
 }
 
-// The first attempt of a request may go to a target that lacks work; a second one, after
-// which the request is lost, goes where an answer is likeliest.
+// The first attempt of a request may go to a target that lacks work. A retry, after which the
+// request is lost, goes where an answer is most likely.
 func TestRetriesDoNotServeCoverage(t *testing.T) {
 	for _, again := range []bool{false, true} {
 		d, now := newTrainedScheduler(pool(3)...)
@@ -175,13 +174,13 @@
 		a := newRequest(now, 1)
 		a.Repeatable, a.Again = true, again
 		if g := d.Ask(now, a); g.Trial == again || (g.Target == "t1") == again {
-			t.Errorf("again: %v; got %q, trial %v", again, g.Target, g.Trial)
+			t.Errorf("retry: %v; got %q, trial %v", again, g.Target, g.Trial)
 		}
 	}
 }
 
-// Where requests are so few that they can't reach most of the targets, large answers
-// don't cross data halls for it.
+// If requests are too few to reach most of the targets, large answers do not cross data halls for
+// it.
 func TestFewRequestsStayInTheDataHall(t *testing.T) {
 	targets := pool(8)
 	for i := range targets {
@@ -195,7 +194,7 @@
 		a.Repeatable, a.Kilobytes = true, 90
 		g := d.Ask(now, a)
 		if g.Target != "t0" && g.Target != "t1" {
-			t.Fatalf("ask %d: %q", n, g.Target)
+			t.Fatalf("request %d: %q", n, g.Target)
 		}
 		d.Done(now.Add(usualTime), g.ID, g.Target, dispatch.ResultGood, usualTime)
 	}
--- a/internal/dispatch/export_test.go
+++ b/internal/dispatch/export_test.go
@@ -2,12 +2,12 @@
 
 package dispatch
 
-// ApproxShortProbability returns the same by its approximation for many targets.
+// ApproxShortProbability exports approxShortProbability to the tests.
 func ApproxShortProbability(reached, idle []float64, floor float64) float64 {
 	return approxShortProbability(reached, idle, floor)
 }
 
-// ShortProbability returns the probability that too few of the targets that count were reached.
+// ShortProbability exports shortProbability to the tests.
 func ShortProbability(reached, idle []float64, floor float64) float64 {
 	return shortProbability(reached, idle, floor)
 }
--- a/internal/dispatch/floor_test.go
+++ b/internal/dispatch/floor_test.go
@@ -4,8 +4,8 @@
 
 import "testing"
 
-// simulateSeeds plays a model with many seeds. It returns the share of windows with too few
-// targets, of lost requests and of answers from other data halls.
+// simulateSeeds runs a model with many seeds. It returns the shares of windows with too few targets,
+// of lost requests and of answers from other data halls.
 func simulateSeeds(s *serviceModel, first uint64) (low, lost, crossed float64) {
 	windows, lows, all, losts, crosses := 0, 0, 0, 0, 0
 	for seed := first; seed < first+s.seeds; seed++ {
@@ -21,11 +21,11 @@
 	return float64(lows) / float64(windows), float64(losts) / float64(all), float64(crosses) / float64(all)
 }
 
-// At any moment all nodes may lose power and with them a tenth of the requests. The
-// targets of the two seconds before it count then, so that work must reach enough of
-// those that work in all windows, whether or not requests fail.
+// At any moment all nodes may lose power, and with them a tenth of the requests. The floor then
+// applies to the targets that worked in the 2 s before, so that requests must reach enough working
+// targets in every window, whether or not requests fail.
 func TestWorkingTargetsAreReached(t *testing.T) {
-	// mostLow is the share of windows that may have too few: once in 500 losses of power.
+	// mostLow is the greatest share of windows with too few targets: one in 500 losses of power.
 	const mostLow = 0.002
 	for _, s := range services {
 		t.Run(s.name, func(t *testing.T) {
--- a/internal/dispatch/hedge_test.go
+++ b/internal/dispatch/hedge_test.go
@@ -9,11 +9,11 @@
 	"ploverjunction.example/ploverjunction/internal/dispatch"
 )
 
-// usualTime is the time of an answer in these tests.
+// usualTime is the mean response time in these tests.
 const usualTime = 200 * time.Millisecond
 
-// newTrainedScheduler returns a desk of targets that have answered for some time, and when
-// that was. All their answers took between half the usual time and one and a half.
+// newTrainedScheduler returns a scheduler whose targets have answered for some time, and the time
+// after that. The response times lie between half the usual time and one and a half.
 func newTrainedScheduler(targets ...dispatch.Target) (*dispatch.Desk, time.Time) {
 	d := newScheduler(targets...)
 	now := start
@@ -29,7 +29,7 @@
 	return d, now
 }
 
-// newHedge returns an ask for a second target beside one that has been silent for age.
+// newHedge returns a request for a hedge of an attempt at first that has been silent for age.
 func newHedge(now time.Time, n uint64, age time.Duration, first string) *dispatch.Ask {
 	a := newRequest(now, n)
 	a.Repeatable, a.Again, a.Hedge, a.Age = true, true, true, age
@@ -37,8 +37,7 @@
 	return a
 }
 
-// A second target is granted beside a first one that is probably silent, not beside
-// one that has merely not answered yet.
+// A hedge is granted if the first target is probably silent, not if it merely has not answered yet.
 func TestHedgeNeedsSilence(t *testing.T) {
 	tests := []struct {
 		name string
@@ -74,8 +73,7 @@
 	}
 }
 
-// The more of the retry budget is spent, the surer it must be that the first target
-// is silent.
+// The more of the retry budget is spent, the surer it must be that the first target is silent.
 func TestHedgeThresholdRisesWithSpentBudget(t *testing.T) {
 	d, now := newTrainedScheduler(pool(20)...)
 	age := 2 * usualTime
@@ -90,42 +88,41 @@
 		h := d.Ask(now, newHedge(now, 1000+n, age, "t0"))
 		if h.Verdict == dispatch.Spent {
 			if n == 0 {
-				t.Fatal("no second attempt while the budget was hardly used")
+				t.Fatal("no hedge while the budget was hardly used")
 			}
 			sure := d.Ask(now, newHedge(now, 2000+n, 8*usualTime, "t0"))
 			if sure.Verdict != dispatch.Granted {
-				t.Errorf("beside one that is surely silent: %v, with %.0f repeats left", sure.Verdict, d.Status(now).RepeatsLeft)
+				t.Errorf("hedge of a surely silent attempt: %v, with %.0f retries left", sure.Verdict, d.Status(now).RepeatsLeft)
 			}
 			return
 		}
 		d.Done(now, h.ID, h.Target, dispatch.ResultIgnored, 0)
 	}
-	t.Fatal("second attempts were granted until the budget was gone")
+	t.Fatal("hedges were granted until the budget was exhausted")
 }
 
-// A second attempt waits for a target that isn't failing, also when its answer will
-// be late: after it there is no other.
+// A hedge waits for a working target even if its answer will be late: it is the final attempt.
 func TestHedgeWaitsForWorkingTarget(t *testing.T) {
 	d, now := newTrainedScheduler(goodAndBad(3)...)
 	for range 4 {
 		d.Note(now, "bad", "", dispatch.ResultBad, time.Millisecond)
 	}
 	if g := d.Ask(now, newRequest(now, 1)); g.Target != "good" {
-		t.Fatalf("first ask got %q", g.Target)
+		t.Fatalf("first request got %q", g.Target)
 	}
 	a := newHedge(now, 2, 4*usualTime, "bad")
 	a.Tried = []string{"elsewhere"}
 	a.Aim = now.Add(usualTime)
 	if g := d.Ask(now, a); g.Verdict != dispatch.Queued {
-		t.Fatalf("second attempt: %v %q", g.Verdict, g.Target)
+		t.Fatalf("hedge: %v %q", g.Verdict, g.Target)
 	}
 	if grants := d.Advance(now.Add(usualTime / 2)); len(grants) != 0 {
 		t.Fatalf("after half of the usual time: %v", grants)
 	}
 }
 
-// What hardly any answer would come for in the time that is left is refused at once
-// and leaves the slot to others.
+// A request that is unlikely to be answered in the time left is refused at once and leaves the slot
+// to others.
 func TestInfeasibleRequestIsRefused(t *testing.T) {
 	d, now := newTrainedScheduler(dispatch.Target{
 		Key:      "only",
--- a/internal/dispatch/limit.go
+++ b/internal/dispatch/limit.go
@@ -126,8 +126,8 @@
 	Window: limitWindow,
 }
 
-// Lead sets the share of the targets' limits that this scheduler may use, 1 for all: others may grant the
-// same targets at the same time.
+// Lead sets the share of the targets' limits that this scheduler may use, 1 for all: others may
+// grant the same targets at the same time.
 func (d *Desk) Lead(share float64) { d.limitShare = share }
 
 // Limited reports whether any target has a limit.
--- a/internal/dispatch/limit_strategies_test.go
+++ b/internal/dispatch/limit_strategies_test.go
@@ -14,9 +14,9 @@
 	"ploverjunction.example/ploverjunction/internal/ratelimit"
 )
 
-var limitRuns = flag.Int("limit-plays", 2, "plays of each way to keep to a target's limit")
+var limitRuns = flag.Int("limit-plays", 2, "runs of each strategy to keep a target's limit")
 
-// Times and sizes of a play of a way: more comes than the targets without a limit can do.
+// Parameters of a strategy run. The load exceeds the capacity of the targets without a limit.
 const (
 	strategyNodes  = 40
 	strategyLength = 30 * time.Second
@@ -26,14 +26,14 @@
 
 // limitStrategy decides which requests a target with a limit gets.
 type limitStrategy interface {
-	// tick lets time pass; ask reports whether a request of a node goes to the target.
+	// tick advances the time; ask reports whether a request of a node goes to the target.
 	tick(now time.Time)
 	ask(now time.Time, node int) bool
-	// end tells that a request of the target has ended.
+	// end reports that a request of the target has ended.
 	end(now time.Time, node int)
 }
 
-// perNode has each node keep to a part of the limit by itself.
+// perNode has each node keep its share of the limit without a coordinator.
 type perNode struct {
 	rate   float64
 	pacers []*ratelimit.Pacer
@@ -55,7 +55,7 @@
 }
 func (w *perNode) end(time.Time, int) {}
 
-// byAllocator takes the target for the key of the allocator that keeps workspaces' limits.
+// byAllocator uses the target as a key of the allocator for workspace limits.
 type byAllocator struct {
 	limit     ratelimit.Limit
 	allocator *ratelimit.Allocator
@@ -111,7 +111,7 @@
 }
 func (w *byAllocator) end(time.Time, int) {}
 
-// atDispatcher has the dispatcher grant the target: paced, by slots that the limit keeps busy
+// atDispatcher has the dispatcher grant the target: paced, by the slots that the limit keeps busy
 // (Little's law), or both.
 type atDispatcher struct {
 	rate   float64
@@ -134,14 +134,14 @@
 }
 func (w *atDispatcher) end(time.Time, int) { w.flight-- }
 
-// strategyResult is what a play shows.
+// strategyResult is the result of a run.
 type strategyResult struct {
-	// peak is the greatest number in 4 s over what is aimed at, used the part of the limit
-	// that was sent.
+	// peak is the greatest number of requests in 4 s relative to maxAllowed, used the share of the
+	// limit that was sent.
 	peak, used float64
 }
 
-// simulateStrategy lets requests come to all nodes, each of which takes the target with the limit if it
+// simulateStrategy sends requests to all nodes, each of which uses the target with the limit if it
 // may, else another one.
 func simulateStrategy(w limitStrategy, rate float64, takes time.Duration, seed uint64) strategyResult {
 	rng := rand.New(rand.NewPCG(seed, 5))
@@ -173,8 +173,8 @@
 	}
 }
 
-// The way that is built keeps to what is aimed at and uses the limit, whatever the limit and the
-// time of work; each of the others fails one of the two.
+// The implemented strategy keeps to the allowed number and uses the limit, whatever the limit and
+// the response time; each of the others fails one of the two.
 func TestLimitStrategies(t *testing.T) {
 	little := func(rate float64, takes time.Duration) int {
 		return max(int(math.Round(rate*takes.Seconds())), 1)
@@ -182,7 +182,7 @@
 	ways := []struct {
 		name string
 		make func(rate float64, takes time.Duration, rng *rand.Rand) limitStrategy
-		// holds is set where the way must keep to the aim.
+		// holds is set where the strategy must keep to the allowed number.
 		holds bool
 	}{
 		{
@@ -190,13 +190,13 @@
 			make: func(rate float64, _ time.Duration, rng *rand.Rand) limitStrategy { return newPerNode(rate, rng) },
 		},
 		{
-			name: "each node an equal part",
+			name: "each node an equal share",
 			make: func(rate float64, _ time.Duration, rng *rand.Rand) limitStrategy {
 				return newPerNode(rate/strategyNodes, rng)
 			},
 		},
 		{
-			name: "allocator of workspaces",
+			name: "workspace allocator",
 			make: func(rate float64, _ time.Duration, _ *rand.Rand) limitStrategy { return newByAllocator(rate) },
 		},
 		{
@@ -220,7 +220,7 @@
 			},
 		},
 		{
-			name: "paced by the dispatcher (built)",
+			name: "paced by the dispatcher (implemented)",
 			make: func(rate float64, _ time.Duration, _ *rand.Rand) limitStrategy {
 				return &atDispatcher{
 					rate:  rate,
@@ -240,9 +240,9 @@
 					worst = max(worst, r.peak)
 					used += r.used / float64(*limitRuns)
 				}
-				t.Logf("%-32s limit %4.1f, work %5v: greatest part of the aim %5.2f, used %4.2f", way.name, rate, takes, worst, used)
+				t.Logf("%-32s limit %4.1f, work %5v: peak of the allowed number %5.2f, used %4.2f", way.name, rate, takes, worst, used)
 				if way.holds && (worst > 1 || used < 0.9) {
-					t.Errorf("%s: %.2f of the aim, %.2f of the limit used", way.name, worst, used)
+					t.Errorf("%s: peak of %.2f of the allowed number, %.2f of the limit used", way.name, worst, used)
 				}
 			}
 		}
--- a/internal/dispatch/limit_test.go
+++ b/internal/dispatch/limit_test.go
@@ -11,7 +11,7 @@
 	"ploverjunction.example/ploverjunction/internal/signal"
 )
 
-// limitOf returns the limit of a target as it answered at a time.
+// limitOf returns the limit of a target as answered at a time.
 func limitOf(key string, rate float64, at time.Time) dispatch.TargetLimit {
 	return dispatch.TargetLimit{
 		Target: key,
@@ -23,7 +23,7 @@
 	}
 }
 
-// lifted returns the word that a target has no limit any more.
+// lifted returns the answer of a target that has no limit any more.
 func lifted(key string, at time.Time) dispatch.TargetLimit {
 	return dispatch.TargetLimit{
 		Target: key,
@@ -31,15 +31,14 @@
 	}
 }
 
-// limitSimulation plays requests on a desk, one after another in a fixed time.
+// limitSimulation sends requests to a scheduler; each attempt takes a fixed time.
 type limitSimulation struct {
 	scheduler *dispatch.Desk
 	now       time.Time
 	next      uint64
-	// takes is how long a request takes.
+	// takes is the duration of an attempt.
 	takes time.Duration
-	// granted are the times of grants by target, waits those for which refused callers
-	// are told to wait.
+	// granted are the grant times by target, waits the RetryAfter of refusals.
 	granted     map[string][]time.Time
 	refused     int
 	waits       []time.Duration
@@ -64,7 +63,7 @@
 	}
 }
 
-// run lets requests come at a rate for some time.
+// run sends requests at a rate for some time.
 func (p *limitSimulation) run(rate float64, length time.Duration) {
 	const step = 5 * time.Millisecond
 	due := 0.0
@@ -103,7 +102,7 @@
 	}
 }
 
-// maxInWindow returns the greatest number of times in four seconds.
+// maxInWindow returns the greatest number of times within 4 s.
 func maxInWindow(times []time.Time) int {
 	out, from := 0, 0
 	for i, at := range times {
@@ -115,10 +114,11 @@
 	return out
 }
 
-// maxAllowed is what a target with a limit should get in four seconds at the most.
+// maxAllowed is the greatest number of requests that a target with a limit may get in 4 s.
 func maxAllowed(rate float64) int { return int(1.1*4*rate + 2) }
 
-// While more comes than the other targets can do, a target gets its limit and no more, evenly.
+// While requests exceed the capacity of the other targets, a target gets its limit and no more,
+// evenly.
 func TestLimitIsUsedAndKept(t *testing.T) {
 	for _, rate := range []float64{0.5, 1.6, 2.6, 10, 50} {
 		t.Run(fmt.Sprint(rate), func(t *testing.T) {
@@ -140,7 +140,7 @@
 	}
 }
 
-// What is saved up while nothing comes is no burst afterwards.
+// A limit unused while no requests come allows no burst afterwards.
 func TestUnusedLimitAllowsNoBurst(t *testing.T) {
 	d := newScheduler(pool(1)...)
 	p := newLimitSimulation(d)
@@ -152,7 +152,7 @@
 	}
 }
 
-// A dispatcher that hears of a limit for the first time may not be the only one that granted the
+// A dispatcher that receives a limit for the first time may not be the only one that granted the
 // target.
 func TestLimitStartsEmptyOnNewDispatcher(t *testing.T) {
 	d := newScheduler(pool(1)...)
@@ -168,7 +168,7 @@
 	}
 }
 
-// The newest answer of a target wins, in whatever order nodes tell of them.
+// The newest answer of a target sets its limit, in whatever order nodes report them.
 func TestNewestAnswerSetsLimit(t *testing.T) {
 	at := func(s int) time.Time { return start.Add(time.Duration(s) * time.Second) }
 	steps := []struct {
@@ -201,7 +201,7 @@
 			told: lifted("t0", at(4)),
 		},
 		{
-			name: "told late",
+			name: "reported late",
 			told: limitOf("t0", 4, at(3)),
 		},
 	}
@@ -217,8 +217,8 @@
 	}
 }
 
-// A target that accepts nothing is asked now and then, for only an answer tells that it accepts
-// more.
+// A target with a limit of zero is granted now and then, because only an answer shows that it
+// accepts more.
 func TestLimitOfZero(t *testing.T) {
 	d := newScheduler(pool(2)...)
 	p := newLimitSimulation(d)
@@ -229,7 +229,7 @@
 	}
 }
 
-// A limit isn't held against the health of its target, nor is what it turns away beyond it.
+// Neither a limit nor requests refused beyond it raise the failure probability of the target.
 func TestLimitIsNoEvidence(t *testing.T) {
 	d := newScheduler(pool(2)...)
 	p := newLimitSimulation(d)
@@ -244,13 +244,13 @@
 		}
 	}
 	s := d.Status(p.now)
-	t.Logf("failing %v, prior %v", s.Targets[0].Failing, s.Prior)
+	t.Logf("failure probability %v, prior %v", s.Targets[0].Failing, s.Prior)
 	if failing := s.Targets[0].Failing; failing > s.Prior {
-		t.Errorf("failing with %v", failing)
+		t.Errorf("failure probability %v", failing)
 	}
 }
 
-// Once its limit is lifted a target doesn't get at once what waited for it.
+// A target whose limit is lifted does not get all waiting requests at once.
 func TestLiftedLimitCausesNoBurst(t *testing.T) {
 	d := newScheduler(dispatch.Target{
 		Key:   "t0",
@@ -268,7 +268,7 @@
 	}
 }
 
-// Where no connection to the target came about, the limit is paid back.
+// An attempt that could not connect to its target does not use up the limit.
 func TestUnreachedAttemptReturnsLimit(t *testing.T) {
 	d := newScheduler(pool(1)...)
 	d.Observe(start, "n", limitOf("t0", 1, start))
@@ -282,8 +282,8 @@
 	}
 }
 
-// Where all targets have limits far below what comes, the surplus is refused at once with the time
-// until what waits is served, and the limits are used.
+// If the limits of all targets are far below the load, they are used and the surplus is refused at
+// once with a RetryAfter for the time until the waiting requests are served.
 func TestLimitsAreCapacity(t *testing.T) {
 	const rate, length = 2.0, 30 * time.Second
 	d := newScheduler(pool(3)...)
@@ -307,29 +307,30 @@
 		t.Errorf("%d granted, want %v", granted, least)
 	}
 	if mean := p.waited / time.Duration(p.refused); mean > 10*time.Millisecond {
-		t.Errorf("%d refused after %v in the mean", p.refused, mean)
+		t.Errorf("%d refused after %v on average", p.refused, mean)
 	}
 	least, longest := p.waits[0], p.waits[0]
 	for _, w := range p.waits {
 		least, longest = min(least, w), max(longest, w)
 	}
 	if least < 100*time.Millisecond || longest > 3*time.Second {
-		t.Errorf("callers are told to wait %v to %v", least, longest)
+		t.Errorf("RetryAfter from %v to %v", least, longest)
 	}
 }
 
-// A service whose only target accepts a request each ten seconds holds none for a grant that comes
-// after its caller's time.
+// A service whose only target accepts a request each ten seconds does not queue a request for a
+// grant after its deadline.
 func TestLimitTooLowForDeadlineIsRefused(t *testing.T) {
 	d := newScheduler(pool(1)...)
 	d.Observe(start, "n", limitOf("t0", 0.1, start))
 	g := d.Ask(start, newRequest(start, 1))
 	if g.Verdict != dispatch.Refused || g.RetryAfter < 7*time.Second || g.RetryAfter > 13*time.Second {
-		t.Errorf("%v, callers may return after %v", g.Verdict, g.RetryAfter)
+		t.Errorf("%v, RetryAfter is %v", g.Verdict, g.RetryAfter)
 	}
 }
 
-// Whoever asks is told of limits that it doesn't name, and of those lifted that it does.
+// A requesting node is sent the limits that its request does not name, and the lifting of those that
+// it does.
 func TestLimitsAreSentWithGrants(t *testing.T) {
 	d := newScheduler(pool(3)...)
 	d.Observe(start, "n", limitOf("t0", 2, start))
@@ -341,16 +342,16 @@
 	}
 	told := d.Ask(start, a).Limits
 	if len(told) != 2 || told[0] != limitOf("t0", 2, start) || told[1] != lifted("t1", start.Add(time.Second)) {
-		t.Errorf("told %+v", told)
+		t.Errorf("sent %+v", told)
 	}
 	a = newRequest(start, 2)
 	a.Limits = told[:1]
 	if told := d.Ask(start, a).Limits; len(told) != 0 {
-		t.Errorf("told again %+v", told)
+		t.Errorf("sent again %+v", told)
 	}
 }
 
-// Of more limits than fit into a message all are told after some asks.
+// If more limits exist than fit into a message, all are sent within some requests.
 func TestManyLimitsAreSentInTurn(t *testing.T) {
 	const targets = 30
 	d := newScheduler(pool(targets)...)
@@ -368,12 +369,12 @@
 		}
 	}
 	if len(told) != targets {
-		t.Errorf("%d of %d told", len(told), targets)
+		t.Errorf("%d of %d sent", len(told), targets)
 	}
 }
 
-// A grant whose answer was lost is told again as it was: a limit that became known meanwhile didn't
-// pay for it.
+// A grant that is repeated because its answer was lost does not change: a limit that became known
+// meanwhile did not pay for it.
 func TestRepeatedGrantKeepsItsLimit(t *testing.T) {
 	d := newScheduler(pool(1)...)
 	if g := d.Ask(start, newRequest(start, 1)); g.Verdict != dispatch.Granted || g.Limit.Set {
--- a/internal/dispatch/overload_test.go
+++ b/internal/dispatch/overload_test.go
@@ -13,9 +13,7 @@
 	"ploverjunction.example/ploverjunction/internal/dispatch"
 )
 
-// This file plays a service that gets more than it can do, and tells what its callers get.
-
-// Times and sizes of the overloaded service: those of the users' leasing quotes.
+// Parameters of the overloaded service: those of the users' leasing quotes.
 const (
 	overSoftDeadline = 1200 * time.Millisecond
 	overDeadline     = 3 * time.Second
@@ -23,21 +21,22 @@
 	overSpread       = 0.5
 	overTargets      = 40
 	overSlots        = 3
-	// overWarm is from when on requests count, overEnd until when they come.
+	// overWarm is the time from which requests count, overEnd the time until which they arrive.
 	overWarm = 8 * time.Second
 	overEnd  = 28 * time.Second
 )
 
-// overloadSimulation is one play.
+// overloadSimulation simulates a service under more load than it can serve, and counts what its
+// callers get.
 type overloadSimulation struct {
 	scheduler *dispatch.Desk
 	rng       *rand.Rand
 	steps     eventQueue
 	now       time.Duration
 	next      uint64
-	// load is in requests a second at a time.
+	// load is in requests per second at a time.
 	load func(at time.Duration) float64
-	// gray is the share of the targets that hang most of their requests, in turns.
+	// gray is the share of the targets that hang on most of their requests, drawn anew every 9 s.
 	gray     float64
 	requests map[uint64]*overRequest
 	got      overResult
@@ -48,21 +47,21 @@
 	came    time.Duration
 }
 
-// overResult counts the requests that came after overWarm.
+// overResult counts the requests that arrive after overWarm.
 type overResult struct {
 	all, onTime, late, refused, hung int
-	// waited adds up how long the requests were held that were not served nor sent.
+	// waited is the total time until the refusal of refused requests.
 	waited time.Duration
 }
 
 func (r overResult) String() string {
-	return fmt.Sprintf("%d requests: %.3f in aim, %.3f late, %.3f refused, %.3f hung; refused after %v",
+	return fmt.Sprintf("%d requests: %.3f by the soft deadline, %.3f late, %.3f refused, %.3f hung; refused after %v",
 		r.all, r.share(r.onTime), r.share(r.late), r.share(r.refused), r.share(r.hung), (r.waited / time.Duration(max(r.refused, 1))).Round(time.Millisecond))
 }
 
 func (r overResult) share(n int) float64 { return float64(n) / float64(max(r.all, 1)) }
 
-// overCapacity is what the targets that work can do, in requests a second.
+// overCapacity returns the capacity of the working targets, in requests per second.
 func overCapacity(gray float64) float64 {
 	return (1 - gray) * overTargets * overSlots / overWork.Seconds()
 }
@@ -156,7 +155,7 @@
 	}
 }
 
-// hangs reports whether a target hangs most of its requests now.
+// hangs reports whether a request to a target hangs now.
 func (o *overloadSimulation) hangs(key string) bool {
 	var n int
 	_, _ = fmt.Sscanf(key, "t%d", &n)
@@ -189,22 +188,23 @@
 	})
 }
 
-// constantLoad returns a load of a share of what the targets can do.
+// constantLoad returns a load that is a share of the capacity.
 func constantLoad(share, gray float64) func(time.Duration) float64 {
 	return func(time.Duration) float64 { return share * overCapacity(gray) }
 }
 
-// A service that gets more than it can do still answers in aim nearly as many as it can,
-// and refuses the rest at once. Before what can't be in aim any more stood behind the rest
-// it was 0.53 of what the targets can do at 1.2 to 2 times that, and refusals took 2.8 s.
+// An overloaded service still answers nearly as many requests by the soft deadline as it has
+// capacity for, and refuses the others at once. When requests that cannot be answered in time were
+// not queued behind the others, it was 0.53 of the capacity at 1.2 to 2 times the capacity, and
+// refusals took 2.8 s.
 func TestOverload(t *testing.T) {
 	for _, gray := range []float64{0, 0.3} {
 		for _, share := range []float64{0.8, 1, 1.2, 1.35, 1.6, 2} {
 			got := simulateOverload(constantLoad(share, gray), gray, 1)
 			inAim := share * got.share(got.onTime)
-			t.Logf("gray %.1f, load %.2f: %.3f of the capacity in aim; %v", gray, share, inAim, got)
+			t.Logf("gray %.1f, load %.2f: %.3f of the capacity by the soft deadline; %v", gray, share, inAim, got)
 			if inAim < min(0.96*share, 0.88) {
-				t.Errorf("gray %.1f, load %.2f: %.3f of the capacity in aim", gray, share, inAim)
+				t.Errorf("gray %.1f, load %.2f: %.3f of the capacity by the soft deadline", gray, share, inAim)
 			}
 			if share > 1 && got.waited > time.Duration(got.refused)*400*time.Millisecond {
 				t.Errorf("gray %.1f, load %.2f: refused after %v", gray, share, got.waited/time.Duration(got.refused))
@@ -213,8 +213,9 @@
 	}
 }
 
-// A short burst is worked off: few are refused, and more are answered in aim than 0.85 of
-// all, what it was when those that can't be in aim any more went first.
+// A short burst is worked off: few requests are refused, and more are answered by the soft deadline
+// than 0.85 of all, the share reached when requests that cannot be answered in time were served
+// first.
 func TestBurstIsWorkedOff(t *testing.T) {
 	burst := func(at time.Duration) float64 {
 		if at > 10*time.Second && at < 13*time.Second {
--- a/internal/dispatch/partition_test.go
+++ b/internal/dispatch/partition_test.go
@@ -26,7 +26,7 @@
 	return out
 }
 
-// sizes returns how many targets each data hall has.
+// sizes returns the number of targets by data hall.
 func sizes(counts ...int) map[string]int {
 	out := map[string]int{}
 	for _, t := range spreadOver(counts...) {
@@ -79,15 +79,15 @@
 	}
 }
 
-// An ask that can be passed on leaves no trace at a desk without a free target: not in the
-// queue, not in the retry budget, not among the refusals.
+// A non-queueing request without a free target changes neither the queue nor the retry budget nor
+// the counts of refusals.
 func TestNonQueueingRequestLeavesNoTrace(t *testing.T) {
 	d := newScheduler(dispatch.Target{
 		Key:      "only",
 		DataHall: "a",
 		Slots:    1,
 	})
-	// Asks that wait pay for repeats.
+	// Waiting requests pay for retries.
 	for n := range uint64(20) {
 		d.Ask(start, newRequest(start, 100+n))
 	}
@@ -97,7 +97,7 @@
 		a.Passing = true
 		a.Again = n%2 == 1
 		if g := d.Ask(start, a); g.Verdict != dispatch.Full {
-			t.Fatalf("ask %d: %v", n, g.Verdict)
+			t.Fatalf("request %d: %v", n, g.Verdict)
 		}
 	}
 	after := d.Status(start)
@@ -106,8 +106,8 @@
 	}
 }
 
-// The parts of a divided service together send no more repeats than the service may,
-// whichever of them get the load and the failures.
+// The partitions of a service together send no more retries than the service may, however load and
+// failures are distributed over them.
 func TestPartitionsShareRetryBudget(t *testing.T) {
 	const (
 		parts   = 5
@@ -117,7 +117,7 @@
 	)
 	tests := []struct {
 		name string
-		// load is the part of the asks that each part gets.
+		// load is the number of requests of each partition per step.
 		load [parts]int
 	}{
 		{
@@ -125,7 +125,7 @@
 			load: [parts]int{1, 1, 1, 1, 1},
 		},
 		{
-			name: "one part has nearly all",
+			name: "one partition has nearly all",
 			load: [parts]int{16, 1, 1, 1, 1},
 		},
 	}
@@ -161,10 +161,10 @@
 				}
 			}
 			if most := share*float64(firsts) + reserve; float64(repeats) > most {
-				t.Errorf("%d repeats for %d first attempts, want at most %.0f", repeats, firsts, most)
+				t.Errorf("%d retries for %d first attempts, want at most %.0f", repeats, firsts, most)
 			}
 			if repeats == 0 {
-				t.Error("no repeats at all")
+				t.Error("no retries at all")
 			}
 		})
 	}
--- a/internal/dispatch/scheduler.go
+++ b/internal/dispatch/scheduler.go
@@ -317,8 +317,8 @@
 	}
 }
 
-// idleInterval is the interval at which an idle scheduler updates its estimates. Each node has a scheduler for
-// each service, most of them idle.
+// idleInterval is the interval at which an idle scheduler updates its estimates. Each node has a
+// scheduler for each service, most of them idle.
 const idleInterval = time.Second
 
 // Busy reports whether any request waits or any attempt is under way.
--- a/internal/dispatch/scheduler_test.go
+++ b/internal/dispatch/scheduler_test.go
@@ -11,7 +11,7 @@
 	"ploverjunction.example/ploverjunction/internal/dispatch"
 )
 
-// start is when all desks of these tests begin.
+// start is the time at which the schedulers of these tests are created.
 var start = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
 func newScheduler(targets ...dispatch.Target) *dispatch.Desk {
@@ -24,7 +24,7 @@
 	return d
 }
 
-// pool returns n targets of three slots, in data halls a and b by turns.
+// pool returns n targets of three slots, alternating between data halls a and b.
 func pool(n int) []dispatch.Target {
 	var out []dispatch.Target
 	for i := range n {
@@ -37,8 +37,8 @@
 	return out
 }
 
-// goodAndBad returns two targets of one data hall: one of a single slot, and one that is to
-// fail, with more of them.
+// goodAndBad returns two targets of one data hall: a good one with a single slot and one, made to
+// fail by the test, with the given number of slots.
 func goodAndBad(slots int) []dispatch.Target {
 	return []dispatch.Target{
 		{
@@ -54,7 +54,7 @@
 	}
 }
 
-// newRequest returns an ask for something that can't be repeated.
+// newRequest returns a grant request for an attempt that cannot be repeated.
 func newRequest(now time.Time, n uint64) *dispatch.Ask {
 	return &dispatch.Ask{
 		ID: dispatch.ID{
@@ -88,7 +88,7 @@
 	// 2 granted only
 }
 
-// No target gets more than its slots, and each ask gets one answer, in whatever
+// No target gets more requests than it has slots, and each request gets one answer, in whatever
 // order attempts end.
 func TestSlotsAreNeverExceeded(t *testing.T) {
 	for seed := range uint64(20) {
@@ -132,14 +132,14 @@
 		}
 		for n, count := range answers {
 			if count != 1 {
-				t.Fatalf("seed %d: ask %d got %d answers", seed, n, count)
+				t.Fatalf("seed %d: request %d got %d answers", seed, n, count)
 			}
 		}
 	}
 }
 
-// One quick failure is enough to send what can't be repeated elsewhere, and the
-// target gets work again after some seconds.
+// After one quick failure requests that cannot be repeated avoid the target; some seconds later it
+// gets work again.
 func TestFailedTargetIsAvoidedThenReused(t *testing.T) {
 	d := newScheduler(pool(6)...)
 	first := d.Ask(start, newRequest(start, 1))
@@ -159,7 +159,8 @@
 	if hits := used(start.Add(5*time.Millisecond), 100); hits != 0 {
 		t.Errorf("%d of 100 requests went to the target that had just failed", hits)
 	}
-	// In the other data hall and unproved, it needs the load of the others.
+	// A target without a good answer in the other data hall gets work only under load, so the second
+	// half uses a single target.
 	d = newScheduler(pool(1)...)
 	d.Ask(start, newRequest(start, 1))
 	d.Done(start, dispatch.ID{
@@ -172,17 +173,17 @@
 	}
 }
 
-// While a target that isn't failing is busy, what can't be repeated waits for it
-// and does not go to one that is failing and therefore free.
+// A request that cannot be repeated waits for a busy working target rather than use the free slots
+// of a failing one.
 func TestRequestWaitsForWorkingTarget(t *testing.T) {
 	d := newScheduler(goodAndBad(3)...)
 	d.Note(start, "bad", "", dispatch.ResultBad, time.Millisecond)
 	d.Note(start, "bad", "", dispatch.ResultBad, time.Millisecond)
 	if g := d.Ask(start, newRequest(start, 1)); g.Target != "good" {
-		t.Fatalf("first ask got %q", g.Target)
+		t.Fatalf("first request got %q", g.Target)
 	}
 	if g := d.Ask(start, newRequest(start, 2)); g.Verdict != dispatch.Queued {
-		t.Fatalf("second ask: %v %q", g.Verdict, g.Target)
+		t.Fatalf("second request: %v %q", g.Verdict, g.Target)
 	}
 	grants := d.Done(start.Add(300*time.Millisecond), dispatch.ID{
 		Node:   "n",
@@ -193,11 +194,11 @@
 	}
 }
 
-// The last attempt of something that can be repeated waits for a target that isn't
-// failing as well: after it the request is lost.
+// The final attempt of a repeatable request waits for a working target as well: if it fails the
+// request is lost.
 func TestFinalAttemptWaitsForWorkingTarget(t *testing.T) {
 	d := newScheduler(goodAndBad(3)...)
-	// The retry budget must have something to give.
+	// The retry budget must not be empty.
 	first := d.Ask(start, newRequest(start, 1))
 	d.Done(start, first.ID, first.Target, dispatch.ResultGood, time.Millisecond)
 	now := start.Add(4 * time.Second)
@@ -218,7 +219,7 @@
 	}
 }
 
-// A datagram that arrives twice must not take a slot again after the attempt ended.
+// A datagram that arrives again after its attempt ended takes no slot.
 func TestRepeatedDatagramDoesNotReopenRequest(t *testing.T) {
 	d := newScheduler(pool(1)...)
 	g := d.Ask(start, newRequest(start, 1))
@@ -229,7 +230,7 @@
 	}
 }
 
-// The end of each attempt frees its slot, also where the target failed.
+// The end of an attempt frees its slot whatever the result.
 func TestEveryResultFreesTheSlot(t *testing.T) {
 	results := []dispatch.Result{
 		dispatch.ResultGood,
@@ -249,7 +250,7 @@
 	}
 }
 
-// An attempt whose end is never told holds its slot only until its deadline.
+// An attempt whose end is never reported holds its slot only until its deadline.
 func TestUnreportedEndFreesSlotAtDeadline(t *testing.T) {
 	d := newScheduler(dispatch.Target{
 		Key:   "only",
@@ -264,7 +265,7 @@
 	}
 }
 
-// Under overload asks that can be answered in time go before those that can't.
+// Under overload, requests that can be answered in time are served before those that cannot.
 func TestFeasibleRequestsAreServedFirst(t *testing.T) {
 	d := newScheduler(dispatch.Target{
 		Key:   "only",
@@ -285,7 +286,7 @@
 	}
 }
 
-// Under overload the more urgent goes first.
+// Under overload, more urgent requests are served first.
 func TestUrgentRequestsAreServedFirst(t *testing.T) {
 	d := newScheduler(dispatch.Target{
 		Key:   "only",
@@ -305,7 +306,7 @@
 	}
 }
 
-// A target that joins gets work though others have proved themselves.
+// A target that joins gets work although the others already have good answers.
 func TestNewTargetGetsWork(t *testing.T) {
 	d := newScheduler(pool(4)...)
 	d.Configure(start, append(pool(4), dispatch.Target{
@@ -327,7 +328,7 @@
 		}
 	}
 	if !got {
-		t.Fatal("the new target got nothing")
+		t.Fatal("the new target got no request")
 	}
 }
 
@@ -339,22 +340,22 @@
 		a.Repeatable, a.Kilobytes = true, 90
 		g := d.Ask(start, a)
 		if g.Verdict != dispatch.Granted || g.Target != "t0" && g.Target != "t2" {
-			t.Fatalf("ask %d: %v %q", n, g.Verdict, g.Target)
+			t.Fatalf("request %d: %v %q", n, g.Verdict, g.Target)
 		}
 	}
 }
 
-// A node that reaches no dispatcher gets a target whatever it knows of slots.
+// A node that reaches no dispatcher gets a target whatever the slots in use.
 func TestIsolatedRequestsNeverWait(t *testing.T) {
 	d := newScheduler(pool(1)...)
 	for n := range uint64(10) {
 		if g := d.AskAlone(start, newRequest(start, n), 0.1); g.Verdict != dispatch.Granted {
-			t.Fatalf("ask %d: %v", n, g.Verdict)
+			t.Fatalf("request %d: %v", n, g.Verdict)
 		}
 	}
 }
 
-// Leaving targets get nothing, not even alone.
+// Draining targets get no requests, not even from isolated nodes.
 func TestDrainingTargetGetsNoRequests(t *testing.T) {
 	d := newScheduler(dispatch.Target{
 		Key:     "leaving",
@@ -365,6 +366,6 @@
 		t.Errorf("got %v", g.Verdict)
 	}
 	if g := d.AskAlone(start, newRequest(start, 2), 1); g.Verdict != dispatch.Refused {
-		t.Errorf("alone: got %v", g.Verdict)
+		t.Errorf("isolated: got %v", g.Verdict)
 	}
 }
--- a/internal/dispatch/serve_test.go
+++ b/internal/dispatch/serve_test.go
@@ -10,8 +10,8 @@
 	"ploverjunction.example/ploverjunction/internal/dispatch"
 )
 
-// newOverloadedScheduler returns a desk whose targets have no free slot, with asks of several routes
-// that wait, and the grants under way.
+// newOverloadedScheduler returns a scheduler without a free slot, with waiting requests of several
+// routes, and the grants under way.
 func newOverloadedScheduler(tb testing.TB, targets, waiting int, now time.Time) (*dispatch.Desk, []dispatch.Grant) {
 	tb.Helper()
 	list := pool(targets)
@@ -31,15 +31,15 @@
 		case dispatch.Queued:
 			waiting--
 		default:
-			tb.Fatalf("ask %d: %v", n, g.Verdict)
+			tb.Fatalf("request %d: %v", n, g.Verdict)
 		}
 	}
 	return d, running
 }
 
-// BenchmarkDoneWhileOthersWait measures the end of one attempt while 300 asks wait and
-// no slot is free. With 86 and 431 targets it took 1.6 and 2.1 ms while each end looked at
-// all targets for all that wait, and takes 0.10 and 0.19 ms, an ask included.
+// BenchmarkDoneWhileOthersWait measures the end of one attempt while 300 requests wait and no slot
+// is free. With 86 and 431 targets it took 1.6 and 2.1 ms when each end examined all targets for all
+// waiting requests, and takes 0.10 and 0.19 ms now, a grant request included.
 func BenchmarkDoneWhileOthersWait(b *testing.B) {
 	for _, targets := range []int{86, 431} {
 		b.Run(fmt.Sprint(targets), func(b *testing.B) {
@@ -61,7 +61,7 @@
 	}
 }
 
-// A slot that becomes free goes to an ask that waits at once, however many wait.
+// A freed slot goes to a waiting request at once, however many wait.
 func TestFreedSlotIsUsedAtOnce(t *testing.T) {
 	now := start
 	d, running := newOverloadedScheduler(t, 86, 300, now)
--- a/internal/dispatch/service_test.go
+++ b/internal/dispatch/service_test.go
@@ -7,7 +7,7 @@
 // serviceModel describes a service and its load.
 type serviceModel struct {
 	name string
-	// halls is the number of targets of each data hall; callers are alike in all.
+	// halls is the number of targets of each data hall; all data halls have the same load.
 	halls []int
 	slots int
 	// perSecond is the load, work the mean time of an answer of kilobytes.
@@ -15,34 +15,35 @@
 	work       time.Duration
 	kilobytes  int
 	repeatable bool
-	// period is after how long a target's state is drawn again: it is failing then
-	// with probability failingShare, and loses the part lost of its requests.
+	// period is the time after which a target's state is drawn again: it is failing with probability
+	// failingShare, and then loses the share lost of its requests.
 	period time.Duration
 	lost   float64
-	// slow is the share of targets that work slowFactor times as long from slowFrom
-	// on; they are harmed and don't count.
+	// slow is the share of targets that take slowFactor times as long from slowFrom on; they are
+	// impaired and do not count.
 	slow float64
-	// dispatcherMoves is after how long the role goes to another desk, 0 for never.
+	// dispatcherMoves is the time between moves of the dispatcher role to another scheduler, 0 for
+	// never.
 	dispatcherMoves time.Duration
-	// maxLost is the share of requests that may be lost: that of a choice which doesn't
-	// look at coverage, and a tenth of it for chance.
+	// maxLost is the greatest share of requests that may be lost: that of a choice without regard to
+	// coverage, and a tenth of it for chance.
 	maxLost float64
-	// seeds is how many plays there are.
+	// seeds is the number of simulations.
 	seeds uint64
 }
 
-// What is alike on the users' sites.
+// Parameters common to the users' sites.
 const (
-	// failingShare is the share of the time in which targets fail by themselves,
-	// errorShare that of the requests that working targets fail.
+	// failingShare is the share of the time in which targets fail by themselves, errorShare the
+	// share of requests that working targets fail.
 	failingShare = 0.3
 	errorShare   = 0.012
-	// slowFrom is when slow targets become slow, slowFactor by how much.
+	// slowFrom is when slow targets become slow, slowFactor the factor of their response times.
 	slowFrom   = 19 * time.Second
 	slowFactor = 12
 )
 
-// services are those of the users' small sites, with their rates on days with trouble.
+// services are those of the users' small sites, with the rates of days with failures.
 var services = []serviceModel{
 	{
 		name:      "reservations",
--- a/internal/dispatch/simulation_test.go
+++ b/internal/dispatch/simulation_test.go
@@ -11,27 +11,23 @@
 	"ploverjunction.example/ploverjunction/internal/dispatch"
 )
 
-// This file plays one service on a desk: targets that begin and end to fail by
-// themselves, callers in several data halls. It tells in how many windows a loss of all
-// nodes at their end would have broken the users' floor.
-
 // Times of the model and of the floor.
 const (
-	// modelWarm is when the windows begin that count, modelEnd when a play ends.
+	// modelWarm is the start of the first window, modelEnd the end of a simulation.
 	modelWarm = 8 * time.Second
 	modelEnd  = 40 * time.Second
-	// modelInterval is the time between two windows, floorWindow their length.
+	// modelInterval is the time between the starts of two windows, floorWindow their length.
 	modelInterval = 250 * time.Millisecond
 	floorWindow   = 2 * time.Second
-	// floorShare is the users' floor. A target counts that has worked for floorSettled
-	// before the window and in it.
+	// floorShare is the users' floor. A target counts if it has worked in the window and for
+	// floorSettled before it.
 	floorShare   = 0.7
 	floorSettled = 2 * time.Second
-	// failsQuick is how long a target takes to fail in a time of failing.
+	// failsQuick is the response time of a failing target.
 	failsQuick = 3 * time.Millisecond
 )
 
-// modelTarget is one target: its states in turn and when it was reached.
+// modelTarget is one target: its sequence of states and the times at which requests reached it.
 type modelTarget struct {
 	key     string
 	states  []bool
@@ -45,7 +41,7 @@
 	return m.states[int((at+m.offset)/s.period)]
 }
 
-// counts reports whether the target counts in the window that begins at from.
+// counts reports whether the target counts in the window that starts at from.
 func (m *modelTarget) counts(s *serviceModel, from time.Duration) bool {
 	if m.slow && from+floorWindow > slowFrom {
 		return false
@@ -68,7 +64,7 @@
 	return false
 }
 
-// event is something that happens at a time.
+// event is an action at a time.
 type event struct {
 	at time.Duration
 	do func()
@@ -87,7 +83,9 @@
 	return last
 }
 
-// simulation is one run of a model.
+// simulation simulates one service with its scheduler: targets that start and stop failing by
+// themselves, and callers in several data halls. It counts the windows at whose end a loss of all
+// nodes would have violated the users' floor.
 type simulation struct {
 	s         *serviceModel
 	scheduler *dispatch.Desk
@@ -138,7 +136,7 @@
 	return p
 }
 
-// newDispatcher gives the role to a new desk, which knows nothing of what was before.
+// newDispatcher moves the role to a new scheduler without any state.
 func (p *simulation) newDispatcher() {
 	p.scheduler = dispatch.NewDesk(p.clock(), dispatch.Budget{
 		Share:   0.2,
@@ -162,7 +160,7 @@
 
 func (p *simulation) clock() time.Time { return start.Add(p.now) }
 
-// run plays the whole time.
+// run runs the whole simulation.
 func (p *simulation) run() {
 	p.arrive()
 	p.advance()
@@ -178,7 +176,7 @@
 	p.after(50*time.Millisecond, p.advance)
 }
 
-// arrive lets a request come and the next one after it.
+// arrive sends a request and schedules the next one.
 func (p *simulation) arrive() {
 	p.all++
 	p.next++
@@ -202,7 +200,7 @@
 	p.take([]dispatch.Grant{p.scheduler.Ask(p.clock(), a)})
 }
 
-// take begins the attempts that were granted.
+// take starts the attempts that were granted.
 func (p *simulation) take(grants []dispatch.Grant) {
 	for _, g := range grants {
 		switch g.Verdict {
@@ -252,8 +250,8 @@
 	p.ask(&again)
 }
 
-// windows returns how many windows were judged and how many of them had too few of
-// the targets that count.
+// windows returns the number of windows and of those in which too few of the targets that count were
+// reached.
 func (p *simulation) windows() (all, low int) {
 	for from := modelWarm; from+floorWindow <= modelEnd; from += modelInterval {
 		working, reached := 0, 0
--- a/internal/dispatch/sparse.go
+++ b/internal/dispatch/sparse.go
@@ -20,9 +20,9 @@
 	countedTime = time.Second
 )
 
-// arrivalRate returns the rate of first attempts, per second, since this scheduler took up the role of
-// dispatcher, and whether enough of them were counted. Nodes have schedulers long before they take up the
-// role.
+// arrivalRate returns the rate of first attempts, per second, since this scheduler took up the role
+// of dispatcher, and whether enough of them were counted. Nodes have schedulers long before they
+// take up the role.
 func (d *Desk) arrivalRate(now time.Time) (rate float64, known bool) {
 	d.window.advance(now, d.started, d.budget)
 	firsts, _ := d.window.sums()
--- a/internal/dispatch/sparse_test.go
+++ b/internal/dispatch/sparse_test.go
@@ -12,22 +12,22 @@
 	"ploverjunction.example/ploverjunction/internal/dispatch"
 )
 
-// sparseService is a part of a service with so many targets that the requests which come reach few of them
-// within the time of the floor. Some targets are gray by turns: they fail a part of what they get.
+// sparseService models a service with so many targets that its requests reach few of them within the
+// time of the floor. Some targets are gray at any time: they fail a share of their requests.
 type sparseService struct {
 	targets int
-	// rate is in requests a second.
+	// rate is in requests per second.
 	rate float64
-	// gray is the share of targets that are gray at any time, for period each time, and fails
-	// what part of the requests they fail.
+	// gray is the share of targets that are gray at any time. Which ones are is drawn anew every
+	// period. fails is the share of requests that they fail.
 	gray   float64
 	period time.Duration
 	fails  float64
-	// joins is how many targets are added at joinsAt.
+	// joins is the number of targets added at sparseJoins.
 	joins int
 }
 
-// Times of the sparse model.
+// Times of the model.
 const (
 	sparseWarm  = 5 * time.Second
 	sparseEnd   = 25 * time.Second
@@ -35,14 +35,14 @@
 	sparseJoins = 12 * time.Second
 )
 
-// sparseResult is what came of a play.
+// sparseResult is the result of a simulation.
 type sparseResult struct {
 	served, all int
-	// early are the same of the first seconds.
+	// earlyServed and earlyAll are the same for the first seconds.
 	earlyServed, earlyAll int
-	// waited is the mean time for a target, in seconds.
+	// waited is the mean wait for a target, in seconds.
 	waited float64
-	// unused are the targets that joined and got nothing within six seconds.
+	// unused counts the new targets without a request within six seconds.
 	unused int
 }
 
@@ -57,7 +57,7 @@
 	}
 }
 
-// pool of the sparse model, with keys from first on.
+// pool returns n targets with keys numbered from first.
 func (s *sparseService) pool(first, n int) []dispatch.Target {
 	var out []dispatch.Target
 	for i := range n {
@@ -105,7 +105,7 @@
 			granted(at, g)
 		}
 	}
-	// granted plays what becomes of an ask that is answered.
+	// granted simulates the attempt of a granted request.
 	granted = func(at time.Duration, g dispatch.Grant) {
 		warm := arrived[g.ID] > sparseWarm
 		switch g.Verdict {
@@ -187,17 +187,16 @@
 	return out
 }
 
-// Guards against work that is spread over more targets than the requests can keep known.
+// Work is not spread over more targets than the requests suffice to estimate.
 func TestSparseServiceUsesAnsweringTargets(t *testing.T) {
 	tests := []struct {
 		name string
 		sparseService
-		// early and least are the shares of requests that must be served in the first seconds
-		// and later.
+		// early and least are the least shares of requests served in the first seconds and later.
 		early, least float64
 	}{
 		{
-			name: "three in ten gray for good",
+			name: "three in ten permanently gray",
 			sparseService: sparseService{
 				targets: 720,
 				rate:    212,
@@ -210,7 +209,7 @@
 			least: 0.97,
 		},
 		{
-			name: "gray by turns",
+			name: "changing gray targets",
 			sparseService: sparseService{
 				targets: 720,
 				rate:    212,
@@ -250,7 +249,7 @@
 			}
 			share := float64(sum.served) / float64(sum.all)
 			early := float64(sum.earlyServed) / float64(sum.earlyAll)
-			t.Logf("%.3f served, %.3f in the first seconds, waits of %.3f s, %d of %d targets that joined unused", share, early, sum.waited/3, sum.unused, 3*tt.joins)
+			t.Logf("%.3f served, %.3f in the first seconds, waits of %.3f s, %d of %d new targets unused", share, early, sum.waited/3, sum.unused, 3*tt.joins)
 			if early < tt.early {
 				t.Errorf("%.3f served in the first seconds, want %.2f", early, tt.early)
 			}
@@ -258,13 +257,14 @@
 				t.Errorf("%.3f served, want %.2f", share, tt.least)
 			}
 			if sum.unused > 0 {
-				t.Errorf("%d of %d targets that joined got nothing", sum.unused, 3*tt.joins)
+				t.Errorf("%d of %d new targets got no request", sum.unused, 3*tt.joins)
 			}
 		})
 	}
 }
 
-// Guards against a dispatcher that takes up its role, has counted few requests so far and leaves targets out.
+// A new dispatcher that has counted few requests so far does not take its service for a sparse one
+// and leave targets out.
 func TestNewDispatcherOfABusyServiceSpreadsWork(t *testing.T) {
 	const targets = 88
 	d := newScheduler(pool(targets)...)
@@ -287,7 +287,7 @@
 			continue
 		}
 		if len(last) < 80 {
-			t.Fatalf("%v after it took up the role %d of %d targets have got work", now.Sub(from), len(last), targets)
+			t.Fatalf("%v after the dispatcher took up its role %d of %d targets have got work", now.Sub(from), len(last), targets)
 		}
 	}
 }
--- a/internal/dispatch/spread_test.go
+++ b/internal/dispatch/spread_test.go
@@ -11,7 +11,7 @@
 	"ploverjunction.example/ploverjunction/internal/dispatch"
 )
 
-// recentlyUsed counts the targets that got work within the last two seconds.
+// recentlyUsed returns the number of targets that got work within the last 2 s.
 func recentlyUsed(last map[string]time.Time, now time.Time) int {
 	n := 0
 	for _, at := range last {
@@ -22,8 +22,8 @@
 	return n
 }
 
-// All targets that work share it, also after a time in which many failed and few
-// requests come: to prefer those that worked last would leave the others out.
+// All working targets share the load, also with few requests after a time of many failures:
+// preferring the targets that answered last would leave out the others.
 func TestWorkingTargetsShareLoad(t *testing.T) {
 	d := newScheduler(pool(20)...)
 	last := map[string]time.Time{}
@@ -49,13 +49,13 @@
 			continue
 		}
 		if got := recentlyUsed(last, now); got < 16 {
-			t.Fatalf("ask %d: %d of 20 targets got work within 2 s", n, got)
+			t.Fatalf("request %d: %d of 20 targets got work within 2 s", n, got)
 		}
 	}
 }
 
-// While many requests fail, no target that takes work is left out for long: others
-// would have to carry its share.
+// While many requests fail, no target that takes work is left out for long: the others would have to
+// carry its share.
 func TestEveryTargetGetsWorkWhileManyRequestsFail(t *testing.T) {
 	d := newScheduler(pool(9)...)
 	last := map[string]time.Time{}
@@ -64,14 +64,14 @@
 		now = now.Add(15 * time.Millisecond)
 		g := d.Ask(now, newRequest(now, n))
 		if g.Verdict != dispatch.Granted {
-			t.Fatalf("ask %d: %v", n, g.Verdict)
+			t.Fatalf("request %d: %v", n, g.Verdict)
 		}
 		last[g.Target] = now
 		r := dispatch.ResultGood
 		if g.Target < "t3" {
 			r = dispatch.ResultBad
 		}
-		// A share of the rest fails too, whatever its target.
+		// A share of the other requests fails too, whatever the target.
 		if n%5 == 0 {
 			r = dispatch.ResultBad
 		}
@@ -80,13 +80,13 @@
 			continue
 		}
 		if got := recentlyUsed(last, now); got < 7 {
-			t.Fatalf("ask %d: %d of 9 targets got work within 2 s", n, got)
+			t.Fatalf("request %d: %d of 9 targets got work within 2 s", n, got)
 		}
 	}
 }
 
-// A large service with little load uses nearly all of its targets for what can be
-// repeated, also those that failed some seconds ago.
+// A large service under little load uses nearly all of its targets for repeatable requests, also
+// those that failed some seconds ago.
 func TestLargeServiceReusesFailedTargets(t *testing.T) {
 	const targets = 100
 	d := newScheduler(pool(targets)...)
@@ -107,13 +107,13 @@
 			continue
 		}
 		if got := recentlyUsed(last, now); got < 85 {
-			t.Fatalf("ask %d: %d of %d targets got work within 2 s", n, got, targets)
+			t.Fatalf("request %d: %d of %d targets got work within 2 s", n, got, targets)
 		}
 	}
 }
 
-// Requests whose callers leave while their first attempt goes on are not served
-// either: work is spread when there are many of them.
+// Requests whose callers leave during the first attempt count as not served: work is spread when
+// there are many of them.
 func TestAbandonedRequestsSpreadWork(t *testing.T) {
 	d := newScheduler(pool(9)...)
 	last := map[string]time.Time{}
@@ -124,7 +124,7 @@
 		a.Repeatable = true
 		g := d.Ask(now, a)
 		if g.Verdict != dispatch.Granted {
-			t.Fatalf("ask %d: %v", n, g.Verdict)
+			t.Fatalf("request %d: %v", n, g.Verdict)
 		}
 		last[g.Target] = now
 		switch {
@@ -140,19 +140,18 @@
 			continue
 		}
 		if got := recentlyUsed(last, now); got < 9 {
-			t.Fatalf("ask %d: %d of 9 targets got work within 2 s", n, got)
+			t.Fatalf("request %d: %d of 9 targets got work within 2 s", n, got)
 		}
 	}
 }
 
-// Large answers reach enough of the targets of another data hall as well, but hardly
-// more than that: each costs bytes. While many callers leave without an answer all targets
-// get work.
+// Large answers reach enough of the targets of another data hall, but hardly more than that: each
+// costs bytes. While many callers leave without an answer all targets get work.
 func TestLargeAnswersReachOtherDataHalls(t *testing.T) {
 	const (
 		targets = 8
-		// farMost is how many requests may cross in the play of six seconds: two of the
-		// four targets each 1.5 s, and one more at the start.
+		// farMost is how many requests may cross in the six seconds: two of the four targets each
+		// 1.5 s, and one more at the start.
 		farMost = 9
 	)
 	for _, leave := range []bool{false, true} {
@@ -187,8 +186,8 @@
 	}
 }
 
-// In a large service too nearly all targets get work while many requests fail: the
-// users may take any few of them for sound.
+// In a large service too nearly all targets get work while many requests fail: the users may count
+// any few of them as working.
 func TestLargeServiceSpreadsWorkWhileManyRequestsFail(t *testing.T) {
 	const (
 		targets = 100
@@ -217,12 +216,13 @@
 			continue
 		}
 		if got := recentlyUsed(last, now); got < 90 {
-			t.Fatalf("ask %d: %d of %d targets got work within 2 s", n, got, targets)
+			t.Fatalf("request %d: %d of %d targets got work within 2 s", n, got, targets)
 		}
 	}
 }
 
-// Guards against targets left out while limits of workspaces have many requests refused, none of which a dispatcher sees.
+// Targets are not left out while workspace limits have many requests refused, which the dispatcher
+// does not receive as requests.
 func TestRequestsRefusedForLimitsSpreadWork(t *testing.T) {
 	const targets = 40
 	d := newScheduler(pool(targets)...)
@@ -245,7 +245,7 @@
 			continue
 		}
 		if got := recentlyUsed(last, now); got < 35 {
-			t.Fatalf("ask %d: %d of %d targets got work within 2 s", n, got, targets)
+			t.Fatalf("request %d: %d of %d targets got work within 2 s", n, got, targets)
 		}
 	}
 }
--- a/internal/dispatch/unavailable_test.go
+++ b/internal/dispatch/unavailable_test.go
@@ -12,8 +12,8 @@
 	"ploverjunction.example/ploverjunction/internal/dispatch"
 )
 
-// A target that told any node that it leaves gets nothing more, whoever asks and however: also
-// from a desk that has just begun and hears of it with an ask. Its next life does get work.
+// A target that signalled to any node that it drains gets no more requests from any node, also from
+// a new scheduler that receives the signal with a grant request. Its next incarnation gets work.
 func TestDrainSignal(t *testing.T) {
 	said := func(d *dispatch.Desk) { d.MarkDraining(start, "t0") }
 	tests := []struct {
@@ -22,22 +22,22 @@
 		ask  func(a *dispatch.Ask)
 	}{
 		{
-			name: "told by the end of an attempt",
+			name: "signalled at the end of an attempt",
 			tell: said,
 			ask:  func(*dispatch.Ask) {},
 		},
 		{
-			name: "told by the ask",
+			name: "signalled with the request",
 			tell: func(*dispatch.Desk) {},
 			ask:  func(a *dispatch.Ask) { a.Draining = []string{"t0"} },
 		},
 		{
-			name: "a request that can be repeated",
+			name: "repeatable request",
 			tell: said,
 			ask:  func(a *dispatch.Ask) { a.Repeatable = true },
 		},
 		{
-			name: "a second attempt",
+			name: "retry",
 			tell: said,
 			ask: func(a *dispatch.Ask) {
 				a.Again = true
@@ -62,25 +62,25 @@
 					g = d.AskAlone(now, a, 1)
 				}
 				if g.Target == "t0" {
-					t.Fatalf("ask %d got the target that leaves", n)
+					t.Fatalf("request %d got the draining target", n)
 				}
 				now = now.Add(50 * time.Millisecond)
 				for _, later := range d.Done(now, g.ID, g.Target, dispatch.ResultGood, 50*time.Millisecond) {
 					if later.Target == "t0" {
-						t.Fatal("an ask that waited got the target that leaves")
+						t.Fatal("a waiting request got the draining target")
 					}
 				}
 			}
 			list[0].Key = "t0/2"
 			d.Configure(now, list)
 			if got := grantCounts(d, now, 200)["t0/2"]; got == 0 {
-				t.Error("the next life gets nothing")
+				t.Error("the next incarnation got no request")
 			}
 		})
 	}
 }
 
-// grantCounts asks a number of times, one after the other, and counts who got it.
+// grantCounts sends requests one after another and counts the grants by target.
 func grantCounts(d *dispatch.Desk, now time.Time, asks uint64) map[string]int {
 	out := map[string]int{}
 	for n := range asks {
@@ -92,12 +92,13 @@
 	return out
 }
 
-// A target without an ID has the same key in its next life: a word of leaving ends.
+// A target without an ID has the same key in its next incarnation, so the effect of its drain signal
+// ends.
 func TestDrainSignalWithoutID(t *testing.T) {
 	d := newScheduler(pool(2)...)
 	d.MarkDraining(start, "t0")
 	if got := grantCounts(d, start.Add(50*time.Second), 100)["t0"]; got != 0 {
-		t.Errorf("%d requests while it leaves", got)
+		t.Errorf("%d requests while it drains", got)
 	}
 	later := start.Add(61 * time.Second)
 	got := 0
@@ -111,8 +112,8 @@
 	}
 }
 
-// Whatever comes, in whatever order, no ask ever gets a target that it bars, and no other ask
-// pays for that: with three in ten targets barred for half of the nodes all are served.
+// No request is ever granted a target that is unavailable to it, in whatever order requests, ends
+// and updates come. Half of the requests have three in ten targets unavailable.
 func TestUnavailableTargetsAreNeverGranted(t *testing.T) {
 	for seed := range uint64(40) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) { simulateUnavailable(t, rand.New(rand.NewPCG(seed, 5))) })
@@ -130,7 +131,7 @@
 			return
 		}
 		if slices.Contains(open[g.ID.Number].Barred, g.Target) {
-			t.Fatalf("ask %d got %s, which it bars", g.ID.Number, g.Target)
+			t.Fatalf("request %d got %s, which is unavailable to it", g.ID.Number, g.Target)
 		}
 		running[g.ID.Number] = g.Target
 	}
@@ -164,7 +165,7 @@
 			result := dispatch.Result(rng.IntN(4))
 			all(d.Done(now, open[number].ID, key, result, 100*time.Millisecond))
 		}
-		// An ask that waits comes again, with other targets barred by now.
+		// A waiting request is repeated with other unavailable targets.
 		if waits := open[n]; running[n] == "" && rng.IntN(2) == 0 {
 			again := *waits
 			bar(&again)
@@ -175,8 +176,8 @@
 	}
 }
 
-// Where all targets that stay are barred for a node its asks are refused at once, also those
-// that wait; other nodes' asks are served.
+// If all targets that do not drain are unavailable to a node its requests are refused at once,
+// waiting ones included; requests of other nodes are served.
 func TestAllTargetsUnavailable(t *testing.T) {
 	d := newScheduler(pool(2)...)
 	bars := func(n uint64) *dispatch.Ask {
@@ -190,11 +191,11 @@
 	passing := bars(2)
 	passing.Passing = true
 	if g := d.Ask(start, passing); g.Verdict != dispatch.Full {
-		t.Errorf("an ask that can be passed on: got %v", g.Verdict)
+		t.Errorf("non-queueing request: got %v", g.Verdict)
 	}
 	for n := range uint64(6) {
 		if g := d.Ask(start, newRequest(start, 10+n)); g.Verdict != dispatch.Granted {
-			t.Fatalf("another node's ask: got %v", g.Verdict)
+			t.Fatalf("request of another node: got %v", g.Verdict)
 		}
 	}
 	waits := newRequest(start, 20)
@@ -202,9 +203,9 @@
 		t.Fatalf("got %v", g.Verdict)
 	}
 	if g := d.Ask(start, bars(20)); g.Verdict != dispatch.Refused {
-		t.Errorf("an ask that waits: got %v", g.Verdict)
+		t.Errorf("waiting request: got %v", g.Verdict)
 	}
 	if s := d.Status(start); s.Waiting != 0 {
-		t.Errorf("%d asks wait", s.Waiting)
+		t.Errorf("%d requests wait", s.Waiting)
 	}
 }
--- a/internal/dispatch/warmup_test.go
+++ b/internal/dispatch/warmup_test.go
@@ -9,10 +9,11 @@
 	"ploverjunction.example/ploverjunction/internal/dispatch"
 )
 
-// warmRate is how many requests a second the targets of these tests take while they warm up.
+// warmRate is the rate, in requests per second, that the targets of these tests take while they warm
+// up.
 const warmRate = 9.1
 
-// warmingTargets returns targets that warm up for a time.
+// warmingTargets returns n targets with the given remaining warm-up.
 func warmingTargets(n int, left time.Duration) []dispatch.Target {
 	out := pool(n)
 	for i := range out {
@@ -22,8 +23,8 @@
 	return out
 }
 
-// saturate asks a desk every few milliseconds from one time to another; each attempt takes 100 ms. It
-// returns when each target was granted.
+// saturate sends a grant request every few milliseconds from one time to another; each attempt takes
+// 100 ms. It returns the grant times by target.
 func saturate(d *dispatch.Desk, from, to time.Time) map[string][]time.Time {
 	out := map[string][]time.Time{}
 	type running struct {
@@ -71,7 +72,8 @@
 	return out
 }
 
-// Guards against cold targets that fall over by what they get, and such that get less than they bear.
+// A target that warms up gets no more than its warm-up rate, which would overload it, and nearly all
+// of that rate.
 func TestWarmupRateIsUsedAndKept(t *testing.T) {
 	const left = 3 * time.Second
 	tests := []struct {
@@ -79,11 +81,11 @@
 		desk func() *dispatch.Desk
 	}{
 		{
-			name: "known so from the start",
+			name: "from the start",
 			desk: func() *dispatch.Desk { return newScheduler(warmingTargets(2, left)...) },
 		},
 		{
-			name: "cold again",
+			name: "new warm-up",
 			desk: func() *dispatch.Desk {
 				d := newScheduler(pool(2)...)
 				d.Change(start, warmingTargets(2, left), nil)
@@ -99,7 +101,7 @@
 			},
 		},
 		{
-			name: "the rest is told as it shrinks",
+			name: "remaining time is updated",
 			desk: func() *dispatch.Desk {
 				d := newScheduler(warmingTargets(2, left+time.Second)...)
 				d.Change(start, warmingTargets(2, left), nil)
@@ -115,18 +117,18 @@
 					t.Errorf("target %s got %d requests in a second", key, n)
 				}
 				if used := float64(len(times)) / left.Seconds() / warmRate; used < 0.9 {
-					t.Errorf("target %s got %.2f of what it bears", key, used)
+					t.Errorf("target %s got %.2f of its warm-up rate", key, used)
 				}
 			}
 			after := saturate(d, start.Add(left+2*time.Second), start.Add(left+4*time.Second))
 			if n := len(after["t0"]); float64(n) < 2*2*warmRate {
-				t.Errorf("target t0 got %d requests in the two seconds after it was warm", n)
+				t.Errorf("target t0 got %d requests in 2 s after its warm-up", n)
 			}
 		})
 	}
 }
 
-// Guards against callers who wait for targets that are all cold and can't serve them.
+// If all targets warm up, requests beyond their rates are refused at once instead of queued in vain.
 func TestWarmingServiceRefusesAtOnce(t *testing.T) {
 	const targets, asks = 4, 600
 	d := newScheduler(warmingTargets(targets, 10*time.Second)...)
@@ -137,7 +139,7 @@
 		if g.Verdict == dispatch.Refused {
 			refused++
 			if g.RetryAfter <= 0 {
-				t.Fatal("refused without a time to come back")
+				t.Fatal("refused without a RetryAfter")
 			}
 		}
 	}
