--- a/internal/dispatch/backoff_model_test.go
+++ b/internal/dispatch/backoff_model_test.go
@@ -76,9 +76,9 @@
 
 func (r backoffResult) String() string {
 	n := float64(max(r.all, 1))
-	held := r.waited / time.Duration(max(r.refused, 1))
+	waited := r.waited / time.Duration(max(r.refused, 1))
 	return fmt.Sprintf("%.4f by the soft deadline, %.4f late, %.4f not served after %v, %.3f sheds per request",
-		float64(r.onTime)/n, float64(r.late)/n, float64(r.refused)/n, held.Round(time.Millisecond), float64(r.shed)/n)
+		float64(r.onTime)/n, float64(r.late)/n, float64(r.refused)/n, waited.Round(time.Millisecond), float64(r.shed)/n)
 }
 
 func (r *backoffResult) add(o backoffResult) {
