--- a/internal/dispatch/backoff_model_test.go
+++ b/internal/dispatch/backoff_model_test.go
@@ -90,8 +90,8 @@
 	r.waited += o.waited
 }
 
-func simulateBackoff(c backoffCase, result dispatch.Result, told bool, seed uint64) backoffResult {
-	return runBackoff(c, result, told, seed).got
+func simulateBackoff(c backoffCase, result dispatch.Result, signalled bool, seed uint64) backoffResult {
+	return runBackoff(c, result, signalled, seed).got
 }
 
 func runBackoff(c backoffCase, result dispatch.Result, told bool, seed uint64) *backoffSimulation {
