--- a/internal/dispatch/backoff_model_test.go
+++ b/internal/dispatch/backoff_model_test.go
@@ -94,11 +94,11 @@
 	return runBackoff(c, result, signalled, seed).got
 }
 
-func runBackoff(c backoffCase, result dispatch.Result, told bool, seed uint64) *backoffSimulation {
+func runBackoff(c backoffCase, result dispatch.Result, signalled bool, seed uint64) *backoffSimulation {
 	p := &backoffSimulation{
 		backoffCase: c,
 		result:      result,
-		signalled:   told,
+		signalled:   signalled,
 		rng:         rand.New(rand.NewPCG(seed, 9)),
 		requests:    map[uint64]*backoffRequest{},
 		reached:     map[string][]time.Duration{},
