--- a/internal/dispatch/backoff_test.go
+++ b/internal/dispatch/backoff_test.go
@@ -16,7 +16,7 @@
 // the same. Of three ways to use this, under the same loads, most requests are answered in time and
 // fewest are shed if no node uses the target for a moment.
 func TestBackoffStrategies(t *testing.T) {
-	ways := []struct {
+	strategies := []struct {
 		name   string
 		result dispatch.Result
 		told   bool
@@ -35,8 +35,8 @@
 			told:   true,
 		},
 	}
-	got := make([]backoffResult, len(ways))
-	for i, w := range ways {
+	got := make([]backoffResult, len(strategies))
+	for i, w := range strategies {
 		for _, c := range backoffCases() {
 			var sum backoffResult
 			for seed := range uint64(2) {
