--- a/internal/dispatch/backoff_test.go
+++ b/internal/dispatch/backoff_test.go
@@ -17,9 +17,9 @@
 // fewest are shed if no node uses the target for a moment.
 func TestBackoffStrategies(t *testing.T) {
 	strategies := []struct {
-		name   string
-		result dispatch.Result
-		told   bool
+		name      string
+		result    dispatch.Result
+		signalled bool
 	}{
 		{
 			name:   "only the node backs off",
@@ -30,9 +30,9 @@
 			result: dispatch.ResultShed,
 		},
 		{
-			name:   "all nodes back off briefly",
-			result: dispatch.ResultBackoff,
-			told:   true,
+			name:      "all nodes back off briefly",
+			result:    dispatch.ResultBackoff,
+			signalled: true,
 		},
 	}
 	got := make([]backoffResult, len(strategies))
@@ -40,7 +40,7 @@
 		for _, c := range backoffCases() {
 			var sum backoffResult
 			for seed := range uint64(2) {
-				sum.add(simulateBackoff(c, w.result, w.told, seed))
+				sum.add(simulateBackoff(c, w.result, w.signalled, seed))
 			}
 			t.Logf("%s: %g/s, %g of the targets shed %g for %v: %v", w.name, c.load, c.share, c.refusedShare, c.backoff, sum)
 			got[i].add(sum)
