--- a/internal/dispatch/backoff_test.go
+++ b/internal/dispatch/backoff_test.go
@@ -47,15 +47,15 @@
 		}
 		t.Logf("%s: %v", w.name, got[i])
 	}
-	alone, health, all := got[0], got[1], got[2]
+	nodeOnly, health, all := got[0], got[1], got[2]
 	if held := all.waited / time.Duration(all.refused); held > 100*time.Millisecond {
 		t.Errorf("requests that are not served are refused after %v on average", held)
 	}
-	if all.onTime < health.onTime || all.onTime < alone.onTime {
-		t.Errorf("%d requests answered by the soft deadline, want at least %d and %d", all.onTime, alone.onTime, health.onTime)
+	if all.onTime < health.onTime || all.onTime < nodeOnly.onTime {
+		t.Errorf("%d requests answered by the soft deadline, want at least %d and %d", all.onTime, nodeOnly.onTime, health.onTime)
 	}
-	if all.shed > min(health.shed, alone.shed) {
-		t.Errorf("%d requests shed, want at most %d and %d", all.shed, alone.shed, health.shed)
+	if all.shed > min(health.shed, nodeOnly.shed) {
+		t.Errorf("%d requests shed, want at most %d and %d", all.shed, nodeOnly.shed, health.shed)
 	}
 }
 
