--- a/internal/dispatch/backoff_test.go
+++ b/internal/dispatch/backoff_test.go
@@ -48,8 +48,8 @@
 		t.Logf("%s: %v", w.name, got[i])
 	}
 	nodeOnly, health, all := got[0], got[1], got[2]
-	if held := all.waited / time.Duration(all.refused); held > 100*time.Millisecond {
-		t.Errorf("requests that are not served are refused after %v on average", held)
+	if waited := all.waited / time.Duration(all.refused); waited > 100*time.Millisecond {
+		t.Errorf("requests that are not served are refused after %v on average", waited)
 	}
 	if all.onTime < health.onTime || all.onTime < nodeOnly.onTime {
 		t.Errorf("%d requests answered by the soft deadline, want at least %d and %d", all.onTime, nodeOnly.onTime, health.onTime)
