--- a/internal/dispatch/budget_test.go
+++ b/internal/dispatch/budget_test.go
@@ -63,7 +63,7 @@
 
 // The reserve of the retry budget is not granted anew each time the dispatcher role moves.
 func TestNewDispatcherGetsNoNewReserve(t *testing.T) {
-	repeats := 0
+	retries := 0
 	number := uint64(0)
 	for move := range 6 {
 		now := start.Add(time.Duration(move) * 1500 * time.Millisecond)
@@ -78,14 +78,14 @@
 			a := newRequest(now, number)
 			a.Repeatable, a.Again = true, true
 			if g := d.Ask(now, a); g.Verdict == dispatch.Granted {
-				repeats++
+				retries++
 				d.Done(now, g.ID, g.Target, dispatch.ResultBad, 0)
 			}
 			now = now.Add(20 * time.Millisecond)
 		}
 	}
-	if repeats > 50 {
-		t.Fatalf("%d retries in 10 s, the reserve is 50", repeats)
+	if retries > 50 {
+		t.Fatalf("%d retries in 10 s, the reserve is 50", retries)
 	}
 }
 
