--- a/internal/dispatch/budget_test.go
+++ b/internal/dispatch/budget_test.go
@@ -106,7 +106,7 @@
 	for i := range ledgers {
 		ledgers[i] = dispatch.NewLedger(start, budget)
 	}
-	var firsts, repeats []time.Time
+	var firsts, retries []time.Time
 	now, number := start, uint64(0)
 	for move := range moves {
 		name := fmt.Sprintf("dispatcher-%d", move)
@@ -136,7 +136,7 @@
 				ledger.Took(now, name, a.Again)
 				d.Done(now, g.ID, g.Target, result, 0)
 				if a.Again {
-					repeats = append(repeats, now)
+					retries = append(retries, now)
 				} else {
 					firsts = append(firsts, now)
 				}
@@ -155,9 +155,9 @@
 		}
 		return n
 	}
-	for _, end := range repeats {
+	for _, end := range retries {
 		most := budget.Share*float64(within(firsts, end)) + budget.Reserve
-		if n := within(repeats, end); float64(n) > most {
+		if n := within(retries, end); float64(n) > most {
 			t.Fatalf("%d retries in the window before %v, want at most %.0f", n, end.Sub(start), most)
 		}
 	}
