--- a/internal/dispatch/budget_test.go
+++ b/internal/dispatch/budget_test.go
@@ -112,11 +112,11 @@
 		name := fmt.Sprintf("dispatcher-%d", move)
 		d := dispatch.NewDesk(now, budget, rand.New(rand.NewPCG(1, 2)).Float64)
 		d.Configure(now, pool(20))
-		asks := 250
+		requests := 250
 		if move == 0 {
-			asks = 1200
+			requests = 1200
 		}
-		for n := range asks {
+		for n := range requests {
 			now = now.Add(10 * time.Millisecond)
 			result := dispatch.ResultShed
 			if move == 0 && n < 1000 {
