--- a/internal/dispatch/coverage_test.go
+++ b/internal/dispatch/coverage_test.go
@@ -89,8 +89,8 @@
 				idle = append(idle, p)
 			}
 		}
-		exact, near := dispatch.ShortProbability(reached, idle, 0.7), dispatch.ApproxShortProbability(reached, idle, 0.7)
-		worst = max(worst, math.Abs(exact-near))
+		exact, approx := dispatch.ShortProbability(reached, idle, 0.7), dispatch.ApproxShortProbability(reached, idle, 0.7)
+		worst = max(worst, math.Abs(exact-approx))
 	}
 	t.Logf("off by %.4f at most", worst)
 	if worst > most {
