--- a/internal/dispatch/coverage_test.go
+++ b/internal/dispatch/coverage_test.go
@@ -164,7 +164,7 @@
 // The first attempt of a request may go to a target that lacks work. A retry, after which the
 // request is lost, goes where an answer is most likely.
 func TestRetriesDoNotServeCoverage(t *testing.T) {
-	for _, again := range []bool{false, true} {
+	for _, retry := range []bool{false, true} {
 		d, now := newTrainedScheduler(pool(3)...)
 		d.Note(now, "t1", "", dispatch.ResultBad, time.Millisecond)
 		now = now.Add(6 * time.Second)
@@ -172,9 +172,9 @@
 			d.Note(now, key, "", dispatch.ResultGood, usualTime)
 		}
 		a := newRequest(now, 1)
-		a.Repeatable, a.Again = true, again
-		if g := d.Ask(now, a); g.Trial == again || (g.Target == "t1") == again {
-			t.Errorf("retry: %v; got %q, trial %v", again, g.Target, g.Trial)
+		a.Repeatable, a.Again = true, retry
+		if g := d.Ask(now, a); g.Trial == retry || (g.Target == "t1") == retry {
+			t.Errorf("retry: %v; got %q, trial %v", retry, g.Target, g.Trial)
 		}
 	}
 }
