--- a/internal/dispatch/limit_strategies_test.go
+++ b/internal/dispatch/limit_strategies_test.go
@@ -179,7 +179,7 @@
 	little := func(rate float64, takes time.Duration) int {
 		return max(int(math.Round(rate*takes.Seconds())), 1)
 	}
-	ways := []struct {
+	strategies := []struct {
 		name string
 		make func(rate float64, takes time.Duration, rng *rand.Rand) limitStrategy
 		// holds is set where the strategy must keep to the allowed number.
@@ -231,7 +231,7 @@
 			holds: true,
 		},
 	}
-	for _, way := range ways {
+	for _, way := range strategies {
 		for _, rate := range []float64{0.5, 1.6, 2.6, 10, 50} {
 			for _, takes := range []time.Duration{50 * time.Millisecond, 700 * time.Millisecond} {
 				worst, used := 0.0, 0.0
