--- a/internal/dispatch/limit_strategies_test.go
+++ b/internal/dispatch/limit_strategies_test.go
@@ -231,18 +231,18 @@
 			holds: true,
 		},
 	}
-	for _, way := range strategies {
+	for _, strategy := range strategies {
 		for _, rate := range []float64{0.5, 1.6, 2.6, 10, 50} {
 			for _, takes := range []time.Duration{50 * time.Millisecond, 700 * time.Millisecond} {
 				worst, used := 0.0, 0.0
 				for seed := range uint64(*limitRuns) {
-					r := simulateStrategy(way.make(rate, takes, rand.New(rand.NewPCG(seed, 6))), rate, takes, seed)
+					r := simulateStrategy(strategy.make(rate, takes, rand.New(rand.NewPCG(seed, 6))), rate, takes, seed)
 					worst = max(worst, r.peak)
 					used += r.used / float64(*limitRuns)
 				}
-				t.Logf("%-32s limit %4.1f, work %5v: peak of the allowed number %5.2f, used %4.2f", way.name, rate, takes, worst, used)
-				if way.holds && (worst > 1 || used < 0.9) {
-					t.Errorf("%s: peak of %.2f of the allowed number, %.2f of the limit used", way.name, worst, used)
+				t.Logf("%-32s limit %4.1f, work %5v: peak of the allowed number %5.2f, used %4.2f", strategy.name, rate, takes, worst, used)
+				if strategy.holds && (worst > 1 || used < 0.9) {
+					t.Errorf("%s: peak of %.2f of the allowed number, %.2f of the limit used", strategy.name, worst, used)
 				}
 			}
 		}
