--- a/internal/dispatch/limit_test.go
+++ b/internal/dispatch/limit_test.go
@@ -41,7 +41,7 @@
 	// granted are the grant times by target, waits the RetryAfter of refusals.
 	granted     map[string][]time.Time
 	refused     int
-	waits       []time.Duration
+	retryAfters []time.Duration
 	waited      time.Duration
 	requestedAt map[uint64]time.Time
 	ends        []limitEnd
@@ -96,7 +96,7 @@
 			})
 		case dispatch.Refused:
 			p.refused++
-			p.waits = append(p.waits, g.RetryAfter)
+			p.retryAfters = append(p.retryAfters, g.RetryAfter)
 			p.waited += p.now.Sub(p.requestedAt[g.ID.Number])
 		}
 	}
@@ -294,7 +294,7 @@
 	}
 	p.run(60, 4*time.Second)
 	p.granted = map[string][]time.Time{}
-	p.refused, p.waited, p.waits = 0, 0, nil
+	p.refused, p.waited, p.retryAfters = 0, 0, nil
 	p.run(60, length)
 	granted := 0
 	for key, times := range p.granted {
@@ -309,8 +309,8 @@
 	if mean := p.waited / time.Duration(p.refused); mean > 10*time.Millisecond {
 		t.Errorf("%d refused after %v on average", p.refused, mean)
 	}
-	least, longest := p.waits[0], p.waits[0]
-	for _, w := range p.waits {
+	least, longest := p.retryAfters[0], p.retryAfters[0]
+	for _, w := range p.retryAfters {
 		least, longest = min(least, w), max(longest, w)
 	}
 	if least < 100*time.Millisecond || longest > 3*time.Second {
