--- a/internal/dispatch/limit_test.go
+++ b/internal/dispatch/limit_test.go
@@ -340,12 +340,12 @@
 	a.Limits = []dispatch.TargetLimit{
 		limitOf("t1", 3, start),
 	}
-	told := d.Ask(start, a).Limits
-	if len(told) != 2 || told[0] != limitOf("t0", 2, start) || told[1] != lifted("t1", start.Add(time.Second)) {
-		t.Errorf("sent %+v", told)
+	sent := d.Ask(start, a).Limits
+	if len(sent) != 2 || sent[0] != limitOf("t0", 2, start) || sent[1] != lifted("t1", start.Add(time.Second)) {
+		t.Errorf("sent %+v", sent)
 	}
 	a = newRequest(start, 2)
-	a.Limits = told[:1]
+	a.Limits = sent[:1]
 	if told := d.Ask(start, a).Limits; len(told) != 0 {
 		t.Errorf("sent again %+v", told)
 	}
