--- a/internal/dispatch/limit_test.go
+++ b/internal/dispatch/limit_test.go
@@ -346,8 +346,8 @@
 	}
 	a = newRequest(start, 2)
 	a.Limits = sent[:1]
-	if told := d.Ask(start, a).Limits; len(told) != 0 {
-		t.Errorf("sent again %+v", told)
+	if sent := d.Ask(start, a).Limits; len(sent) != 0 {
+		t.Errorf("sent again %+v", sent)
 	}
 }
 
