--- a/internal/dispatch/limit_test.go
+++ b/internal/dispatch/limit_test.go
@@ -358,18 +358,18 @@
 	for i := range targets {
 		d.Observe(start, "n", limitOf(fmt.Sprintf("t%d", i), 2, start))
 	}
-	told := map[string]bool{}
+	sent := map[string]bool{}
 	for i := range uint64(100) {
 		limits := d.Ask(start, newRequest(start, i)).Limits
 		if len(limits) > dispatch.MaxLimits {
 			t.Fatalf("%d in one message", len(limits))
 		}
 		for _, l := range limits {
-			told[l.Target] = true
+			sent[l.Target] = true
 		}
 	}
-	if len(told) != targets {
-		t.Errorf("%d of %d sent", len(told), targets)
+	if len(sent) != targets {
+		t.Errorf("%d of %d sent", len(sent), targets)
 	}
 }
 
