--- a/internal/dispatch/overload_test.go
+++ b/internal/dispatch/overload_test.go
@@ -201,10 +201,10 @@
 	for _, gray := range []float64{0, 0.3} {
 		for _, share := range []float64{0.8, 1, 1.2, 1.35, 1.6, 2} {
 			got := simulateOverload(constantLoad(share, gray), gray, 1)
-			inAim := share * got.share(got.onTime)
-			t.Logf("gray %.1f, load %.2f: %.3f of the capacity by the soft deadline; %v", gray, share, inAim, got)
-			if inAim < min(0.96*share, 0.88) {
-				t.Errorf("gray %.1f, load %.2f: %.3f of the capacity by the soft deadline", gray, share, inAim)
+			onTime := share * got.share(got.onTime)
+			t.Logf("gray %.1f, load %.2f: %.3f of the capacity by the soft deadline; %v", gray, share, onTime, got)
+			if onTime < min(0.96*share, 0.88) {
+				t.Errorf("gray %.1f, load %.2f: %.3f of the capacity by the soft deadline", gray, share, onTime)
 			}
 			if share > 1 && got.waited > time.Duration(got.refused)*400*time.Millisecond {
 				t.Errorf("gray %.1f, load %.2f: refused after %v", gray, share, got.waited/time.Duration(got.refused))
