--- a/internal/dispatch/partition_test.go
+++ b/internal/dispatch/partition_test.go
@@ -140,7 +140,7 @@
 				}, func() float64 { return 0 })
 				desks[i].Configure(start, spreadOver(30))
 			}
-			firsts, repeats := 0, 0
+			firsts, retries := 0, 0
 			n := uint64(0)
 			for now := start; now.Before(start.Add(window)); now = now.Add(10 * time.Millisecond) {
 				for i, d := range desks {
@@ -153,17 +153,17 @@
 							a := newRequest(now, n)
 							a.Repeatable, a.Again = true, true
 							if g := d.Ask(now, a); g.Verdict != dispatch.Spent {
-								repeats++
+								retries++
 							}
 						}
 					}
 					d.Advance(now)
 				}
 			}
-			if most := share*float64(firsts) + reserve; float64(repeats) > most {
-				t.Errorf("%d retries for %d first attempts, want at most %.0f", repeats, firsts, most)
+			if most := share*float64(firsts) + reserve; float64(retries) > most {
+				t.Errorf("%d retries for %d first attempts, want at most %.0f", retries, firsts, most)
 			}
-			if repeats == 0 {
+			if retries == 0 {
 				t.Error("no retries at all")
 			}
 		})
