--- a/internal/dispatch/simulation_test.go
+++ b/internal/dispatch/simulation_test.go
@@ -243,11 +243,11 @@
 		return
 	}
 	p.next++
-	again := *a
-	again.ID.Number = p.next
-	again.Again = true
-	again.Tried = []string{g.Target}
-	p.ask(&again)
+	retry := *a
+	retry.ID.Number = p.next
+	retry.Again = true
+	retry.Tried = []string{g.Target}
+	p.ask(&retry)
 }
 
 // windows returns the number of windows and of those in which too few of the targets that count were
