--- a/internal/dispatch/sparse_test.go
+++ b/internal/dispatch/sparse_test.go
@@ -95,7 +95,7 @@
 	d.Keep(floorShare)
 	var out sparseResult
 	var events eventQueue
-	begun := map[string]time.Duration{}
+	firstGrant := map[string]time.Duration{}
 	arrived := map[dispatch.ID]time.Duration{}
 	waits := 0.0
 	number := uint64(0)
@@ -117,8 +117,8 @@
 			return
 		}
 		waits += (at - arrived[g.ID]).Seconds()
-		if _, known := begun[g.Target]; !known {
-			begun[g.Target] = at
+		if _, known := firstGrant[g.Target]; !known {
+			firstGrant[g.Target] = at
 		}
 		good := !s.grayAt(g.Target, seed, at) || rng.Float64() >= s.fails
 		out.count(warm, good)
@@ -180,7 +180,7 @@
 	}
 	out.waited = waits / float64(number)
 	for _, t := range s.pool(s.targets, s.joins) {
-		if at, used := begun[t.Key]; !used || at > sparseJoins+6*time.Second {
+		if at, used := firstGrant[t.Key]; !used || at > sparseJoins+6*time.Second {
 			out.unused++
 		}
 	}
