--- a/internal/dispatch/sparse_test.go
+++ b/internal/dispatch/sparse_test.go
@@ -97,7 +97,7 @@
 	var events eventQueue
 	firstGrant := map[string]time.Duration{}
 	arrived := map[dispatch.ID]time.Duration{}
-	waits := 0.0
+	totalWait := 0.0
 	number := uint64(0)
 	var granted func(at time.Duration, g dispatch.Grant)
 	all := func(at time.Duration, grants []dispatch.Grant) {
@@ -116,7 +116,7 @@
 			out.count(warm, false)
 			return
 		}
-		waits += (at - arrived[g.ID]).Seconds()
+		totalWait += (at - arrived[g.ID]).Seconds()
 		if _, known := firstGrant[g.Target]; !known {
 			firstGrant[g.Target] = at
 		}
@@ -178,7 +178,7 @@
 		e := heap.Pop(&events).(event)
 		e.do()
 	}
-	out.waited = waits / float64(number)
+	out.waited = totalWait / float64(number)
 	for _, t := range s.pool(s.targets, s.joins) {
 		if at, used := firstGrant[t.Key]; !used || at > sparseJoins+6*time.Second {
 			out.unused++
