--- a/internal/dispatch/spread_test.go
+++ b/internal/dispatch/spread_test.go
@@ -154,7 +154,7 @@
 		// 1.5 s, and one more at the start.
 		farMost = 9
 	)
-	for _, leave := range []bool{false, true} {
+	for _, abandon := range []bool{false, true} {
 		d := newScheduler(pool(targets)...)
 		last := map[string]time.Time{}
 		now, crossed, least := start, 0, targets
@@ -170,17 +170,17 @@
 			if n > 200 {
 				least = min(least, recentlyUsed(last, now))
 			}
-			if leave && n%5 == 0 {
+			if abandon && n%5 == 0 {
 				d.Lost(g.Target, g.ID)
 				d.Done(now, g.ID, g.Target, dispatch.ResultIgnored, 300*time.Millisecond)
 				continue
 			}
 			d.Done(now, g.ID, g.Target, dispatch.ResultGood, 300*time.Millisecond)
 		}
-		if leave && least != targets {
+		if abandon && least != targets {
 			t.Errorf("callers leave: at times %d of %d targets got work within 2 s", least, targets)
 		}
-		if !leave && (crossed > farMost || least < 6) {
+		if !abandon && (crossed > farMost || least < 6) {
 			t.Errorf("%d of 400 requests crossed, at times %d of %d targets got work within 2 s; want at most %d, at least 6", crossed, least, targets, farMost)
 		}
 	}
