--- a/internal/dispatch/unavailable_test.go
+++ b/internal/dispatch/unavailable_test.go
@@ -17,28 +17,28 @@
 func TestDrainSignal(t *testing.T) {
 	signal := func(d *dispatch.Desk) { d.MarkDraining(start, "t0") }
 	tests := []struct {
-		name string
-		tell func(d *dispatch.Desk)
-		ask  func(a *dispatch.Ask)
+		name   string
+		signal func(d *dispatch.Desk)
+		ask    func(a *dispatch.Ask)
 	}{
 		{
-			name: "signalled at the end of an attempt",
-			tell: signal,
-			ask:  func(*dispatch.Ask) {},
+			name:   "signalled at the end of an attempt",
+			signal: signal,
+			ask:    func(*dispatch.Ask) {},
 		},
 		{
-			name: "signalled with the request",
-			tell: func(*dispatch.Desk) {},
-			ask:  func(a *dispatch.Ask) { a.Draining = []string{"t0"} },
+			name:   "signalled with the request",
+			signal: func(*dispatch.Desk) {},
+			ask:    func(a *dispatch.Ask) { a.Draining = []string{"t0"} },
 		},
 		{
-			name: "repeatable request",
-			tell: signal,
-			ask:  func(a *dispatch.Ask) { a.Repeatable = true },
+			name:   "repeatable request",
+			signal: signal,
+			ask:    func(a *dispatch.Ask) { a.Repeatable = true },
 		},
 		{
-			name: "retry",
-			tell: signal,
+			name:   "retry",
+			signal: signal,
 			ask: func(a *dispatch.Ask) {
 				a.Again = true
 				a.Tried = []string{"t1", "t2"}
@@ -52,7 +52,7 @@
 				list[i].Named = true
 			}
 			d := newScheduler(list...)
-			tt.tell(d)
+			tt.signal(d)
 			now := start
 			for n := range uint64(200) {
 				a := newRequest(now, n)
