--- a/internal/dispatch/unavailable_test.go
+++ b/internal/dispatch/unavailable_test.go
@@ -19,27 +19,27 @@
 	tests := []struct {
 		name   string
 		signal func(d *dispatch.Desk)
-		ask    func(a *dispatch.Ask)
+		modify func(a *dispatch.Ask)
 	}{
 		{
 			name:   "signalled at the end of an attempt",
 			signal: signal,
-			ask:    func(*dispatch.Ask) {},
+			modify: func(*dispatch.Ask) {},
 		},
 		{
 			name:   "signalled with the request",
 			signal: func(*dispatch.Desk) {},
-			ask:    func(a *dispatch.Ask) { a.Draining = []string{"t0"} },
+			modify: func(a *dispatch.Ask) { a.Draining = []string{"t0"} },
 		},
 		{
 			name:   "repeatable request",
 			signal: signal,
-			ask:    func(a *dispatch.Ask) { a.Repeatable = true },
+			modify: func(a *dispatch.Ask) { a.Repeatable = true },
 		},
 		{
 			name:   "retry",
 			signal: signal,
-			ask: func(a *dispatch.Ask) {
+			modify: func(a *dispatch.Ask) {
 				a.Again = true
 				a.Tried = []string{"t1", "t2"}
 			},
@@ -56,7 +56,7 @@
 			now := start
 			for n := range uint64(200) {
 				a := newRequest(now, n)
-				tt.ask(a)
+				tt.modify(a)
 				g := d.Ask(now, a)
 				if n%2 == 1 {
 					g = d.AskAlone(now, a, 1)
