--- a/internal/dispatch/unavailable_test.go
+++ b/internal/dispatch/unavailable_test.go
@@ -121,7 +121,7 @@
 }
 
 func simulateUnavailable(t *testing.T, rng *rand.Rand) {
-	const targets, asks = 8, 400
+	const targets, requests = 8, 400
 	d := newScheduler(pool(targets)...)
 	open := map[uint64]*dispatch.Ask{}
 	running := map[uint64]string{}
@@ -148,7 +148,7 @@
 			}
 		}
 	}
-	for n := range uint64(asks) {
+	for n := range uint64(requests) {
 		now = now.Add(time.Duration(rng.IntN(10)) * time.Millisecond)
 		a := newRequest(now, n)
 		a.Repeatable = rng.IntN(2) == 0
