--- a/internal/dispatch/unavailable_test.go
+++ b/internal/dispatch/unavailable_test.go
@@ -140,7 +140,7 @@
 			take(g)
 		}
 	}
-	bar := func(a *dispatch.Ask) {
+	setUnavailable := func(a *dispatch.Ask) {
 		a.Barred = nil
 		for i := range targets {
 			if rng.Float64() < 0.3 {
@@ -153,7 +153,7 @@
 		a := newRequest(now, n)
 		a.Repeatable = rng.IntN(2) == 0
 		if rng.IntN(2) == 0 {
-			bar(a)
+			setUnavailable(a)
 		}
 		open[n] = a
 		take(d.Ask(now, a))
@@ -168,7 +168,7 @@
 		// A waiting request is repeated with other unavailable targets.
 		if waits := open[n]; running[n] == "" && rng.IntN(2) == 0 {
 			again := *waits
-			bar(&again)
+			setUnavailable(&again)
 			open[n] = &again
 			take(d.Ask(now, &again))
 		}
