--- a/internal/dispatch/unavailable_test.go
+++ b/internal/dispatch/unavailable_test.go
@@ -166,8 +166,8 @@
 			all(d.Done(now, open[number].ID, key, result, 100*time.Millisecond))
 		}
 		// A waiting request is repeated with other unavailable targets.
-		if waits := open[n]; running[n] == "" && rng.IntN(2) == 0 {
-			again := *waits
+		if waiting := open[n]; running[n] == "" && rng.IntN(2) == 0 {
+			again := *waiting
 			setUnavailable(&again)
 			open[n] = &again
 			take(d.Ask(now, &again))
