--- a/internal/dispatch/unavailable_test.go
+++ b/internal/dispatch/unavailable_test.go
@@ -167,10 +167,10 @@
 		}
 		// A waiting request is repeated with other unavailable targets.
 		if waiting := open[n]; running[n] == "" && rng.IntN(2) == 0 {
-			again := *waiting
-			setUnavailable(&again)
-			open[n] = &again
-			take(d.Ask(now, &again))
+			repeated := *waiting
+			setUnavailable(&repeated)
+			open[n] = &repeated
+			take(d.Ask(now, &repeated))
 		}
 		all(d.Advance(now))
 	}
