--- a/internal/dispatch/unavailable_test.go
+++ b/internal/dispatch/unavailable_test.go
@@ -180,15 +180,15 @@
 // waiting ones included; requests of other nodes are served.
 func TestAllTargetsUnavailable(t *testing.T) {
 	d := newScheduler(pool(2)...)
-	bars := func(n uint64) *dispatch.Ask {
+	withoutTargets := func(n uint64) *dispatch.Ask {
 		a := newRequest(start, n)
 		a.Barred = []string{"t0", "t1"}
 		return a
 	}
-	if g := d.Ask(start, bars(1)); g.Verdict != dispatch.Refused {
+	if g := d.Ask(start, withoutTargets(1)); g.Verdict != dispatch.Refused {
 		t.Errorf("got %v", g.Verdict)
 	}
-	passing := bars(2)
+	passing := withoutTargets(2)
 	passing.Passing = true
 	if g := d.Ask(start, passing); g.Verdict != dispatch.Full {
 		t.Errorf("non-queueing request: got %v", g.Verdict)
@@ -202,7 +202,7 @@
 	if g := d.Ask(start, waits); g.Verdict != dispatch.Queued {
 		t.Fatalf("got %v", g.Verdict)
 	}
-	if g := d.Ask(start, bars(20)); g.Verdict != dispatch.Refused {
+	if g := d.Ask(start, withoutTargets(20)); g.Verdict != dispatch.Refused {
 		t.Errorf("waiting request: got %v", g.Verdict)
 	}
 	if s := d.Status(start); s.Waiting != 0 {
