--- a/internal/dispatch/unavailable_test.go
+++ b/internal/dispatch/unavailable_test.go
@@ -188,9 +188,9 @@
 	if g := d.Ask(start, withoutTargets(1)); g.Verdict != dispatch.Refused {
 		t.Errorf("got %v", g.Verdict)
 	}
-	passing := withoutTargets(2)
-	passing.Passing = true
-	if g := d.Ask(start, passing); g.Verdict != dispatch.Full {
+	nonQueueing := withoutTargets(2)
+	nonQueueing.Passing = true
+	if g := d.Ask(start, nonQueueing); g.Verdict != dispatch.Full {
 		t.Errorf("non-queueing request: got %v", g.Verdict)
 	}
 	for n := range uint64(6) {
