--- a/internal/dispatch/unavailable_test.go
+++ b/internal/dispatch/unavailable_test.go
@@ -198,8 +198,8 @@
 			t.Fatalf("request of another node: got %v", g.Verdict)
 		}
 	}
-	waits := newRequest(start, 20)
-	if g := d.Ask(start, waits); g.Verdict != dispatch.Queued {
+	waiting := newRequest(start, 20)
+	if g := d.Ask(start, waiting); g.Verdict != dispatch.Queued {
 		t.Fatalf("got %v", g.Verdict)
 	}
 	if g := d.Ask(start, withoutTargets(20)); g.Verdict != dispatch.Refused {
