--- a/internal/dispatch/warmup_test.go
+++ b/internal/dispatch/warmup_test.go
@@ -31,12 +31,12 @@
 		ends time.Time
 		g    dispatch.Grant
 	}
-	var under []running
+	var attempts []running
 	granted := func(now time.Time, list ...dispatch.Grant) {
 		for _, g := range list {
 			if g.Verdict == dispatch.Granted {
 				out[g.Target] = append(out[g.Target], now)
-				under = append(under, running{
+				attempts = append(attempts, running{
 					ends: now.Add(100 * time.Millisecond),
 					g:    g,
 				})
@@ -45,9 +45,9 @@
 	}
 	number := uint64(from.UnixNano())
 	for now := from; now.Before(to); now = now.Add(5 * time.Millisecond) {
-		for len(under) > 0 && !under[0].ends.After(now) {
-			r := under[0]
-			under = under[1:]
+		for len(attempts) > 0 && !attempts[0].ends.After(now) {
+			r := attempts[0]
+			attempts = attempts[1:]
 			granted(now, d.Done(now, r.g.ID, r.g.Target, dispatch.ResultGood, 100*time.Millisecond)...)
 		}
 		granted(now, d.Advance(now)...)
