--- a/internal/dispatch/warmup_test.go
+++ b/internal/dispatch/warmup_test.go
@@ -130,10 +130,10 @@
 
 // If all targets warm up, requests beyond their rates are refused at once instead of queued in vain.
 func TestWarmingServiceRefusesAtOnce(t *testing.T) {
-	const targets, asks = 4, 600
+	const targets, requests = 4, 600
 	d := newScheduler(warmingTargets(targets, 10*time.Second)...)
 	refused := 0
-	for n := range uint64(asks) {
+	for n := range uint64(requests) {
 		now := start.Add(time.Duration(n) * 2 * time.Millisecond)
 		g := d.Ask(now, newRequest(now, n))
 		if g.Verdict == dispatch.Refused {
@@ -143,7 +143,7 @@
 			}
 		}
 	}
-	if refused < asks/2 {
-		t.Errorf("%d of %d refused", refused, asks)
+	if refused < requests/2 {
+		t.Errorf("%d of %d refused", refused, requests)
 	}
 }
