--- a/internal/dispatch/limit_strategies_test.go
+++ b/internal/dispatch/limit_strategies_test.go
@@ -26,9 +26,9 @@
 
 // limitStrategy decides which requests a target with a limit gets.
 type limitStrategy interface {
-	// tick advances the time; ask reports whether a request of a node goes to the target.
+	// tick advances the time; admit reports whether a request of a node goes to the target.
 	tick(now time.Time)
-	ask(now time.Time, node int) bool
+	admit(now time.Time, node int) bool
 	// end reports that a request of the target has ended.
 	end(now time.Time, node int)
 }
@@ -50,7 +50,7 @@
 }
 
 func (w *perNode) tick(time.Time) {}
-func (w *perNode) ask(now time.Time, node int) bool {
+func (w *perNode) admit(now time.Time, node int) bool {
 	return w.pacers[node].Take(now, w.rate, 1) == 0
 }
 func (w *perNode) end(time.Time, int) {}
@@ -99,7 +99,7 @@
 	}
 }
 
-func (w *byAllocator) ask(now time.Time, node int) bool {
+func (w *byAllocator) admit(now time.Time, node int) bool {
 	switch v, _ := w.limiters[node].Take(now, strategyKey, w.limit); v {
 	case ratelimit.Admitted:
 		return true
@@ -122,7 +122,7 @@
 }
 
 func (w *atDispatcher) tick(time.Time) {}
-func (w *atDispatcher) ask(now time.Time, _ int) bool {
+func (w *atDispatcher) admit(now time.Time, _ int) bool {
 	if w.slots > 0 && w.flight >= w.slots {
 		return false
 	}
@@ -155,7 +155,7 @@
 		}
 		for n := rng.ExpFloat64(); n < strategyLoad*strategyStep.Seconds(); n += rng.ExpFloat64() {
 			node := rng.IntN(strategyNodes)
-			if !w.ask(now, node) {
+			if !w.admit(now, node) {
 				continue
 			}
 			sent = append(sent, now)
--- a/internal/dispatch/limit_test.go
+++ b/internal/dispatch/limit_test.go
@@ -38,7 +38,7 @@
 	next      uint64
 	// takes is the duration of an attempt.
 	takes time.Duration
-	// granted are the grant times by target, waits the RetryAfter of refusals.
+	// granted are the grant times by target, retryAfters the RetryAfter of refusals.
 	granted     map[string][]time.Time
 	refused     int
 	retryAfters []time.Duration
