--- a/internal/dispatch/coverage.go
+++ b/internal/dispatch/coverage.go
@@ -67,7 +67,7 @@
 		if t.drains(now) {
 			continue
 		}
-		p := t.steady(now)
+		p := t.settledProbability(now)
 		if p < coverMinProbability {
 			continue
 		}
