--- a/internal/dispatch/choose.go
+++ b/internal/dispatch/choose.go
@@ -68,7 +68,7 @@
 	if t.backoff.active() && d.anyAccepting(now) {
 		return t.backoff.slots(now)
 	}
-	if now.Before(t.warmUntil) {
+	if now.Before(t.warmupUntil) {
 		return max(int(warmupSlotShare*float64(t.Slots)), 1)
 	}
 	return t.Slots
--- a/internal/dispatch/configure.go
+++ b/internal/dispatch/configure.go
@@ -60,7 +60,7 @@
 
 // join records that a target joins the others.
 func (d *Desk) join(now time.Time, t *target, published Target) {
-	t.warmUntil = now.Add(published.Warmup)
+	t.warmupUntil = now.Add(published.Warmup)
 	d.newTargets = append(d.newTargets, published.Key)
 }
 
--- a/internal/dispatch/cost.go
+++ b/internal/dispatch/cost.go
@@ -59,7 +59,7 @@
 	if t.DataHall != a.DataHall {
 		c += crossHallCost * float64(a.Kilobytes)
 	}
-	if now.Before(t.warmUntil) {
+	if now.Before(t.warmupUntil) {
 		c += warmupCost
 	}
 	return c - d.coverageGain(now, t, a)
--- a/internal/dispatch/limit.go
+++ b/internal/dispatch/limit.go
@@ -159,7 +159,7 @@
 		l.reset(now)
 		d.limits++
 	case !s.Set && before.Set:
-		t.warmUntil = later(t.warmUntil, now.Add(liftedWarmup))
+		t.warmupUntil = later(t.warmupUntil, now.Add(liftedWarmup))
 		d.limits--
 	}
 	if before == s.Limit {
--- a/internal/dispatch/target.go
+++ b/internal/dispatch/target.go
@@ -32,8 +32,8 @@
 	Target
 	health *health.Target
 	// goneUntil is until when a target that is gone gets no work.
-	goneUntil time.Time
-	warmUntil time.Time
+	goneUntil   time.Time
+	warmupUntil time.Time
 	// drainingUntil is until when the target drains by its own signal, received by any node. It is
 	// zero where there was none.
 	drainingUntil time.Time
