--- a/internal/dispatch/spread.go
+++ b/internal/dispatch/spread.go
@@ -101,8 +101,8 @@
 	return s.within
 }
 
-// spreadOf returns how far a request may spread work.
-func (d *Desk) spreadOf(now time.Time, a *Ask) spread {
+// spreadFor returns how far a request may spread work.
+func (d *Desk) spreadFor(now time.Time, a *Ask) spread {
 	switch {
 	case d.outcomes.failing(now):
 		return spread{
@@ -133,7 +133,7 @@
 	if d.sparse(now) {
 		return d.nextNewTarget(now, a)
 	}
-	s := d.spreadOf(now, a)
+	s := d.spreadFor(now, a)
 	var best *target
 	out, all := 0, 0
 	for _, t := range d.order {
