--- a/internal/dispatch/end.go
+++ b/internal/dispatch/end.go
@@ -24,7 +24,7 @@
 	delete(t.flights, id)
 	if ok {
 		t.health.End(now, f.event, kindOf(r, f.route, took, idle))
-		d.learn(f.route, r, took)
+		d.recordResponseTime(f.route, r, took)
 	}
 	t.markGone(now, r)
 	if r == ResultGood || r == ResultBad {
@@ -65,11 +65,11 @@
 		t.health.Saw(now, rt, kindOf(r, rt, took, true), took)
 		t.markGone(now, r)
 	}
-	d.learn(rt, r, took)
+	d.recordResponseTime(rt, r, took)
 }
 
-// learn records the response time of a good answer.
-func (d *Desk) learn(route *health.Route, r Result, took time.Duration) {
+// recordResponseTime records the response time of a good answer.
+func (d *Desk) recordResponseTime(route *health.Route, r Result, took time.Duration) {
 	if r != ResultGood {
 		return
 	}
