--- a/internal/dispatch/configure.go
+++ b/internal/dispatch/configure.go
@@ -39,7 +39,7 @@
 	changed := published.Warmup != t.Warmup
 	t.Target = published
 	if changed {
-		d.warm(now, t)
+		d.startWarmup(now, t)
 	}
 }
 
--- a/internal/dispatch/limit.go
+++ b/internal/dispatch/limit.go
@@ -133,8 +133,8 @@
 // Limited reports whether any target has a limit.
 func (d *Desk) Limited(now time.Time) bool { return d.limits > 0 || now.Before(d.warmupUntil) }
 
-// warm applies the published warm-up of a target, from now on.
-func (d *Desk) warm(now time.Time, t *target) {
+// startWarmup applies the published warm-up of a target, from now on.
+func (d *Desk) startWarmup(now time.Time, t *target) {
 	if t.Warmup <= 0 {
 		return
 	}
