--- a/internal/dispatch/limit.go
+++ b/internal/dispatch/limit.go
@@ -61,8 +61,8 @@
 	return share * LimitRate(l.Limit)
 }
 
-// warm begins or renews the limit of a target that warms up.
-func (l *limitState) warm(now time.Time, rate float64, warmup time.Duration) {
+// startWarmup begins or renews the limit of a target that warms up.
+func (l *limitState) startWarmup(now time.Time, rate float64, warmup time.Duration) {
 	if rate <= 0 || warmup <= 0 {
 		return
 	}
@@ -138,7 +138,7 @@
 	if t.Warmup <= 0 {
 		return
 	}
-	t.limit.warm(now, t.WarmupRate, t.Warmup)
+	t.limit.startWarmup(now, t.WarmupRate, t.Warmup)
 	if t.WarmupRate > 0 {
 		d.warmupUntil = later(d.warmupUntil, now.Add(t.Warmup))
 	}
