--- a/internal/dispatch/limit.go
+++ b/internal/dispatch/limit.go
@@ -100,8 +100,8 @@
 	return l.pacer.Wait(now, rate, 1+rate*limitBurst.Seconds())
 }
 
-// take pays for a grant. If the limit does not cover it, later grants are delayed.
-func (l *limitState) take(now time.Time, share float64) {
+// pay pays for a grant. If the limit does not cover it, later grants are delayed.
+func (l *limitState) pay(now time.Time, share float64) {
 	if !l.bounded(now) {
 		return
 	}
--- a/internal/dispatch/scheduler.go
+++ b/internal/dispatch/scheduler.go
@@ -284,7 +284,7 @@
 		d.lastCoverage = coverage{}
 	}
 	paced := t.limit.bounded(now)
-	t.limit.take(now, d.limitShare)
+	t.limit.pay(now, d.limitShare)
 	before := t.lastGranted
 	t.lastGranted = now
 	lossProbability := t.lossProbability(now)
