--- a/internal/dispatch/spread.go
+++ b/internal/dispatch/spread.go
@@ -39,7 +39,7 @@
 // outcomes counts request outcomes over the last one to two seconds.
 type outcomes struct {
 	all     [2]int
-	bad     [2]int
+	failed  [2]int
 	rotated time.Time
 	// lastSpread is when a request last went to a starved or new target.
 	lastSpread time.Time
@@ -47,11 +47,11 @@
 
 func (e *outcomes) advance(now time.Time) {
 	if past := now.Sub(e.rotated); past >= outcomePeriod {
-		e.all[1], e.bad[1] = e.all[0], e.bad[0]
+		e.all[1], e.failed[1] = e.all[0], e.failed[0]
 		if past >= 2*outcomePeriod {
-			e.all[1], e.bad[1] = 0, 0
+			e.all[1], e.failed[1] = 0, 0
 		}
-		e.all[0], e.bad[0] = 0, 0
+		e.all[0], e.failed[0] = 0, 0
 		e.rotated = now
 	}
 }
@@ -62,7 +62,7 @@
 	e.advance(now)
 	e.all[0]++
 	if !served {
-		e.bad[0]++
+		e.failed[0]++
 	}
 }
 
@@ -74,13 +74,13 @@
 func (e *outcomes) recordRefused(now time.Time, n int) {
 	e.advance(now)
 	e.all[0] += n
-	e.bad[0] += n
+	e.failed[0] += n
 }
 
 // failing reports whether so many requests fail that work must be spread.
 func (e *outcomes) failing(now time.Time) bool {
 	e.advance(now)
-	all, bad := e.all[0]+e.all[1], e.bad[0]+e.bad[1]
+	all, bad := e.all[0]+e.all[1], e.failed[0]+e.failed[1]
 	return all >= spreadMinRequests && float64(bad) >= spreadFailureShare*float64(all)
 }
 
