--- a/internal/dispatch/spread.go
+++ b/internal/dispatch/spread.go
@@ -87,9 +87,9 @@
 // spread defines how far work is spread: the share of the targets that should have had work within a
 // time. calm is set while few requests fail.
 type spread struct {
-	share  float64
-	within time.Duration
-	calm   bool
+	share       float64
+	within      time.Duration
+	fewFailures bool
 }
 
 // maxIdle returns the longest time that a target should be without work. One that has answered a
@@ -111,15 +111,15 @@
 		}
 	case a.Repeatable:
 		return spread{
-			share:  repeatableShare,
-			within: spreadTime,
-			calm:   true,
+			share:       repeatableShare,
+			within:      spreadTime,
+			fewFailures: true,
 		}
 	default:
 		return spread{
-			share:  trialShare,
-			within: trialTime,
-			calm:   true,
+			share:       trialShare,
+			within:      trialTime,
+			fewFailures: true,
 		}
 	}
 }
@@ -145,7 +145,7 @@
 			continue
 		}
 		out++
-		if s.calm && t.DataHall != a.DataHall && crossHallCost*float64(a.Kilobytes) > maxSpreadCrossCost {
+		if s.fewFailures && t.DataHall != a.DataHall && crossHallCost*float64(a.Kilobytes) > maxSpreadCrossCost {
 			continue
 		}
 		if t.open(now, a) && len(t.flights) < d.slots(now, t) && (best == nil || t.failureProbability(now) < best.failureProbability(now)) {
