--- a/internal/dispatch/simulation_test.go
+++ b/internal/dispatch/simulation_test.go
@@ -191,11 +191,11 @@
 		Aim:        p.clock().Add(time.Second),
 		Deadline:   p.clock().Add(5 * time.Second),
 	}
-	p.ask(a)
+	p.request(a)
 	p.after(time.Duration(p.rng.ExpFloat64()/p.s.perSecond*float64(time.Second)), p.arrive)
 }
 
-func (p *simulation) ask(a *dispatch.Ask) {
+func (p *simulation) request(a *dispatch.Ask) {
 	p.requests[a.ID.Number] = a
 	p.take([]dispatch.Grant{p.scheduler.Ask(p.clock(), a)})
 }
@@ -247,7 +247,7 @@
 	retry.ID.Number = p.next
 	retry.Again = true
 	retry.Tried = []string{g.Target}
-	p.ask(&retry)
+	p.request(&retry)
 }
 
 // windows returns the number of windows and of those in which too few of the targets that count were
