--- a/internal/dispatch/simulation_test.go
+++ b/internal/dispatch/simulation_test.go
@@ -172,7 +172,7 @@
 }
 
 func (p *simulation) advance() {
-	p.take(p.scheduler.Advance(p.clock()))
+	p.start(p.scheduler.Advance(p.clock()))
 	p.after(50*time.Millisecond, p.advance)
 }
 
@@ -197,11 +197,11 @@
 
 func (p *simulation) request(a *dispatch.Ask) {
 	p.requests[a.ID.Number] = a
-	p.take([]dispatch.Grant{p.scheduler.Ask(p.clock(), a)})
+	p.start([]dispatch.Grant{p.scheduler.Ask(p.clock(), a)})
 }
 
-// take starts the attempts that were granted.
-func (p *simulation) take(grants []dispatch.Grant) {
+// start starts the attempts that were granted.
+func (p *simulation) start(grants []dispatch.Grant) {
 	for _, g := range grants {
 		switch g.Verdict {
 		case dispatch.Granted:
@@ -234,7 +234,7 @@
 }
 
 func (p *simulation) end(by *dispatch.Desk, g dispatch.Grant, a *dispatch.Ask, r dispatch.Result, took time.Duration) {
-	p.take(by.Done(p.clock(), g.ID, g.Target, r, took))
+	p.start(by.Done(p.clock(), g.ID, g.Target, r, took))
 	if r == dispatch.ResultGood {
 		return
 	}
