--- a/internal/dispatch/overload_test.go
+++ b/internal/dispatch/overload_test.go
@@ -107,7 +107,7 @@
 }
 
 func (o *overloadSimulation) tick() {
-	o.take(o.scheduler.Advance(o.clock()))
+	o.start(o.scheduler.Advance(o.clock()))
 	o.after(50*time.Millisecond, o.tick)
 }
 
@@ -135,10 +135,10 @@
 	if r.came >= overWarm {
 		o.got.all++
 	}
-	o.take([]dispatch.Grant{o.scheduler.Ask(o.clock(), r.request)})
+	o.start([]dispatch.Grant{o.scheduler.Ask(o.clock(), r.request)})
 }
 
-func (o *overloadSimulation) take(grants []dispatch.Grant) {
+func (o *overloadSimulation) start(grants []dispatch.Grant) {
 	for _, g := range grants {
 		r := o.requests[g.ID.Number]
 		switch {
@@ -184,7 +184,7 @@
 				o.got.late++
 			}
 		}
-		o.take(o.scheduler.Done(o.clock(), r.request.ID, g.Target, result, o.now-sent))
+		o.start(o.scheduler.Done(o.clock(), r.request.ID, g.Target, result, o.now-sent))
 	})
 }
 
