--- a/internal/dispatch/backoff_model_test.go
+++ b/internal/dispatch/backoff_model_test.go
@@ -141,7 +141,7 @@
 }
 
 func (p *backoffSimulation) tick() {
-	p.take(p.scheduler.Advance(p.clock()))
+	p.start(p.scheduler.Advance(p.clock()))
 	p.after(50*time.Millisecond, p.tick)
 }
 
@@ -210,7 +210,7 @@
 		return
 	}
 	p.requests[p.next] = r
-	p.take([]dispatch.Grant{p.scheduler.Ask(p.clock(), &a)})
+	p.start([]dispatch.Grant{p.scheduler.Ask(p.clock(), &a)})
 }
 
 func (p *backoffSimulation) refuse(r *backoffRequest) {
@@ -220,7 +220,7 @@
 	}
 }
 
-func (p *backoffSimulation) take(grants []dispatch.Grant) {
+func (p *backoffSimulation) start(grants []dispatch.Grant) {
 	for _, g := range grants {
 		r := p.requests[g.ID.Number]
 		switch {
@@ -239,7 +239,7 @@
 func (p *backoffSimulation) send(r *backoffRequest, g dispatch.Grant) {
 	delete(p.requests, g.ID.Number)
 	if p.now < p.unavailableUntil[r.node()][g.Target] {
-		p.take(p.scheduler.Done(p.clock(), g.ID, g.Target, dispatch.ResultIgnored, 0))
+		p.start(p.scheduler.Done(p.clock(), g.ID, g.Target, dispatch.ResultIgnored, 0))
 		p.ask(r)
 		return
 	}
@@ -251,7 +251,7 @@
 	}
 	took := time.Duration(float64(backoffWork) * (0.5 + p.rng.ExpFloat64()/2))
 	p.after(took, func() {
-		p.take(p.scheduler.Done(p.clock(), g.ID, g.Target, dispatch.ResultGood, took))
+		p.start(p.scheduler.Done(p.clock(), g.ID, g.Target, dispatch.ResultGood, took))
 		switch {
 		case !r.counts:
 		case p.now-r.came <= backoffSoftDeadline:
@@ -272,7 +272,7 @@
 	if p.signalled {
 		p.scheduler.BackOff(p.clock(), g.Target, g.ID, p.backoff)
 	}
-	p.take(p.scheduler.Done(p.clock(), g.ID, g.Target, p.result, 3*time.Millisecond))
+	p.start(p.scheduler.Done(p.clock(), g.ID, g.Target, p.result, 3*time.Millisecond))
 	if r.attempts == backoffAttempts || p.now-r.came > backoffDeadline {
 		p.refuse(r)
 		return
