--- a/internal/dispatch/backoff_model_test.go
+++ b/internal/dispatch/backoff_model_test.go
@@ -178,7 +178,7 @@
 	if r.counts {
 		p.got.all++
 	}
-	p.ask(r)
+	p.request(r)
 }
 
 // node returns the number of the node that received the request.
@@ -198,7 +198,7 @@
 	return out
 }
 
-func (p *backoffSimulation) ask(r *backoffRequest) {
+func (p *backoffSimulation) request(r *backoffRequest) {
 	p.next++
 	a := *r.request
 	a.ID.Number = p.next
@@ -240,7 +240,7 @@
 	delete(p.requests, g.ID.Number)
 	if p.now < p.unavailableUntil[r.node()][g.Target] {
 		p.start(p.scheduler.Done(p.clock(), g.ID, g.Target, dispatch.ResultIgnored, 0))
-		p.ask(r)
+		p.request(r)
 		return
 	}
 	r.attempts++
@@ -277,7 +277,7 @@
 		p.refuse(r)
 		return
 	}
-	p.ask(r)
+	p.request(r)
 }
 
 // backoffCases returns the cases: loads of a third and of two thirds of the capacity, and a third of
