--- a/internal/dispatch/limit_test.go
+++ b/internal/dispatch/limit_test.go
@@ -71,20 +71,20 @@
 		for len(p.ends) > 0 && !p.now.Before(p.ends[0].at) {
 			e := p.ends[0]
 			p.ends = p.ends[1:]
-			p.take(p.scheduler.Done(p.now, e.id, e.target, dispatch.ResultGood, p.takes))
+			p.start(p.scheduler.Done(p.now, e.id, e.target, dispatch.ResultGood, p.takes))
 		}
 		for due += rate * step.Seconds(); due >= 1; due-- {
 			p.next++
 			p.requestedAt[p.next] = p.now
-			p.take([]dispatch.Grant{p.scheduler.Ask(p.now, newRequest(p.now, p.next))})
+			p.start([]dispatch.Grant{p.scheduler.Ask(p.now, newRequest(p.now, p.next))})
 		}
 		if p.now.Sub(start)%(50*time.Millisecond) == 0 {
-			p.take(p.scheduler.Advance(p.now))
+			p.start(p.scheduler.Advance(p.now))
 		}
 	}
 }
 
-func (p *limitSimulation) take(grants []dispatch.Grant) {
+func (p *limitSimulation) start(grants []dispatch.Grant) {
 	for _, g := range grants {
 		switch g.Verdict {
 		case dispatch.Granted:
