--- a/internal/dispatch/limit_test.go
+++ b/internal/dispatch/limit_test.go
@@ -36,8 +36,8 @@
 	scheduler *dispatch.Desk
 	now       time.Time
 	next      uint64
-	// takes is the duration of an attempt.
-	takes time.Duration
+	// duration is the duration of an attempt.
+	duration time.Duration
 	// granted are the grant times by target, retryAfters the RetryAfter of refusals.
 	granted     map[string][]time.Time
 	refused     int
@@ -57,7 +57,7 @@
 	return &limitSimulation{
 		scheduler:   d,
 		now:         start,
-		takes:       50 * time.Millisecond,
+		duration:    50 * time.Millisecond,
 		granted:     map[string][]time.Time{},
 		requestedAt: map[uint64]time.Time{},
 	}
@@ -71,7 +71,7 @@
 		for len(p.ends) > 0 && !p.now.Before(p.ends[0].at) {
 			e := p.ends[0]
 			p.ends = p.ends[1:]
-			p.start(p.scheduler.Done(p.now, e.id, e.target, dispatch.ResultGood, p.takes))
+			p.start(p.scheduler.Done(p.now, e.id, e.target, dispatch.ResultGood, p.duration))
 		}
 		for due += rate * step.Seconds(); due >= 1; due-- {
 			p.next++
@@ -90,7 +90,7 @@
 		case dispatch.Granted:
 			p.granted[g.Target] = append(p.granted[g.Target], p.now)
 			p.ends = append(p.ends, limitEnd{
-				at:     p.now.Add(p.takes),
+				at:     p.now.Add(p.duration),
 				id:     g.ID,
 				target: g.Target,
 			})
@@ -261,7 +261,7 @@
 	p.run(100, 10*time.Second)
 	d.Observe(p.now, "n", lifted("t0", p.now))
 	p.granted = map[string][]time.Time{}
-	p.takes = time.Second
+	p.duration = time.Second
 	p.run(100, 500*time.Millisecond)
 	if n := len(p.granted["t0"]); n > 10 {
 		t.Errorf("%d of 20 slots taken in half a second", n)
