--- a/internal/dispatch/simulation_test.go
+++ b/internal/dispatch/simulation_test.go
@@ -23,8 +23,8 @@
 	// floorSettled before it.
 	floorShare   = 0.7
 	floorSettled = 2 * time.Second
-	// failsQuick is the response time of a failing target.
-	failsQuick = 3 * time.Millisecond
+	// failureTime is the response time of a failing target.
+	failureTime = 3 * time.Millisecond
 )
 
 // modelTarget is one target: its sequence of states and the times at which requests reached it.
@@ -225,7 +225,7 @@
 	result := dispatch.ResultGood
 	switch {
 	case m.failingAt(p.s, p.now) && p.rng.Float64() < p.s.lost:
-		result, took = dispatch.ResultBad, failsQuick
+		result, took = dispatch.ResultBad, failureTime
 	case p.rng.Float64() < errorShare:
 		result = dispatch.ResultBad
 	}
