--- a/internal/dispatch/partition_test.go
+++ b/internal/dispatch/partition_test.go
@@ -11,8 +11,8 @@
 	"ploverjunction.example/ploverjunction/internal/dispatch"
 )
 
-// spreadOver returns targets in data halls named a, b and so on.
-func spreadOver(counts ...int) []dispatch.Target {
+// targetsInHalls returns targets in data halls named a, b and so on.
+func targetsInHalls(counts ...int) []dispatch.Target {
 	var out []dispatch.Target
 	for hall, n := range counts {
 		for range n {
@@ -29,7 +29,7 @@
 // sizes returns the number of targets by data hall.
 func sizes(counts ...int) map[string]int {
 	out := map[string]int{}
-	for _, t := range spreadOver(counts...) {
+	for _, t := range targetsInHalls(counts...) {
 		out[t.DataHall]++
 	}
 	return out
@@ -138,7 +138,7 @@
 					Reserve: reserve / parts,
 					Window:  window,
 				}, func() float64 { return 0 })
-				desks[i].Configure(start, spreadOver(30))
+				desks[i].Configure(start, targetsInHalls(30))
 			}
 			firsts, retries := 0, 0
 			n := uint64(0)
