--- a/internal/dispatch/partition_test.go
+++ b/internal/dispatch/partition_test.go
@@ -26,8 +26,8 @@
 	return out
 }
 
-// sizes returns the number of targets by data hall.
-func sizes(counts ...int) map[string]int {
+// countByHall returns the number of targets by data hall.
+func countByHall(counts ...int) map[string]int {
 	out := map[string]int{}
 	for _, t := range targetsInHalls(counts...) {
 		out[t.DataHall]++
@@ -36,8 +36,8 @@
 }
 
 func ExampleDivide() {
-	fmt.Println(dispatch.Divide(sizes(92, 94, 89, 72, 84)))
-	fmt.Println(dispatch.Divide(sizes(6, 5, 5)))
+	fmt.Println(dispatch.Divide(countByHall(92, 94, 89, 72, 84)))
+	fmt.Println(dispatch.Divide(countByHall(6, 5, 5)))
 	// Output:
 	// [a b c d e]
 	// []
@@ -72,7 +72,7 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			if got := dispatch.Divide(sizes(tt.counts...)); !slices.Equal(got, tt.want) {
+			if got := dispatch.Divide(countByHall(tt.counts...)); !slices.Equal(got, tt.want) {
 				t.Errorf("got %v, want %v", got, tt.want)
 			}
 		})
