--- a/internal/dispatch/choose.go
+++ b/internal/dispatch/choose.go
@@ -76,11 +76,11 @@
 
 // cheapest returns the target of the lowest cost among some. Targets already tried are chosen only
 // if there is no other.
-func (d *Desk) cheapest(now time.Time, a *Ask, some []*target) *target {
+func (d *Desk) cheapest(now time.Time, a *Ask, candidates []*target) *target {
 	var best *target
 	least, bestTried := 0.0, false
-	d.examined += len(some)
-	for _, t := range some {
+	d.examined += len(candidates)
+	for _, t := range candidates {
 		if !t.open(now, a) || d.exhausted(now, t) {
 			continue
 		}
