--- a/internal/dispatch/choose.go
+++ b/internal/dispatch/choose.go
@@ -74,7 +74,7 @@
 	return t.Slots
 }
 
-// cheapest returns the target of the lowest cost among some. Targets already tried are chosen only
+// cheapest returns the candidate of the lowest cost. Targets already tried are chosen only
 // if there is no other.
 func (d *Desk) cheapest(now time.Time, a *Ask, candidates []*target) *target {
 	var best *target
--- a/internal/dispatch/spread.go
+++ b/internal/dispatch/spread.go
@@ -85,7 +85,7 @@
 }
 
 // spread defines how far work is spread: the share of the targets that should have had work within a
-// time. calm is set while few requests fail.
+// time. fewFailures is set while few requests fail.
 type spread struct {
 	share       float64
 	within      time.Duration
