--- a/internal/dispatch/limit_strategies_test.go
+++ b/internal/dispatch/limit_strategies_test.go
@@ -33,7 +33,7 @@
 	end(now time.Time, node int)
 }
 
-// perNode has each node keep its share of the limit without a coordinator.
+// perNode has each node grant at a fixed rate without a coordinator.
 type perNode struct {
 	rate   float64
 	pacers []*ratelimit.Pacer
--- a/internal/dispatch/queue.go
+++ b/internal/dispatch/queue.go
@@ -49,8 +49,8 @@
 }
 
 // inTime reports whether a waiting request can still be answered by its soft deadline. While slots
-// are short this holds for nearly all answers, not for half of them: slots would go to requests that
-// are answered too late. A final attempt keeps its place: behind the others it would end at a
+// are short it requires this of nearly all answers rather than of half, or slots would go to requests
+// that are answered too late. A final attempt keeps its place: behind the others it would end at a
 // failing target.
 func (q *queue) inTime(now time.Time, w *waiting) bool {
 	if q.slotsShort && !w.request.final() {
--- a/internal/dispatch/scheduler.go
+++ b/internal/dispatch/scheduler.go
@@ -10,7 +10,7 @@
 
 // Parameters of a scheduler.
 const (
-	// flightSlack is how long after its deadline a granted attempt is dropped.
+	// flightSlack is how long after its deadline an attempt is dropped if its end was not reported.
 	flightSlack = 500 * time.Millisecond
 	// maxQueueShare is the greatest expected wait in the queue, as a share of the time to the
 	// deadline.
@@ -70,7 +70,7 @@
 	// targets with a limit.
 	limitShare float64
 	limits     int
-	// trials counts the grants made only for the sake of coverage.
+	// trials counts the grants made only because the target lacked work.
 	trials int
 }
 
--- a/internal/dispatch/spread.go
+++ b/internal/dispatch/spread.go
@@ -8,7 +8,7 @@
 // targets get work within 2 s while more than a tenth of the requests fail. Which targets the users
 // count as working is unknown here, and they may be few: nearly all must get work.
 const (
-	// spreadFailureShare is the share of failed requests from which work is spread.
+	// spreadFailureShare is the share of failed requests at which spreading starts.
 	spreadFailureShare = 0.085
 	// spreadMinRequests is the number of ended requests below which the share is not used.
 	spreadMinRequests = 20
--- a/internal/dispatch/status.go
+++ b/internal/dispatch/status.go
@@ -30,7 +30,7 @@
 	// expected number of those with recent work, Short the probability that these are fewer than the
 	// floor requires.
 	Working, Reached, Short float64
-	// Trials counts the grants made only for the sake of coverage.
+	// Trials counts the grants made only because the target lacked work.
 	Trials int
 	// Targets are all targets, in the order of their configuration.
 	Targets []TargetStatus
--- a/internal/dispatch/warmup_test.go
+++ b/internal/dispatch/warmup_test.go
@@ -72,8 +72,7 @@
 	return out
 }
 
-// A target that warms up gets no more than its warm-up rate, which would overload it, and nearly all
-// of that rate.
+// A target that warms up gets nearly all of its warm-up rate and no more, which would overload it.
 func TestWarmupRateIsUsedAndKept(t *testing.T) {
 	const left = 3 * time.Second
 	tests := []struct {
