--- a/internal/dispatch/unavailable_test.go
+++ b/internal/dispatch/unavailable_test.go
@@ -81,9 +81,9 @@
 }
 
 // grantCounts sends requests one after another and counts the grants by target.
-func grantCounts(d *dispatch.Desk, now time.Time, asks uint64) map[string]int {
+func grantCounts(d *dispatch.Desk, now time.Time, requests uint64) map[string]int {
 	out := map[string]int{}
-	for n := range asks {
+	for n := range requests {
 		g := d.Ask(now, newRequest(now, 10_000+n))
 		out[g.Target]++
 		now = now.Add(50 * time.Millisecond)
