--- a/internal/dispatch/unavailable_test.go
+++ b/internal/dispatch/unavailable_test.go
@@ -15,7 +15,7 @@
 // A target that signalled to any node that it drains gets no more requests from any node, also from
 // a new scheduler that receives the signal with a grant request. Its next incarnation gets work.
 func TestDrainSignal(t *testing.T) {
-	signal := func(d *dispatch.Desk) { d.MarkDraining(start, "t0") }
+	drain := func(d *dispatch.Desk) { d.MarkDraining(start, "t0") }
 	tests := []struct {
 		name   string
 		signal func(d *dispatch.Desk)
@@ -23,7 +23,7 @@
 	}{
 		{
 			name:   "signalled at the end of an attempt",
-			signal: signal,
+			signal: drain,
 			modify: func(*dispatch.Ask) {},
 		},
 		{
@@ -33,12 +33,12 @@
 		},
 		{
 			name:   "repeatable request",
-			signal: signal,
+			signal: drain,
 			modify: func(a *dispatch.Ask) { a.Repeatable = true },
 		},
 		{
 			name:   "retry",
-			signal: signal,
+			signal: drain,
 			modify: func(a *dispatch.Ask) {
 				a.Again = true
 				a.Tried = []string{"t1", "t2"}
