--- a/internal/dispatch/request.go
+++ b/internal/dispatch/request.go
@@ -79,7 +79,7 @@
 // Verdict is the decision on a grant request.
 type Verdict uint8
 
-// Verdicts.
+// Possible decisions.
 const (
 	// Granted means that the request may go to the target.
 	Granted Verdict = iota
