--- a/internal/outlier/collector.go
+++ b/internal/outlier/collector.go
@@ -11,8 +11,8 @@
 const (
 	// slowFactor is how many times the usual latency counts as slow.
 	slowFactor = 5
-	// slowLeast is the least time that counts as slow.
-	slowLeast = 50 * time.Millisecond
+	// minSlow is the least time that counts as slow.
+	minSlow = 50 * time.Millisecond
 	// slowUnknown counts as slow while the usual latency is unknown.
 	slowUnknown = time.Second
 	// usualStep is the part by which one request moves the usual latency.
@@ -54,7 +54,7 @@
 	if u.seen < usualNeeds {
 		return slowUnknown
 	}
-	return max(u.median*slowFactor, slowLeast)
+	return max(u.median*slowFactor, minSlow)
 }
 
 // Flight is one attempt in flight. End must be called once.
