--- a/internal/outlier/collector.go
+++ b/internal/outlier/collector.go
@@ -13,8 +13,8 @@
 	slowFactor = 5
 	// minSlow is the least time that counts as slow.
 	minSlow = 50 * time.Millisecond
-	// slowUnknown counts as slow while the usual latency is unknown.
-	slowUnknown = time.Second
+	// defaultSlow counts as slow while the usual latency is unknown.
+	defaultSlow = time.Second
 	// usualStep is the part by which one request moves the usual latency.
 	usualStep = 0.05
 	// usualNeeds is how many requests make the usual latency known.
@@ -52,7 +52,7 @@
 
 func (u *usual) slow() time.Duration {
 	if u.seen < usualNeeds {
-		return slowUnknown
+		return defaultSlow
 	}
 	return max(u.median*slowFactor, minSlow)
 }
