--- a/internal/outlier/collector.go
+++ b/internal/outlier/collector.go
@@ -15,8 +15,8 @@
 	minSlow = 50 * time.Millisecond
 	// defaultSlow counts as slow while the usual latency is unknown.
 	defaultSlow = time.Second
-	// usualStep is the part by which one request moves the usual latency.
-	usualStep = 0.05
+	// medianStep is the part by which one request moves the usual latency.
+	medianStep = 0.05
 	// usualNeeds is how many requests make the usual latency known.
 	usualNeeds = 8
 	// pauseFactor is how many ticks late a drain shows that the process stood
@@ -42,7 +42,7 @@
 		u.median = max(d, time.Microsecond)
 		return
 	}
-	step := time.Duration(float64(u.median) * usualStep)
+	step := time.Duration(float64(u.median) * medianStep)
 	if d > u.median {
 		u.median += step
 	} else {
