--- a/internal/outlier/collector.go
+++ b/internal/outlier/collector.go
@@ -17,8 +17,8 @@
 	defaultSlow = time.Second
 	// medianStep is the part by which one request moves the usual latency.
 	medianStep = 0.05
-	// usualNeeds is how many requests make the usual latency known.
-	usualNeeds = 8
+	// medianSamples is how many requests make the usual latency known.
+	medianSamples = 8
 	// pauseFactor is how many ticks late a drain shows that the process stood
 	// still.
 	pauseFactor = 4
@@ -51,7 +51,7 @@
 }
 
 func (u *usual) slow() time.Duration {
-	if u.seen < usualNeeds {
+	if u.seen < medianSamples {
 		return defaultSlow
 	}
 	return max(u.median*slowFactor, minSlow)
