--- a/internal/outlier/collector.go
+++ b/internal/outlier/collector.go
@@ -22,11 +22,11 @@
 	// pauseFactor is how many ticks late a drain shows that the process stood
 	// still.
 	pauseFactor = 4
-	// countAge is how often an attempt in flight may count as bad, ageStep the
+	// maxStallCounts is how often an attempt in flight may count as bad, ageStep the
 	// time from the first to the second count. One attempt alone, which may just
 	// be a long one, thus never ejects a target.
-	countAge = 2
-	ageStep  = 500 * time.Millisecond
+	maxStallCounts = 2
+	ageStep        = 500 * time.Millisecond
 )
 
 // usual estimates the median latency of one class of requests by stochastic
@@ -232,7 +232,7 @@
 
 func (v *cell) age(now time.Time) {
 	for f := range v.flights {
-		if f.dropped || f.counted >= countAge {
+		if f.dropped || f.counted >= maxStallCounts {
 			continue
 		}
 		if now.Sub(f.begun) > f.usual.slow()+time.Duration(f.counted)*ageStep {
