--- a/internal/outlier/collector.go
+++ b/internal/outlier/collector.go
@@ -25,8 +25,8 @@
 	// maxStallCounts is how often an attempt in flight may count as bad, ageStep the
 	// time from the first to the second count. One attempt alone, which may just
 	// be a long one, thus never ejects a target.
-	maxStallCounts = 2
-	ageStep        = 500 * time.Millisecond
+	maxStallCounts     = 2
+	stallCountInterval = 500 * time.Millisecond
 )
 
 // usual estimates the median latency of one class of requests by stochastic
@@ -235,7 +235,7 @@
 		if f.dropped || f.counted >= maxStallCounts {
 			continue
 		}
-		if now.Sub(f.begun) > f.usual.slow()+time.Duration(f.counted)*ageStep {
+		if now.Sub(f.begun) > f.usual.slow()+time.Duration(f.counted)*stallCountInterval {
 			f.counted++
 			v.counts.Bad++
 			v.counts.Stalled++
