--- a/internal/outlier/collector.go
+++ b/internal/outlier/collector.go
@@ -32,13 +32,13 @@
 // usual estimates the median latency of one class of requests by stochastic
 // approximation: each request moves it a step towards itself.
 type usual struct {
-	median time.Duration
-	seen   int
+	median  time.Duration
+	samples int
 }
 
 func (u *usual) add(d time.Duration) {
-	u.seen++
-	if u.seen == 1 {
+	u.samples++
+	if u.samples == 1 {
 		u.median = max(d, time.Microsecond)
 		return
 	}
@@ -51,7 +51,7 @@
 }
 
 func (u *usual) slow() time.Duration {
-	if u.seen < medianSamples {
+	if u.samples < medianSamples {
 		return defaultSlow
 	}
 	return max(u.median*slowFactor, minSlow)
