--- a/internal/outlier/collector.go
+++ b/internal/outlier/collector.go
@@ -50,7 +50,7 @@
 	}
 }
 
-func (u *usual) slow() time.Duration {
+func (u *usual) slowAfter() time.Duration {
 	if u.samples < medianSamples {
 		return defaultSlow
 	}
@@ -173,7 +173,7 @@
 		return
 	}
 	took := now.Sub(f.begun)
-	slow := took > f.usual.slow()
+	slow := took > f.usual.slowAfter()
 	if !e.Failed && !e.Ignored {
 		f.usual.add(took)
 	}
@@ -190,7 +190,7 @@
 func (c *Collector) Slow(service, class string) time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.usualOf(service, class).slow()
+	return c.usualOf(service, class).slowAfter()
 }
 
 // Evidence is what a drain gives of one target.
@@ -235,7 +235,7 @@
 		if f.dropped || f.counted >= maxStallCounts {
 			continue
 		}
-		if now.Sub(f.begun) > f.usual.slow()+time.Duration(f.counted)*stallCountInterval {
+		if now.Sub(f.begun) > f.usual.slowAfter()+time.Duration(f.counted)*stallCountInterval {
 			f.counted++
 			v.counts.Bad++
 			v.counts.Stalled++
