--- a/internal/outlier/collector.go
+++ b/internal/outlier/collector.go
@@ -29,14 +29,14 @@
 	stallCountInterval = 500 * time.Millisecond
 )
 
-// usual estimates the median latency of one class of requests by stochastic
+// medianEstimate estimates the median latency of one class of requests by stochastic
 // approximation: each request moves it a step towards itself.
-type usual struct {
+type medianEstimate struct {
 	median  time.Duration
 	samples int
 }
 
-func (u *usual) add(d time.Duration) {
+func (u *medianEstimate) add(d time.Duration) {
 	u.samples++
 	if u.samples == 1 {
 		u.median = max(d, time.Microsecond)
@@ -50,7 +50,7 @@
 	}
 }
 
-func (u *usual) slowAfter() time.Duration {
+func (u *medianEstimate) slowAfter() time.Duration {
 	if u.samples < medianSamples {
 		return defaultSlow
 	}
@@ -61,7 +61,7 @@
 type Flight struct {
 	collector *Collector
 	cell      *cell
-	usual     *usual
+	usual     *medianEstimate
 	begun     time.Time
 	// counted is how often the flight was counted as bad for its age.
 	counted int
@@ -86,7 +86,7 @@
 	tick  time.Duration
 	mu    sync.Mutex
 	cells map[cellKey]*cell
-	usual map[usualKey]*usual
+	usual map[usualKey]*medianEstimate
 	at    time.Time
 }
 
@@ -95,7 +95,7 @@
 	return &Collector{
 		tick:  tick,
 		cells: map[cellKey]*cell{},
-		usual: map[usualKey]*usual{},
+		usual: map[usualKey]*medianEstimate{},
 	}
 }
 
@@ -130,7 +130,7 @@
 	return v
 }
 
-func (c *Collector) usualOf(service, class string) *usual {
+func (c *Collector) usualOf(service, class string) *medianEstimate {
 	k := usualKey{
 		service: service,
 		class:   class,
@@ -138,7 +138,7 @@
 	if v := c.usual[k]; v != nil {
 		return v
 	}
-	v := &usual{}
+	v := &medianEstimate{}
 	c.usual[k] = v
 	return v
 }
