--- a/internal/outlier/collector.go
+++ b/internal/outlier/collector.go
@@ -61,7 +61,7 @@
 type Flight struct {
 	collector *Collector
 	cell      *cell
-	usual     *medianEstimate
+	median    *medianEstimate
 	begun     time.Time
 	// counted is how often the flight was counted as bad for its age.
 	counted int
@@ -106,7 +106,7 @@
 	f := &Flight{
 		collector: c,
 		cell:      c.cell(service, target),
-		usual:     c.usualOf(service, class),
+		median:    c.usualOf(service, class),
 		begun:     now,
 	}
 	f.cell.flights[f] = struct{}{}
@@ -173,9 +173,9 @@
 		return
 	}
 	took := now.Sub(f.begun)
-	slow := took > f.usual.slowAfter()
+	slow := took > f.median.slowAfter()
 	if !e.Failed && !e.Ignored {
-		f.usual.add(took)
+		f.median.add(took)
 	}
 	switch {
 	case f.counted > 0:
@@ -235,7 +235,7 @@
 		if f.dropped || f.counted >= maxStallCounts {
 			continue
 		}
-		if now.Sub(f.begun) > f.usual.slowAfter()+time.Duration(f.counted)*stallCountInterval {
+		if now.Sub(f.begun) > f.median.slowAfter()+time.Duration(f.counted)*stallCountInterval {
 			f.counted++
 			v.counts.Bad++
 			v.counts.Stalled++
