--- a/internal/outlier/collector.go
+++ b/internal/outlier/collector.go
@@ -60,7 +60,7 @@
 // Flight is one attempt in flight. End must be called once.
 type Flight struct {
 	collector *Collector
-	cell      *cell
+	counts    *cell
 	median    *medianEstimate
 	begun     time.Time
 	// counted is how often the flight was counted as bad for its age.
@@ -105,11 +105,11 @@
 	defer c.mu.Unlock()
 	f := &Flight{
 		collector: c,
-		cell:      c.cell(service, target),
+		counts:    c.cell(service, target),
 		median:    c.usualOf(service, class),
 		begun:     now,
 	}
-	f.cell.flights[f] = struct{}{}
+	f.counts.flights[f] = struct{}{}
 	return f
 }
 
@@ -167,8 +167,8 @@
 	c := f.collector
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	delete(f.cell.flights, f)
-	f.cell.counts.Leaving = f.cell.counts.Leaving || e.Leaving
+	delete(f.counts.flights, f)
+	f.counts.counts.Leaving = f.counts.counts.Leaving || e.Leaving
 	if f.dropped {
 		return
 	}
@@ -180,9 +180,9 @@
 	switch {
 	case f.counted > 0:
 	case slow || e.Failed && !e.Ignored:
-		f.cell.counts.Bad++
+		f.counts.counts.Bad++
 	case !e.Ignored:
-		f.cell.counts.Good++
+		f.counts.counts.Good++
 	}
 }
 
