--- a/internal/outlier/collector.go
+++ b/internal/outlier/collector.go
@@ -62,7 +62,7 @@
 	collector *Collector
 	counts    *cell
 	median    *medianEstimate
-	begun     time.Time
+	started   time.Time
 	// counted is how often the flight was counted as bad for its age.
 	counted int
 	// dropped is set when the process stood still: its age proves nothing.
@@ -107,7 +107,7 @@
 		collector: c,
 		counts:    c.cell(service, target),
 		median:    c.usualOf(service, class),
-		begun:     now,
+		started:   now,
 	}
 	f.counts.flights[f] = struct{}{}
 	return f
@@ -172,7 +172,7 @@
 	if f.dropped {
 		return
 	}
-	took := now.Sub(f.begun)
+	took := now.Sub(f.started)
 	slow := took > f.median.slowAfter()
 	if !e.Failed && !e.Ignored {
 		f.median.add(took)
@@ -235,7 +235,7 @@
 		if f.dropped || f.counted >= maxStallCounts {
 			continue
 		}
-		if now.Sub(f.begun) > f.median.slowAfter()+time.Duration(f.counted)*stallCountInterval {
+		if now.Sub(f.started) > f.median.slowAfter()+time.Duration(f.counted)*stallCountInterval {
 			f.counted++
 			v.counts.Bad++
 			v.counts.Stalled++
