--- a/internal/outlier/collector.go
+++ b/internal/outlier/collector.go
@@ -63,8 +63,8 @@
 	counts    *cell
 	median    *medianEstimate
 	started   time.Time
-	// counted is how often the flight was counted as bad for its age.
-	counted int
+	// stallCounts is how often the flight was counted as bad for its age.
+	stallCounts int
 	// dropped is set when the process stood still: its age proves nothing.
 	dropped bool
 }
@@ -178,7 +178,7 @@
 		f.median.add(took)
 	}
 	switch {
-	case f.counted > 0:
+	case f.stallCounts > 0:
 	case slow || e.Failed && !e.Ignored:
 		f.counts.counts.Bad++
 	case !e.Ignored:
@@ -232,11 +232,11 @@
 
 func (v *cell) age(now time.Time) {
 	for f := range v.flights {
-		if f.dropped || f.counted >= maxStallCounts {
+		if f.dropped || f.stallCounts >= maxStallCounts {
 			continue
 		}
-		if now.Sub(f.started) > f.median.slowAfter()+time.Duration(f.counted)*stallCountInterval {
-			f.counted++
+		if now.Sub(f.started) > f.median.slowAfter()+time.Duration(f.stallCounts)*stallCountInterval {
+			f.stallCounts++
 			v.counts.Bad++
 			v.counts.Stalled++
 		}
