--- a/internal/outlier/collector.go
+++ b/internal/outlier/collector.go
@@ -65,8 +65,8 @@
 	started   time.Time
 	// stallCounts is how often the flight was counted as bad for its age.
 	stallCounts int
-	// dropped is set when the process stood still: its age proves nothing.
-	dropped bool
+	// discarded is set when the process stood still: its age proves nothing.
+	discarded bool
 }
 
 // cell holds the counts of one target since the last drain.
@@ -169,7 +169,7 @@
 	defer c.mu.Unlock()
 	delete(f.counts.flights, f)
 	f.counts.counts.Leaving = f.counts.counts.Leaving || e.Leaving
-	if f.dropped {
+	if f.discarded {
 		return
 	}
 	took := now.Sub(f.started)
@@ -226,13 +226,13 @@
 func (v *cell) drop() {
 	v.counts = Counts{}
 	for f := range v.flights {
-		f.dropped = true
+		f.discarded = true
 	}
 }
 
 func (v *cell) age(now time.Time) {
 	for f := range v.flights {
-		if f.dropped || f.stallCounts >= maxStallCounts {
+		if f.discarded || f.stallCounts >= maxStallCounts {
 			continue
 		}
 		if now.Sub(f.started) > f.median.slowAfter()+time.Duration(f.stallCounts)*stallCountInterval {
