--- a/internal/outlier/collector.go
+++ b/internal/outlier/collector.go
@@ -71,10 +71,10 @@
 
 // cell holds the counts of one target since the last drain.
 type cell struct {
-	service string
-	target  string
-	counts  Counts
-	flights map[*Flight]struct{}
+	service  string
+	target   string
+	counts   Counts
+	inFlight map[*Flight]struct{}
 }
 
 type cellKey struct{ service, target string }
@@ -109,7 +109,7 @@
 		median:    c.usualOf(service, class),
 		started:   now,
 	}
-	f.counts.flights[f] = struct{}{}
+	f.counts.inFlight[f] = struct{}{}
 	return f
 }
 
@@ -122,9 +122,9 @@
 		return v
 	}
 	v := &cell{
-		service: service,
-		target:  target,
-		flights: map[*Flight]struct{}{},
+		service:  service,
+		target:   target,
+		inFlight: map[*Flight]struct{}{},
 	}
 	c.cells[k] = v
 	return v
@@ -167,7 +167,7 @@
 	c := f.collector
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	delete(f.counts.flights, f)
+	delete(f.counts.inFlight, f)
 	f.counts.counts.Leaving = f.counts.counts.Leaving || e.Leaving
 	if f.discarded {
 		return
@@ -216,7 +216,7 @@
 		v.age(now)
 		if e, ok := v.drain(); ok {
 			out = append(out, e)
-		} else if len(v.flights) == 0 {
+		} else if len(v.inFlight) == 0 {
 			delete(c.cells, k)
 		}
 	}
@@ -225,13 +225,13 @@
 
 func (v *cell) drop() {
 	v.counts = Counts{}
-	for f := range v.flights {
+	for f := range v.inFlight {
 		f.discarded = true
 	}
 }
 
 func (v *cell) age(now time.Time) {
-	for f := range v.flights {
+	for f := range v.inFlight {
 		if f.discarded || f.stallCounts >= maxStallCounts {
 			continue
 		}
