--- a/internal/outlier/collector.go
+++ b/internal/outlier/collector.go
@@ -211,7 +211,7 @@
 	var out []Evidence
 	for k, v := range c.cells {
 		if paused {
-			v.drop()
+			v.discard()
 		}
 		v.age(now)
 		if e, ok := v.drain(); ok {
@@ -223,7 +223,7 @@
 	return out
 }
 
-func (v *cell) drop() {
+func (v *cell) discard() {
 	v.counts = Counts{}
 	for f := range v.inFlight {
 		f.discarded = true
