--- a/internal/outlier/collector.go
+++ b/internal/outlier/collector.go
@@ -213,7 +213,7 @@
 		if paused {
 			v.discard()
 		}
-		v.age(now)
+		v.countStalled(now)
 		if e, ok := v.drain(); ok {
 			out = append(out, e)
 		} else if len(v.inFlight) == 0 {
@@ -230,7 +230,7 @@
 	}
 }
 
-func (v *cell) age(now time.Time) {
+func (v *cell) countStalled(now time.Time) {
 	for f := range v.inFlight {
 		if f.discarded || f.stallCounts >= maxStallCounts {
 			continue
