--- a/internal/outlier/collector.go
+++ b/internal/outlier/collector.go
@@ -60,7 +60,7 @@
 // Flight is one attempt in flight. End must be called once.
 type Flight struct {
 	collector *Collector
-	counts    *cell
+	counts    *targetCounts
 	median    *medianEstimate
 	started   time.Time
 	// stallCounts is how often the flight was counted as bad for its age.
@@ -69,8 +69,8 @@
 	discarded bool
 }
 
-// cell holds the counts of one target since the last drain.
-type cell struct {
+// targetCounts holds the counts of one target since the last drain.
+type targetCounts struct {
 	service  string
 	target   string
 	counts   Counts
@@ -85,7 +85,7 @@
 type Collector struct {
 	tick  time.Duration
 	mu    sync.Mutex
-	cells map[cellKey]*cell
+	cells map[cellKey]*targetCounts
 	usual map[usualKey]*medianEstimate
 	at    time.Time
 }
@@ -94,7 +94,7 @@
 func NewCollector(tick time.Duration) *Collector {
 	return &Collector{
 		tick:  tick,
-		cells: map[cellKey]*cell{},
+		cells: map[cellKey]*targetCounts{},
 		usual: map[usualKey]*medianEstimate{},
 	}
 }
@@ -113,7 +113,7 @@
 	return f
 }
 
-func (c *Collector) cell(service, target string) *cell {
+func (c *Collector) cell(service, target string) *targetCounts {
 	k := cellKey{
 		service: service,
 		target:  target,
@@ -121,7 +121,7 @@
 	if v := c.cells[k]; v != nil {
 		return v
 	}
-	v := &cell{
+	v := &targetCounts{
 		service:  service,
 		target:   target,
 		inFlight: map[*Flight]struct{}{},
@@ -223,14 +223,14 @@
 	return out
 }
 
-func (v *cell) discard() {
+func (v *targetCounts) discard() {
 	v.counts = Counts{}
 	for f := range v.inFlight {
 		f.discarded = true
 	}
 }
 
-func (v *cell) countStalled(now time.Time) {
+func (v *targetCounts) countStalled(now time.Time) {
 	for f := range v.inFlight {
 		if f.discarded || f.stallCounts >= maxStallCounts {
 			continue
@@ -243,7 +243,7 @@
 	}
 }
 
-func (v *cell) drain() (Evidence, bool) {
+func (v *targetCounts) drain() (Evidence, bool) {
 	e := Evidence{
 		Service: v.service,
 		Counts:  v.counts,
