--- a/internal/outlier/collector.go
+++ b/internal/outlier/collector.go
@@ -77,7 +77,7 @@
 	inFlight map[*Flight]struct{}
 }
 
-type cellKey struct{ service, target string }
+type targetKey struct{ service, target string }
 
 type usualKey struct{ service, class string }
 
@@ -85,7 +85,7 @@
 type Collector struct {
 	tick  time.Duration
 	mu    sync.Mutex
-	cells map[cellKey]*targetCounts
+	cells map[targetKey]*targetCounts
 	usual map[usualKey]*medianEstimate
 	at    time.Time
 }
@@ -94,7 +94,7 @@
 func NewCollector(tick time.Duration) *Collector {
 	return &Collector{
 		tick:  tick,
-		cells: map[cellKey]*targetCounts{},
+		cells: map[targetKey]*targetCounts{},
 		usual: map[usualKey]*medianEstimate{},
 	}
 }
@@ -114,7 +114,7 @@
 }
 
 func (c *Collector) cell(service, target string) *targetCounts {
-	k := cellKey{
+	k := targetKey{
 		service: service,
 		target:  target,
 	}
