--- a/internal/outlier/collector.go
+++ b/internal/outlier/collector.go
@@ -79,14 +79,14 @@
 
 type targetKey struct{ service, target string }
 
-type usualKey struct{ service, class string }
+type classKey struct{ service, class string }
 
 // Collector counts the attempts of one node. It may be used concurrently.
 type Collector struct {
 	tick  time.Duration
 	mu    sync.Mutex
 	cells map[targetKey]*targetCounts
-	usual map[usualKey]*medianEstimate
+	usual map[classKey]*medianEstimate
 	at    time.Time
 }
 
@@ -95,7 +95,7 @@
 	return &Collector{
 		tick:  tick,
 		cells: map[targetKey]*targetCounts{},
-		usual: map[usualKey]*medianEstimate{},
+		usual: map[classKey]*medianEstimate{},
 	}
 }
 
@@ -131,7 +131,7 @@
 }
 
 func (c *Collector) usualOf(service, class string) *medianEstimate {
-	k := usualKey{
+	k := classKey{
 		service: service,
 		class:   class,
 	}
