--- a/internal/outlier/collector.go
+++ b/internal/outlier/collector.go
@@ -83,19 +83,19 @@
 
 // Collector counts the attempts of one node. It may be used concurrently.
 type Collector struct {
-	tick  time.Duration
-	mu    sync.Mutex
-	cells map[targetKey]*targetCounts
-	usual map[classKey]*medianEstimate
-	at    time.Time
+	tick    time.Duration
+	mu      sync.Mutex
+	targets map[targetKey]*targetCounts
+	usual   map[classKey]*medianEstimate
+	at      time.Time
 }
 
 // NewCollector returns a collector that is drained every tick.
 func NewCollector(tick time.Duration) *Collector {
 	return &Collector{
-		tick:  tick,
-		cells: map[targetKey]*targetCounts{},
-		usual: map[classKey]*medianEstimate{},
+		tick:    tick,
+		targets: map[targetKey]*targetCounts{},
+		usual:   map[classKey]*medianEstimate{},
 	}
 }
 
@@ -118,7 +118,7 @@
 		service: service,
 		target:  target,
 	}
-	if v := c.cells[k]; v != nil {
+	if v := c.targets[k]; v != nil {
 		return v
 	}
 	v := &targetCounts{
@@ -126,7 +126,7 @@
 		target:   target,
 		inFlight: map[*Flight]struct{}{},
 	}
-	c.cells[k] = v
+	c.targets[k] = v
 	return v
 }
 
@@ -209,7 +209,7 @@
 	paused := !c.at.IsZero() && now.Sub(c.at) > pauseFactor*c.tick
 	c.at = now
 	var out []Evidence
-	for k, v := range c.cells {
+	for k, v := range c.targets {
 		if paused {
 			v.discard()
 		}
@@ -217,7 +217,7 @@
 		if e, ok := v.drain(); ok {
 			out = append(out, e)
 		} else if len(v.inFlight) == 0 {
-			delete(c.cells, k)
+			delete(c.targets, k)
 		}
 	}
 	return out
