--- a/internal/outlier/collector.go
+++ b/internal/outlier/collector.go
@@ -86,7 +86,7 @@
 	tick    time.Duration
 	mu      sync.Mutex
 	targets map[targetKey]*targetCounts
-	usual   map[classKey]*medianEstimate
+	medians map[classKey]*medianEstimate
 	at      time.Time
 }
 
@@ -95,7 +95,7 @@
 	return &Collector{
 		tick:    tick,
 		targets: map[targetKey]*targetCounts{},
-		usual:   map[classKey]*medianEstimate{},
+		medians: map[classKey]*medianEstimate{},
 	}
 }
 
@@ -135,11 +135,11 @@
 		service: service,
 		class:   class,
 	}
-	if v := c.usual[k]; v != nil {
+	if v := c.medians[k]; v != nil {
 		return v
 	}
 	v := &medianEstimate{}
-	c.usual[k] = v
+	c.medians[k] = v
 	return v
 }
 
