--- a/internal/outlier/collector.go
+++ b/internal/outlier/collector.go
@@ -105,7 +105,7 @@
 	defer c.mu.Unlock()
 	f := &Flight{
 		collector: c,
-		counts:    c.cell(service, target),
+		counts:    c.target(service, target),
 		median:    c.usualOf(service, class),
 		started:   now,
 	}
@@ -113,7 +113,7 @@
 	return f
 }
 
-func (c *Collector) cell(service, target string) *targetCounts {
+func (c *Collector) target(service, target string) *targetCounts {
 	k := targetKey{
 		service: service,
 		target:  target,
