--- a/internal/outlier/collector.go
+++ b/internal/outlier/collector.go
@@ -106,7 +106,7 @@
 	f := &Flight{
 		collector: c,
 		counts:    c.target(service, target),
-		median:    c.usualOf(service, class),
+		median:    c.median(service, class),
 		started:   now,
 	}
 	f.counts.inFlight[f] = struct{}{}
@@ -130,7 +130,7 @@
 	return v
 }
 
-func (c *Collector) usualOf(service, class string) *medianEstimate {
+func (c *Collector) median(service, class string) *medianEstimate {
 	k := classKey{
 		service: service,
 		class:   class,
@@ -190,7 +190,7 @@
 func (c *Collector) Slow(service, class string) time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.usualOf(service, class).slowAfter()
+	return c.median(service, class).slowAfter()
 }
 
 // Evidence is what a drain gives of one target.
