--- a/internal/outlier/collector.go
+++ b/internal/outlier/collector.go
@@ -83,11 +83,11 @@
 
 // Collector counts the attempts of one node. It may be used concurrently.
 type Collector struct {
-	tick    time.Duration
-	mu      sync.Mutex
-	targets map[targetKey]*targetCounts
-	medians map[classKey]*medianEstimate
-	at      time.Time
+	tick      time.Duration
+	mu        sync.Mutex
+	targets   map[targetKey]*targetCounts
+	medians   map[classKey]*medianEstimate
+	drainedAt time.Time
 }
 
 // NewCollector returns a collector that is drained every tick.
@@ -206,8 +206,8 @@
 func (c *Collector) Drain(now time.Time) []Evidence {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	paused := !c.at.IsZero() && now.Sub(c.at) > pauseFactor*c.tick
-	c.at = now
+	paused := !c.drainedAt.IsZero() && now.Sub(c.drainedAt) > pauseFactor*c.tick
+	c.drainedAt = now
 	var out []Evidence
 	for k, v := range c.targets {
 		if paused {
