--- a/internal/outlier/detector.go
+++ b/internal/outlier/detector.go
@@ -12,8 +12,8 @@
 
 // Parameters of the test. Shares are shares of bad requests.
 const (
-	// leastHealthy is the share that a healthy target is always allowed.
-	leastHealthy = 0.02
+	// minBadShare is the share that a healthy target is always allowed.
+	minBadShare = 0.02
 	// leastSick is the smallest share that counts as sick.
 	leastSick = 0.3
 	// sickFactor is how many times worse than its pool a sick target is.
@@ -91,7 +91,7 @@
 
 // share returns the bad share, drawn to leastHealthy by prior requests.
 func (t tally) share(prior float64) float64 {
-	return (t.bad + leastHealthy*prior) / (t.good + t.bad + prior)
+	return (t.bad + minBadShare*prior) / (t.good + t.bad + prior)
 }
 
 // track is the state of one target.
@@ -200,7 +200,7 @@
 	return max(
 		d.usual.without(t.usual).share(poolPrior),
 		d.recent.without(t.recent).share(recentPrior),
-		leastHealthy,
+		minBadShare,
 	)
 }
 
