--- a/internal/outlier/detector.go
+++ b/internal/outlier/detector.go
@@ -14,8 +14,8 @@
 const (
 	// minBadShare is the share that a healthy target is always allowed.
 	minBadShare = 0.02
-	// leastSick is the smallest share that counts as sick.
-	leastSick = 0.3
+	// minSickShare is the smallest share that counts as sick.
+	minSickShare = 0.3
 	// sickFactor is how many times worse than its pool a sick target is.
 	sickFactor = 3
 	// mostSick bounds the sick share, so that good requests stay finite evidence.
@@ -178,7 +178,7 @@
 		delete(d.carriers, c.Target)
 		return
 	}
-	sick := min(max(leastSick, sickFactor*healthy), mostSick)
+	sick := min(max(minSickShare, sickFactor*healthy), mostSick)
 	gain := c.Bad*math.Log(sick/healthy) + c.Good*math.Log((1-sick)/(1-healthy))
 	delete(d.carriers, c.Target)
 	if c.Good > 0 {
