--- a/internal/outlier/detector.go
+++ b/internal/outlier/detector.go
@@ -18,8 +18,8 @@
 	minSickShare = 0.3
 	// sickFactor is how many times worse than its pool a sick target is.
 	sickFactor = 3
-	// mostSick bounds the sick share, so that good requests stay finite evidence.
-	mostSick = 0.9
+	// maxSickShare bounds the sick share, so that good requests stay finite evidence.
+	maxSickShare = 0.9
 	// commonCause is the share of the rest of the pool above which a cause
 	// outside the targets is likelier than one more sick target. It lies above a
 	// half: a data hall that is lost takes a third of a pool or more with it, and
@@ -178,7 +178,7 @@
 		delete(d.carriers, c.Target)
 		return
 	}
-	sick := min(max(minSickShare, sickFactor*healthy), mostSick)
+	sick := min(max(minSickShare, sickFactor*healthy), maxSickShare)
 	gain := c.Bad*math.Log(sick/healthy) + c.Good*math.Log((1-sick)/(1-healthy))
 	delete(d.carriers, c.Target)
 	if c.Good > 0 {
