--- a/internal/outlier/detector.go
+++ b/internal/outlier/detector.go
@@ -20,11 +20,11 @@
 	sickFactor = 3
 	// maxSickShare bounds the sick share, so that good requests stay finite evidence.
 	maxSickShare = 0.9
-	// commonCause is the share of the rest of the pool above which a cause
+	// commonCauseShare is the share of the rest of the pool above which a cause
 	// outside the targets is likelier than one more sick target. It lies above a
 	// half: a data hall that is lost takes a third of a pool or more with it, and
 	// those targets must go.
-	commonCause = 0.6
+	commonCauseShare = 0.6
 	// commonTargets is the same for the share of the other targets whose last
 	// requests went badly. A node with little traffic sees it sooner than a share
 	// of requests.
@@ -172,7 +172,7 @@
 func (d *Detector) add(c *Counts) {
 	t := d.track(c.Target)
 	healthy := d.othersShare(t)
-	if healthy >= commonCause || d.suffering(t) >= commonTargets {
+	if healthy >= commonCauseShare || d.suffering(t) >= commonTargets {
 		// Nothing tells this target from the others now.
 		t.carry = 0
 		delete(d.carriers, c.Target)
