--- a/internal/outlier/detector.go
+++ b/internal/outlier/detector.go
@@ -25,10 +25,10 @@
 	// half: a data hall that is lost takes a third of a pool or more with it, and
 	// those targets must go.
 	commonCauseShare = 0.6
-	// commonTargets is the same for the share of the other targets whose last
+	// commonCauseTargets is the same for the share of the other targets whose last
 	// requests went badly. A node with little traffic sees it sooner than a share
 	// of requests.
-	commonTargets = 0.5
+	commonCauseTargets = 0.5
 	// poolMemory is the time constant of the pool's usual share, recentMemory
 	// that of its recent share. A cause that meets the whole pool at once shows
 	// in the recent one.
@@ -172,7 +172,7 @@
 func (d *Detector) add(c *Counts) {
 	t := d.track(c.Target)
 	healthy := d.othersShare(t)
-	if healthy >= commonCauseShare || d.suffering(t) >= commonTargets {
+	if healthy >= commonCauseShare || d.suffering(t) >= commonCauseTargets {
 		// Nothing tells this target from the others now.
 		t.carry = 0
 		delete(d.carriers, c.Target)
