--- a/internal/outlier/detector.go
+++ b/internal/outlier/detector.go
@@ -38,9 +38,9 @@
 	// leastHealthy stands for.
 	poolPrior   = 10
 	recentPrior = 4
-	// intervalShare is the part of the threshold that one tick may add. Requests of
+	// maxTickGain is the part of the threshold that one tick may add. Requests of
 	// one tick often share one short cause, such as a pause of the target.
-	intervalShare = 0.45
+	maxTickGain = 0.45
 	// ceiling bounds the score in thresholds, so that recovery stays possible.
 	ceiling = 2
 )
@@ -185,7 +185,7 @@
 		t.carry = 0
 	}
 	gain += t.carry
-	most := intervalShare * d.threshold
+	most := maxTickGain * d.threshold
 	t.carry = min(max(gain-most, 0), d.threshold)
 	if t.carry > 0 {
 		d.carriers[c.Target] = true
