--- a/internal/outlier/detector.go
+++ b/internal/outlier/detector.go
@@ -41,8 +41,8 @@
 	// maxTickGain is the part of the threshold that one tick may add. Requests of
 	// one tick often share one short cause, such as a pause of the target.
 	maxTickGain = 0.45
-	// ceiling bounds the score in thresholds, so that recovery stays possible.
-	ceiling = 2
+	// maxScore bounds the score in thresholds, so that recovery stays possible.
+	maxScore = 2
 )
 
 // Counts are requests to one target in one tick.
@@ -191,7 +191,7 @@
 		d.carriers[c.Target] = true
 	}
 	gain = min(gain, most)
-	t.score = min(max(t.score+gain, 0), ceiling*d.threshold)
+	t.score = min(max(t.score+gain, 0), maxScore*d.threshold)
 }
 
 // othersShare returns the bad share of all other targets, usual or recent,
