--- a/internal/outlier/detector.go
+++ b/internal/outlier/detector.go
@@ -74,8 +74,8 @@
 	t.bad += c.Bad
 }
 
-// fade lets time pass; memory is the time constant.
-func (t *tally) fade(past, memory time.Duration) {
+// decay lets time pass; memory is the time constant.
+func (t *tally) decay(past, memory time.Duration) {
 	keep := math.Exp(-past.Seconds() / memory.Seconds())
 	t.good *= keep
 	t.bad *= keep
@@ -158,11 +158,11 @@
 func (d *Detector) forget(now time.Time) {
 	if !d.at.IsZero() {
 		past := now.Sub(d.at)
-		d.usual.fade(past, poolMemory)
-		d.recent.fade(past, recentMemory)
+		d.usual.decay(past, poolMemory)
+		d.recent.decay(past, recentMemory)
 		for _, t := range d.tracks {
-			t.usual.fade(past, poolMemory)
-			t.recent.fade(past, recentMemory)
+			t.usual.decay(past, poolMemory)
+			t.recent.decay(past, recentMemory)
 			t.stalled *= math.Exp(-past.Seconds() / poolMemory.Seconds())
 		}
 	}
