--- a/internal/outlier/detector.go
+++ b/internal/outlier/detector.go
@@ -89,8 +89,8 @@
 	}
 }
 
-// share returns the bad share, drawn to leastHealthy by prior requests.
-func (t tally) share(prior float64) float64 {
+// badShare returns the bad share, drawn to leastHealthy by prior requests.
+func (t tally) badShare(prior float64) float64 {
 	return (t.bad + minBadShare*prior) / (t.good + t.bad + prior)
 }
 
@@ -198,8 +198,8 @@
 // whichever is worse, and at least leastHealthy.
 func (d *Detector) othersShare(t *track) float64 {
 	return max(
-		d.usual.without(t.usual).share(poolPrior),
-		d.recent.without(t.recent).share(recentPrior),
+		d.usual.without(t.usual).badShare(poolPrior),
+		d.recent.without(t.recent).badShare(recentPrior),
 		minBadShare,
 	)
 }
