--- a/internal/outlier/detector.go
+++ b/internal/outlier/detector.go
@@ -63,42 +63,42 @@
 	c.Leaving = c.Leaving || o.Leaving
 }
 
-// tally counts requests that fade with time.
-type tally struct {
+// decayedCounts counts requests that fade with time.
+type decayedCounts struct {
 	good float64
 	bad  float64
 }
 
-func (t *tally) add(c *Counts) {
+func (t *decayedCounts) add(c *Counts) {
 	t.good += c.Good
 	t.bad += c.Bad
 }
 
 // decay lets time pass; memory is the time constant.
-func (t *tally) decay(past, memory time.Duration) {
+func (t *decayedCounts) decay(past, memory time.Duration) {
 	keep := math.Exp(-past.Seconds() / memory.Seconds())
 	t.good *= keep
 	t.bad *= keep
 }
 
 // without returns the tally less that of one of its parts.
-func (t *tally) without(part tally) tally {
-	return tally{
+func (t *decayedCounts) without(part decayedCounts) decayedCounts {
+	return decayedCounts{
 		good: max(t.good-part.good, 0),
 		bad:  max(t.bad-part.bad, 0),
 	}
 }
 
 // badShare returns the bad share, drawn to leastHealthy by prior requests.
-func (t tally) badShare(prior float64) float64 {
+func (t decayedCounts) badShare(prior float64) float64 {
 	return (t.bad + minBadShare*prior) / (t.good + t.bad + prior)
 }
 
 // track is the state of one target.
 type track struct {
 	score   float64
-	usual   tally
-	recent  tally
+	usual   decayedCounts
+	recent  decayedCounts
 	stalled float64
 	// lastBad is set if most requests of the last tick with any were bad.
 	lastBad bool
@@ -113,8 +113,8 @@
 	tracks    map[string]*track
 	// carriers are the targets with evidence left for later ticks.
 	carriers map[string]bool
-	usual    tally
-	recent   tally
+	usual    decayedCounts
+	recent   decayedCounts
 	// suffer is the number of targets whose last requests went badly.
 	suffer int
 	at     time.Time
