--- a/internal/outlier/detector.go
+++ b/internal/outlier/detector.go
@@ -96,10 +96,10 @@
 
 // track is the state of one target.
 type track struct {
-	score   float64
-	usual   decayedCounts
-	recent  decayedCounts
-	stalled float64
+	score    float64
+	baseline decayedCounts
+	recent   decayedCounts
+	stalled  float64
 	// lastBad is set if most requests of the last tick with any were bad.
 	lastBad bool
 	// carry is evidence beyond what one tick may add. It counts in later ticks
@@ -161,7 +161,7 @@
 		d.usual.decay(past, poolMemory)
 		d.recent.decay(past, recentMemory)
 		for _, t := range d.tracks {
-			t.usual.decay(past, poolMemory)
+			t.baseline.decay(past, poolMemory)
 			t.recent.decay(past, recentMemory)
 			t.stalled *= math.Exp(-past.Seconds() / poolMemory.Seconds())
 		}
@@ -198,7 +198,7 @@
 // whichever is worse, and at least leastHealthy.
 func (d *Detector) othersShare(t *track) float64 {
 	return max(
-		d.usual.without(t.usual).badShare(poolPrior),
+		d.usual.without(t.baseline).badShare(poolPrior),
 		d.recent.without(t.recent).badShare(recentPrior),
 		minBadShare,
 	)
@@ -244,7 +244,7 @@
 	if c.Good+c.Bad > 0 {
 		d.note(t, c.Bad >= c.Good)
 	}
-	t.usual.add(c)
+	t.baseline.add(c)
 	t.recent.add(c)
 	t.stalled += c.Stalled
 	d.usual.add(c)
@@ -290,8 +290,8 @@
 	}
 	return Reading{
 		Score:   t.score,
-		Good:    t.usual.good,
-		Bad:     t.usual.bad,
+		Good:    t.baseline.good,
+		Bad:     t.baseline.bad,
 		Stalled: t.stalled,
 	}
 }
@@ -304,7 +304,7 @@
 	if t == nil {
 		return
 	}
-	d.usual = d.usual.without(t.usual)
+	d.usual = d.usual.without(t.baseline)
 	d.drop(target)
 }
 
