--- a/internal/outlier/detector.go
+++ b/internal/outlier/detector.go
@@ -94,8 +94,8 @@
 	return (t.bad + minBadShare*prior) / (t.good + t.bad + prior)
 }
 
-// track is the state of one target.
-type track struct {
+// targetScore is the state of one target.
+type targetScore struct {
 	score    float64
 	baseline decayedCounts
 	recent   decayedCounts
@@ -110,7 +110,7 @@
 // Detector scores the targets of one service. It isn't safe for concurrent use.
 type Detector struct {
 	threshold float64
-	tracks    map[string]*track
+	tracks    map[string]*targetScore
 	// carriers are the targets with evidence left for later ticks.
 	carriers map[string]bool
 	usual    decayedCounts
@@ -126,7 +126,7 @@
 func NewDetector(threshold float64) *Detector {
 	return &Detector{
 		threshold: threshold,
-		tracks:    map[string]*track{},
+		tracks:    map[string]*targetScore{},
 		carriers:  map[string]bool{},
 	}
 }
@@ -196,7 +196,7 @@
 
 // othersShare returns the bad share of all other targets, usual or recent,
 // whichever is worse, and at least leastHealthy.
-func (d *Detector) othersShare(t *track) float64 {
+func (d *Detector) othersShare(t *targetScore) float64 {
 	return max(
 		d.usual.without(t.baseline).badShare(poolPrior),
 		d.recent.without(t.recent).badShare(recentPrior),
@@ -205,7 +205,7 @@
 }
 
 // suffering returns the share of the other targets whose last requests went badly.
-func (d *Detector) suffering(t *track) float64 {
+func (d *Detector) suffering(t *targetScore) float64 {
 	others := len(d.tracks) - 1
 	if others < 1 {
 		return 0
@@ -218,7 +218,7 @@
 }
 
 // note keeps count of the targets whose last requests went badly.
-func (d *Detector) note(t *track, bad bool) {
+func (d *Detector) note(t *targetScore, bad bool) {
 	if t.lastBad == bad {
 		return
 	}
@@ -251,10 +251,10 @@
 	d.recent.add(c)
 }
 
-func (d *Detector) track(target string) *track {
+func (d *Detector) track(target string) *targetScore {
 	t := d.tracks[target]
 	if t == nil {
-		t = &track{}
+		t = &targetScore{}
 		d.tracks[target] = t
 	}
 	return t
