--- a/internal/outlier/detector.go
+++ b/internal/outlier/detector.go
@@ -110,7 +110,7 @@
 // Detector scores the targets of one service. It isn't safe for concurrent use.
 type Detector struct {
 	threshold float64
-	tracks    map[string]*targetScore
+	targets   map[string]*targetScore
 	// carriers are the targets with evidence left for later ticks.
 	carriers map[string]bool
 	usual    decayedCounts
@@ -126,7 +126,7 @@
 func NewDetector(threshold float64) *Detector {
 	return &Detector{
 		threshold: threshold,
-		tracks:    map[string]*targetScore{},
+		targets:   map[string]*targetScore{},
 		carriers:  map[string]bool{},
 	}
 }
@@ -160,7 +160,7 @@
 		past := now.Sub(d.at)
 		d.usual.decay(past, poolMemory)
 		d.recent.decay(past, recentMemory)
-		for _, t := range d.tracks {
+		for _, t := range d.targets {
 			t.baseline.decay(past, poolMemory)
 			t.recent.decay(past, recentMemory)
 			t.stalled *= math.Exp(-past.Seconds() / poolMemory.Seconds())
@@ -206,7 +206,7 @@
 
 // suffering returns the share of the other targets whose last requests went badly.
 func (d *Detector) suffering(t *targetScore) float64 {
-	others := len(d.tracks) - 1
+	others := len(d.targets) - 1
 	if others < 1 {
 		return 0
 	}
@@ -232,10 +232,10 @@
 
 // drop forgets a target.
 func (d *Detector) drop(target string) {
-	if t := d.tracks[target]; t != nil {
+	if t := d.targets[target]; t != nil {
 		d.note(t, false)
 	}
-	delete(d.tracks, target)
+	delete(d.targets, target)
 	delete(d.carriers, target)
 }
 
@@ -252,10 +252,10 @@
 }
 
 func (d *Detector) track(target string) *targetScore {
-	t := d.tracks[target]
+	t := d.targets[target]
 	if t == nil {
 		t = &targetScore{}
-		d.tracks[target] = t
+		d.targets[target] = t
 	}
 	return t
 }
@@ -284,7 +284,7 @@
 
 // Read returns the reading of a target; the zero value for an unknown one.
 func (d *Detector) Read(target string) Reading {
-	t := d.tracks[target]
+	t := d.targets[target]
 	if t == nil {
 		return Reading{}
 	}
@@ -300,7 +300,7 @@
 // is usual in its pool. It stays in the recent share for its short memory: when
 // one target after another goes, a common cause is the likelier.
 func (d *Detector) Reset(target string) {
-	t := d.tracks[target]
+	t := d.targets[target]
 	if t == nil {
 		return
 	}
@@ -310,7 +310,7 @@
 
 // Keep drops all targets that are not in the set.
 func (d *Detector) Keep(targets map[string]bool) {
-	for name := range d.tracks {
+	for name := range d.targets {
 		if !targets[name] {
 			d.drop(name)
 		}
