--- a/internal/outlier/detector.go
+++ b/internal/outlier/detector.go
@@ -170,7 +170,7 @@
 }
 
 func (d *Detector) add(c *Counts) {
-	t := d.track(c.Target)
+	t := d.target(c.Target)
 	healthy := d.othersShare(t)
 	if healthy >= commonCauseShare || d.suffering(t) >= commonCauseTargets {
 		// Nothing tells this target from the others now.
@@ -240,7 +240,7 @@
 }
 
 func (d *Detector) pool(c *Counts) {
-	t := d.track(c.Target)
+	t := d.target(c.Target)
 	if c.Good+c.Bad > 0 {
 		d.note(t, c.Bad >= c.Good)
 	}
@@ -251,7 +251,7 @@
 	d.recent.add(c)
 }
 
-func (d *Detector) track(target string) *targetScore {
+func (d *Detector) target(target string) *targetScore {
 	t := d.targets[target]
 	if t == nil {
 		t = &targetScore{}
