--- a/internal/outlier/detector.go
+++ b/internal/outlier/detector.go
@@ -111,8 +111,8 @@
 type Detector struct {
 	threshold float64
 	targets   map[string]*targetScore
-	// carriers are the targets with evidence left for later ticks.
-	carriers map[string]bool
+	// carrying are the targets with evidence left for later ticks.
+	carrying map[string]bool
 	usual    decayedCounts
 	recent   decayedCounts
 	// suffer is the number of targets whose last requests went badly.
@@ -127,19 +127,19 @@
 	return &Detector{
 		threshold: threshold,
 		targets:   map[string]*targetScore{},
-		carriers:  map[string]bool{},
+		carrying:  map[string]bool{},
 	}
 }
 
 // Idle reports whether a tick without counts would change nothing.
 func (d *Detector) Idle() bool {
-	return len(d.carriers) == 0
+	return len(d.carrying) == 0
 }
 
 // Update takes the counts of one tick.
 func (d *Detector) Update(now time.Time, tick []Counts) {
 	d.forget(now)
-	silent := maps.Clone(d.carriers)
+	silent := maps.Clone(d.carrying)
 	for i := range tick {
 		d.pool(&tick[i])
 	}
@@ -175,12 +175,12 @@
 	if healthy >= commonCauseShare || d.suffering(t) >= commonCauseTargets {
 		// Nothing tells this target from the others now.
 		t.carry = 0
-		delete(d.carriers, c.Target)
+		delete(d.carrying, c.Target)
 		return
 	}
 	sick := min(max(minSickShare, sickFactor*healthy), maxSickShare)
 	gain := c.Bad*math.Log(sick/healthy) + c.Good*math.Log((1-sick)/(1-healthy))
-	delete(d.carriers, c.Target)
+	delete(d.carrying, c.Target)
 	if c.Good > 0 {
 		t.carry = 0
 	}
@@ -188,7 +188,7 @@
 	most := maxTickGain * d.threshold
 	t.carry = min(max(gain-most, 0), d.threshold)
 	if t.carry > 0 {
-		d.carriers[c.Target] = true
+		d.carrying[c.Target] = true
 	}
 	gain = min(gain, most)
 	t.score = min(max(t.score+gain, 0), maxScore*d.threshold)
@@ -236,7 +236,7 @@
 		d.note(t, false)
 	}
 	delete(d.targets, target)
-	delete(d.carriers, target)
+	delete(d.carrying, target)
 }
 
 func (d *Detector) pool(c *Counts) {
