--- a/internal/outlier/detector.go
+++ b/internal/outlier/detector.go
@@ -113,7 +113,7 @@
 	targets   map[string]*targetScore
 	// carrying are the targets with evidence left for later ticks.
 	carrying map[string]bool
-	usual    decayedCounts
+	baseline decayedCounts
 	recent   decayedCounts
 	// suffer is the number of targets whose last requests went badly.
 	suffer int
@@ -158,7 +158,7 @@
 func (d *Detector) forget(now time.Time) {
 	if !d.at.IsZero() {
 		past := now.Sub(d.at)
-		d.usual.decay(past, poolMemory)
+		d.baseline.decay(past, poolMemory)
 		d.recent.decay(past, recentMemory)
 		for _, t := range d.targets {
 			t.baseline.decay(past, poolMemory)
@@ -198,7 +198,7 @@
 // whichever is worse, and at least leastHealthy.
 func (d *Detector) othersShare(t *targetScore) float64 {
 	return max(
-		d.usual.without(t.baseline).badShare(poolPrior),
+		d.baseline.without(t.baseline).badShare(poolPrior),
 		d.recent.without(t.recent).badShare(recentPrior),
 		minBadShare,
 	)
@@ -247,7 +247,7 @@
 	t.baseline.add(c)
 	t.recent.add(c)
 	t.stalled += c.Stalled
-	d.usual.add(c)
+	d.baseline.add(c)
 	d.recent.add(c)
 }
 
@@ -304,7 +304,7 @@
 	if t == nil {
 		return
 	}
-	d.usual = d.usual.without(t.baseline)
+	d.baseline = d.baseline.without(t.baseline)
 	d.drop(target)
 }
 
