--- a/internal/outlier/detector.go
+++ b/internal/outlier/detector.go
@@ -115,9 +115,9 @@
 	carrying map[string]bool
 	baseline decayedCounts
 	recent   decayedCounts
-	// suffer is the number of targets whose last requests went badly.
-	suffer int
-	at     time.Time
+	// failingTargets is the number of targets whose last requests went badly.
+	failingTargets int
+	at             time.Time
 }
 
 // NewDetector returns a detector for a service. threshold is the score at which
@@ -210,7 +210,7 @@
 	if others < 1 {
 		return 0
 	}
-	bad := d.suffer
+	bad := d.failingTargets
 	if t.lastBad {
 		bad--
 	}
@@ -224,9 +224,9 @@
 	}
 	t.lastBad = bad
 	if bad {
-		d.suffer++
+		d.failingTargets++
 	} else {
-		d.suffer--
+		d.failingTargets--
 	}
 }
 
