--- a/internal/outlier/detector.go
+++ b/internal/outlier/detector.go
@@ -172,7 +172,7 @@
 func (d *Detector) add(c *Counts) {
 	t := d.target(c.Target)
 	healthy := d.othersShare(t)
-	if healthy >= commonCauseShare || d.suffering(t) >= commonCauseTargets {
+	if healthy >= commonCauseShare || d.failingShare(t) >= commonCauseTargets {
 		// Nothing tells this target from the others now.
 		t.carry = 0
 		delete(d.carrying, c.Target)
@@ -204,8 +204,8 @@
 	)
 }
 
-// suffering returns the share of the other targets whose last requests went badly.
-func (d *Detector) suffering(t *targetScore) float64 {
+// failingShare returns the share of the other targets whose last requests went badly.
+func (d *Detector) failingShare(t *targetScore) float64 {
 	others := len(d.targets) - 1
 	if others < 1 {
 		return 0
