--- a/internal/outlier/detector.go
+++ b/internal/outlier/detector.go
@@ -217,8 +217,8 @@
 	return float64(bad) / float64(others)
 }
 
-// note keeps count of the targets whose last requests went badly.
-func (d *Detector) note(t *targetScore, bad bool) {
+// setLastBad keeps count of the targets whose last requests went badly.
+func (d *Detector) setLastBad(t *targetScore, bad bool) {
 	if t.lastBad == bad {
 		return
 	}
@@ -233,7 +233,7 @@
 // drop forgets a target.
 func (d *Detector) drop(target string) {
 	if t := d.targets[target]; t != nil {
-		d.note(t, false)
+		d.setLastBad(t, false)
 	}
 	delete(d.targets, target)
 	delete(d.carrying, target)
@@ -242,7 +242,7 @@
 func (d *Detector) pool(c *Counts) {
 	t := d.target(c.Target)
 	if c.Good+c.Bad > 0 {
-		d.note(t, c.Bad >= c.Good)
+		d.setLastBad(t, c.Bad >= c.Good)
 	}
 	t.baseline.add(c)
 	t.recent.add(c)
