--- a/internal/outlier/detector.go
+++ b/internal/outlier/detector.go
@@ -230,8 +230,8 @@
 	}
 }
 
-// drop forgets a target.
-func (d *Detector) drop(target string) {
+// remove forgets a target.
+func (d *Detector) remove(target string) {
 	if t := d.targets[target]; t != nil {
 		d.setLastBad(t, false)
 	}
@@ -305,14 +305,14 @@
 		return
 	}
 	d.baseline = d.baseline.without(t.baseline)
-	d.drop(target)
+	d.remove(target)
 }
 
 // Keep drops all targets that are not in the set.
 func (d *Detector) Keep(targets map[string]bool) {
 	for name := range d.targets {
 		if !targets[name] {
-			d.drop(name)
+			d.remove(name)
 		}
 	}
 }
