--- a/internal/outlier/detector.go
+++ b/internal/outlier/detector.go
@@ -141,7 +141,7 @@
 	d.forget(now)
 	silent := maps.Clone(d.carrying)
 	for i := range tick {
-		d.pool(&tick[i])
+		d.record(&tick[i])
 	}
 	for i := range tick {
 		delete(silent, tick[i].Target)
@@ -239,7 +239,7 @@
 	delete(d.carrying, target)
 }
 
-func (d *Detector) pool(c *Counts) {
+func (d *Detector) record(c *Counts) {
 	t := d.target(c.Target)
 	if c.Good+c.Bad > 0 {
 		d.setLastBad(t, c.Bad >= c.Good)
