--- a/internal/outlier/detector.go
+++ b/internal/outlier/detector.go
@@ -145,10 +145,10 @@
 	}
 	for i := range tick {
 		delete(silent, tick[i].Target)
-		d.add(&tick[i])
+		d.updateScore(&tick[i])
 	}
 	for target := range silent {
-		d.add(&Counts{
+		d.updateScore(&Counts{
 			Target: target,
 		})
 	}
@@ -169,7 +169,7 @@
 	d.at = now
 }
 
-func (d *Detector) add(c *Counts) {
+func (d *Detector) updateScore(c *Counts) {
 	t := d.target(c.Target)
 	healthy := d.othersShare(t)
 	if healthy >= commonCauseShare || d.failingShare(t) >= commonCauseTargets {
