--- a/internal/outlier/detector.go
+++ b/internal/outlier/detector.go
@@ -138,7 +138,7 @@
 
 // Update takes the counts of one tick.
 func (d *Detector) Update(now time.Time, tick []Counts) {
-	d.forget(now)
+	d.decay(now)
 	silent := maps.Clone(d.carrying)
 	for i := range tick {
 		d.record(&tick[i])
@@ -154,8 +154,8 @@
 	}
 }
 
-// forget lets old counts fade.
-func (d *Detector) forget(now time.Time) {
+// decay lets old counts fade.
+func (d *Detector) decay(now time.Time) {
 	if !d.at.IsZero() {
 		past := now.Sub(d.at)
 		d.baseline.decay(past, poolMemory)
