--- a/internal/outlier/detector.go
+++ b/internal/outlier/detector.go
@@ -117,7 +117,7 @@
 	recent   decayedCounts
 	// failingTargets is the number of targets whose last requests went badly.
 	failingTargets int
-	at             time.Time
+	updatedAt      time.Time
 }
 
 // NewDetector returns a detector for a service. threshold is the score at which
@@ -156,8 +156,8 @@
 
 // decay lets old counts fade.
 func (d *Detector) decay(now time.Time) {
-	if !d.at.IsZero() {
-		past := now.Sub(d.at)
+	if !d.updatedAt.IsZero() {
+		past := now.Sub(d.updatedAt)
 		d.baseline.decay(past, poolMemory)
 		d.recent.decay(past, recentMemory)
 		for _, t := range d.targets {
@@ -166,7 +166,7 @@
 			t.stalled *= math.Exp(-past.Seconds() / poolMemory.Seconds())
 		}
 	}
-	d.at = now
+	d.updatedAt = now
 }
 
 func (d *Detector) updateScore(c *Counts) {
