--- a/internal/outlier/detector.go
+++ b/internal/outlier/detector.go
@@ -171,7 +171,7 @@
 
 func (d *Detector) updateScore(c *Counts) {
 	t := d.target(c.Target)
-	healthy := d.othersShare(t)
+	healthy := d.othersBadShare(t)
 	if healthy >= commonCauseShare || d.failingShare(t) >= commonCauseTargets {
 		// Nothing tells this target from the others now.
 		t.carry = 0
@@ -194,9 +194,9 @@
 	t.score = min(max(t.score+gain, 0), maxScore*d.threshold)
 }
 
-// othersShare returns the bad share of all other targets, usual or recent,
+// othersBadShare returns the bad share of all other targets, usual or recent,
 // whichever is worse, and at least leastHealthy.
-func (d *Detector) othersShare(t *targetScore) float64 {
+func (d *Detector) othersBadShare(t *targetScore) float64 {
 	return max(
 		d.baseline.without(t.baseline).badShare(poolPrior),
 		d.recent.without(t.recent).badShare(recentPrior),
