--- a/internal/outlier/hold.go
+++ b/internal/outlier/hold.go
@@ -10,8 +10,8 @@
 	FirstHold = 5 * time.Second
 	// MaxHold bounds the doubling after relapses.
 	MaxHold = 2 * time.Minute
-	// forgive is after how many holds without a relapse one relapse is forgotten.
-	forgive = 4
+	// relapseExpiry is after how many holds without a relapse one relapse is forgotten.
+	relapseExpiry = 4
 )
 
 // hold is the ejection of one target; it lasts twice as long after each relapse.
@@ -31,10 +31,10 @@
 
 // calm forgets relapses that lie far back.
 func (h *hold) calm(now time.Time) {
-	for h.relapses > 0 && now.Sub(h.until) > forgive*h.length {
+	for h.relapses > 0 && now.Sub(h.until) > relapseExpiry*h.length {
 		h.relapses--
 		h.length /= 2
-		h.until = h.until.Add(forgive * h.length)
+		h.until = h.until.Add(relapseExpiry * h.length)
 	}
 }
 
