--- a/internal/outlier/hold.go
+++ b/internal/outlier/hold.go
@@ -21,8 +21,8 @@
 	length   time.Duration
 }
 
-// begin ejects at now.
-func (h *hold) begin(now time.Time) {
+// start ejects at now.
+func (h *hold) start(now time.Time) {
 	h.calm(now)
 	h.length = min(FirstHold<<min(h.relapses, 16), MaxHold)
 	h.until = now.Add(h.length)
--- a/internal/outlier/judge.go
+++ b/internal/outlier/judge.go
@@ -101,7 +101,7 @@
 	if t == nil || t.phase == PhaseEjected {
 		return
 	}
-	t.hold.begin(now)
+	t.hold.start(now)
 	j.eject(now, target, score)
 }
 
@@ -144,7 +144,7 @@
 		return
 	}
 	if c.Bad > 0 {
-		t.hold.begin(now)
+		t.hold.start(now)
 		j.eject(now, c.Target, t.score)
 		return
 	}
--- a/internal/outlier/observer.go
+++ b/internal/outlier/observer.go
@@ -210,7 +210,7 @@
 	if h.active(now) {
 		return Verdict{}, false
 	}
-	h.begin(now)
+	h.start(now)
 	o.own.Reset(target)
 	o.all.Reset(target)
 	return Verdict{
