--- a/internal/outlier/hold.go
+++ b/internal/outlier/hold.go
@@ -23,14 +23,14 @@
 
 // start ejects at now.
 func (h *hold) start(now time.Time) {
-	h.calm(now)
+	h.expireRelapses(now)
 	h.length = min(FirstHold<<min(h.relapses, 16), MaxHold)
 	h.until = now.Add(h.length)
 	h.relapses++
 }
 
-// calm forgets relapses that lie far back.
-func (h *hold) calm(now time.Time) {
+// expireRelapses forgets relapses that lie far back.
+func (h *hold) expireRelapses(now time.Time) {
 	for h.relapses > 0 && now.Sub(h.until) > relapseExpiry*h.length {
 		h.relapses--
 		h.length /= 2
