--- a/internal/outlier/hold.go
+++ b/internal/outlier/hold.go
@@ -18,23 +18,23 @@
 type hold struct {
 	relapses int
 	until    time.Time
-	length   time.Duration
+	duration time.Duration
 }
 
 // start ejects at now.
 func (h *hold) start(now time.Time) {
 	h.expireRelapses(now)
-	h.length = min(FirstHold<<min(h.relapses, 16), MaxHold)
-	h.until = now.Add(h.length)
+	h.duration = min(FirstHold<<min(h.relapses, 16), MaxHold)
+	h.until = now.Add(h.duration)
 	h.relapses++
 }
 
 // expireRelapses forgets relapses that lie far back.
 func (h *hold) expireRelapses(now time.Time) {
-	for h.relapses > 0 && now.Sub(h.until) > relapseExpiry*h.length {
+	for h.relapses > 0 && now.Sub(h.until) > relapseExpiry*h.duration {
 		h.relapses--
-		h.length /= 2
-		h.until = h.until.Add(relapseExpiry * h.length)
+		h.duration /= 2
+		h.until = h.until.Add(relapseExpiry * h.duration)
 	}
 }
 
--- a/internal/outlier/observer.go
+++ b/internal/outlier/observer.go
@@ -217,7 +217,7 @@
 		Service: o.service.Name,
 		Target:  target,
 		Score:   r.Score,
-		Lease:   h.length,
+		Lease:   h.duration,
 	}, true
 }
 
