--- a/internal/outlier/hold.go
+++ b/internal/outlier/hold.go
@@ -14,15 +14,15 @@
 	relapseExpiry = 4
 )
 
-// hold is the ejection of one target; it lasts twice as long after each relapse.
-type hold struct {
+// ejection is the ejection of one target; it lasts twice as long after each relapse.
+type ejection struct {
 	relapses int
 	until    time.Time
 	duration time.Duration
 }
 
 // start ejects at now.
-func (h *hold) start(now time.Time) {
+func (h *ejection) start(now time.Time) {
 	h.expireRelapses(now)
 	h.duration = min(FirstHold<<min(h.relapses, 16), MaxHold)
 	h.until = now.Add(h.duration)
@@ -30,7 +30,7 @@
 }
 
 // expireRelapses forgets relapses that lie far back.
-func (h *hold) expireRelapses(now time.Time) {
+func (h *ejection) expireRelapses(now time.Time) {
 	for h.relapses > 0 && now.Sub(h.until) > relapseExpiry*h.duration {
 		h.relapses--
 		h.duration /= 2
@@ -38,4 +38,4 @@
 	}
 }
 
-func (h *hold) active(now time.Time) bool { return now.Before(h.until) }
+func (h *ejection) active(now time.Time) bool { return now.Before(h.until) }
--- a/internal/outlier/judge.go
+++ b/internal/outlier/judge.go
@@ -44,7 +44,7 @@
 type judged struct {
 	phase   Phase
 	since   time.Time
-	hold    hold
+	hold    ejection
 	lease   time.Time
 	score   float64
 	good    float64
--- a/internal/outlier/observer.go
+++ b/internal/outlier/observer.go
@@ -38,7 +38,7 @@
 	summary     map[string]*Counts
 	leaving     map[string]time.Time
 	told        map[string]time.Time
-	holds       map[string]*hold
+	holds       map[string]*ejection
 	reporters   map[string]time.Time
 	halls       map[string]time.Time
 }
@@ -60,7 +60,7 @@
 		summary:     map[string]*Counts{},
 		leaving:     map[string]time.Time{},
 		told:        map[string]time.Time{},
-		holds:       map[string]*hold{},
+		holds:       map[string]*ejection{},
 		reporters:   map[string]time.Time{},
 		halls:       map[string]time.Time{},
 	}
@@ -204,7 +204,7 @@
 	}
 	h := o.holds[target]
 	if h == nil {
-		h = &hold{}
+		h = &ejection{}
 		o.holds[target] = h
 	}
 	if h.active(now) {
