--- a/internal/outlier/judge.go
+++ b/internal/outlier/judge.go
@@ -26,8 +26,8 @@
 
 // Times and counts of reinstatement.
 const (
-	// trialGood is how many good trial requests end a trial.
-	trialGood = 3
+	// trialSuccesses is how many good trial requests end a trial.
+	trialSuccesses = 3
 	// TrialWait is how long a trial without requests lasts, for services that
 	// have no repeatable ones.
 	TrialWait = 30 * time.Second
@@ -177,7 +177,7 @@
 			return PhaseTrial
 		}
 	case PhaseTrial:
-		if t.good >= trialGood || t.good == 0 && now.Sub(t.since) >= TrialWait {
+		if t.good >= trialSuccesses || t.good == 0 && now.Sub(t.since) >= TrialWait {
 			return PhaseWarming
 		}
 	case PhaseWarming:
