--- a/internal/outlier/judge.go
+++ b/internal/outlier/judge.go
@@ -33,8 +33,8 @@
 	TrialWait = 30 * time.Second
 	// WarmTime is how long a target's share grows.
 	WarmTime = 10 * time.Second
-	// coldest is the share of its slots with which a target starts.
-	coldest = 0.1
+	// minWarmth is the share of its slots with which a target starts.
+	minWarmth = 0.1
 	// LeavingTime is how long a target's own word that it leaves holds. The
 	// platform's list, which lags by up to 30 s, has caught up by then.
 	LeavingTime = time.Minute
@@ -215,7 +215,7 @@
 		Warmth:  1,
 	}
 	if t.phase == PhaseWarming {
-		s.Warmth = min(coldest+(1-coldest)*now.Sub(t.since).Seconds()/WarmTime.Seconds(), 1)
+		s.Warmth = min(minWarmth+(1-minWarmth)*now.Sub(t.since).Seconds()/WarmTime.Seconds(), 1)
 	}
 	return s
 }
