--- a/internal/outlier/judge.go
+++ b/internal/outlier/judge.go
@@ -42,13 +42,13 @@
 
 // judged is the state of one target.
 type judged struct {
-	phase   Phase
-	since   time.Time
-	hold    ejection
-	lease   time.Time
-	score   float64
-	good    float64
-	leaving time.Time
+	phase    Phase
+	since    time.Time
+	ejection ejection
+	lease    time.Time
+	score    float64
+	good     float64
+	leaving  time.Time
 }
 
 // Judge holds a node's state of the targets of one service. It isn't safe for
@@ -101,7 +101,7 @@
 	if t == nil || t.phase == PhaseEjected {
 		return
 	}
-	t.hold.start(now)
+	t.ejection.start(now)
 	j.eject(now, target, score)
 }
 
@@ -144,7 +144,7 @@
 		return
 	}
 	if c.Bad > 0 {
-		t.hold.start(now)
+		t.ejection.start(now)
 		j.eject(now, c.Target, t.score)
 		return
 	}
@@ -173,7 +173,7 @@
 func (t *judged) next(now time.Time) Phase {
 	switch t.phase {
 	case PhaseEjected:
-		if !t.hold.active(now) && !now.Before(t.lease) {
+		if !t.ejection.active(now) && !now.Before(t.lease) {
 			return PhaseTrial
 		}
 	case PhaseTrial:
