--- a/internal/outlier/judge.go
+++ b/internal/outlier/judge.go
@@ -45,7 +45,7 @@
 	phase    Phase
 	since    time.Time
 	ejection ejection
-	lease    time.Time
+	leaseEnd time.Time
 	score    float64
 	good     float64
 	leaving  time.Time
@@ -112,8 +112,8 @@
 	if t == nil {
 		return
 	}
-	if until := now.Add(min(lease, MaxHold)); until.After(t.lease) {
-		t.lease = until
+	if until := now.Add(min(lease, MaxHold)); until.After(t.leaseEnd) {
+		t.leaseEnd = until
 	}
 	j.eject(now, target, score)
 }
@@ -173,7 +173,7 @@
 func (t *judged) next(now time.Time) Phase {
 	switch t.phase {
 	case PhaseEjected:
-		if !t.ejection.active(now) && !now.Before(t.lease) {
+		if !t.ejection.active(now) && !now.Before(t.leaseEnd) {
 			return PhaseTrial
 		}
 	case PhaseTrial:
