--- a/internal/outlier/judge.go
+++ b/internal/outlier/judge.go
@@ -42,13 +42,13 @@
 
 // judged is the state of one target.
 type judged struct {
-	phase    Phase
-	since    time.Time
-	ejection ejection
-	leaseEnd time.Time
-	score    float64
-	good     float64
-	leaving  time.Time
+	phase         Phase
+	since         time.Time
+	ejection      ejection
+	leaseEnd      time.Time
+	score         float64
+	good          float64
+	drainingUntil time.Time
 }
 
 // Judge holds a node's state of the targets of one service. It isn't safe for
@@ -132,7 +132,7 @@
 // Leaving notes that a target said that it is leaving.
 func (j *Judge) Leaving(now time.Time, target string) {
 	if t := j.targets[target]; t != nil {
-		t.leaving = now.Add(LeavingTime)
+		t.drainingUntil = now.Add(LeavingTime)
 	}
 }
 
@@ -211,7 +211,7 @@
 		Phase:   t.phase,
 		Since:   t.since,
 		Score:   t.score,
-		Leaving: now.Before(t.leaving),
+		Leaving: now.Before(t.drainingUntil),
 		Warmth:  1,
 	}
 	if t.phase == PhaseWarming {
