--- a/internal/outlier/judge.go
+++ b/internal/outlier/judge.go
@@ -40,8 +40,8 @@
 	LeavingTime = time.Minute
 )
 
-// judged is the state of one target.
-type judged struct {
+// targetState is the state of one target.
+type targetState struct {
 	phase         Phase
 	since         time.Time
 	ejection      ejection
@@ -54,17 +54,17 @@
 // Judge holds a node's state of the targets of one service. It isn't safe for
 // concurrent use.
 type Judge struct {
-	targets map[string]*judged
+	targets map[string]*targetState
 	// restless are the targets that aren't healthy.
-	restless map[string]*judged
+	restless map[string]*targetState
 	begun    bool
 }
 
 // NewJudge returns a judge without targets.
 func NewJudge() *Judge {
 	return &Judge{
-		targets:  map[string]*judged{},
-		restless: map[string]*judged{},
+		targets:  map[string]*targetState{},
+		restless: map[string]*targetState{},
 	}
 }
 
@@ -77,7 +77,7 @@
 		if j.targets[a] != nil {
 			continue
 		}
-		t := &judged{
+		t := &targetState{
 			since: now,
 		}
 		if j.begun {
@@ -170,7 +170,7 @@
 	return changed
 }
 
-func (t *judged) next(now time.Time) Phase {
+func (t *targetState) next(now time.Time) Phase {
 	switch t.phase {
 	case PhaseEjected:
 		if !t.ejection.active(now) && !now.Before(t.leaseEnd) {
