--- a/internal/outlier/judge.go
+++ b/internal/outlier/judge.go
@@ -55,16 +55,16 @@
 // concurrent use.
 type Judge struct {
 	targets map[string]*targetState
-	// restless are the targets that aren't healthy.
-	restless map[string]*targetState
-	begun    bool
+	// unhealthy are the targets that aren't healthy.
+	unhealthy map[string]*targetState
+	begun     bool
 }
 
 // NewJudge returns a judge without targets.
 func NewJudge() *Judge {
 	return &Judge{
-		targets:  map[string]*targetState{},
-		restless: map[string]*targetState{},
+		targets:   map[string]*targetState{},
+		unhealthy: map[string]*targetState{},
 	}
 }
 
@@ -82,14 +82,14 @@
 		}
 		if j.begun {
 			t.phase = PhaseWarming
-			j.restless[a] = t
+			j.unhealthy[a] = t
 		}
 		j.targets[a] = t
 	}
 	for a := range j.targets {
 		if !known[a] {
 			delete(j.targets, a)
-			delete(j.restless, a)
+			delete(j.unhealthy, a)
 		}
 	}
 	j.begun = j.begun || len(addresses) > 0
@@ -120,7 +120,7 @@
 
 func (j *Judge) eject(now time.Time, target string, score float64) {
 	t := j.targets[target]
-	j.restless[target] = t
+	j.unhealthy[target] = t
 	if t.phase != PhaseEjected {
 		t.since = now
 	}
@@ -155,7 +155,7 @@
 // whether any state changed, which it does all the time while a target warms.
 func (j *Judge) Advance(now time.Time) bool {
 	changed := false
-	for a, t := range j.restless {
+	for a, t := range j.unhealthy {
 		if next := t.next(now); next != t.phase {
 			t.phase = next
 			t.since = now
@@ -164,7 +164,7 @@
 		// The share of a warming target grows with time.
 		changed = changed || t.phase == PhaseWarming
 		if t.phase == PhaseHealthy {
-			delete(j.restless, a)
+			delete(j.unhealthy, a)
 		}
 	}
 	return changed
