--- a/internal/outlier/judge.go
+++ b/internal/outlier/judge.go
@@ -56,8 +56,8 @@
 type Judge struct {
 	targets map[string]*targetState
 	// unhealthy are the targets that aren't healthy.
-	unhealthy map[string]*targetState
-	begun     bool
+	unhealthy   map[string]*targetState
+	initialized bool
 }
 
 // NewJudge returns a judge without targets.
@@ -80,7 +80,7 @@
 		t := &targetState{
 			since: now,
 		}
-		if j.begun {
+		if j.initialized {
 			t.phase = PhaseWarming
 			j.unhealthy[a] = t
 		}
@@ -92,7 +92,7 @@
 			delete(j.unhealthy, a)
 		}
 	}
-	j.begun = j.begun || len(addresses) > 0
+	j.initialized = j.initialized || len(addresses) > 0
 }
 
 // Sick ejects a target on this node's own evidence.
