--- a/internal/outlier/merge.go
+++ b/internal/outlier/merge.go
@@ -48,8 +48,8 @@
 	t.bad[source] += c.Bad
 }
 
-// take returns the sums since the last call.
-func (m *merge) take(now time.Time) []Counts {
+// drain returns the sums since the last call.
+func (m *merge) drain(now time.Time) []Counts {
 	keep := 1.0
 	if !m.at.IsZero() {
 		keep = math.Exp(-now.Sub(m.at).Seconds() / mergeMemory.Seconds())
--- a/internal/outlier/observer.go
+++ b/internal/outlier/observer.go
@@ -174,8 +174,8 @@
 
 // Advance judges the evidence since the last call and returns the new verdicts.
 func (o *Observer) Advance(now time.Time) []Verdict {
-	o.own.Update(now, o.ownInterval.take(now))
-	o.all.Update(now, o.allInterval.take(now))
+	o.own.Update(now, o.ownInterval.drain(now))
+	o.all.Update(now, o.allInterval.drain(now))
 	var out []Verdict
 	for _, t := range o.service.Targets {
 		if v, ok := o.judge(now, t); ok {
