--- a/internal/outlier/merge.go
+++ b/internal/outlier/merge.go
@@ -103,8 +103,8 @@
 	}
 }
 
-// keep drops all targets that are not in the set.
-func (m *merge) keep(targets map[string]bool) {
+// retain drops all targets that are not in the set.
+func (m *merge) retain(targets map[string]bool) {
 	for name := range m.targets {
 		if !targets[name] {
 			delete(m.targets, name)
--- a/internal/outlier/observer.go
+++ b/internal/outlier/observer.go
@@ -75,8 +75,8 @@
 	for _, t := range s.Targets {
 		known[t] = true
 	}
-	o.ownInterval.keep(known)
-	o.allInterval.keep(known)
+	o.ownInterval.retain(known)
+	o.allInterval.retain(known)
 	o.own.Keep(known)
 	o.all.Keep(known)
 	for t := range o.holds {
