--- a/internal/outlier/merge.go
+++ b/internal/outlier/merge.go
@@ -10,11 +10,11 @@
 // mergeMemory is the time constant with which a source's bad requests fade.
 const mergeMemory = 20 * time.Second
 
-// merge adds up the counts of several sources. For each target it leaves out the
+// merger adds up the counts of several sources. For each target it leaves out the
 // source that has seen the most bad requests lately: what only one source sees,
 // such as a cut of its own link, is a matter of that source, and a source that
 // lies alone achieves nothing.
-type merge struct {
+type merger struct {
 	targets map[string]*merged
 	at      time.Time
 }
@@ -25,14 +25,14 @@
 	bad  map[string]float64
 }
 
-func newMerge() *merge {
-	return &merge{
+func newMerge() *merger {
+	return &merger{
 		targets: map[string]*merged{},
 	}
 }
 
 // add takes the counts of one source.
-func (m *merge) add(source string, c Counts) {
+func (m *merger) add(source string, c Counts) {
 	t := m.targets[c.Target]
 	if t == nil {
 		t = &merged{
@@ -49,7 +49,7 @@
 }
 
 // drain returns the sums since the last call.
-func (m *merge) drain(now time.Time) []Counts {
+func (m *merger) drain(now time.Time) []Counts {
 	keep := 1.0
 	if !m.at.IsZero() {
 		keep = math.Exp(-now.Sub(m.at).Seconds() / mergeMemory.Seconds())
@@ -104,7 +104,7 @@
 }
 
 // retain drops all targets that are not in the set.
-func (m *merge) retain(targets map[string]bool) {
+func (m *merger) retain(targets map[string]bool) {
 	for name := range m.targets {
 		if !targets[name] {
 			delete(m.targets, name)
--- a/internal/outlier/observer.go
+++ b/internal/outlier/observer.go
@@ -33,8 +33,8 @@
 	service     Service
 	own         *Detector
 	all         *Detector
-	ownInterval *merge
-	allInterval *merge
+	ownInterval *merger
+	allInterval *merger
 	summary     map[string]*Counts
 	leaving     map[string]time.Time
 	told        map[string]time.Time
