--- a/internal/outlier/merge.go
+++ b/internal/outlier/merge.go
@@ -25,7 +25,7 @@
 	bad  map[string]float64
 }
 
-func newMerge() *merger {
+func newMerger() *merger {
 	return &merger{
 		targets: map[string]*merged{},
 	}
