--- a/internal/outlier/merge.go
+++ b/internal/outlier/merge.go
@@ -61,7 +61,7 @@
 			out = append(out, c)
 		}
 		clear(t.tick)
-		t.fade(keep)
+		t.decay(keep)
 	}
 	return out
 }
@@ -94,7 +94,7 @@
 // faded is the number of bad requests below which a source is forgotten.
 const faded = 0.05
 
-func (t *merged) fade(keep float64) {
+func (t *merged) decay(keep float64) {
 	for source := range t.bad {
 		t.bad[source] *= keep
 		if t.bad[source] < faded {
