--- a/internal/outlier/merge.go
+++ b/internal/outlier/merge.go
@@ -15,19 +15,19 @@
 // such as a cut of its own link, is a matter of that source, and a source that
 // lies alone achieves nothing.
 type merger struct {
-	targets map[string]*merged
+	targets map[string]*sourceCounts
 	at      time.Time
 }
 
-// merged holds the counts of one target by source.
-type merged struct {
+// sourceCounts holds the counts of one target by source.
+type sourceCounts struct {
 	tick map[string]Counts
 	bad  map[string]float64
 }
 
 func newMerger() *merger {
 	return &merger{
-		targets: map[string]*merged{},
+		targets: map[string]*sourceCounts{},
 	}
 }
 
@@ -35,7 +35,7 @@
 func (m *merger) add(source string, c Counts) {
 	t := m.targets[c.Target]
 	if t == nil {
-		t = &merged{
+		t = &sourceCounts{
 			tick: map[string]Counts{},
 			bad:  map[string]float64{},
 		}
@@ -67,7 +67,7 @@
 }
 
 // sum adds up all sources but the worst.
-func (t *merged) sum() Counts {
+func (t *sourceCounts) sum() Counts {
 	worst := t.worst()
 	var out Counts
 	for source, c := range t.tick {
@@ -81,7 +81,7 @@
 }
 
 // worst returns the source with the most bad requests, or "" if there are none.
-func (t *merged) worst() string {
+func (t *sourceCounts) worst() string {
 	name, most := "", 0.0
 	for source, bad := range t.bad {
 		if bad > most || bad == most && bad > 0 && source < name {
@@ -94,7 +94,7 @@
 // faded is the number of bad requests below which a source is forgotten.
 const faded = 0.05
 
-func (t *merged) decay(keep float64) {
+func (t *sourceCounts) decay(keep float64) {
 	for source := range t.bad {
 		t.bad[source] *= keep
 		if t.bad[source] < faded {
