--- a/internal/outlier/merge.go
+++ b/internal/outlier/merge.go
@@ -91,13 +91,13 @@
 	return name
 }
 
-// faded is the number of bad requests below which a source is forgotten.
-const faded = 0.05
+// minBadCount is the number of bad requests below which a source is forgotten.
+const minBadCount = 0.05
 
 func (t *sourceCounts) decay(keep float64) {
 	for source := range t.bad {
 		t.bad[source] *= keep
-		if t.bad[source] < faded {
+		if t.bad[source] < minBadCount {
 			delete(t.bad, source)
 		}
 	}
