--- a/internal/outlier/observer.go
+++ b/internal/outlier/observer.go
@@ -31,7 +31,7 @@
 // faster. It isn't safe for concurrent use.
 type Observer struct {
 	service     Service
-	own         *Detector
+	hall        *Detector
 	all         *Detector
 	ownInterval *merger
 	allInterval *merger
@@ -53,7 +53,7 @@
 func NewObserver(s Service) *Observer {
 	return &Observer{
 		service:     s,
-		own:         NewDetector(s.Threshold),
+		hall:        NewDetector(s.Threshold),
 		all:         NewDetector(s.Threshold),
 		ownInterval: newMerger(),
 		allInterval: newMerger(),
@@ -69,7 +69,7 @@
 // Configure takes a new configuration of the service and keeps the evidence.
 func (o *Observer) Configure(s Service) {
 	o.service = s
-	o.own.threshold = s.Threshold
+	o.hall.threshold = s.Threshold
 	o.all.threshold = s.Threshold
 	known := map[string]bool{}
 	for _, t := range s.Targets {
@@ -77,7 +77,7 @@
 	}
 	o.ownInterval.retain(known)
 	o.allInterval.retain(known)
-	o.own.Keep(known)
+	o.hall.Keep(known)
 	o.all.Keep(known)
 	for t := range o.holds {
 		if !known[t] {
@@ -149,7 +149,7 @@
 // target mounts up, or a target says that it leaves.
 func (o *Observer) Urgent() bool {
 	for _, c := range o.summary {
-		if c.Leaving || o.own.Read(c.Target).Score > urgentShare*o.service.Threshold {
+		if c.Leaving || o.hall.Read(c.Target).Score > urgentShare*o.service.Threshold {
 			return true
 		}
 	}
@@ -174,7 +174,7 @@
 
 // Advance judges the evidence since the last call and returns the new verdicts.
 func (o *Observer) Advance(now time.Time) []Verdict {
-	o.own.Update(now, o.ownInterval.drain(now))
+	o.hall.Update(now, o.ownInterval.drain(now))
 	o.all.Update(now, o.allInterval.drain(now))
 	var out []Verdict
 	for _, t := range o.service.Targets {
@@ -195,7 +195,7 @@
 }
 
 func (o *Observer) judge(now time.Time, target string) (Verdict, bool) {
-	r := o.own.Read(target)
+	r := o.hall.Read(target)
 	if all := o.all.Read(target); all.Score > r.Score {
 		r = all
 	}
@@ -211,7 +211,7 @@
 		return Verdict{}, false
 	}
 	h.start(now)
-	o.own.Reset(target)
+	o.hall.Reset(target)
 	o.all.Reset(target)
 	return Verdict{
 		Service: o.service.Name,
