--- a/internal/outlier/observer.go
+++ b/internal/outlier/observer.go
@@ -30,17 +30,17 @@
 // what only this data hall sees, such as a cut; and one from all nodes, which is
 // faster. It isn't safe for concurrent use.
 type Observer struct {
-	service     Service
-	hall        *Detector
-	all         *Detector
-	ownInterval *merger
-	allInterval *merger
-	summary     map[string]*Counts
-	leaving     map[string]time.Time
-	told        map[string]time.Time
-	holds       map[string]*ejection
-	reporters   map[string]time.Time
-	halls       map[string]time.Time
+	service      Service
+	hall         *Detector
+	all          *Detector
+	hallEvidence *merger
+	allInterval  *merger
+	summary      map[string]*Counts
+	leaving      map[string]time.Time
+	told         map[string]time.Time
+	holds        map[string]*ejection
+	reporters    map[string]time.Time
+	halls        map[string]time.Time
 }
 
 // sourceTime is how long a source of evidence counts as present.
@@ -52,17 +52,17 @@
 // NewObserver returns an observer without evidence.
 func NewObserver(s Service) *Observer {
 	return &Observer{
-		service:     s,
-		hall:        NewDetector(s.Threshold),
-		all:         NewDetector(s.Threshold),
-		ownInterval: newMerger(),
-		allInterval: newMerger(),
-		summary:     map[string]*Counts{},
-		leaving:     map[string]time.Time{},
-		told:        map[string]time.Time{},
-		holds:       map[string]*ejection{},
-		reporters:   map[string]time.Time{},
-		halls:       map[string]time.Time{},
+		service:      s,
+		hall:         NewDetector(s.Threshold),
+		all:          NewDetector(s.Threshold),
+		hallEvidence: newMerger(),
+		allInterval:  newMerger(),
+		summary:      map[string]*Counts{},
+		leaving:      map[string]time.Time{},
+		told:         map[string]time.Time{},
+		holds:        map[string]*ejection{},
+		reporters:    map[string]time.Time{},
+		halls:        map[string]time.Time{},
 	}
 }
 
@@ -75,7 +75,7 @@
 	for _, t := range s.Targets {
 		known[t] = true
 	}
-	o.ownInterval.retain(known)
+	o.hallEvidence.retain(known)
 	o.allInterval.retain(known)
 	o.hall.Keep(known)
 	o.all.Keep(known)
@@ -93,7 +93,7 @@
 
 // Report takes the evidence of a node of the own data hall.
 func (o *Observer) Report(now time.Time, node, dataHall string, c Counts) {
-	o.ownInterval.add(node, c)
+	o.hallEvidence.add(node, c)
 	add(o.summary, c)
 	o.take(now, node, dataHall, c)
 }
@@ -174,7 +174,7 @@
 
 // Advance judges the evidence since the last call and returns the new verdicts.
 func (o *Observer) Advance(now time.Time) []Verdict {
-	o.hall.Update(now, o.ownInterval.drain(now))
+	o.hall.Update(now, o.hallEvidence.drain(now))
 	o.all.Update(now, o.allInterval.drain(now))
 	var out []Verdict
 	for _, t := range o.service.Targets {
