--- a/internal/outlier/observer.go
+++ b/internal/outlier/observer.go
@@ -34,7 +34,7 @@
 	hall         *Detector
 	all          *Detector
 	hallEvidence *merger
-	allInterval  *merger
+	allEvidence  *merger
 	summary      map[string]*Counts
 	leaving      map[string]time.Time
 	told         map[string]time.Time
@@ -56,7 +56,7 @@
 		hall:         NewDetector(s.Threshold),
 		all:          NewDetector(s.Threshold),
 		hallEvidence: newMerger(),
-		allInterval:  newMerger(),
+		allEvidence:  newMerger(),
 		summary:      map[string]*Counts{},
 		leaving:      map[string]time.Time{},
 		told:         map[string]time.Time{},
@@ -76,7 +76,7 @@
 		known[t] = true
 	}
 	o.hallEvidence.retain(known)
-	o.allInterval.retain(known)
+	o.allEvidence.retain(known)
 	o.hall.Keep(known)
 	o.all.Keep(known)
 	for t := range o.holds {
@@ -104,7 +104,7 @@
 }
 
 func (o *Observer) take(now time.Time, source, dataHall string, c Counts) {
-	o.allInterval.add(source, c)
+	o.allEvidence.add(source, c)
 	if c.Leaving {
 		o.leave(now, c.Target)
 	}
@@ -175,7 +175,7 @@
 // Advance judges the evidence since the last call and returns the new verdicts.
 func (o *Observer) Advance(now time.Time) []Verdict {
 	o.hall.Update(now, o.hallEvidence.drain(now))
-	o.all.Update(now, o.allInterval.drain(now))
+	o.all.Update(now, o.allEvidence.drain(now))
 	var out []Verdict
 	for _, t := range o.service.Targets {
 		if v, ok := o.judge(now, t); ok {
