--- a/internal/outlier/observer.go
+++ b/internal/outlier/observer.go
@@ -30,17 +30,17 @@
 // what only this data hall sees, such as a cut; and one from all nodes, which is
 // faster. It isn't safe for concurrent use.
 type Observer struct {
-	service      Service
-	hall         *Detector
-	all          *Detector
-	hallEvidence *merger
-	allEvidence  *merger
-	summary      map[string]*Counts
-	leaving      map[string]time.Time
-	told         map[string]time.Time
-	holds        map[string]*ejection
-	reporters    map[string]time.Time
-	halls        map[string]time.Time
+	service       Service
+	hall          *Detector
+	all           *Detector
+	hallEvidence  *merger
+	allEvidence   *merger
+	summary       map[string]*Counts
+	drainingUntil map[string]time.Time
+	told          map[string]time.Time
+	holds         map[string]*ejection
+	reporters     map[string]time.Time
+	halls         map[string]time.Time
 }
 
 // sourceTime is how long a source of evidence counts as present.
@@ -52,17 +52,17 @@
 // NewObserver returns an observer without evidence.
 func NewObserver(s Service) *Observer {
 	return &Observer{
-		service:      s,
-		hall:         NewDetector(s.Threshold),
-		all:          NewDetector(s.Threshold),
-		hallEvidence: newMerger(),
-		allEvidence:  newMerger(),
-		summary:      map[string]*Counts{},
-		leaving:      map[string]time.Time{},
-		told:         map[string]time.Time{},
-		holds:        map[string]*ejection{},
-		reporters:    map[string]time.Time{},
-		halls:        map[string]time.Time{},
+		service:       s,
+		hall:          NewDetector(s.Threshold),
+		all:           NewDetector(s.Threshold),
+		hallEvidence:  newMerger(),
+		allEvidence:   newMerger(),
+		summary:       map[string]*Counts{},
+		drainingUntil: map[string]time.Time{},
+		told:          map[string]time.Time{},
+		holds:         map[string]*ejection{},
+		reporters:     map[string]time.Time{},
+		halls:         map[string]time.Time{},
 	}
 }
 
@@ -127,7 +127,7 @@
 // then now and again.
 func (o *Observer) leave(now time.Time, target string) {
 	if now.Sub(o.told[target]) >= leavingRepeat {
-		o.leaving[target] = now.Add(LeavingTime)
+		o.drainingUntil[target] = now.Add(LeavingTime)
 		o.told[target] = now
 	}
 }
@@ -182,14 +182,14 @@
 			out = append(out, v)
 		}
 	}
-	for t, until := range o.leaving {
+	for t, until := range o.drainingUntil {
 		out = append(out, Verdict{
 			Service: o.service.Name,
 			Target:  t,
 			Lease:   until.Sub(now),
 			Leaving: true,
 		})
-		delete(o.leaving, t)
+		delete(o.drainingUntil, t)
 	}
 	return out
 }
