--- a/internal/outlier/observer.go
+++ b/internal/outlier/observer.go
@@ -37,7 +37,7 @@
 	allEvidence   *merger
 	summary       map[string]*Counts
 	drainingUntil map[string]time.Time
-	told          map[string]time.Time
+	drainingSent  map[string]time.Time
 	holds         map[string]*ejection
 	reporters     map[string]time.Time
 	halls         map[string]time.Time
@@ -59,7 +59,7 @@
 		allEvidence:   newMerger(),
 		summary:       map[string]*Counts{},
 		drainingUntil: map[string]time.Time{},
-		told:          map[string]time.Time{},
+		drainingSent:  map[string]time.Time{},
 		holds:         map[string]*ejection{},
 		reporters:     map[string]time.Time{},
 		halls:         map[string]time.Time{},
@@ -84,9 +84,9 @@
 			delete(o.holds, t)
 		}
 	}
-	for t := range o.told {
+	for t := range o.drainingSent {
 		if !known[t] {
-			delete(o.told, t)
+			delete(o.drainingSent, t)
 		}
 	}
 }
@@ -126,9 +126,9 @@
 // leave notes that a target is leaving. Its word is passed on when it is new and
 // then now and again.
 func (o *Observer) leave(now time.Time, target string) {
-	if now.Sub(o.told[target]) >= leavingRepeat {
+	if now.Sub(o.drainingSent[target]) >= leavingRepeat {
 		o.drainingUntil[target] = now.Add(LeavingTime)
-		o.told[target] = now
+		o.drainingSent[target] = now
 	}
 }
 
