--- a/internal/outlier/observer.go
+++ b/internal/outlier/observer.go
@@ -38,7 +38,7 @@
 	summary       map[string]*Counts
 	drainingUntil map[string]time.Time
 	drainingSent  map[string]time.Time
-	holds         map[string]*ejection
+	ejections     map[string]*ejection
 	reporters     map[string]time.Time
 	halls         map[string]time.Time
 }
@@ -60,7 +60,7 @@
 		summary:       map[string]*Counts{},
 		drainingUntil: map[string]time.Time{},
 		drainingSent:  map[string]time.Time{},
-		holds:         map[string]*ejection{},
+		ejections:     map[string]*ejection{},
 		reporters:     map[string]time.Time{},
 		halls:         map[string]time.Time{},
 	}
@@ -79,9 +79,9 @@
 	o.allEvidence.retain(known)
 	o.hall.Keep(known)
 	o.all.Keep(known)
-	for t := range o.holds {
+	for t := range o.ejections {
 		if !known[t] {
-			delete(o.holds, t)
+			delete(o.ejections, t)
 		}
 	}
 	for t := range o.drainingSent {
@@ -202,10 +202,10 @@
 	if r.Score == 0 || !o.sick(now, r) {
 		return Verdict{}, false
 	}
-	h := o.holds[target]
+	h := o.ejections[target]
 	if h == nil {
 		h = &ejection{}
-		o.holds[target] = h
+		o.ejections[target] = h
 	}
 	if h.active(now) {
 		return Verdict{}, false
