--- a/internal/outlier/observer.go
+++ b/internal/outlier/observer.go
@@ -95,15 +95,15 @@
 func (o *Observer) Report(now time.Time, node, dataHall string, c Counts) {
 	o.hallEvidence.add(node, c)
 	add(o.summary, c)
-	o.take(now, node, dataHall, c)
+	o.record(now, node, dataHall, c)
 }
 
 // Summary takes the evidence of another data hall, which counts as one source.
 func (o *Observer) Summary(now time.Time, dataHall string, c Counts) {
-	o.take(now, "data hall "+dataHall, dataHall, c)
+	o.record(now, "data hall "+dataHall, dataHall, c)
 }
 
-func (o *Observer) take(now time.Time, source, dataHall string, c Counts) {
+func (o *Observer) record(now time.Time, source, dataHall string, c Counts) {
 	o.allEvidence.add(source, c)
 	if c.Leaving {
 		o.leave(now, c.Target)
