--- a/internal/outlier/observer.go
+++ b/internal/outlier/observer.go
@@ -106,7 +106,7 @@
 func (o *Observer) record(now time.Time, source, dataHall string, c Counts) {
 	o.allEvidence.add(source, c)
 	if c.Leaving {
-		o.leave(now, c.Target)
+		o.recordDraining(now, c.Target)
 	}
 	o.reporters[source] = now
 	o.halls[dataHall] = now
@@ -123,9 +123,9 @@
 	t.add(c)
 }
 
-// leave notes that a target is leaving. Its word is passed on when it is new and
+// recordDraining notes that a target is leaving. Its word is passed on when it is new and
 // then now and again.
-func (o *Observer) leave(now time.Time, target string) {
+func (o *Observer) recordDraining(now time.Time, target string) {
 	if now.Sub(o.drainingSent[target]) >= leavingRepeat {
 		o.drainingUntil[target] = now.Add(LeavingTime)
 		o.drainingSent[target] = now
