--- a/internal/outlier/observer.go
+++ b/internal/outlier/observer.go
@@ -178,7 +178,7 @@
 	o.all.Update(now, o.allEvidence.drain(now))
 	var out []Verdict
 	for _, t := range o.service.Targets {
-		if v, ok := o.judge(now, t); ok {
+		if v, ok := o.decide(now, t); ok {
 			out = append(out, v)
 		}
 	}
@@ -194,7 +194,7 @@
 	return out
 }
 
-func (o *Observer) judge(now time.Time, target string) (Verdict, bool) {
+func (o *Observer) decide(now time.Time, target string) (Verdict, bool) {
 	r := o.hall.Read(target)
 	if all := o.all.Read(target); all.Score > r.Score {
 		r = all
