--- a/internal/outlier/observer.go
+++ b/internal/outlier/observer.go
@@ -132,7 +132,7 @@
 	}
 }
 
-func take(from map[string]*Counts) []Counts {
+func drainCounts(from map[string]*Counts) []Counts {
 	out := make([]Counts, 0, len(from))
 	for _, c := range from {
 		out = append(out, *c)
@@ -158,7 +158,7 @@
 
 // TakeSummary returns what the own data hall's nodes reported since the last
 // call, for the observers of the other data halls.
-func (o *Observer) TakeSummary() []Counts { return take(o.summary) }
+func (o *Observer) TakeSummary() []Counts { return drainCounts(o.summary) }
 
 // Reporters returns how many nodes reported lately.
 func (o *Observer) Reporters(now time.Time) int { return recent(o.reporters, now) }
