--- a/internal/outlier/observer.go
+++ b/internal/outlier/observer.go
@@ -94,7 +94,7 @@
 // Report takes the evidence of a node of the own data hall.
 func (o *Observer) Report(now time.Time, node, dataHall string, c Counts) {
 	o.hallEvidence.add(node, c)
-	add(o.summary, c)
+	addCounts(o.summary, c)
 	o.record(now, node, dataHall, c)
 }
 
@@ -112,7 +112,7 @@
 	o.halls[dataHall] = now
 }
 
-func add(to map[string]*Counts, c Counts) {
+func addCounts(to map[string]*Counts, c Counts) {
 	t := to[c.Target]
 	if t == nil {
 		t = &Counts{
