--- a/internal/outlier/observer.go
+++ b/internal/outlier/observer.go
@@ -43,8 +43,8 @@
 	halls         map[string]time.Time
 }
 
-// sourceTime is how long a source of evidence counts as present.
-const sourceTime = 30 * time.Second
+// sourceExpiry is how long a source of evidence counts as present.
+const sourceExpiry = 30 * time.Second
 
 // leavingRepeat is how often the word that a target leaves is passed on.
 const leavingRepeat = 10 * time.Second
@@ -165,7 +165,7 @@
 
 func recent(m map[string]time.Time, now time.Time) int {
 	for k, at := range m {
-		if now.Sub(at) > sourceTime {
+		if now.Sub(at) > sourceExpiry {
 			delete(m, k)
 		}
 	}
