--- a/internal/outlier/observer.go
+++ b/internal/outlier/observer.go
@@ -46,8 +46,8 @@
 // sourceExpiry is how long a source of evidence counts as present.
 const sourceExpiry = 30 * time.Second
 
-// leavingRepeat is how often the word that a target leaves is passed on.
-const leavingRepeat = 10 * time.Second
+// drainingRepeat is how often the word that a target leaves is passed on.
+const drainingRepeat = 10 * time.Second
 
 // NewObserver returns an observer without evidence.
 func NewObserver(s Service) *Observer {
@@ -126,7 +126,7 @@
 // recordDraining notes that a target is leaving. Its word is passed on when it is new and
 // then now and again.
 func (o *Observer) recordDraining(now time.Time, target string) {
-	if now.Sub(o.drainingSent[target]) >= leavingRepeat {
+	if now.Sub(o.drainingSent[target]) >= drainingRepeat {
 		o.drainingUntil[target] = now.Add(LeavingTime)
 		o.drainingSent[target] = now
 	}
