--- a/internal/outlier/observer.go
+++ b/internal/outlier/observer.go
@@ -161,9 +161,9 @@
 func (o *Observer) TakeSummary() []Counts { return drainCounts(o.summary) }
 
 // Reporters returns how many nodes reported lately.
-func (o *Observer) Reporters(now time.Time) int { return recent(o.reporters, now) }
+func (o *Observer) Reporters(now time.Time) int { return countRecent(o.reporters, now) }
 
-func recent(m map[string]time.Time, now time.Time) int {
+func countRecent(m map[string]time.Time, now time.Time) int {
 	for k, at := range m {
 		if now.Sub(at) > sourceExpiry {
 			delete(m, k)
@@ -222,5 +222,5 @@
 }
 
 func (o *Observer) sick(now time.Time, r Reading) bool {
-	return o.service.Policy.Sick(r.Health(o.service.Threshold, recent(o.reporters, now), recent(o.halls, now)))
+	return o.service.Policy.Sick(r.Health(o.service.Threshold, countRecent(o.reporters, now), countRecent(o.halls, now)))
 }
