--- a/internal/health/kind.go
+++ b/internal/health/kind.go
@@ -51,7 +51,7 @@
 	return sum
 }
 
-func (c *counts) fade(part float64) {
+func (c *counts) decay(part float64) {
 	for k := range c {
 		c[k] *= part
 	}
--- a/internal/health/model.go
+++ b/internal/health/model.go
@@ -135,10 +135,10 @@
 		r.times *= part
 		r.seconds *= part
 	}
-	m.failing.fade(part)
-	m.working.fade(part)
+	m.failing.decay(part)
+	m.working.decay(part)
 	for _, r := range m.routes {
-		r.working.fade(part)
+		r.working.decay(part)
 	}
 	m.renew()
 }
