--- a/internal/health/kind.go
+++ b/internal/health/kind.go
@@ -57,8 +57,8 @@
 	}
 }
 
-// over returns the shares that the counts give with a guess that counts for weight.
-func (c *counts) over(guess *shares, weight float64) shares {
+// withPrior returns the shares that the counts give with a guess that counts for weight.
+func (c *counts) withPrior(guess *shares, weight float64) shares {
 	var out shares
 	all := c.total() + weight
 	for k := range out {
--- a/internal/health/model.go
+++ b/internal/health/model.go
@@ -104,12 +104,12 @@
 func (m *Model) renew() {
 	m.enterRate = m.enter.over(enterGuess, enterLeast, enterMost)
 	m.leaveRate = m.leave.over(leaveGuess, leaveLeast, leaveMost)
-	m.failingShares = m.failing.over(&failingGuess, failingWeight)
+	m.failingShares = m.failing.withPrior(&failingGuess, failingWeight)
 	bound(&m.failingShares, 0, failingGoodMost)
-	m.workingShares = m.working.over(&workingGuess, workingWeight)
+	m.workingShares = m.working.withPrior(&workingGuess, workingWeight)
 	bound(&m.workingShares, workingGoodLeast, 1)
 	for _, r := range m.routes {
-		r.shares = r.working.over(&m.workingShares, routeWeight)
+		r.shares = r.working.withPrior(&m.workingShares, routeWeight)
 	}
 }
 
