--- a/internal/health/model.go
+++ b/internal/health/model.go
@@ -61,7 +61,7 @@
 	seconds float64
 }
 
-func (r *rate) over(guess, least, most float64) float64 {
+func (r *rate) estimate(guess, least, most float64) float64 {
 	return min(max((r.times+rateWeight)/(r.seconds+rateWeight/guess), least), most)
 }
 
@@ -102,8 +102,8 @@
 
 // renew makes the shares and rates of what was counted.
 func (m *Model) renew() {
-	m.enterRate = m.enter.over(enterGuess, enterLeast, enterMost)
-	m.leaveRate = m.leave.over(leaveGuess, leaveLeast, leaveMost)
+	m.enterRate = m.enter.estimate(enterGuess, enterLeast, enterMost)
+	m.leaveRate = m.leave.estimate(leaveGuess, leaveLeast, leaveMost)
 	m.failingShares = m.failing.withPrior(&failingGuess, failingWeight)
 	bound(&m.failingShares, 0, failingGoodMost)
 	m.workingShares = m.working.withPrior(&workingGuess, workingWeight)
