--- a/internal/health/learn.go
+++ b/internal/health/learn.go
@@ -80,8 +80,8 @@
 
 // learnChange counts a change of state and the time in which it could happen.
 func (m *Model) learnChange(c change, past time.Duration) {
-	m.enter.times += c.entered
-	m.leave.times += c.left
+	m.enter.events += c.entered
+	m.leave.events += c.left
 	m.enter.seconds += (1 - c.failing()) * past.Seconds()
 	m.leave.seconds += c.failing() * past.Seconds()
 }
--- a/internal/health/model.go
+++ b/internal/health/model.go
@@ -57,12 +57,12 @@
 
 // rate learns how often something happens.
 type rate struct {
-	times   float64
+	events  float64
 	seconds float64
 }
 
 func (r *rate) estimate(guess, least, most float64) float64 {
-	return min(max((r.times+rateWeight)/(r.seconds+rateWeight/guess), least), most)
+	return min(max((r.events+rateWeight)/(r.seconds+rateWeight/guess), least), most)
 }
 
 // Model is what is learned of the targets of one service.
@@ -132,7 +132,7 @@
 	m.faded = now
 	part := math.Exp(-past.Seconds() / memory.Seconds())
 	for _, r := range [...]*rate{&m.enter, &m.leave} {
-		r.times *= part
+		r.events *= part
 		r.seconds *= part
 	}
 	m.failing.decay(part)
