--- a/internal/health/model.go
+++ b/internal/health/model.go
@@ -10,9 +10,9 @@
 // Parameters of what is learned of a service. Guesses are what is believed before
 // anything was seen, weights how many observations they count for.
 const (
-	// enterGuess and leaveGuess are the rates, in 1/s, at which targets begin and end
+	// enterPrior and leaveGuess are the rates, in 1/s, at which targets begin and end
 	// to fail: between the phases of one second and of ten that users' targets showed.
-	enterGuess = 0.03
+	enterPrior = 0.03
 	leaveGuess = 0.15
 	rateWeight = 3
 	enterLeast = 0.002
@@ -102,7 +102,7 @@
 
 // renew makes the shares and rates of what was counted.
 func (m *Model) renew() {
-	m.enterRate = m.enter.estimate(enterGuess, enterLeast, enterMost)
+	m.enterRate = m.enter.estimate(enterPrior, enterLeast, enterMost)
 	m.leaveRate = m.leave.estimate(leaveGuess, leaveLeast, leaveMost)
 	m.failingShares = m.failing.withPrior(&failingGuess, failingWeight)
 	bound(&m.failingShares, 0, failingGoodMost)
