--- a/internal/health/model.go
+++ b/internal/health/model.go
@@ -13,7 +13,7 @@
 	// enterPrior and leaveGuess are the rates, in 1/s, at which targets begin and end
 	// to fail: between the phases of one second and of ten that users' targets showed.
 	enterPrior = 0.03
-	leaveGuess = 0.15
+	leavePrior = 0.15
 	rateWeight = 3
 	enterLeast = 0.002
 	enterMost  = 0.4
@@ -103,7 +103,7 @@
 // renew makes the shares and rates of what was counted.
 func (m *Model) renew() {
 	m.enterRate = m.enter.estimate(enterPrior, enterLeast, enterMost)
-	m.leaveRate = m.leave.estimate(leaveGuess, leaveLeast, leaveMost)
+	m.leaveRate = m.leave.estimate(leavePrior, leaveLeast, leaveMost)
 	m.failingShares = m.failing.withPrior(&failingGuess, failingWeight)
 	bound(&m.failingShares, 0, failingGoodMost)
 	m.workingShares = m.working.withPrior(&workingGuess, workingWeight)
