--- a/internal/health/model.go
+++ b/internal/health/model.go
@@ -12,13 +12,13 @@
 const (
 	// enterPrior and leaveGuess are the rates, in 1/s, at which targets begin and end
 	// to fail: between the phases of one second and of ten that users' targets showed.
-	enterPrior = 0.03
-	leavePrior = 0.15
-	rateWeight = 3
-	enterLeast = 0.002
-	enterMost  = 0.4
-	leaveLeast = 0.08
-	leaveMost  = 2
+	enterPrior      = 0.03
+	leavePrior      = 0.15
+	ratePriorWeight = 3
+	enterLeast      = 0.002
+	enterMost       = 0.4
+	leaveLeast      = 0.08
+	leaveMost       = 2
 	// failingWeight and workingWeight belong to the guesses of what targets do.
 	failingWeight = 8
 	workingWeight = 100
@@ -62,7 +62,7 @@
 }
 
 func (r *rate) estimate(guess, least, most float64) float64 {
-	return min(max((r.events+rateWeight)/(r.seconds+rateWeight/guess), least), most)
+	return min(max((r.events+ratePriorWeight)/(r.seconds+ratePriorWeight/guess), least), most)
 }
 
 // Model is what is learned of the targets of one service.
