--- a/internal/health/model.go
+++ b/internal/health/model.go
@@ -15,7 +15,7 @@
 	enterPrior      = 0.03
 	leavePrior      = 0.15
 	ratePriorWeight = 3
-	enterLeast      = 0.002
+	minEnterRate    = 0.002
 	enterMost       = 0.4
 	leaveLeast      = 0.08
 	leaveMost       = 2
@@ -102,7 +102,7 @@
 
 // renew makes the shares and rates of what was counted.
 func (m *Model) renew() {
-	m.enterRate = m.enter.estimate(enterPrior, enterLeast, enterMost)
+	m.enterRate = m.enter.estimate(enterPrior, minEnterRate, enterMost)
 	m.leaveRate = m.leave.estimate(leavePrior, leaveLeast, leaveMost)
 	m.failingShares = m.failing.withPrior(&failingGuess, failingWeight)
 	bound(&m.failingShares, 0, failingGoodMost)
