--- a/internal/health/model.go
+++ b/internal/health/model.go
@@ -16,7 +16,7 @@
 	leavePrior      = 0.15
 	ratePriorWeight = 3
 	minEnterRate    = 0.002
-	enterMost       = 0.4
+	maxEnterRate    = 0.4
 	leaveLeast      = 0.08
 	leaveMost       = 2
 	// failingWeight and workingWeight belong to the guesses of what targets do.
@@ -102,7 +102,7 @@
 
 // renew makes the shares and rates of what was counted.
 func (m *Model) renew() {
-	m.enterRate = m.enter.estimate(enterPrior, minEnterRate, enterMost)
+	m.enterRate = m.enter.estimate(enterPrior, minEnterRate, maxEnterRate)
 	m.leaveRate = m.leave.estimate(leavePrior, leaveLeast, leaveMost)
 	m.failingShares = m.failing.withPrior(&failingGuess, failingWeight)
 	bound(&m.failingShares, 0, failingGoodMost)
