--- a/internal/health/model.go
+++ b/internal/health/model.go
@@ -18,7 +18,7 @@
 	minEnterRate    = 0.002
 	maxEnterRate    = 0.4
 	minLeaveRate    = 0.08
-	leaveMost       = 2
+	maxLeaveRate    = 2
 	// failingWeight and workingWeight belong to the guesses of what targets do.
 	failingWeight = 8
 	workingWeight = 100
@@ -103,7 +103,7 @@
 // renew makes the shares and rates of what was counted.
 func (m *Model) renew() {
 	m.enterRate = m.enter.estimate(enterPrior, minEnterRate, maxEnterRate)
-	m.leaveRate = m.leave.estimate(leavePrior, minLeaveRate, leaveMost)
+	m.leaveRate = m.leave.estimate(leavePrior, minLeaveRate, maxLeaveRate)
 	m.failingShares = m.failing.withPrior(&failingGuess, failingWeight)
 	bound(&m.failingShares, 0, failingGoodMost)
 	m.workingShares = m.working.withPrior(&workingGuess, workingWeight)
