--- a/internal/health/model.go
+++ b/internal/health/model.go
@@ -19,9 +19,9 @@
 	maxEnterRate    = 0.4
 	minLeaveRate    = 0.08
 	maxLeaveRate    = 2
-	// failingWeight and workingWeight belong to the guesses of what targets do.
-	failingWeight = 8
-	workingWeight = 100
+	// failingPriorWeight and workingWeight belong to the guesses of what targets do.
+	failingPriorWeight = 8
+	workingWeight      = 100
 	// routeWeight is what the service's shares count for on one of its routes.
 	routeWeight = 12
 	// failingGoodMost and workingGoodLeast keep the two states apart.
@@ -104,7 +104,7 @@
 func (m *Model) renew() {
 	m.enterRate = m.enter.estimate(enterPrior, minEnterRate, maxEnterRate)
 	m.leaveRate = m.leave.estimate(leavePrior, minLeaveRate, maxLeaveRate)
-	m.failingShares = m.failing.withPrior(&failingGuess, failingWeight)
+	m.failingShares = m.failing.withPrior(&failingGuess, failingPriorWeight)
 	bound(&m.failingShares, 0, failingGoodMost)
 	m.workingShares = m.working.withPrior(&workingGuess, workingWeight)
 	bound(&m.workingShares, workingGoodLeast, 1)
