--- a/internal/health/model.go
+++ b/internal/health/model.go
@@ -21,7 +21,7 @@
 	maxLeaveRate    = 2
 	// failingPriorWeight and workingWeight belong to the guesses of what targets do.
 	failingPriorWeight = 8
-	workingWeight      = 100
+	workingPriorWeight = 100
 	// routeWeight is what the service's shares count for on one of its routes.
 	routeWeight = 12
 	// failingGoodMost and workingGoodLeast keep the two states apart.
@@ -106,7 +106,7 @@
 	m.leaveRate = m.leave.estimate(leavePrior, minLeaveRate, maxLeaveRate)
 	m.failingShares = m.failing.withPrior(&failingGuess, failingPriorWeight)
 	bound(&m.failingShares, 0, failingGoodMost)
-	m.workingShares = m.working.withPrior(&workingGuess, workingWeight)
+	m.workingShares = m.working.withPrior(&workingGuess, workingPriorWeight)
 	bound(&m.workingShares, workingGoodLeast, 1)
 	for _, r := range m.routes {
 		r.shares = r.working.withPrior(&m.workingShares, routeWeight)
