--- a/internal/health/model.go
+++ b/internal/health/model.go
@@ -22,8 +22,8 @@
 	// failingPriorWeight and workingWeight belong to the guesses of what targets do.
 	failingPriorWeight = 8
 	workingPriorWeight = 100
-	// routeWeight is what the service's shares count for on one of its routes.
-	routeWeight = 12
+	// routePriorWeight is what the service's shares count for on one of its routes.
+	routePriorWeight = 12
 	// failingGoodMost and workingGoodLeast keep the two states apart.
 	failingGoodMost  = 0.6
 	workingGoodLeast = 0.85
@@ -109,7 +109,7 @@
 	m.workingShares = m.working.withPrior(&workingGuess, workingPriorWeight)
 	bound(&m.workingShares, workingGoodLeast, 1)
 	for _, r := range m.routes {
-		r.shares = r.working.withPrior(&m.workingShares, routeWeight)
+		r.shares = r.working.withPrior(&m.workingShares, routePriorWeight)
 	}
 }
 
