--- a/internal/health/model.go
+++ b/internal/health/model.go
@@ -24,8 +24,8 @@
 	workingPriorWeight = 100
 	// routePriorWeight is what the service's shares count for on one of its routes.
 	routePriorWeight = 12
-	// failingGoodMost and workingGoodLeast keep the two states apart.
-	failingGoodMost  = 0.6
+	// maxFailingGood and workingGoodLeast keep the two states apart.
+	maxFailingGood   = 0.6
 	workingGoodLeast = 0.85
 	// memory is the time constant with which what was learned fades.
 	memory = 60 * time.Second
@@ -105,7 +105,7 @@
 	m.enterRate = m.enter.estimate(enterPrior, minEnterRate, maxEnterRate)
 	m.leaveRate = m.leave.estimate(leavePrior, minLeaveRate, maxLeaveRate)
 	m.failingShares = m.failing.withPrior(&failingGuess, failingPriorWeight)
-	bound(&m.failingShares, 0, failingGoodMost)
+	bound(&m.failingShares, 0, maxFailingGood)
 	m.workingShares = m.working.withPrior(&workingGuess, workingPriorWeight)
 	bound(&m.workingShares, workingGoodLeast, 1)
 	for _, r := range m.routes {
