--- a/internal/health/model.go
+++ b/internal/health/model.go
@@ -25,8 +25,8 @@
 	// routePriorWeight is what the service's shares count for on one of its routes.
 	routePriorWeight = 12
 	// maxFailingGood and workingGoodLeast keep the two states apart.
-	maxFailingGood   = 0.6
-	workingGoodLeast = 0.85
+	maxFailingGood = 0.6
+	minWorkingGood = 0.85
 	// memory is the time constant with which what was learned fades.
 	memory = 60 * time.Second
 	// lateShare is the share of good answers that count as late: those that take
@@ -107,7 +107,7 @@
 	m.failingShares = m.failing.withPrior(&failingGuess, failingPriorWeight)
 	bound(&m.failingShares, 0, maxFailingGood)
 	m.workingShares = m.working.withPrior(&workingGuess, workingPriorWeight)
-	bound(&m.workingShares, workingGoodLeast, 1)
+	bound(&m.workingShares, minWorkingGood, 1)
 	for _, r := range m.routes {
 		r.shares = r.working.withPrior(&m.workingShares, routePriorWeight)
 	}
