--- a/internal/health/model.go
+++ b/internal/health/model.go
@@ -32,8 +32,8 @@
 	// lateShare is the share of good answers that count as late: those that take
 	// longer than the others.
 	lateShare = 0.012
-	// quickPart is the part of the usual time below which a failure is quick.
-	quickPart = 0.15
+	// quickFraction is the part of the usual time below which a failure is quick.
+	quickFraction = 0.15
 	// mostRoutes bounds the routes that are told apart.
 	mostRoutes = 256
 )
@@ -195,7 +195,7 @@
 		return Good
 	case late:
 		return Silent
-	case took < time.Duration(quickPart*float64(r.times.usual())):
+	case took < time.Duration(quickFraction*float64(r.times.usual())):
 		return Quick
 	default:
 		return Worked
