--- a/internal/health/model.go
+++ b/internal/health/model.go
@@ -34,8 +34,8 @@
 	lateShare = 0.012
 	// quickFraction is the part of the usual time below which a failure is quick.
 	quickFraction = 0.15
-	// mostRoutes bounds the routes that are told apart.
-	mostRoutes = 256
+	// maxRoutes bounds the routes that are told apart.
+	maxRoutes = 256
 )
 
 var (
@@ -148,7 +148,7 @@
 func (m *Model) Route(now time.Time, name string) *Route {
 	r := m.routes[name]
 	if r == nil {
-		if len(m.routes) >= mostRoutes {
+		if len(m.routes) >= maxRoutes {
 			m.forget()
 		}
 		r = &Route{
