--- a/internal/health/model.go
+++ b/internal/health/model.go
@@ -39,7 +39,7 @@
 )
 
 var (
-	failingGuess = shares{
+	failingPrior = shares{
 		Good:   0.3,
 		Late:   0.05,
 		Quick:  0.25,
@@ -104,7 +104,7 @@
 func (m *Model) renew() {
 	m.enterRate = m.enter.estimate(enterPrior, minEnterRate, maxEnterRate)
 	m.leaveRate = m.leave.estimate(leavePrior, minLeaveRate, maxLeaveRate)
-	m.failingShares = m.failing.withPrior(&failingGuess, failingPriorWeight)
+	m.failingShares = m.failing.withPrior(&failingPrior, failingPriorWeight)
 	bound(&m.failingShares, 0, maxFailingGood)
 	m.workingShares = m.working.withPrior(&workingGuess, workingPriorWeight)
 	bound(&m.workingShares, minWorkingGood, 1)
