--- a/internal/health/model.go
+++ b/internal/health/model.go
@@ -46,7 +46,7 @@
 		Worked: 0.1,
 		Silent: 0.3,
 	}
-	workingGuess = shares{
+	workingPrior = shares{
 		Good:   0.968,
 		Late:   0.01,
 		Quick:  0.003,
@@ -106,7 +106,7 @@
 	m.leaveRate = m.leave.estimate(leavePrior, minLeaveRate, maxLeaveRate)
 	m.failingShares = m.failing.withPrior(&failingPrior, failingPriorWeight)
 	bound(&m.failingShares, 0, maxFailingGood)
-	m.workingShares = m.working.withPrior(&workingGuess, workingPriorWeight)
+	m.workingShares = m.working.withPrior(&workingPrior, workingPriorWeight)
 	bound(&m.workingShares, minWorkingGood, 1)
 	for _, r := range m.routes {
 		r.shares = r.working.withPrior(&m.workingShares, routePriorWeight)
