--- a/internal/health/model.go
+++ b/internal/health/model.go
@@ -67,12 +67,12 @@
 
 // Model is what is learned of the targets of one service.
 type Model struct {
-	enter   rate
-	leave   rate
-	failing counts
-	working counts
-	routes  map[string]*Route
-	faded   time.Time
+	enter     rate
+	leave     rate
+	failing   counts
+	working   counts
+	routes    map[string]*Route
+	decayedAt time.Time
 	// failingShares and workingShares are made of the counts, enterRate and leaveRate
 	// of the rates.
 	failingShares shares
@@ -93,8 +93,8 @@
 // NewModel returns a model that knows only the guesses.
 func NewModel(now time.Time) *Model {
 	m := &Model{
-		routes: map[string]*Route{},
-		faded:  now,
+		routes:    map[string]*Route{},
+		decayedAt: now,
 	}
 	m.renew()
 	return m
@@ -128,8 +128,8 @@
 
 // Advance lets what was learned fade and adds what was counted since.
 func (m *Model) Advance(now time.Time) {
-	past := now.Sub(m.faded)
-	m.faded = now
+	past := now.Sub(m.decayedAt)
+	m.decayedAt = now
 	part := math.Exp(-past.Seconds() / memory.Seconds())
 	for _, r := range [...]*rate{&m.enter, &m.leave} {
 		r.events *= part
