--- a/internal/health/model.go
+++ b/internal/health/model.go
@@ -96,12 +96,12 @@
 		routes:    map[string]*Route{},
 		decayedAt: now,
 	}
-	m.renew()
+	m.updateEstimates()
 	return m
 }
 
-// renew makes the shares and rates of what was counted.
-func (m *Model) renew() {
+// updateEstimates makes the shares and rates of what was counted.
+func (m *Model) updateEstimates() {
 	m.enterRate = m.enter.estimate(enterPrior, minEnterRate, maxEnterRate)
 	m.leaveRate = m.leave.estimate(leavePrior, minLeaveRate, maxLeaveRate)
 	m.failingShares = m.failing.withPrior(&failingPrior, failingPriorWeight)
@@ -140,7 +140,7 @@
 	for _, r := range m.routes {
 		r.working.decay(part)
 	}
-	m.renew()
+	m.updateEstimates()
 }
 
 // Route returns what is known of a route. The one that was used least lately makes
