--- a/internal/health/model.go
+++ b/internal/health/model.go
@@ -149,7 +149,7 @@
 	r := m.routes[name]
 	if r == nil {
 		if len(m.routes) >= maxRoutes {
-			m.forget()
+			m.evictRoute()
 		}
 		r = &Route{
 			name:   name,
@@ -162,7 +162,7 @@
 	return r
 }
 
-func (m *Model) forget() {
+func (m *Model) evictRoute() {
 	var oldest *Route
 	for _, r := range m.routes {
 		if oldest == nil || r.used.Before(oldest.used) {
