--- a/internal/health/learn.go
+++ b/internal/health/learn.go
@@ -21,7 +21,7 @@
 // with a fixed lag).
 func (t *Target) evict(now time.Time) {
 	first := &t.events[0]
-	p := t.update(t.model.drift(t.base, first.begun.Sub(t.at)), first, now)
+	p := t.update(t.model.predict(t.base, first.begun.Sub(t.at)), first, now)
 	past := t.events[1].begun.Sub(first.begun)
 	c := t.model.change(p, past, t.later(now))
 	t.model.learnKind(first, c.failing(), now)
@@ -50,7 +50,7 @@
 // before moves a message to a time that lies past earlier. Only the ratio matters;
 // small numbers would run out.
 func (m *Model) before(b message, past time.Duration) message {
-	enter, stay := m.drift(0, past), m.drift(1, past)
+	enter, stay := m.predict(0, past), m.predict(1, past)
 	working := (1-enter)*b.working + enter*b.failing
 	failing := (1-stay)*b.working + stay*b.failing
 	return message{
@@ -63,7 +63,7 @@
 // p is the probability that it failed at the first one, as seen then; b is what the
 // second and all after it say.
 func (m *Model) change(p float64, past time.Duration, b message) change {
-	enter, stay := m.drift(0, past), m.drift(1, past)
+	enter, stay := m.predict(0, past), m.predict(1, past)
 	c := change{
 		stayed:   (1 - p) * (1 - enter) * b.working,
 		entered:  (1 - p) * enter * b.failing,
--- a/internal/health/model.go
+++ b/internal/health/model.go
@@ -215,8 +215,8 @@
 // LostWorking returns the share of requests that a working target doesn't answer.
 func (m *Model) LostWorking() float64 { return 1 - m.workingShares[Good] - m.workingShares[Late] }
 
-// drift returns the probability of failing after a time in which nothing was seen.
-func (m *Model) drift(p float64, past time.Duration) float64 {
+// predict returns the probability of failing after a time in which nothing was seen.
+func (m *Model) predict(p float64, past time.Duration) float64 {
 	if past <= 0 {
 		return p
 	}
--- a/internal/health/target.go
+++ b/internal/health/target.go
@@ -122,10 +122,10 @@
 	p, at := t.base, t.at
 	for i := range t.events {
 		e := &t.events[i]
-		p = t.update(t.model.drift(p, e.begun.Sub(at)), e, now)
+		p = t.update(t.model.predict(p, e.begun.Sub(at)), e, now)
 		at = e.begun
 	}
-	t.cached = t.model.drift(p, now.Sub(at))
+	t.cached = t.model.predict(p, now.Sub(at))
 	t.cachedAt = now
 	return t.cached
 }
