--- a/internal/health/learn.go
+++ b/internal/health/learn.go
@@ -41,15 +41,15 @@
 		b.working *= working
 		b.failing *= failing
 		if i > 1 {
-			b = t.model.before(b, t.events[i].begun.Sub(t.events[i-1].begun))
+			b = t.model.propagateBack(b, t.events[i].begun.Sub(t.events[i-1].begun))
 		}
 	}
 	return b
 }
 
-// before moves a message to a time that lies past earlier. Only the ratio matters;
+// propagateBack moves a message to a time that lies past earlier. Only the ratio matters;
 // small numbers would run out.
-func (m *Model) before(b message, past time.Duration) message {
+func (m *Model) propagateBack(b message, past time.Duration) message {
 	enter, stay := m.predict(0, past), m.predict(1, past)
 	working := (1-enter)*b.working + enter*b.failing
 	failing := (1-stay)*b.working + stay*b.failing
