--- a/internal/health/learn.go
+++ b/internal/health/learn.go
@@ -23,7 +23,7 @@
 	first := &t.events[0]
 	p := t.update(t.model.predict(t.base, first.begun.Sub(t.at)), first, now)
 	past := t.events[1].begun.Sub(first.begun)
-	c := t.model.change(p, past, t.later(now))
+	c := t.model.transition(p, past, t.later(now))
 	t.model.learnKind(first, c.failing(), now)
 	t.model.learnChange(c, past)
 	t.base, t.at = p, first.begun
@@ -59,10 +59,10 @@
 	}
 }
 
-// change returns how likely a target changed between two events that lie past apart.
+// transition returns how likely a target changed between two events that lie past apart.
 // p is the probability that it failed at the first one, as seen then; b is what the
 // second and all after it say.
-func (m *Model) change(p float64, past time.Duration, b message) change {
+func (m *Model) transition(p float64, past time.Duration, b message) change {
 	enter, stay := m.predict(0, past), m.predict(1, past)
 	c := change{
 		stayed:   (1 - p) * (1 - enter) * b.working,
