--- a/internal/health/learn.go
+++ b/internal/health/learn.go
@@ -25,7 +25,7 @@
 	past := t.events[1].begun.Sub(first.begun)
 	c := t.model.transition(p, past, t.later(now))
 	t.model.learnKind(first, c.failing(), now)
-	t.model.learnChange(c, past)
+	t.model.learnTransition(c, past)
 	t.base, t.at = p, first.begun
 	t.events = append(t.events[:0], t.events[1:]...)
 }
@@ -78,8 +78,8 @@
 	return c
 }
 
-// learnChange counts a change of state and the time in which it could happen.
-func (m *Model) learnChange(c change, past time.Duration) {
+// learnTransition counts a change of state and the time in which it could happen.
+func (m *Model) learnTransition(c change, past time.Duration) {
 	m.enter.events += c.entered
 	m.leave.events += c.left
 	m.enter.seconds += (1 - c.failing()) * past.Seconds()
