--- a/internal/health/learn.go
+++ b/internal/health/learn.go
@@ -8,13 +8,13 @@
 // first one.
 type message struct{ working, failing float64 }
 
-// change holds how likely each pair of states is at two events in turn.
-type change struct {
+// transition holds how likely each pair of states is at two events in turn.
+type transition struct {
 	stayed, entered, left, remained float64
 }
 
 // failing returns the probability that the target failed at the first of the two.
-func (c *change) failing() float64 { return c.left + c.remained }
+func (c *transition) failing() float64 { return c.left + c.remained }
 
 // evict folds the oldest event into the base. By then others have shown in which
 // state the target was, so that the model learns from it (expectation maximization
@@ -62,9 +62,9 @@
 // transition returns how likely a target changed between two events that lie past apart.
 // p is the probability that it failed at the first one, as seen then; b is what the
 // second and all after it say.
-func (m *Model) transition(p float64, past time.Duration, b message) change {
+func (m *Model) transition(p float64, past time.Duration, b message) transition {
 	enter, stay := m.predict(0, past), m.predict(1, past)
-	c := change{
+	c := transition{
 		stayed:   (1 - p) * (1 - enter) * b.working,
 		entered:  (1 - p) * enter * b.failing,
 		left:     p * (1 - stay) * b.working,
@@ -79,7 +79,7 @@
 }
 
 // learnTransition counts a change of state and the time in which it could happen.
-func (m *Model) learnTransition(c change, past time.Duration) {
+func (m *Model) learnTransition(c transition, past time.Duration) {
 	m.enter.events += c.entered
 	m.leave.events += c.left
 	m.enter.seconds += (1 - c.failing()) * past.Seconds()
