--- a/internal/health/learn.go
+++ b/internal/health/learn.go
@@ -23,15 +23,15 @@
 	first := &t.events[0]
 	p := t.update(t.model.predict(t.base, first.begun.Sub(t.at)), first, now)
 	past := t.events[1].begun.Sub(first.begun)
-	c := t.model.transition(p, past, t.later(now))
+	c := t.model.transition(p, past, t.backward(now))
 	t.model.learnKind(first, c.failing(), now)
 	t.model.learnTransition(c, past)
 	t.base, t.at = p, first.begun
 	t.events = append(t.events[:0], t.events[1:]...)
 }
 
-// later returns how likely the events after the first are.
-func (t *Target) later(now time.Time) message {
+// backward returns how likely the events after the first are.
+func (t *Target) backward(now time.Time) message {
 	b := message{
 		working: 1,
 		failing: 1,
