--- a/internal/health/learn.go
+++ b/internal/health/learn.go
@@ -100,7 +100,7 @@
 
 // learnOpen counts an attempt that was given up: it would have been silent or good.
 func (m *Model) learnOpen(e *event, q float64, now time.Time) {
-	longer := e.route.times.longer(e.waited(now))
+	longer := e.route.latency.longer(e.waited(now))
 	mute := silentAfter(m.failingShares[Silent], longer)
 	m.failing[Silent] += q * mute
 	m.failing[Good] += q * (1 - mute)
--- a/internal/health/model.go
+++ b/internal/health/model.go
@@ -84,7 +84,7 @@
 // Route is what is learned of one route of a service.
 type Route struct {
 	name    string
-	times   *times
+	latency *times
 	working counts
 	shares  shares
 	used    time.Time
@@ -152,9 +152,9 @@
 			m.evictRoute()
 		}
 		r = &Route{
-			name:   name,
-			times:  newTimes(),
-			shares: m.workingShares,
+			name:    name,
+			latency: newTimes(),
+			shares:  m.workingShares,
 		}
 		m.routes[name] = r
 	}
@@ -173,21 +173,21 @@
 }
 
 // Answered records the time of a good answer.
-func (r *Route) Answered(took time.Duration) error { return r.times.add(took) }
+func (r *Route) Answered(took time.Duration) error { return r.latency.add(took) }
 
 // Usual returns the median time of the route's good answers.
-func (r *Route) Usual() time.Duration { return r.times.usual() }
+func (r *Route) Usual() time.Duration { return r.latency.usual() }
 
 // Within returns the time within which a share of the route's good answers comes, 0
 // while that isn't known.
-func (r *Route) Within(share float64) time.Duration { return r.times.within(share) }
+func (r *Route) Within(share float64) time.Duration { return r.latency.within(share) }
 
 // Longer returns the share of the route's good answers that take longer than age.
-func (r *Route) Longer(age time.Duration) float64 { return r.times.longer(age) }
+func (r *Route) Longer(age time.Duration) float64 { return r.latency.longer(age) }
 
 // EndKind returns the kind of an attempt's end after a time.
 func (r *Route) EndKind(good bool, took time.Duration) Kind {
-	late := r.times.longer(took) < lateShare
+	late := r.latency.longer(took) < lateShare
 	switch {
 	case good && late:
 		return Late
@@ -195,7 +195,7 @@
 		return Good
 	case late:
 		return Silent
-	case took < time.Duration(quickFraction*float64(r.times.usual())):
+	case took < time.Duration(quickFraction*float64(r.latency.usual())):
 		return Quick
 	default:
 		return Worked
@@ -229,7 +229,7 @@
 func (m *Model) Silent(r *Route, p float64, age time.Duration) float64 {
 	mute := r.shares[Silent]
 	share := mute + (1-mute)*p*m.failingShares[Silent]
-	return silentAfter(share, r.times.longer(age))
+	return silentAfter(share, r.latency.longer(age))
 }
 
 // likelihoods returns how likely a working and a failing target shows a thing.
@@ -240,7 +240,7 @@
 	case Unreached:
 		return 1, oddsUnreached
 	case Open:
-		longer := e.route.times.longer(e.waited(now))
+		longer := e.route.latency.longer(e.waited(now))
 		mute := e.route.shares[Silent]
 		silent := m.failingShares[Silent] + m.failingShares[Late]
 		return mute + (1-mute)*longer, mute + (1-mute)*(silent+(1-silent)*longer)
