--- a/internal/health/survival.go
+++ b/internal/health/survival.go
@@ -33,8 +33,8 @@
 
 // times is the learned distribution of the time that good answers take.
 type times struct {
-	current *hdrhistogram.Histogram
-	before  *hdrhistogram.Histogram
+	current  *hdrhistogram.Histogram
+	previous *hdrhistogram.Histogram
 	// table holds the quantiles in milliseconds, n how many answers they are made of.
 	table [len(quantiles)]float64
 	n     float64
@@ -43,15 +43,15 @@
 
 func newTimes() *times {
 	return &times{
-		current: hdrhistogram.New(1, timeMost, timeDigits),
-		before:  hdrhistogram.New(1, timeMost, timeDigits),
+		current:  hdrhistogram.New(1, timeMost, timeDigits),
+		previous: hdrhistogram.New(1, timeMost, timeDigits),
 	}
 }
 
 // add records the time of a good answer.
 func (t *times) add(took time.Duration) error {
 	if t.current.TotalCount() >= timeGeneration {
-		t.current, t.before = t.before, t.current
+		t.current, t.previous = t.previous, t.current
 		t.current.Reset()
 	}
 	if err := t.current.RecordValue(min(max(took.Milliseconds(), 1), timeMost)); err != nil {
@@ -68,7 +68,7 @@
 // renew makes the table of both generations.
 func (t *times) renew() {
 	all := hdrhistogram.New(1, timeMost, timeDigits)
-	all.Merge(t.before)
+	all.Merge(t.previous)
 	all.Merge(t.current)
 	t.n = float64(all.TotalCount())
 	for i, q := range quantiles {
