--- a/internal/health/survival.go
+++ b/internal/health/survival.go
@@ -36,9 +36,9 @@
 	current  *hdrhistogram.Histogram
 	previous *hdrhistogram.Histogram
 	// table holds the quantiles in milliseconds, n how many answers they are made of.
-	table [len(quantiles)]float64
-	n     float64
-	added int
+	table       [len(quantiles)]float64
+	n           float64
+	sinceUpdate int
 }
 
 func newTimes() *times {
@@ -57,9 +57,9 @@
 	if err := t.current.RecordValue(min(max(took.Milliseconds(), 1), timeMost)); err != nil {
 		return err
 	}
-	t.added++
-	if t.added >= timeRenew || t.n < timeRenew {
-		t.added = 0
+	t.sinceUpdate++
+	if t.sinceUpdate >= timeRenew || t.n < timeRenew {
+		t.sinceUpdate = 0
 		t.renew()
 	}
 	return nil
