--- a/internal/health/survival.go
+++ b/internal/health/survival.go
@@ -60,13 +60,13 @@
 	t.sinceUpdate++
 	if t.sinceUpdate >= timeRenew || t.n < timeRenew {
 		t.sinceUpdate = 0
-		t.renew()
+		t.update()
 	}
 	return nil
 }
 
-// renew makes the table of both generations.
-func (t *times) renew() {
+// update makes the table of both generations.
+func (t *times) update() {
 	all := hdrhistogram.New(1, timeMost, timeDigits)
 	all.Merge(t.previous)
 	all.Merge(t.current)
