--- a/internal/health/model.go
+++ b/internal/health/model.go
@@ -176,7 +176,7 @@
 func (r *Route) Answered(took time.Duration) error { return r.latency.add(took) }
 
 // Usual returns the median time of the route's good answers.
-func (r *Route) Usual() time.Duration { return r.latency.usual() }
+func (r *Route) Usual() time.Duration { return r.latency.median() }
 
 // Within returns the time within which a share of the route's good answers comes, 0
 // while that isn't known.
@@ -195,7 +195,7 @@
 		return Good
 	case late:
 		return Silent
-	case took < time.Duration(quickFraction*float64(r.latency.usual())):
+	case took < time.Duration(quickFraction*float64(r.latency.median())):
 		return Quick
 	default:
 		return Worked
--- a/internal/health/survival.go
+++ b/internal/health/survival.go
@@ -76,8 +76,8 @@
 	}
 }
 
-// usual returns the median time.
-func (t *times) usual() time.Duration {
+// median returns the median time.
+func (t *times) median() time.Duration {
 	if t.n < timeRenew {
 		return timeStart
 	}
