--- a/internal/health/survival.go
+++ b/internal/health/survival.go
@@ -108,11 +108,11 @@
 	if t.n == 0 {
 		return guess
 	}
-	return (t.n*t.seenLonger(ms) + timePrior*guess) / (t.n + timePrior)
+	return (t.n*t.observedLonger(ms) + timePrior*guess) / (t.n + timePrior)
 }
 
-// seenLonger returns the same of the answers in the table.
-func (t *times) seenLonger(ms float64) float64 {
+// observedLonger returns the same of the answers in the table.
+func (t *times) observedLonger(ms float64) float64 {
 	if ms <= t.table[0] {
 		return 1
 	}
