--- a/internal/health/model.go
+++ b/internal/health/model.go
@@ -84,7 +84,7 @@
 // Route is what is learned of one route of a service.
 type Route struct {
 	name    string
-	latency *times
+	latency *latencies
 	working counts
 	shares  shares
 	used    time.Time
--- a/internal/health/survival.go
+++ b/internal/health/survival.go
@@ -31,8 +31,8 @@
 // quantiles are the shares of answers, in percent, whose times the table holds.
 var quantiles = [...]float64{0, 10, 25, 50, 75, 90, 95, 98, 99, 100}
 
-// times is the learned distribution of the time that good answers take.
-type times struct {
+// latencies is the learned distribution of the time that good answers take.
+type latencies struct {
 	current  *hdrhistogram.Histogram
 	previous *hdrhistogram.Histogram
 	// table holds the quantiles in milliseconds, n how many answers they are made of.
@@ -41,15 +41,15 @@
 	sinceUpdate int
 }
 
-func newTimes() *times {
-	return &times{
+func newTimes() *latencies {
+	return &latencies{
 		current:  hdrhistogram.New(1, timeMost, timeDigits),
 		previous: hdrhistogram.New(1, timeMost, timeDigits),
 	}
 }
 
 // add records the time of a good answer.
-func (t *times) add(took time.Duration) error {
+func (t *latencies) add(took time.Duration) error {
 	if t.current.TotalCount() >= timeGeneration {
 		t.current, t.previous = t.previous, t.current
 		t.current.Reset()
@@ -66,7 +66,7 @@
 }
 
 // update makes the table of both generations.
-func (t *times) update() {
+func (t *latencies) update() {
 	all := hdrhistogram.New(1, timeMost, timeDigits)
 	all.Merge(t.previous)
 	all.Merge(t.current)
@@ -77,7 +77,7 @@
 }
 
 // median returns the median time.
-func (t *times) median() time.Duration {
+func (t *latencies) median() time.Duration {
 	if t.n < timeRenew {
 		return timeStart
 	}
@@ -89,7 +89,7 @@
 
 // within returns the time within which a share of the good answers comes, of those
 // in the table the least that is as great, or 0 before any are known.
-func (t *times) within(share float64) time.Duration {
+func (t *latencies) within(share float64) time.Duration {
 	if t.n < timeRenew {
 		return 0
 	}
@@ -102,7 +102,7 @@
 }
 
 // longer returns the share of good answers that take longer than age.
-func (t *times) longer(age time.Duration) float64 {
+func (t *latencies) longer(age time.Duration) float64 {
 	ms := float64(age) / float64(time.Millisecond)
 	guess := math.Exp2(-ms / float64(timeStart.Milliseconds()))
 	if t.n == 0 {
@@ -112,7 +112,7 @@
 }
 
 // observedLonger returns the same of the answers in the table.
-func (t *times) observedLonger(ms float64) float64 {
+func (t *latencies) observedLonger(ms float64) float64 {
 	if ms <= t.table[0] {
 		return 1
 	}
