--- a/internal/health/model.go
+++ b/internal/health/model.go
@@ -153,7 +153,7 @@
 		}
 		r = &Route{
 			name:    name,
-			latency: newTimes(),
+			latency: newLatencies(),
 			shares:  m.workingShares,
 		}
 		m.routes[name] = r
--- a/internal/health/survival.go
+++ b/internal/health/survival.go
@@ -41,7 +41,7 @@
 	sinceUpdate int
 }
 
-func newTimes() *latencies {
+func newLatencies() *latencies {
 	return &latencies{
 		current:  hdrhistogram.New(1, timeMost, timeDigits),
 		previous: hdrhistogram.New(1, timeMost, timeDigits),
