--- a/internal/health/survival.go
+++ b/internal/health/survival.go
@@ -11,10 +11,10 @@
 
 // Parameters of the time that a good answer takes.
 const (
-	// timeMost is the greatest time that is told from longer ones, in milliseconds;
+	// maxLatencyMs is the greatest time that is told from longer ones, in milliseconds;
 	// no route waits as long as that. timeDigits is the precision of the histograms.
-	timeMost   = 60_000
-	timeDigits = 1
+	maxLatencyMs = 60_000
+	timeDigits   = 1
 	// timeStart is the usual time before any answer was seen.
 	timeStart = 300 * time.Millisecond
 	// timeGeneration is how many answers a generation of the histogram holds. The
@@ -43,8 +43,8 @@
 
 func newLatencies() *latencies {
 	return &latencies{
-		current:  hdrhistogram.New(1, timeMost, timeDigits),
-		previous: hdrhistogram.New(1, timeMost, timeDigits),
+		current:  hdrhistogram.New(1, maxLatencyMs, timeDigits),
+		previous: hdrhistogram.New(1, maxLatencyMs, timeDigits),
 	}
 }
 
@@ -54,7 +54,7 @@
 		t.current, t.previous = t.previous, t.current
 		t.current.Reset()
 	}
-	if err := t.current.RecordValue(min(max(took.Milliseconds(), 1), timeMost)); err != nil {
+	if err := t.current.RecordValue(min(max(took.Milliseconds(), 1), maxLatencyMs)); err != nil {
 		return err
 	}
 	t.sinceUpdate++
@@ -67,7 +67,7 @@
 
 // update makes the table of both generations.
 func (t *latencies) update() {
-	all := hdrhistogram.New(1, timeMost, timeDigits)
+	all := hdrhistogram.New(1, maxLatencyMs, timeDigits)
 	all.Merge(t.previous)
 	all.Merge(t.current)
 	t.n = float64(all.TotalCount())
@@ -98,7 +98,7 @@
 			return time.Duration(t.table[i] * float64(time.Millisecond))
 		}
 	}
-	return timeMost * time.Millisecond
+	return maxLatencyMs * time.Millisecond
 }
 
 // longer returns the share of good answers that take longer than age.
