--- a/internal/health/survival.go
+++ b/internal/health/survival.go
@@ -13,8 +13,8 @@
 const (
 	// maxLatencyMs is the greatest time that is told from longer ones, in milliseconds;
 	// no route waits as long as that. timeDigits is the precision of the histograms.
-	maxLatencyMs = 60_000
-	timeDigits   = 1
+	maxLatencyMs    = 60_000
+	histogramDigits = 1
 	// timeStart is the usual time before any answer was seen.
 	timeStart = 300 * time.Millisecond
 	// timeGeneration is how many answers a generation of the histogram holds. The
@@ -43,8 +43,8 @@
 
 func newLatencies() *latencies {
 	return &latencies{
-		current:  hdrhistogram.New(1, maxLatencyMs, timeDigits),
-		previous: hdrhistogram.New(1, maxLatencyMs, timeDigits),
+		current:  hdrhistogram.New(1, maxLatencyMs, histogramDigits),
+		previous: hdrhistogram.New(1, maxLatencyMs, histogramDigits),
 	}
 }
 
@@ -67,7 +67,7 @@
 
 // update makes the table of both generations.
 func (t *latencies) update() {
-	all := hdrhistogram.New(1, maxLatencyMs, timeDigits)
+	all := hdrhistogram.New(1, maxLatencyMs, histogramDigits)
 	all.Merge(t.previous)
 	all.Merge(t.current)
 	t.n = float64(all.TotalCount())
