--- a/internal/health/survival.go
+++ b/internal/health/survival.go
@@ -15,8 +15,8 @@
 	// no route waits as long as that. timeDigits is the precision of the histograms.
 	maxLatencyMs    = 60_000
 	histogramDigits = 1
-	// timeStart is the usual time before any answer was seen.
-	timeStart = 300 * time.Millisecond
+	// defaultMedian is the usual time before any answer was seen.
+	defaultMedian = 300 * time.Millisecond
 	// timeGeneration is how many answers a generation of the histogram holds. The
 	// last two generations count.
 	timeGeneration = 150
@@ -79,7 +79,7 @@
 // median returns the median time.
 func (t *latencies) median() time.Duration {
 	if t.n < timeRenew {
-		return timeStart
+		return defaultMedian
 	}
 	return time.Duration(t.table[medianAt] * float64(time.Millisecond))
 }
@@ -104,7 +104,7 @@
 // longer returns the share of good answers that take longer than age.
 func (t *latencies) longer(age time.Duration) float64 {
 	ms := float64(age) / float64(time.Millisecond)
-	guess := math.Exp2(-ms / float64(timeStart.Milliseconds()))
+	guess := math.Exp2(-ms / float64(defaultMedian.Milliseconds()))
 	if t.n == 0 {
 		return guess
 	}
