--- a/internal/health/survival.go
+++ b/internal/health/survival.go
@@ -17,9 +17,9 @@
 	histogramDigits = 1
 	// defaultMedian is the usual time before any answer was seen.
 	defaultMedian = 300 * time.Millisecond
-	// timeGeneration is how many answers a generation of the histogram holds. The
+	// generationSize is how many answers a generation of the histogram holds. The
 	// last two generations count.
-	timeGeneration = 150
+	generationSize = 150
 	// timeRenew is after how many answers the table is made anew.
 	timeRenew = 8
 	// timePrior is how many answers the guess for an unknown route counts for.
@@ -50,7 +50,7 @@
 
 // add records the time of a good answer.
 func (t *latencies) add(took time.Duration) error {
-	if t.current.TotalCount() >= timeGeneration {
+	if t.current.TotalCount() >= generationSize {
 		t.current, t.previous = t.previous, t.current
 		t.current.Reset()
 	}
