--- a/internal/health/survival.go
+++ b/internal/health/survival.go
@@ -20,8 +20,8 @@
 	// generationSize is how many answers a generation of the histogram holds. The
 	// last two generations count.
 	generationSize = 150
-	// timeRenew is after how many answers the table is made anew.
-	timeRenew = 8
+	// updateEvery is after how many answers the table is made anew.
+	updateEvery = 8
 	// timePrior is how many answers the guess for an unknown route counts for.
 	timePrior = 6
 	// timeTail is the share of answers that take longer than any that was seen.
@@ -58,7 +58,7 @@
 		return err
 	}
 	t.sinceUpdate++
-	if t.sinceUpdate >= timeRenew || t.n < timeRenew {
+	if t.sinceUpdate >= updateEvery || t.n < updateEvery {
 		t.sinceUpdate = 0
 		t.update()
 	}
@@ -78,7 +78,7 @@
 
 // median returns the median time.
 func (t *latencies) median() time.Duration {
-	if t.n < timeRenew {
+	if t.n < updateEvery {
 		return defaultMedian
 	}
 	return time.Duration(t.table[medianAt] * float64(time.Millisecond))
@@ -90,7 +90,7 @@
 // within returns the time within which a share of the good answers comes, of those
 // in the table the least that is as great, or 0 before any are known.
 func (t *latencies) within(share float64) time.Duration {
-	if t.n < timeRenew {
+	if t.n < updateEvery {
 		return 0
 	}
 	for i, q := range quantiles {
