--- a/internal/health/survival.go
+++ b/internal/health/survival.go
@@ -22,8 +22,8 @@
 	generationSize = 150
 	// updateEvery is after how many answers the table is made anew.
 	updateEvery = 8
-	// timePrior is how many answers the guess for an unknown route counts for.
-	timePrior = 6
+	// latencyPriorWeight is how many answers the guess for an unknown route counts for.
+	latencyPriorWeight = 6
 	// timeTail is the share of answers that take longer than any that was seen.
 	timeTail = 0.004
 )
@@ -108,7 +108,7 @@
 	if t.n == 0 {
 		return guess
 	}
-	return (t.n*t.observedLonger(ms) + timePrior*guess) / (t.n + timePrior)
+	return (t.n*t.observedLonger(ms) + latencyPriorWeight*guess) / (t.n + latencyPriorWeight)
 }
 
 // observedLonger returns the same of the answers in the table.
