--- a/internal/health/survival.go
+++ b/internal/health/survival.go
@@ -24,8 +24,8 @@
 	updateEvery = 8
 	// latencyPriorWeight is how many answers the guess for an unknown route counts for.
 	latencyPriorWeight = 6
-	// timeTail is the share of answers that take longer than any that was seen.
-	timeTail = 0.004
+	// tailShare is the share of answers that take longer than any that was seen.
+	tailShare = 0.004
 )
 
 // quantiles are the shares of answers, in percent, whose times the table holds.
@@ -122,7 +122,7 @@
 		}
 		part := (ms - t.table[i-1]) / max(t.table[i]-t.table[i-1], 1)
 		percent := quantiles[i-1] + part*(quantiles[i]-quantiles[i-1])
-		return max(1-percent/100, timeTail)
+		return max(1-percent/100, tailShare)
 	}
-	return timeTail
+	return tailShare
 }
