--- a/internal/health/survival.go
+++ b/internal/health/survival.go
@@ -81,11 +81,11 @@
 	if t.n < updateEvery {
 		return defaultMedian
 	}
-	return time.Duration(t.table[medianAt] * float64(time.Millisecond))
+	return time.Duration(t.table[medianIndex] * float64(time.Millisecond))
 }
 
-// medianAt is the place of the median in the table.
-const medianAt = 3
+// medianIndex is the place of the median in the table.
+const medianIndex = 3
 
 // within returns the time within which a share of the good answers comes, of those
 // in the table the least that is as great, or 0 before any are known.
