--- a/internal/health/target.go
+++ b/internal/health/target.go
@@ -8,9 +8,9 @@
 )
 
 const (
-	// mostEvents bounds the attempts that are kept of each target. What falls out
+	// maxEvents bounds the attempts that are kept of each target. What falls out
 	// has been followed by that many others.
-	mostEvents = 10
+	maxEvents = 10
 	// startFailing is the probability that a target fails that has just started.
 	startFailing = 0.02
 	// leastFailing and mostFailing bound the belief: no evidence is certain.
@@ -59,7 +59,7 @@
 		model:  m,
 		base:   startFailing,
 		at:     now,
-		events: make([]event, 0, mostEvents+1),
+		events: make([]event, 0, maxEvents+1),
 	}
 }
 
@@ -109,7 +109,7 @@
 	}
 	t.events = slices.Insert(t.events, at, e)
 	t.cachedAt = time.Time{}
-	if len(t.events) > mostEvents {
+	if len(t.events) > maxEvents {
 		t.evict(now)
 	}
 }
