--- a/internal/health/target.go
+++ b/internal/health/target.go
@@ -11,8 +11,8 @@
 	// maxEvents bounds the attempts that are kept of each target. What falls out
 	// has been followed by that many others.
 	maxEvents = 10
-	// startFailing is the probability that a target fails that has just started.
-	startFailing = 0.02
+	// initialFailing is the probability that a target fails that has just started.
+	initialFailing = 0.02
 	// leastFailing and mostFailing bound the belief: no evidence is certain.
 	leastFailing = 0.004
 	mostFailing  = 0.985
@@ -57,7 +57,7 @@
 func NewTarget(now time.Time, m *Model) *Target {
 	return &Target{
 		model:  m,
-		base:   startFailing,
+		base:   initialFailing,
 		at:     now,
 		events: make([]event, 0, maxEvents+1),
 	}
