--- a/internal/health/target.go
+++ b/internal/health/target.go
@@ -13,9 +13,9 @@
 	maxEvents = 10
 	// initialFailing is the probability that a target fails that has just started.
 	initialFailing = 0.02
-	// leastFailing and mostFailing bound the belief: no evidence is certain.
-	leastFailing = 0.004
-	mostFailing  = 0.985
+	// minFailing and mostFailing bound the belief: no evidence is certain.
+	minFailing  = 0.004
+	mostFailing = 0.985
 	// cacheTime is how long a belief is used again while nothing new was seen.
 	cacheTime = 20 * time.Millisecond
 )
@@ -144,8 +144,8 @@
 func (t *Target) update(p float64, e *event, now time.Time) float64 {
 	working, failing := t.model.likelihoods(e, now)
 	p = p * failing / (p*failing + (1-p)*working)
-	if p < leastFailing {
-		return leastFailing
+	if p < minFailing {
+		return minFailing
 	}
 	if p > mostFailing {
 		return mostFailing
