--- a/internal/health/target.go
+++ b/internal/health/target.go
@@ -14,8 +14,8 @@
 	// initialFailing is the probability that a target fails that has just started.
 	initialFailing = 0.02
 	// minFailing and mostFailing bound the belief: no evidence is certain.
-	minFailing  = 0.004
-	mostFailing = 0.985
+	minFailing = 0.004
+	maxFailing = 0.985
 	// cacheTime is how long a belief is used again while nothing new was seen.
 	cacheTime = 20 * time.Millisecond
 )
@@ -147,8 +147,8 @@
 	if p < minFailing {
 		return minFailing
 	}
-	if p > mostFailing {
-		return mostFailing
+	if p > maxFailing {
+		return maxFailing
 	}
 	return p
 }
