--- a/internal/health/learn.go
+++ b/internal/health/learn.go
@@ -21,12 +21,12 @@
 // with a fixed lag).
 func (t *Target) evict(now time.Time) {
 	first := &t.events[0]
-	p := t.update(t.model.predict(t.base, first.begun.Sub(t.at)), first, now)
-	past := t.events[1].begun.Sub(first.begun)
+	p := t.update(t.model.predict(t.base, first.started.Sub(t.at)), first, now)
+	past := t.events[1].started.Sub(first.started)
 	c := t.model.transition(p, past, t.backward(now))
 	t.model.learnKind(first, c.failing(), now)
 	t.model.learnTransition(c, past)
-	t.base, t.at = p, first.begun
+	t.base, t.at = p, first.started
 	t.events = append(t.events[:0], t.events[1:]...)
 }
 
@@ -41,7 +41,7 @@
 		b.working *= working
 		b.failing *= failing
 		if i > 1 {
-			b = t.model.propagateBack(b, t.events[i].begun.Sub(t.events[i-1].begun))
+			b = t.model.propagateBack(b, t.events[i].started.Sub(t.events[i-1].started))
 		}
 	}
 	return b
--- a/internal/health/steady.go
+++ b/internal/health/steady.go
@@ -14,18 +14,18 @@
 		since = t.at
 	}
 	p, at, i := t.base, t.at, 0
-	for ; i < len(t.events) && t.events[i].begun.Before(since); i++ {
+	for ; i < len(t.events) && t.events[i].started.Before(since); i++ {
 		e := &t.events[i]
-		p = t.update(t.model.predict(p, e.begun.Sub(at)), e, now)
-		at = e.begun
+		p = t.update(t.model.predict(p, e.started.Sub(at)), e, now)
+		at = e.started
 	}
 	p, at = t.model.predict(p, since.Sub(at)), since
 	steady := 1 - p
 	for ; i < len(t.events); i++ {
 		e := &t.events[i]
-		past := e.begun.Sub(at)
+		past := e.started.Sub(at)
 		before := t.model.predict(p, past)
-		p, at = t.update(before, e, now), e.begun
+		p, at = t.update(before, e, now), e.started
 		// What is seen speaks alike for all ways in which the target works now.
 		steady *= t.model.stay(past) * (1 - p) / (1 - before)
 	}
--- a/internal/health/target.go
+++ b/internal/health/target.go
@@ -22,10 +22,10 @@
 
 // event is one attempt at a target.
 type event struct {
-	id    uint64
-	begun time.Time
-	route *Route
-	kind  Kind
+	id      uint64
+	started time.Time
+	route   *Route
+	kind    Kind
 	// running is set while the attempt goes on, age is how long it took if it was
 	// given up.
 	running bool
@@ -35,7 +35,7 @@
 // waited returns how long the attempt waited for its answer.
 func (e *event) waited(now time.Time) time.Duration {
 	if e.running {
-		return now.Sub(e.begun)
+		return now.Sub(e.started)
 	}
 	return e.age
 }
@@ -68,7 +68,7 @@
 	t.next++
 	t.insert(now, event{
 		id:      t.next,
-		begun:   now,
+		started: now,
 		route:   r,
 		kind:    Open,
 		running: true,
@@ -85,7 +85,7 @@
 		if e.id == id && e.running {
 			e.running = false
 			e.kind = k
-			e.age = now.Sub(e.begun)
+			e.age = now.Sub(e.started)
 			return
 		}
 	}
@@ -94,17 +94,17 @@
 // Saw notes an attempt of which only the end is known.
 func (t *Target) Saw(now time.Time, r *Route, k Kind, took time.Duration) {
 	t.insert(now, event{
-		begun: now.Add(-took),
-		route: r,
-		kind:  k,
-		age:   took,
+		started: now.Add(-took),
+		route:   r,
+		kind:    k,
+		age:     took,
 	})
 }
 
 // insert adds an event in the order of begin.
 func (t *Target) insert(now time.Time, e event) {
 	at := len(t.events)
-	for at > 0 && e.begun.Before(t.events[at-1].begun) {
+	for at > 0 && e.started.Before(t.events[at-1].started) {
 		at--
 	}
 	t.events = slices.Insert(t.events, at, e)
@@ -122,8 +122,8 @@
 	p, at := t.base, t.at
 	for i := range t.events {
 		e := &t.events[i]
-		p = t.update(t.model.predict(p, e.begun.Sub(at)), e, now)
-		at = e.begun
+		p = t.update(t.model.predict(p, e.started.Sub(at)), e, now)
+		at = e.started
 	}
 	t.cached = t.model.predict(p, now.Sub(at))
 	t.cachedAt = now
