--- a/internal/health/target.go
+++ b/internal/health/target.go
@@ -26,15 +26,15 @@
 	started time.Time
 	route   *Route
 	kind    Kind
-	// running is set while the attempt goes on, age is how long it took if it was
+	// inFlight is set while the attempt goes on, age is how long it took if it was
 	// given up.
-	running bool
-	age     time.Duration
+	inFlight bool
+	age      time.Duration
 }
 
 // waited returns how long the attempt waited for its answer.
 func (e *event) waited(now time.Time) time.Duration {
-	if e.running {
+	if e.inFlight {
 		return now.Sub(e.started)
 	}
 	return e.age
@@ -67,11 +67,11 @@
 func (t *Target) Begin(now time.Time, r *Route) uint64 {
 	t.next++
 	t.insert(now, event{
-		id:      t.next,
-		started: now,
-		route:   r,
-		kind:    Open,
-		running: true,
+		id:       t.next,
+		started:  now,
+		route:    r,
+		kind:     Open,
+		inFlight: true,
 	})
 	return t.next
 }
@@ -82,8 +82,8 @@
 	t.cachedAt = time.Time{}
 	for i := range t.events {
 		e := &t.events[i]
-		if e.id == id && e.running {
-			e.running = false
+		if e.id == id && e.inFlight {
+			e.inFlight = false
 			e.kind = k
 			e.age = now.Sub(e.started)
 			return
