--- a/internal/health/learn.go
+++ b/internal/health/learn.go
@@ -21,12 +21,12 @@
 // with a fixed lag).
 func (t *Target) evict(now time.Time) {
 	first := &t.events[0]
-	p := t.update(t.model.predict(t.base, first.started.Sub(t.at)), first, now)
+	p := t.update(t.model.predict(t.base, first.started.Sub(t.baseAt)), first, now)
 	past := t.events[1].started.Sub(first.started)
 	c := t.model.transition(p, past, t.backward(now))
 	t.model.learnKind(first, c.failing(), now)
 	t.model.learnTransition(c, past)
-	t.base, t.at = p, first.started
+	t.base, t.baseAt = p, first.started
 	t.events = append(t.events[:0], t.events[1:]...)
 }
 
--- a/internal/health/steady.go
+++ b/internal/health/steady.go
@@ -10,10 +10,10 @@
 // Steady returns the probability that the target has been working all the time from
 // since to now. Of what the model no longer keeps, only what follows counts.
 func (t *Target) Steady(now, since time.Time) float64 {
-	if since.Before(t.at) {
-		since = t.at
+	if since.Before(t.baseAt) {
+		since = t.baseAt
 	}
-	p, at, i := t.base, t.at, 0
+	p, at, i := t.base, t.baseAt, 0
 	for ; i < len(t.events) && t.events[i].started.Before(since); i++ {
 		e := &t.events[i]
 		p = t.update(t.model.predict(p, e.started.Sub(at)), e, now)
--- a/internal/health/target.go
+++ b/internal/health/target.go
@@ -45,7 +45,7 @@
 	model *Model
 	// base is the probability of failing at the time at, before the events.
 	base   float64
-	at     time.Time
+	baseAt time.Time
 	events []event
 	next   uint64
 
@@ -58,7 +58,7 @@
 	return &Target{
 		model:  m,
 		base:   initialFailing,
-		at:     now,
+		baseAt: now,
 		events: make([]event, 0, maxEvents+1),
 	}
 }
@@ -119,7 +119,7 @@
 	if past := now.Sub(t.cachedAt); past >= 0 && past < cacheTime {
 		return t.cached
 	}
-	p, at := t.base, t.at
+	p, at := t.base, t.baseAt
 	for i := range t.events {
 		e := &t.events[i]
 		p = t.update(t.model.predict(p, e.started.Sub(at)), e, now)
