--- a/internal/health/target.go
+++ b/internal/health/target.go
@@ -47,7 +47,7 @@
 	base   float64
 	baseAt time.Time
 	events []event
-	next   uint64
+	lastID uint64
 
 	cached   float64
 	cachedAt time.Time
@@ -65,15 +65,15 @@
 
 // Begin notes an attempt and returns its number.
 func (t *Target) Begin(now time.Time, r *Route) uint64 {
-	t.next++
+	t.lastID++
 	t.insert(now, event{
-		id:       t.next,
+		id:       t.lastID,
 		started:  now,
 		route:    r,
 		kind:     Open,
 		inFlight: true,
 	})
-	return t.next
+	return t.lastID
 }
 
 // End notes the end of an attempt that Begin noted. Attempts that many others have
