--- a/internal/balance/pool.go
+++ b/internal/balance/pool.go
@@ -150,9 +150,9 @@
 // minShare connections each a node can pick by load. headroom is the part of a
 // target's connections that is given out: hashing spreads the nodes unevenly.
 const (
-	minSubset = 4
-	minShare  = 2
-	headroom  = 0.8
+	minSubset      = 4
+	minConnections = 2
+	headroom       = 0.8
 )
 
 // subset returns how many targets a node uses and which part of a target's
@@ -165,7 +165,7 @@
 	for i := range serving {
 		connections += headroom * float64(serving[i].Connections)
 	}
-	size = min(len(serving), max(int(connections)/(nodes*minShare), minSubset))
+	size = min(len(serving), max(int(connections)/(nodes*minConnections), minSubset))
 	switch size {
 	case 0:
 		return 0, 0
