--- a/internal/balance/pool.go
+++ b/internal/balance/pool.go
@@ -87,7 +87,7 @@
 	for i := range present {
 		p.capacity += present[i].capacity()
 	}
-	serving := p.keepFloor(present)
+	serving := p.selectServing(present)
 	for i := range serving {
 		p.serving += serving[i].capacity()
 	}
@@ -120,8 +120,8 @@
 // minWeight keeps a target that is nearly cold pickable.
 const minWeight = 0.05
 
-// keepFloor returns the healthy members and, below the floor, the least sick.
-func (p *Pool) keepFloor(present []Member) []Member {
+// selectServing returns the healthy members and, below the floor, the least sick.
+func (p *Pool) selectServing(present []Member) []Member {
 	slices.SortStableFunc(present, func(a, b Member) int {
 		if a.Sick != b.Sick {
 			if a.Sick {
