--- a/internal/balance/pool.go
+++ b/internal/balance/pool.go
@@ -93,7 +93,7 @@
 	}
 	size, share := subset(serving, nodes)
 	if size < len(serving) {
-		orderFor(serving, node)
+		sortForNode(serving, node)
 		serving = serving[:size]
 	}
 	for i := range serving {
@@ -177,9 +177,9 @@
 	}
 }
 
-// orderFor sorts members by rendezvous hashing for a node: each node has its own
+// sortForNode sorts members by rendezvous hashing for a node: each node has its own
 // order, and a change of one member moves only that member.
-func orderFor(members []Member, node string) {
+func sortForNode(members []Member, node string) {
 	slices.SortFunc(members, func(a, b Member) int {
 		return cmp.Or(
 			cmp.Compare(rank(node, b.Key), rank(node, a.Key)),
