--- a/internal/balance/pool.go
+++ b/internal/balance/pool.go
@@ -182,13 +182,13 @@
 func sortForNode(members []Member, node string) {
 	slices.SortFunc(members, func(a, b Member) int {
 		return cmp.Or(
-			cmp.Compare(rank(node, b.Key), rank(node, a.Key)),
+			cmp.Compare(rendezvousHash(node, b.Key), rendezvousHash(node, a.Key)),
 			cmp.Compare(a.Key, b.Key),
 		)
 	})
 }
 
-func rank(node, key string) uint64 {
+func rendezvousHash(node, key string) uint64 {
 	var d xxhash.Digest
 	d.Reset()
 	_, _ = d.WriteString(node)
