--- a/internal/balance/pick.go
+++ b/internal/balance/pick.go
@@ -35,7 +35,7 @@
 		at := int(uint16(bits>>(16*i))) * n >> 16
 		best = p.better(best, at, tried, barred)
 	}
-	if best >= 0 && p.take(best) {
+	if best >= 0 && p.acquire(best) {
 		return p.pick(best), true
 	}
 	return p.scan(int(bits>>48)*n>>16, tried, barred)
@@ -76,7 +76,7 @@
 	return (max(float64(c.gauge.inFlight.Load()), c.load) + 1) / c.weight
 }
 
-func (p *Pool) take(at int) bool {
+func (p *Pool) acquire(at int) bool {
 	c := &p.choices[at]
 	if c.gauge.inFlight.Add(1) <= c.limit {
 		return true
@@ -99,7 +99,7 @@
 		for i := range n {
 			at := (from + i) % n
 			key := p.choices[at].key
-			if contains(tried, key) == again && !contains(barred, key) && p.take(at) {
+			if contains(tried, key) == again && !contains(barred, key) && p.acquire(at) {
 				return p.pick(at), true
 			}
 		}
