--- a/internal/policy/policy.go
+++ b/internal/policy/policy.go
@@ -193,7 +193,7 @@
 // Sick reports whether a target counts as sick. A failed evaluation counts as not
 // sick: a faulty policy must not take targets out of service.
 func (p *Program) Sick(h Health) bool {
-	return truth(p.sick, map[string]any{
+	return evalBool(p.sick, map[string]any{
 		"score":      h.Score,
 		"threshold":  h.Threshold,
 		"good":       h.Good,
@@ -204,8 +204,8 @@
 	})
 }
 
-// truth evaluates an expression that gives a bool; a failed one counts as false.
-func truth(prg cel.Program, vars map[string]any) bool {
+// evalBool evaluates an expression that gives a bool; a failed one counts as false.
+func evalBool(prg cel.Program, vars map[string]any) bool {
 	out, _, err := prg.Eval(vars)
 	if err != nil {
 		return false
@@ -229,7 +229,7 @@
 // Retry reports whether the policy allows another attempt. A failed evaluation
 // counts as no.
 func (p *Program) Retry(t Try) bool {
-	return truth(p.retry, map[string]any{
+	return evalBool(p.retry, map[string]any{
 		"attempt":    t.Attempt,
 		"outcome":    t.Outcome,
 		"repeatable": t.Repeatable,
