--- a/internal/policy/policy.go
+++ b/internal/policy/policy.go
@@ -36,19 +36,19 @@
 
 // Error is a fault in one expression of a policy.
 type Error struct {
-	part   string
-	line   int
-	column int
-	detail string
+	expression string
+	line       int
+	column     int
+	detail     string
 }
 
 // Error names the expression, the place in it and the fault.
 func (e *Error) Error() string {
-	return fmt.Sprintf("policy: %s:%d:%d: %s", e.part, e.line, e.column, e.detail)
+	return fmt.Sprintf("policy: %s:%d:%d: %s", e.expression, e.line, e.column, e.detail)
 }
 
 // Part returns "sick", "retry" or "floor".
-func (e *Error) Part() string { return e.part }
+func (e *Error) Part() string { return e.expression }
 
 // Line returns the line of the fault, from 1.
 func (e *Error) Line() int { return e.line }
@@ -122,10 +122,10 @@
 	}
 	fault := func(line, column int, detail string) *Error {
 		return &Error{
-			part:   part,
-			line:   line,
-			column: column,
-			detail: detail,
+			expression: part,
+			line:       line,
+			column:     column,
+			detail:     detail,
 		}
 	}
 	if len(text) > maxText {
