--- a/internal/admission/limit.go
+++ b/internal/admission/limit.go
@@ -12,9 +12,9 @@
 // whose bucket is full are forgotten: a full bucket is what a new one starts as.
 const maxBuckets = 8192
 
-// leastWait is the least time that a refused request is told to wait. A shorter
+// minWait is the least time that a refused request is told to wait. A shorter
 // one could round to 0, which means that the request may enter.
-const leastWait = time.Millisecond
+const minWait = time.Millisecond
 
 // bucket is the token bucket of one workspace on this node.
 type bucket struct {
@@ -54,7 +54,7 @@
 		return 0
 	}
 	wait := time.Duration((1 - b.tokens) / share * float64(time.Second))
-	return max(wait, leastWait)
+	return max(wait, minWait)
 }
 
 func (b *bucket) refill(now time.Time, share, room float64) {
