--- a/internal/admission/limit.go
+++ b/internal/admission/limit.go
@@ -47,7 +47,7 @@
 	room := math.Max(burst/float64(max(nodes, 1)), 1)
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	b := l.find(now, id, share, room)
+	b := l.bucket(now, id, share, room)
 	b.refill(now, share, room)
 	if b.tokens >= 1 {
 		b.tokens--
@@ -65,7 +65,7 @@
 	b.tokens = math.Min(b.tokens, room)
 }
 
-func (l *Limiter) find(now time.Time, id string, share, room float64) *bucket {
+func (l *Limiter) bucket(now time.Time, id string, share, room float64) *bucket {
 	if b := l.buckets[id]; b != nil {
 		return b
 	}
