--- a/internal/outlier/detector.go
+++ b/internal/outlier/detector.go
@@ -75,8 +75,8 @@
 }
 
 // decay lets time pass; memory is the time constant.
-func (t *decayedCounts) decay(past, memory time.Duration) {
-	keep := math.Exp(-past.Seconds() / memory.Seconds())
+func (t *decayedCounts) decay(elapsed, memory time.Duration) {
+	keep := math.Exp(-elapsed.Seconds() / memory.Seconds())
 	t.good *= keep
 	t.bad *= keep
 }
