--- a/internal/outlier/detector.go
+++ b/internal/outlier/detector.go
@@ -157,13 +157,13 @@
 // decay lets old counts fade.
 func (d *Detector) decay(now time.Time) {
 	if !d.updatedAt.IsZero() {
-		past := now.Sub(d.updatedAt)
-		d.baseline.decay(past, poolMemory)
-		d.recent.decay(past, recentMemory)
+		elapsed := now.Sub(d.updatedAt)
+		d.baseline.decay(elapsed, poolMemory)
+		d.recent.decay(elapsed, recentMemory)
 		for _, t := range d.targets {
-			t.baseline.decay(past, poolMemory)
-			t.recent.decay(past, recentMemory)
-			t.stalled *= math.Exp(-past.Seconds() / poolMemory.Seconds())
+			t.baseline.decay(elapsed, poolMemory)
+			t.recent.decay(elapsed, recentMemory)
+			t.stalled *= math.Exp(-elapsed.Seconds() / poolMemory.Seconds())
 		}
 	}
 	d.updatedAt = now
