--- a/internal/health/learn.go
+++ b/internal/health/learn.go
@@ -22,10 +22,10 @@
 func (t *Target) evict(now time.Time) {
 	first := &t.events[0]
 	p := t.update(t.model.predict(t.base, first.started.Sub(t.baseAt)), first, now)
-	past := t.events[1].started.Sub(first.started)
-	c := t.model.transition(p, past, t.backward(now))
+	elapsed := t.events[1].started.Sub(first.started)
+	c := t.model.transition(p, elapsed, t.backward(now))
 	t.model.learnKind(first, c.failing(), now)
-	t.model.learnTransition(c, past)
+	t.model.learnTransition(c, elapsed)
 	t.base, t.baseAt = p, first.started
 	t.events = append(t.events[:0], t.events[1:]...)
 }
