--- a/internal/health/learn.go
+++ b/internal/health/learn.go
@@ -49,8 +49,8 @@
 
 // propagateBack moves a message to a time that lies past earlier. Only the ratio matters;
 // small numbers would run out.
-func (m *Model) propagateBack(b message, past time.Duration) message {
-	enter, stay := m.predict(0, past), m.predict(1, past)
+func (m *Model) propagateBack(b message, elapsed time.Duration) message {
+	enter, stay := m.predict(0, elapsed), m.predict(1, elapsed)
 	working := (1-enter)*b.working + enter*b.failing
 	failing := (1-stay)*b.working + stay*b.failing
 	return message{
