--- a/internal/health/learn.go
+++ b/internal/health/learn.go
@@ -62,8 +62,8 @@
 // transition returns how likely a target changed between two events that lie past apart.
 // p is the probability that it failed at the first one, as seen then; b is what the
 // second and all after it say.
-func (m *Model) transition(p float64, past time.Duration, b message) transition {
-	enter, stay := m.predict(0, past), m.predict(1, past)
+func (m *Model) transition(p float64, elapsed time.Duration, b message) transition {
+	enter, stay := m.predict(0, elapsed), m.predict(1, elapsed)
 	c := transition{
 		stayed:   (1 - p) * (1 - enter) * b.working,
 		entered:  (1 - p) * enter * b.failing,
