--- a/internal/health/learn.go
+++ b/internal/health/learn.go
@@ -79,11 +79,11 @@
 }
 
 // learnTransition counts a change of state and the time in which it could happen.
-func (m *Model) learnTransition(c transition, past time.Duration) {
+func (m *Model) learnTransition(c transition, elapsed time.Duration) {
 	m.enter.events += c.entered
 	m.leave.events += c.left
-	m.enter.seconds += (1 - c.failing()) * past.Seconds()
-	m.leave.seconds += c.failing() * past.Seconds()
+	m.enter.seconds += (1 - c.failing()) * elapsed.Seconds()
+	m.leave.seconds += c.failing() * elapsed.Seconds()
 }
 
 // learnKind counts an event whose target was failing with probability q.
