--- a/internal/health/model.go
+++ b/internal/health/model.go
@@ -128,9 +128,9 @@
 
 // Advance lets what was learned fade and adds what was counted since.
 func (m *Model) Advance(now time.Time) {
-	past := now.Sub(m.decayedAt)
+	elapsed := now.Sub(m.decayedAt)
 	m.decayedAt = now
-	part := math.Exp(-past.Seconds() / memory.Seconds())
+	part := math.Exp(-elapsed.Seconds() / memory.Seconds())
 	for _, r := range [...]*rate{&m.enter, &m.leave} {
 		r.events *= part
 		r.seconds *= part
