--- a/internal/health/model.go
+++ b/internal/health/model.go
@@ -216,12 +216,12 @@
 func (m *Model) LostWorking() float64 { return 1 - m.workingShares[Good] - m.workingShares[Late] }
 
 // predict returns the probability of failing after a time in which nothing was seen.
-func (m *Model) predict(p float64, past time.Duration) float64 {
-	if past <= 0 {
+func (m *Model) predict(p float64, elapsed time.Duration) float64 {
+	if elapsed <= 0 {
 		return p
 	}
 	share := m.Share()
-	return share + (p-share)*math.Exp(-(m.enterRate+m.leaveRate)*past.Seconds())
+	return share + (p-share)*math.Exp(-(m.enterRate+m.leaveRate)*elapsed.Seconds())
 }
 
 // Silent returns the probability that an attempt on a route which has waited for
