--- a/internal/health/steady.go
+++ b/internal/health/steady.go
@@ -23,11 +23,11 @@
 	steady := 1 - p
 	for ; i < len(t.events); i++ {
 		e := &t.events[i]
-		past := e.started.Sub(at)
-		before := t.model.predict(p, past)
+		elapsed := e.started.Sub(at)
+		before := t.model.predict(p, elapsed)
 		p, at = t.update(before, e, now), e.started
 		// What is seen speaks alike for all ways in which the target works now.
-		steady *= t.model.stay(past) * (1 - p) / (1 - before)
+		steady *= t.model.stay(elapsed) * (1 - p) / (1 - before)
 	}
 	return steady * t.model.stay(now.Sub(at))
 }
