--- a/internal/health/steady.go
+++ b/internal/health/steady.go
@@ -33,6 +33,6 @@
 }
 
 // stay returns the probability that a working target doesn't begin to fail for a time.
-func (m *Model) stay(past time.Duration) float64 {
-	return math.Exp(-m.enterRate * max(past, 0).Seconds())
+func (m *Model) stay(elapsed time.Duration) float64 {
+	return math.Exp(-m.enterRate * max(elapsed, 0).Seconds())
 }
