--- a/internal/health/target.go
+++ b/internal/health/target.go
@@ -116,7 +116,7 @@
 
 // Failing returns the probability that the target is failing at now.
 func (t *Target) Failing(now time.Time) float64 {
-	if past := now.Sub(t.cachedAt); past >= 0 && past < cacheTime {
+	if elapsed := now.Sub(t.cachedAt); elapsed >= 0 && elapsed < cacheTime {
 		return t.cached
 	}
 	p, at := t.base, t.baseAt
