--- a/internal/admission/limit.go
+++ b/internal/admission/limit.go
@@ -58,8 +58,8 @@
 }
 
 func (b *bucket) refill(now time.Time, share, room float64) {
-	if past := now.Sub(b.at).Seconds(); past > 0 {
-		b.tokens += past * share
+	if elapsed := now.Sub(b.at).Seconds(); elapsed > 0 {
+		b.tokens += elapsed * share
 		b.at = now
 	}
 	b.tokens = math.Min(b.tokens, room)
