--- a/internal/outlier/detector.go
+++ b/internal/outlier/detector.go
@@ -76,9 +76,9 @@
 
 // decay lets time pass; memory is the time constant.
 func (t *decayedCounts) decay(elapsed, memory time.Duration) {
-	keep := math.Exp(-elapsed.Seconds() / memory.Seconds())
-	t.good *= keep
-	t.bad *= keep
+	factor := math.Exp(-elapsed.Seconds() / memory.Seconds())
+	t.good *= factor
+	t.bad *= factor
 }
 
 // without returns the tally less that of one of its parts.
