--- a/internal/outlier/detector.go
+++ b/internal/outlier/detector.go
@@ -185,12 +185,12 @@
 		t.carry = 0
 	}
 	gain += t.carry
-	most := maxTickGain * d.threshold
-	t.carry = min(max(gain-most, 0), d.threshold)
+	limit := maxTickGain * d.threshold
+	t.carry = min(max(gain-limit, 0), d.threshold)
 	if t.carry > 0 {
 		d.carrying[c.Target] = true
 	}
-	gain = min(gain, most)
+	gain = min(gain, limit)
 	t.score = min(max(t.score+gain, 0), maxScore*d.threshold)
 }
 
