--- a/internal/outlier/merge.go
+++ b/internal/outlier/merge.go
@@ -50,9 +50,9 @@
 
 // drain returns the sums since the last call.
 func (m *merger) drain(now time.Time) []Counts {
-	keep := 1.0
+	factor := 1.0
 	if !m.at.IsZero() {
-		keep = math.Exp(-now.Sub(m.at).Seconds() / mergeMemory.Seconds())
+		factor = math.Exp(-now.Sub(m.at).Seconds() / mergeMemory.Seconds())
 	}
 	m.at = now
 	var out []Counts
@@ -61,7 +61,7 @@
 			out = append(out, c)
 		}
 		clear(t.tick)
-		t.decay(keep)
+		t.decay(factor)
 	}
 	return out
 }
