--- a/internal/outlier/merge.go
+++ b/internal/outlier/merge.go
@@ -94,9 +94,9 @@
 // minBadCount is the number of bad requests below which a source is forgotten.
 const minBadCount = 0.05
 
-func (t *sourceCounts) decay(keep float64) {
+func (t *sourceCounts) decay(factor float64) {
 	for source := range t.bad {
-		t.bad[source] *= keep
+		t.bad[source] *= factor
 		if t.bad[source] < minBadCount {
 			delete(t.bad, source)
 		}
