--- a/internal/health/kind.go
+++ b/internal/health/kind.go
@@ -51,9 +51,9 @@
 	return sum
 }
 
-func (c *counts) decay(part float64) {
+func (c *counts) decay(factor float64) {
 	for k := range c {
-		c[k] *= part
+		c[k] *= factor
 	}
 }
 
