--- a/internal/health/kind.go
+++ b/internal/health/kind.go
@@ -58,11 +58,11 @@
 }
 
 // withPrior returns the shares that the counts give with a guess that counts for weight.
-func (c *counts) withPrior(guess *shares, weight float64) shares {
+func (c *counts) withPrior(prior *shares, weight float64) shares {
 	var out shares
 	all := c.total() + weight
 	for k := range out {
-		out[k] = (c[k] + weight*guess[k]) / all
+		out[k] = (c[k] + weight*prior[k]) / all
 	}
 	return out
 }
