--- a/internal/health/model.go
+++ b/internal/health/model.go
@@ -61,8 +61,8 @@
 	seconds float64
 }
 
-func (r *rate) estimate(guess, least, most float64) float64 {
-	return min(max((r.events+ratePriorWeight)/(r.seconds+ratePriorWeight/guess), least), most)
+func (r *rate) estimate(prior, least, most float64) float64 {
+	return min(max((r.events+ratePriorWeight)/(r.seconds+ratePriorWeight/prior), least), most)
 }
 
 // Model is what is learned of the targets of one service.
