--- a/internal/health/model.go
+++ b/internal/health/model.go
@@ -130,15 +130,15 @@
 func (m *Model) Advance(now time.Time) {
 	elapsed := now.Sub(m.decayedAt)
 	m.decayedAt = now
-	part := math.Exp(-elapsed.Seconds() / memory.Seconds())
+	factor := math.Exp(-elapsed.Seconds() / memory.Seconds())
 	for _, r := range [...]*rate{&m.enter, &m.leave} {
-		r.events *= part
-		r.seconds *= part
+		r.events *= factor
+		r.seconds *= factor
 	}
-	m.failing.decay(part)
-	m.working.decay(part)
+	m.failing.decay(factor)
+	m.working.decay(factor)
 	for _, r := range m.routes {
-		r.working.decay(part)
+		r.working.decay(factor)
 	}
 	m.updateEstimates()
 }
