--- a/internal/health/learn.go
+++ b/internal/health/learn.go
@@ -101,13 +101,13 @@
 // learnOpen counts an attempt that was given up: it would have been silent or good.
 func (m *Model) learnOpen(e *event, q float64, now time.Time) {
 	longer := e.route.latency.longer(e.waited(now))
-	mute := silentAfter(m.failingShares[Silent], longer)
-	m.failing[Silent] += q * mute
-	m.failing[Good] += q * (1 - mute)
-	mute = silentAfter(e.route.shares[Silent], longer)
+	unanswered := silentAfter(m.failingShares[Silent], longer)
+	m.failing[Silent] += q * unanswered
+	m.failing[Good] += q * (1 - unanswered)
+	unanswered = silentAfter(e.route.shares[Silent], longer)
 	for _, c := range [...]*counts{&m.working, &e.route.working} {
-		c[Silent] += (1 - q) * mute
-		c[Good] += (1 - q) * (1 - mute)
+		c[Silent] += (1 - q) * unanswered
+		c[Good] += (1 - q) * (1 - unanswered)
 	}
 }
 
