--- a/internal/health/model.go
+++ b/internal/health/model.go
@@ -227,8 +227,8 @@
 // Silent returns the probability that an attempt on a route which has waited for
 // age gets no answer, if its target fails with probability p when it is sent.
 func (m *Model) Silent(r *Route, p float64, age time.Duration) float64 {
-	mute := r.shares[Silent]
-	share := mute + (1-mute)*p*m.failingShares[Silent]
+	unanswered := r.shares[Silent]
+	share := unanswered + (1-unanswered)*p*m.failingShares[Silent]
 	return silentAfter(share, r.latency.longer(age))
 }
 
