--- a/internal/health/model.go
+++ b/internal/health/model.go
@@ -241,9 +241,9 @@
 		return 1, oddsUnreached
 	case Open:
 		longer := e.route.latency.longer(e.waited(now))
-		mute := e.route.shares[Silent]
+		unanswered := e.route.shares[Silent]
 		silent := m.failingShares[Silent] + m.failingShares[Late]
-		return mute + (1-mute)*longer, mute + (1-mute)*(silent+(1-silent)*longer)
+		return unanswered + (1-unanswered)*longer, unanswered + (1-unanswered)*(silent+(1-silent)*longer)
 	case Good:
 		return e.route.shares[Good], e.route.shares[Good] * m.failingShares[Good]
 	default:
