--- a/internal/health/survival.go
+++ b/internal/health/survival.go
@@ -104,11 +104,11 @@
 // longer returns the share of good answers that take longer than age.
 func (t *latencies) longer(age time.Duration) float64 {
 	ms := float64(age) / float64(time.Millisecond)
-	guess := math.Exp2(-ms / float64(defaultMedian.Milliseconds()))
+	prior := math.Exp2(-ms / float64(defaultMedian.Milliseconds()))
 	if t.n == 0 {
-		return guess
+		return prior
 	}
-	return (t.n*t.observedLonger(ms) + latencyPriorWeight*guess) / (t.n + latencyPriorWeight)
+	return (t.n*t.observedLonger(ms) + latencyPriorWeight*prior) / (t.n + latencyPriorWeight)
 }
 
 // observedLonger returns the same of the answers in the table.
