--- a/internal/health/survival.go
+++ b/internal/health/survival.go
@@ -120,8 +120,8 @@
 		if ms > t.table[i] {
 			continue
 		}
-		part := (ms - t.table[i-1]) / max(t.table[i]-t.table[i-1], 1)
-		percent := quantiles[i-1] + part*(quantiles[i]-quantiles[i-1])
+		fraction := (ms - t.table[i-1]) / max(t.table[i]-t.table[i-1], 1)
+		percent := quantiles[i-1] + fraction*(quantiles[i]-quantiles[i-1])
 		return max(1-percent/100, tailShare)
 	}
 	return tailShare
