--- a/internal/balance/pick.go
+++ b/internal/balance/pick.go
@@ -24,7 +24,7 @@
 // random gives random bits; tried names the targets of earlier attempts, which
 // are taken only when there is no other, barred those that are never taken. It
 // reports false when no other target has a connection left. It does not allocate.
-func (p *Pool) Pick(random func() uint64, tried, barred []string) (Pick, bool) {
+func (p *Pool) Pick(random func() uint64, tried, unavailable []string) (Pick, bool) {
 	n := len(p.choices)
 	if n == 0 {
 		return Pick{}, false
@@ -33,12 +33,12 @@
 	best := -1
 	for i := range samples {
 		at := int(uint16(bits>>(16*i))) * n >> 16
-		best = p.better(best, at, tried, barred)
+		best = p.better(best, at, tried, unavailable)
 	}
 	if best >= 0 && p.acquire(best) {
 		return p.pick(best), true
 	}
-	return p.scan(int(bits>>48)*n>>16, tried, barred)
+	return p.scan(int(bits>>48)*n>>16, tried, unavailable)
 }
 
 // PickTrial takes a target on trial for a copy of a repeatable request. It
