--- a/internal/balance/pick.go
+++ b/internal/balance/pick.go
@@ -60,9 +60,9 @@
 
 // better returns the better of two choices; choices without a connection left,
 // tried before or barred are never better than none.
-func (p *Pool) better(best, at int, tried, barred []string) int {
+func (p *Pool) better(best, at int, tried, unavailable []string) int {
 	c := &p.choices[at]
-	if c.gauge.inFlight.Load() >= c.limit || contains(tried, c.key) || contains(barred, c.key) {
+	if c.gauge.inFlight.Load() >= c.limit || contains(tried, c.key) || contains(unavailable, c.key) {
 		return best
 	}
 	if best < 0 || p.load(at) < p.load(best) {
