--- a/internal/balance/pick.go
+++ b/internal/balance/pick.go
@@ -95,11 +95,11 @@
 // scan looks at every target once: first for one not tried, then for any.
 func (p *Pool) scan(from int, tried, unavailable []string) (Pick, bool) {
 	n := len(p.choices)
-	for _, again := range [...]bool{false, true} {
+	for _, retried := range [...]bool{false, true} {
 		for i := range n {
 			at := (from + i) % n
 			key := p.choices[at].key
-			if contains(tried, key) == again && !contains(unavailable, key) && p.acquire(at) {
+			if contains(tried, key) == retried && !contains(unavailable, key) && p.acquire(at) {
 				return p.pick(at), true
 			}
 		}
