--- a/internal/policy/policy.go
+++ b/internal/policy/policy.go
@@ -116,13 +116,13 @@
 	return p, nil
 }
 
-func compile(env *cel.Env, part, text, fallback string, want *cel.Type) (cel.Program, error) {
+func compile(env *cel.Env, expression, text, fallback string, want *cel.Type) (cel.Program, error) {
 	if text == "" {
 		text = fallback
 	}
 	fault := func(line, column int, detail string) *Error {
 		return &Error{
-			expression: part,
+			expression: expression,
 			line:       line,
 			column:     column,
 			detail:     detail,
