--- a/internal/admission/limit.go
+++ b/internal/admission/limit.go
@@ -44,11 +44,11 @@
 		return 0
 	}
 	share := rate / float64(max(nodes, 1))
-	room := math.Max(burst/float64(max(nodes, 1)), 1)
+	capacity := math.Max(burst/float64(max(nodes, 1)), 1)
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	b := l.bucket(now, id, share, room)
-	b.refill(now, share, room)
+	b := l.bucket(now, id, share, capacity)
+	b.refill(now, share, capacity)
 	if b.tokens >= 1 {
 		b.tokens--
 		return 0
