--- a/internal/admission/limit.go
+++ b/internal/admission/limit.go
@@ -57,12 +57,12 @@
 	return max(wait, minWait)
 }
 
-func (b *bucket) refill(now time.Time, share, room float64) {
+func (b *bucket) refill(now time.Time, share, capacity float64) {
 	if elapsed := now.Sub(b.at).Seconds(); elapsed > 0 {
 		b.tokens += elapsed * share
 		b.at = now
 	}
-	b.tokens = math.Min(b.tokens, room)
+	b.tokens = math.Min(b.tokens, capacity)
 }
 
 func (l *Limiter) bucket(now time.Time, id string, share, room float64) *bucket {
