--- a/internal/admission/limit.go
+++ b/internal/admission/limit.go
@@ -65,15 +65,15 @@
 	b.tokens = math.Min(b.tokens, capacity)
 }
 
-func (l *Limiter) bucket(now time.Time, id string, share, room float64) *bucket {
+func (l *Limiter) bucket(now time.Time, id string, share, capacity float64) *bucket {
 	if b := l.buckets[id]; b != nil {
 		return b
 	}
 	if len(l.buckets) >= maxBuckets {
-		l.evict(now, share, room)
+		l.evict(now, share, capacity)
 	}
 	b := &bucket{
-		tokens: room,
+		tokens: capacity,
 		at:     now,
 	}
 	l.buckets[id] = b
