--- a/internal/admission/limit.go
+++ b/internal/admission/limit.go
@@ -82,7 +82,7 @@
 
 // evict forgets a few idle workspaces: those whose bucket would be full by now
 // at the asking workspace's rate, else any that it meets first.
-func (l *Limiter) evict(now time.Time, share, room float64) {
+func (l *Limiter) evict(now time.Time, share, capacity float64) {
 	const most = 64
 	seen := 0
 	var oldest string
@@ -91,7 +91,7 @@
 		if oldest == "" || b.at.Before(at) {
 			oldest, at = id, b.at
 		}
-		if now.Sub(b.at).Seconds()*share >= room {
+		if now.Sub(b.at).Seconds()*share >= capacity {
 			delete(l.buckets, id)
 		}
 		if seen++; seen >= most {
