--- a/internal/admission/limit.go
+++ b/internal/admission/limit.go
@@ -83,7 +83,7 @@
 // evict forgets a few idle workspaces: those whose bucket would be full by now
 // at the asking workspace's rate, else any that it meets first.
 func (l *Limiter) evict(now time.Time, share, capacity float64) {
-	const most = 64
+	const maxScanned = 64
 	seen := 0
 	var oldest string
 	var at time.Time
@@ -94,7 +94,7 @@
 		if now.Sub(b.at).Seconds()*share >= capacity {
 			delete(l.buckets, id)
 		}
-		if seen++; seen >= most {
+		if seen++; seen >= maxScanned {
 			break
 		}
 	}
