--- a/internal/admission/limit.go
+++ b/internal/admission/limit.go
@@ -84,7 +84,7 @@
 // at the asking workspace's rate, else any that it meets first.
 func (l *Limiter) evict(now time.Time, share, capacity float64) {
 	const maxScanned = 64
-	seen := 0
+	scanned := 0
 	var oldest string
 	var at time.Time
 	for id, b := range l.buckets {
@@ -94,7 +94,7 @@
 		if now.Sub(b.at).Seconds()*share >= capacity {
 			delete(l.buckets, id)
 		}
-		if seen++; seen >= maxScanned {
+		if scanned++; scanned >= maxScanned {
 			break
 		}
 	}
