--- a/internal/outlier/outlier_test.go
+++ b/internal/outlier/outlier_test.go
@@ -321,7 +321,7 @@
 	return out
 }
 
-func TestJudgeReinstatesStepByStep(t *testing.T) {
+func TestReinstatementPassesAllPhases(t *testing.T) {
 	j := outlier.NewJudge()
 	j.SetTargets(start, []string{"t", "u"})
 	j.Sick(start, "t", threshold)
