--- a/internal/outlier/outlier_test.go
+++ b/internal/outlier/outlier_test.go
@@ -334,7 +334,7 @@
 	}
 }
 
-func TestRelapseHoldsLonger(t *testing.T) {
+func TestRelapseExtendsEjection(t *testing.T) {
 	j := outlier.NewJudge()
 	j.SetTargets(start, []string{"t"})
 	now := start
