--- a/internal/outlier/outlier_test.go
+++ b/internal/outlier/outlier_test.go
@@ -365,7 +365,7 @@
 	}
 }
 
-func TestVerdictDiesWithItsLease(t *testing.T) {
+func TestRemoteEjectionEndsWithItsLease(t *testing.T) {
 	j := outlier.NewJudge()
 	j.SetTargets(start, []string{"t"})
 	j.Verdict(start, "t", threshold, 3*time.Second)
