--- a/internal/outlier/outlier_test.go
+++ b/internal/outlier/outlier_test.go
@@ -385,7 +385,7 @@
 	}
 }
 
-func TestLeavingIsNotTakenBackByAnOldList(t *testing.T) {
+func TestDrainingOutlastsAStaleTargetList(t *testing.T) {
 	j := outlier.NewJudge()
 	j.SetTargets(start, []string{"t"})
 	j.Leaving(start, "t")
