--- a/internal/outlier/outlier_test.go
+++ b/internal/outlier/outlier_test.go
@@ -398,7 +398,7 @@
 	}
 }
 
-func observerOf(t *testing.T) *outlier.Observer {
+func newObserver(t *testing.T) *outlier.Observer {
 	t.Helper()
 	p, err := policy.Compile(policy.Text{})
 	if err != nil {
@@ -466,7 +466,7 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			got := report(observerOf(t), 10, c.bad, 8)
+			got := report(newObserver(t), 10, c.bad, 8)
 			if len(got) != c.want {
 				t.Fatalf("%d verdicts, want %d: %+v", len(got), c.want, got)
 			}
