--- a/internal/outlier/outlier_test.go
+++ b/internal/outlier/outlier_test.go
@@ -15,9 +15,9 @@
 
 var start = time.Unix(1_000_000, 0)
 
-// feed gives a detector the same counts for some ticks of a second and returns
+// updateUntilSick gives a detector the same counts for some ticks of a second and returns
 // after how many of them the first target's score reached the threshold, or 0.
-func feed(d *outlier.Detector, ticks int, first, others outlier.Counts) int {
+func updateUntilSick(d *outlier.Detector, ticks int, first, others outlier.Counts) int {
 	for i := range ticks {
 		counts := []outlier.Counts{first}
 		counts[0].Target = "first"
@@ -138,7 +138,7 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			ticks := feed(outlier.NewDetector(threshold), 20, c.first, c.others)
+			ticks := updateUntilSick(outlier.NewDetector(threshold), 20, c.first, c.others)
 			if ticks < c.least || ticks > c.most {
 				t.Fatalf("detected after %d ticks, want %d to %d", ticks, c.least, c.most)
 			}
@@ -153,9 +153,9 @@
 		Good: 10,
 		Bad:  10,
 	}
-	feed(d, 3, bad, bad)
+	updateUntilSick(d, 3, bad, bad)
 	d.Reset("first")
-	if ticks := feed(d, 20, bad, bad); ticks != 0 {
+	if ticks := updateUntilSick(d, 20, bad, bad); ticks != 0 {
 		t.Fatalf("ejected after %d ticks though the whole pool suffers", ticks)
 	}
 }
@@ -165,13 +165,13 @@
 	good := outlier.Counts{
 		Good: 5,
 	}
-	feed(d, 10, good, good)
-	if n := feed(d, 1, outlier.Counts{
+	updateUntilSick(d, 10, good, good)
+	if n := updateUntilSick(d, 1, outlier.Counts{
 		Bad: 20,
 	}, good); n != 0 {
 		t.Fatal("one tick was enough")
 	}
-	if n := feed(d, 10, good, good); n != 0 {
+	if n := updateUntilSick(d, 10, good, good); n != 0 {
 		t.Fatalf("detected %d ticks after the pause ended", n)
 	}
 }
@@ -181,12 +181,12 @@
 	good := outlier.Counts{
 		Good: 5,
 	}
-	feed(d, 1, outlier.Counts{
+	updateUntilSick(d, 1, outlier.Counts{
 		Bad:     4,
 		Stalled: 4,
 	}, good)
 	// All callers wait for their answers: no request ends any more.
-	if n := feed(d, 10, outlier.Counts{}, good); n == 0 {
+	if n := updateUntilSick(d, 10, outlier.Counts{}, good); n == 0 {
 		t.Fatal("evidence beyond the first tick is lost")
 	}
 }
