--- a/internal/health/health_test.go
+++ b/internal/health/health_test.go
@@ -18,8 +18,8 @@
 // start is when all models of these tests begin.
 var start = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// usual is the time of an answer in these tests.
-const usual = 200 * time.Millisecond
+// medianLatency is the time of an answer in these tests.
+const medianLatency = 200 * time.Millisecond
 
 // answered returns a model, a route whose answers take about the usual time, and
 // when that had been learned.
@@ -29,7 +29,7 @@
 	r := m.Route(start, "route")
 	rng := rand.New(rand.NewPCG(1, 2))
 	for range 200 {
-		took := usual/2 + time.Duration(rng.Int64N(int64(usual)))
+		took := medianLatency/2 + time.Duration(rng.Int64N(int64(medianLatency)))
 		if err := r.Answered(took); err != nil {
 			t.Fatal(err)
 		}
@@ -64,18 +64,18 @@
 	}{
 		{
 			name: "usual",
-			age:  usual,
+			age:  medianLatency,
 			most: 0.06,
 		},
 		{
 			name:  "twice the usual time",
-			age:   2 * usual,
+			age:   2 * medianLatency,
 			least: 0.2,
 			most:  1,
 		},
 		{
 			name:  "five times the usual time",
-			age:   5 * usual,
+			age:   5 * medianLatency,
 			least: 0.28,
 			most:  1,
 		},
@@ -97,7 +97,7 @@
 // quicker, says as much as it would have said at that age.
 func TestAttemptThatWasGivenUpSpeaksByItsAge(t *testing.T) {
 	m, r, now := answered(t)
-	for _, age := range []time.Duration{20 * time.Millisecond, 3 * usual} {
+	for _, age := range []time.Duration{20 * time.Millisecond, 3 * medianLatency} {
 		target := health.NewTarget(now, m)
 		n := target.Begin(now, r)
 		end := now.Add(age)
@@ -116,11 +116,11 @@
 	target := health.NewTarget(now, m)
 	old := target.Begin(now, r)
 	for range 4 {
-		now = now.Add(usual)
+		now = now.Add(medianLatency)
 		n := target.Begin(now, r)
-		target.End(now.Add(usual/2), n, health.Good)
+		target.End(now.Add(medianLatency/2), n, health.Good)
 	}
-	now = now.Add(usual)
+	now = now.Add(medianLatency)
 	target.End(now, old, health.Silent)
 	if p := target.Failing(now); p > 0.1 {
 		t.Errorf("failing with probability %.3f after four answers to later requests", p)
@@ -166,7 +166,7 @@
 	m, r, now := answered(t)
 	target := health.NewTarget(now, m)
 	for i := range 400 {
-		took := 3*usual + time.Duration(i%7)*10*time.Millisecond
+		took := 3*medianLatency + time.Duration(i%7)*10*time.Millisecond
 		n := target.Begin(now, r)
 		now = now.Add(took)
 		if err := r.Answered(took); err != nil {
@@ -176,7 +176,7 @@
 		m.Advance(now)
 	}
 	target.Begin(now, r)
-	if p := target.Failing(now.Add(3 * usual)); p > 0.1 {
+	if p := target.Failing(now.Add(3 * medianLatency)); p > 0.1 {
 		t.Errorf("failing with probability %.3f after the new usual time", p)
 	}
 }
@@ -236,7 +236,7 @@
 					if c.failing && rng.Float64() < lost {
 						c.target.Saw(now, r, tt.kind, tt.took)
 					} else {
-						c.target.Saw(now, r, health.Good, usual)
+						c.target.Saw(now, r, health.Good, medianLatency)
 					}
 				}
 				m.Advance(now)
--- a/internal/health/steady_test.go
+++ b/internal/health/steady_test.go
@@ -66,9 +66,9 @@
 			for _, k := range tt.kinds {
 				at = at.Add(500 * time.Millisecond)
 				n := target.Begin(at, r)
-				target.End(at.Add(usual), n, k)
+				target.End(at.Add(medianLatency), n, k)
 			}
-			now := at.Add(usual)
+			now := at.Add(medianLatency)
 			if p := target.Steady(now, now.Add(-past)); p < tt.least || p > tt.most {
 				t.Errorf("steady with probability %.3f, want %.2f to %.2f", p, tt.least, tt.most)
 			}
@@ -87,9 +87,9 @@
 		for i := range min(len(kinds), len(gaps)) {
 			now = now.Add(time.Duration(gaps[i]%1500) * time.Millisecond)
 			n := target.Begin(now, r)
-			target.End(now.Add(usual), n, health.Kind(kinds[i]%uint8(health.Unreached+1)))
+			target.End(now.Add(medianLatency), n, health.Kind(kinds[i]%uint8(health.Unreached+1)))
 		}
-		now = now.Add(usual)
+		now = now.Add(medianLatency)
 		before := 1 - target.Failing(now)
 		for past := time.Duration(0); past <= 6*time.Second; past += 500 * time.Millisecond {
 			p := target.Steady(now, now.Add(-past))
