--- a/internal/health/health_test.go
+++ b/internal/health/health_test.go
@@ -21,9 +21,9 @@
 // medianLatency is the time of an answer in these tests.
 const medianLatency = 200 * time.Millisecond
 
-// answered returns a model, a route whose answers take about the usual time, and
+// trainedModel returns a model, a route whose answers take about the usual time, and
 // when that had been learned.
-func answered(t testing.TB) (*health.Model, *health.Route, time.Time) {
+func trainedModel(t testing.TB) (*health.Model, *health.Route, time.Time) {
 	t.Helper()
 	m := health.NewModel(start)
 	r := m.Route(start, "route")
@@ -82,7 +82,7 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			m, r, now := answered(t)
+			m, r, now := trainedModel(t)
 			target := health.NewTarget(now, m)
 			target.Begin(now, r)
 			p := target.Failing(now.Add(tt.age))
@@ -96,7 +96,7 @@
 // An attempt that was given up, because its caller left or another target was
 // quicker, says as much as it would have said at that age.
 func TestAttemptThatWasGivenUpSpeaksByItsAge(t *testing.T) {
-	m, r, now := answered(t)
+	m, r, now := trainedModel(t)
 	for _, age := range []time.Duration{20 * time.Millisecond, 3 * medianLatency} {
 		target := health.NewTarget(now, m)
 		n := target.Begin(now, r)
@@ -112,7 +112,7 @@
 // What an attempt shows counts at the time at which it was sent: answers to later
 // ones outweigh a time-out that is told after them.
 func TestLaterAnswersOutweighAnOldTimeout(t *testing.T) {
-	m, r, now := answered(t)
+	m, r, now := trainedModel(t)
 	target := health.NewTarget(now, m)
 	old := target.Begin(now, r)
 	for range 4 {
@@ -130,7 +130,7 @@
 // A route whose requests are never answered, whatever their target, makes nobody
 // doubt the targets once that has been learned.
 func TestRouteThatIsNeverAnsweredSaysNothing(t *testing.T) {
-	m, good, now := answered(t)
+	m, good, now := trainedModel(t)
 	mute := m.Route(now, "mute")
 	target := health.NewTarget(now, m)
 	after := 0.0
@@ -163,7 +163,7 @@
 // When all targets become slower, answers are late at first; none is taken for
 // failing once the new times are known.
 func TestAllSlowTogetherIsNotFailing(t *testing.T) {
-	m, r, now := answered(t)
+	m, r, now := trainedModel(t)
 	target := health.NewTarget(now, m)
 	for i := range 400 {
 		took := 3*medianLatency + time.Duration(i%7)*10*time.Millisecond
@@ -213,7 +213,7 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			m, r, now := answered(t)
+			m, r, now := trainedModel(t)
 			rng := rand.New(rand.NewPCG(5, 6))
 			channels := make([]channel, 12)
 			for i := range channels {
--- a/internal/health/steady_test.go
+++ b/internal/health/steady_test.go
@@ -61,7 +61,7 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			m, r, at := answered(t)
+			m, r, at := trainedModel(t)
 			target := health.NewTarget(at, m)
 			for _, k := range tt.kinds {
 				at = at.Add(500 * time.Millisecond)
@@ -82,7 +82,7 @@
 	const slack = 1e-9
 	properties := gopter.NewProperties(nil)
 	properties.Property("steady", prop.ForAll(func(kinds []uint8, gaps []uint16) bool {
-		m, r, now := answered(t)
+		m, r, now := trainedModel(t)
 		target := health.NewTarget(now, m)
 		for i := range min(len(kinds), len(gaps)) {
 			now = now.Add(time.Duration(gaps[i]%1500) * time.Millisecond)
