--- a/internal/health/health_test.go
+++ b/internal/health/health_test.go
@@ -181,8 +181,8 @@
 	}
 }
 
-// channel is a target of which a test knows the state.
-type channel struct {
+// simulatedTarget is a target of which a test knows the state.
+type simulatedTarget struct {
 	failing bool
 	target  *health.Target
 }
@@ -215,7 +215,7 @@
 		t.Run(tt.name, func(t *testing.T) {
 			m, r, now := trainedModel(t)
 			rng := rand.New(rand.NewPCG(5, 6))
-			channels := make([]channel, 12)
+			channels := make([]simulatedTarget, 12)
 			for i := range channels {
 				channels[i].target = health.NewTarget(now, m)
 			}
