--- a/internal/balance/balance_test.go
+++ b/internal/balance/balance_test.go
@@ -125,7 +125,7 @@
 	}
 }
 
-func TestPickStopsAtTheConnections(t *testing.T) {
+func TestPickRespectsConnectionLimit(t *testing.T) {
 	list := members(3)
 	for i := range list {
 		list[i].Connections = 10
