--- a/internal/balance/balance_test.go
+++ b/internal/balance/balance_test.go
@@ -254,7 +254,7 @@
 	}
 }
 
-func TestSubsetMovesLittle(t *testing.T) {
+func TestSubsetChangesLittleWhenATargetDrains(t *testing.T) {
 	list := members(30)
 	before := balance.NewPool(list, 0, "node", 1000).Keys()
 	list[7].Leaving = true
