--- a/internal/balance/balance_test.go
+++ b/internal/balance/balance_test.go
@@ -39,9 +39,9 @@
 	// Output: 192.0.2.2:80 true
 }
 
-// states makes members from small numbers: 0 healthy, 1 sick, 2 leaving, 3 sick
+// membersInStates makes members from small numbers: 0 healthy, 1 sick, 2 leaving, 3 sick
 // and leaving, 4 on trial, 5 cold.
-func states(codes []int) []balance.Member {
+func membersInStates(codes []int) []balance.Member {
 	list := members(len(codes))
 	for i, c := range codes {
 		list[i].Sick = c == 1 || c == 3 || c == 4
@@ -61,7 +61,7 @@
 	p := gopter.NewProperties(nil)
 	p.Property("serving capacity never falls below the floor", prop.ForAll(
 		func(codes []int, share float64) bool {
-			list := states(codes)
+			list := membersInStates(codes)
 			capacity := balance.NewPool(list, 0, "n", 1).Capacity()
 			floor := share * capacity
 			pool := balance.NewPool(list, floor, "n", 1)
@@ -72,7 +72,7 @@
 	))
 	p.Property("leaving targets are never used", prop.ForAll(
 		func(codes []int) bool {
-			list := states(codes)
+			list := membersInStates(codes)
 			pool := balance.NewPool(list, 1e9, "n", 1)
 			for _, m := range list {
 				if m.Leaving && slices.Contains(pool.Keys(), m.Key) {
@@ -85,7 +85,7 @@
 	))
 	p.Property("without a floor nothing sick is used", prop.ForAll(
 		func(codes []int) bool {
-			list := states(codes)
+			list := membersInStates(codes)
 			pool := balance.NewPool(list, 0, "n", 1)
 			for _, m := range list {
 				if m.Sick && slices.Contains(pool.Keys(), m.Key) {
