--- a/internal/policy/policy_test.go
+++ b/internal/policy/policy_test.go
@@ -114,7 +114,7 @@
 
 // A policy that fails while it runs must not take targets out of service, nor
 // lower the floor, nor cause retries.
-func TestFailingPolicyIsCareful(t *testing.T) {
+func TestEvaluationErrorKeepsTargetsInService(t *testing.T) {
 	p, err := policy.Compile(policy.Text{
 		Sick:  "1 / (reporters - reporters) > 0",
 		Retry: "1 / (attempt - attempt) > 0",
