--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -129,7 +129,7 @@
 	}
 }
 
-func TestLimiterTellsWhenToComeBack(t *testing.T) {
+func TestLimiterReturnsTheWait(t *testing.T) {
 	l := admission.NewLimiter()
 	l.Admit(start, "w", 2, 1, 1)
 	wait := l.Admit(start, "w", 2, 1, 1)
