--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -141,7 +141,7 @@
 	}
 }
 
-func TestClockThatGoesBackGivesNothing(t *testing.T) {
+func TestClockSteppingBackAddsNoTokens(t *testing.T) {
 	l := admission.NewLimiter()
 	l.Admit(start, "w", 1, 1, 1)
 	for i := range 100 {
