--- a/internal/health/health_test.go
+++ b/internal/health/health_test.go
@@ -56,7 +56,7 @@
 
 // An attempt that waits for its answer speaks against its target as soon as nearly
 // all others would have been answered.
-func TestSilenceIsSeenByItsAge(t *testing.T) {
+func TestUnansweredAttemptCountsByItsAge(t *testing.T) {
 	tests := []struct {
 		name        string
 		age         time.Duration
