--- a/internal/health/health_test.go
+++ b/internal/health/health_test.go
@@ -95,7 +95,7 @@
 
 // An attempt that was given up, because its caller left or another target was
 // quicker, says as much as it would have said at that age.
-func TestAttemptThatWasGivenUpSpeaksByItsAge(t *testing.T) {
+func TestAbandonedAttemptCountsByItsAge(t *testing.T) {
 	m, r, now := trainedModel(t)
 	for _, age := range []time.Duration{20 * time.Millisecond, 3 * medianLatency} {
 		target := health.NewTarget(now, m)
