--- a/internal/health/health_test.go
+++ b/internal/health/health_test.go
@@ -129,7 +129,7 @@
 
 // A route whose requests are never answered, whatever their target, makes nobody
 // doubt the targets once that has been learned.
-func TestRouteThatIsNeverAnsweredSaysNothing(t *testing.T) {
+func TestUnansweredRouteIsNoEvidence(t *testing.T) {
 	m, good, now := trainedModel(t)
 	mute := m.Route(now, "mute")
 	target := health.NewTarget(now, m)
