--- a/internal/health/health_test.go
+++ b/internal/health/health_test.go
@@ -162,7 +162,7 @@
 
 // When all targets become slower, answers are late at first; none is taken for
 // failing once the new times are known.
-func TestAllSlowTogetherIsNotFailing(t *testing.T) {
+func TestCommonSlowdownIsNotFailing(t *testing.T) {
 	m, r, now := trainedModel(t)
 	target := health.NewTarget(now, m)
 	for i := range 400 {
