--- a/internal/health/health_test.go
+++ b/internal/health/health_test.go
@@ -253,7 +253,7 @@
 }
 
 // Whatever comes in whatever order, beliefs are probabilities.
-func TestBeliefsAreProbabilities(t *testing.T) {
+func TestEstimatesAreProbabilities(t *testing.T) {
 	properties := gopter.NewProperties(nil)
 	properties.Property("between 0 and 1", prop.ForAll(func(seed uint64) bool {
 		rng := rand.New(rand.NewPCG(seed, 1))
