--- a/internal/health/steady_test.go
+++ b/internal/health/steady_test.go
@@ -34,7 +34,7 @@
 
 // A target that failed and answers again works, but has not worked since before it
 // failed.
-func TestSteadyTellsRecoveredFromWorking(t *testing.T) {
+func TestSteadyExcludesRecoveredTargets(t *testing.T) {
 	const past = 4 * time.Second
 	tests := []struct {
 		name string
