--- a/internal/outlier/collector.go
+++ b/internal/outlier/collector.go
@@ -7,30 +7,30 @@
 	"time"
 )
 
-// Parameters of what counts as slow.
+// Parameters that decide which requests count as slow.
 const (
-	// slowFactor is how many times the usual latency counts as slow.
+	// slowFactor is the multiple of the median latency that counts as slow.
 	slowFactor = 5
-	// minSlow is the least time that counts as slow.
+	// minSlow is the shortest latency that counts as slow.
 	minSlow = 50 * time.Millisecond
-	// defaultSlow counts as slow while the usual latency is unknown.
+	// defaultSlow is the latency that counts as slow until the median is known.
 	defaultSlow = time.Second
-	// medianStep is the part by which one request moves the usual latency.
+	// medianStep is the fraction by which one request moves the median estimate.
 	medianStep = 0.05
-	// medianSamples is how many requests make the usual latency known.
+	// medianSamples is the number of requests after which the median is known.
 	medianSamples = 8
-	// pauseFactor is how many ticks late a drain shows that the process stood
-	// still.
+	// pauseFactor is the number of ticks between two drains above which the
+	// process is taken to have been paused.
 	pauseFactor = 4
-	// maxStallCounts is how often an attempt in flight may count as bad, ageStep the
-	// time from the first to the second count. One attempt alone, which may just
-	// be a long one, thus never ejects a target.
+	// maxStallCounts is how often an attempt in flight may count as bad,
+	// stallCountInterval the time from the first to the second count. A single
+	// attempt, which may just be a long one, thus never ejects a target.
 	maxStallCounts     = 2
 	stallCountInterval = 500 * time.Millisecond
 )
 
-// medianEstimate estimates the median latency of one class of requests by stochastic
-// approximation: each request moves it a step towards itself.
+// medianEstimate estimates the median latency of one class of requests by
+// stochastic approximation: each request moves it one step towards its own latency.
 type medianEstimate struct {
 	median  time.Duration
 	samples int
@@ -50,6 +50,7 @@
 	}
 }
 
+// slowAfter returns the latency above which a request counts as slow.
 func (u *medianEstimate) slowAfter() time.Duration {
 	if u.samples < medianSamples {
 		return defaultSlow
@@ -63,9 +64,9 @@
 	counts    *targetCounts
 	median    *medianEstimate
 	started   time.Time
-	// stallCounts is how often the flight was counted as bad for its age.
+	// stallCounts is how often the attempt was counted as bad while in flight.
 	stallCounts int
-	// discarded is set when the process stood still: its age proves nothing.
+	// discarded is set when the process was paused: the attempt's age proves nothing.
 	discarded bool
 }
 
@@ -99,7 +100,7 @@
 	}
 }
 
-// Begin notes the start of an attempt. Requests of one class take similar time.
+// Begin records the start of an attempt. Requests of one class take similar time.
 func (c *Collector) Begin(now time.Time, service, class, target string) *Flight {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -143,17 +144,17 @@
 	return v
 }
 
-// End is what an attempt showed.
+// End is the result of an attempt as evidence about its target.
 type End struct {
-	// Failed speaks against the target.
+	// Failed is set when the target failed the attempt.
 	Failed bool
-	// Ignored is an end that says nothing about the target: it shed the request,
-	// or the caller left. What took too long until then counts all the same.
+	// Ignored is set when the result is no evidence about the target: it shed the
+	// request, or the caller disconnected. A slow attempt counts as bad all the same.
 	Ignored bool
-	// Leaving is set when the target said that it leaves.
+	// Leaving is set when the target signaled that it is draining.
 	Leaving bool
 	// Shed is set when the target refused the request before running it, Other
-	// when another process has its address.
+	// when another process has the target's address.
 	Shed  bool
 	Other bool
 	// Unreached is set when no connection could be opened.
@@ -162,7 +163,7 @@
 	Lost bool
 }
 
-// End notes the end of the attempt.
+// End records the end of the attempt.
 func (f *Flight) End(now time.Time, e End) {
 	c := f.collector
 	c.mu.Lock()
@@ -186,22 +187,22 @@
 	}
 }
 
-// Slow returns the time after which a request of a class counts as slow.
+// Slow returns the latency above which a request of a class counts as slow.
 func (c *Collector) Slow(service, class string) time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.median(service, class).slowAfter()
 }
 
-// Evidence is what a drain gives of one target.
+// Evidence holds the counts of one target from one drain.
 type Evidence struct {
 	Service string
 	Counts  Counts
 }
 
 // Drain returns the counts since the last drain. Attempts that have been in
-// flight for too long count as bad before they end. If the process stood still
-// meanwhile all counts and all attempts in flight are dropped: they show the
+// flight for too long count as bad before they end. If the process was paused in
+// between, all counts and attempts in flight are discarded: they reflect the
 // pause, not the targets.
 func (c *Collector) Drain(now time.Time) []Evidence {
 	c.mu.Lock()
@@ -223,6 +224,7 @@
 	return out
 }
 
+// discard drops the counts and excludes the attempts in flight from later ones.
 func (v *targetCounts) discard() {
 	v.counts = Counts{}
 	for f := range v.inFlight {
@@ -230,6 +232,7 @@
 	}
 }
 
+// countStalled counts attempts in flight that are slow already as bad.
 func (v *targetCounts) countStalled(now time.Time) {
 	for f := range v.inFlight {
 		if f.discarded || f.stallCounts >= maxStallCounts {
--- a/internal/outlier/controller.go
+++ b/internal/outlier/controller.go
@@ -4,43 +4,42 @@
 
 import "time"
 
-// Phase is the state of a target on one node.
+// Phase is the ejection state of a target on one node.
 type Phase uint8
 
-// Phases, in the order in which an ejected target passes them.
+// Phases. An ejected target passes through trial and warming to healthy.
 const (
 	PhaseHealthy Phase = iota
-	// PhaseEjected targets get no work above the floor.
+	// PhaseEjected targets get no requests unless the floor needs them.
 	PhaseEjected
-	// PhaseTrial targets get copies of repeatable requests, whose answers nobody
-	// waits for.
+	// PhaseTrial targets get copies of repeatable requests whose answers are
+	// discarded.
 	PhaseTrial
-	// PhaseWarming targets get a growing share of work.
+	// PhaseWarming targets get a growing share of requests.
 	PhaseWarming
 )
 
-// String returns the phase in words.
 func (p Phase) String() string {
 	return [...]string{"healthy", "ejected", "trial", "warming"}[p]
 }
 
-// Times and counts of reinstatement.
+// Parameters of reinstatement.
 const (
-	// trialSuccesses is how many good trial requests end a trial.
+	// trialSuccesses is the number of good trial requests that end a trial.
 	trialSuccesses = 3
-	// TrialWait is how long a trial without requests lasts, for services that
-	// have no repeatable ones.
+	// TrialWait is the duration of a trial without requests, for services that have
+	// no repeatable ones.
 	TrialWait = 30 * time.Second
-	// WarmTime is how long a target's share grows.
+	// WarmTime is the time in which a target's share grows to its full size.
 	WarmTime = 10 * time.Second
-	// minWarmth is the share of its slots with which a target starts.
+	// minWarmth is the share of its slots that a warming target starts with.
 	minWarmth = 0.1
-	// LeavingTime is how long a target's own word that it leaves holds. The
-	// platform's list, which lags by up to 30 s, has caught up by then.
+	// LeavingTime is how long a target's own draining signal counts. The platform's
+	// list, which lags by up to 30 s, is up to date by then.
 	LeavingTime = time.Minute
 )
 
-// targetState is the state of one target.
+// targetState is the ejection state of one target.
 type targetState struct {
 	phase         Phase
 	since         time.Time
@@ -51,16 +50,16 @@
 	drainingUntil time.Time
 }
 
-// Judge holds a node's state of the targets of one service. It isn't safe for
-// concurrent use.
+// Judge holds a node's ejection state of the targets of one service. It isn't safe
+// for concurrent use.
 type Judge struct {
 	targets map[string]*targetState
-	// unhealthy are the targets that aren't healthy.
+	// unhealthy holds the targets in any phase but PhaseHealthy.
 	unhealthy   map[string]*targetState
 	initialized bool
 }
 
-// NewJudge returns a judge without targets.
+// NewJudge returns a Judge without targets.
 func NewJudge() *Judge {
 	return &Judge{
 		targets:   map[string]*targetState{},
@@ -68,8 +67,8 @@
 	}
 }
 
-// SetTargets takes the published targets. Targets of the first call are warm,
-// later ones start cold.
+// SetTargets replaces the published targets. Targets of the first non-empty list
+// are healthy, later ones begin to warm up.
 func (j *Judge) SetTargets(now time.Time, addresses []string) {
 	known := map[string]bool{}
 	for _, a := range addresses {
@@ -105,8 +104,8 @@
 	j.eject(now, target, score)
 }
 
-// Verdict ejects a target on an observer's word, until lease has passed. An
-// observer that is frozen or cut off thus loses its say by itself.
+// Verdict ejects a target on an observer's decision until lease has passed, so that
+// decisions of an observer that hangs or is partitioned expire.
 func (j *Judge) Verdict(now time.Time, target string, score float64, lease time.Duration) {
 	t := j.targets[target]
 	if t == nil {
@@ -129,15 +128,15 @@
 	t.good = 0
 }
 
-// Leaving notes that a target said that it is leaving.
+// Leaving records a target's signal that it is draining.
 func (j *Judge) Leaving(now time.Time, target string) {
 	if t := j.targets[target]; t != nil {
 		t.drainingUntil = now.Add(LeavingTime)
 	}
 }
 
-// Evidence takes the requests of one tick to a target; those of a trial decide
-// it.
+// Evidence records the requests to a target in one tick. Only those of a trial
+// count: a bad one ejects the target again.
 func (j *Judge) Evidence(now time.Time, c Counts) {
 	t := j.targets[c.Target]
 	if t == nil || t.phase != PhaseTrial {
@@ -151,8 +150,8 @@
 	t.good += c.Good
 }
 
-// Advance moves targets whose time has come to their next phase. It reports
-// whether any state changed, which it does all the time while a target warms.
+// Advance moves targets to their next phase when it is due. It reports whether any
+// state changed, which is always so while a target warms up.
 func (j *Judge) Advance(now time.Time) bool {
 	changed := false
 	for a, t := range j.unhealthy {
@@ -161,7 +160,7 @@
 			t.since = now
 			changed = true
 		}
-		// The share of a warming target grows with time.
+		// The warmth of a warming target changes with time.
 		changed = changed || t.phase == PhaseWarming
 		if t.phase == PhaseHealthy {
 			delete(j.unhealthy, a)
@@ -188,17 +187,17 @@
 	return t.phase
 }
 
-// State is what a judge says of one target.
+// State is the ejection state of one target.
 type State struct {
 	Phase   Phase
 	Since   time.Time
 	Score   float64
 	Leaving bool
-	// Warmth is the share of its slots that the target can use, from 0 to 1.
+	// Warmth is the share of the target's slots in use, from 0 to 1.
 	Warmth float64
 }
 
-// State returns the state of a target; the zero value with full warmth for an
+// State returns the state of a target, or the zero value with full warmth for an
 // unknown one.
 func (j *Judge) State(now time.Time, target string) State {
 	t := j.targets[target]
--- a/internal/outlier/detector.go
+++ b/internal/outlier/detector.go
@@ -10,38 +10,38 @@
 	"ploverjunction.example/ploverjunction/internal/policy"
 )
 
-// Parameters of the test. Shares are shares of bad requests.
+// Parameters of the detector. Shares are shares of bad requests.
 const (
-	// minBadShare is the share that a healthy target is always allowed.
+	// minBadShare is the share that is always tolerated in a healthy target.
 	minBadShare = 0.02
-	// minSickShare is the smallest share that counts as sick.
+	// minSickShare is the smallest share expected of a sick target.
 	minSickShare = 0.3
-	// sickFactor is how many times worse than its pool a sick target is.
+	// sickFactor is the ratio of a sick target's share to that of its pool.
 	sickFactor = 3
-	// maxSickShare bounds the sick share, so that good requests stay finite evidence.
+	// maxSickShare bounds the sick share, so that good requests remain finite evidence.
 	maxSickShare = 0.9
-	// commonCauseShare is the share of the rest of the pool above which a cause
-	// outside the targets is likelier than one more sick target. It lies above a
-	// half: a data hall that is lost takes a third of a pool or more with it, and
-	// those targets must go.
+	// commonCauseShare is the share in the rest of the pool from which a cause
+	// outside the targets is likelier than one more sick target. It is above one
+	// half because the loss of a data hall fails a third of a pool or more, and
+	// those targets must be ejected.
 	commonCauseShare = 0.6
-	// commonCauseTargets is the same for the share of the other targets whose last
-	// requests went badly. A node with little traffic sees it sooner than a share
-	// of requests.
+	// commonCauseTargets is the corresponding share of the other targets whose last
+	// requests were mostly bad. With little traffic it is reached sooner than the
+	// share of requests.
 	commonCauseTargets = 0.5
-	// poolMemory is the time constant of the pool's usual share, recentMemory
-	// that of its recent share. A cause that meets the whole pool at once shows
-	// in the recent one.
+	// poolMemory is the time constant of the pool's baseline share, recentMemory
+	// that of its recent share, which shows a cause that affects the whole pool at
+	// once.
 	poolMemory   = 20 * time.Second
 	recentMemory = 750 * time.Millisecond
-	// poolPrior and recentPrior are how many requests the expectation
-	// leastHealthy stands for.
+	// poolPrior and recentPrior are the numbers of requests that the prior
+	// minBadShare counts for.
 	poolPrior   = 10
 	recentPrior = 4
-	// maxTickGain is the part of the threshold that one tick may add. Requests of
-	// one tick often share one short cause, such as a pause of the target.
+	// maxTickGain is the largest gain of one tick, as a fraction of the threshold.
+	// Requests of one tick often share a short cause, such as a pause of the target.
 	maxTickGain = 0.45
-	// maxScore bounds the score in thresholds, so that recovery stays possible.
+	// maxScore bounds the score, in thresholds, so that a target can recover.
 	maxScore = 2
 )
 
@@ -51,11 +51,11 @@
 	Good    float64
 	Bad     float64
 	Stalled float64
-	// Leaving is set when the target said that it is leaving.
+	// Leaving is set when the target signaled that it is draining.
 	Leaving bool
 }
 
-// add adds the requests of o; the target stays.
+// add adds the requests of o and leaves the target unchanged.
 func (c *Counts) add(o Counts) {
 	c.Good += o.Good
 	c.Bad += o.Bad
@@ -63,7 +63,7 @@
 	c.Leaving = c.Leaving || o.Leaving
 }
 
-// decayedCounts counts requests that fade with time.
+// decayedCounts counts requests with exponential decay.
 type decayedCounts struct {
 	good float64
 	bad  float64
@@ -74,14 +74,14 @@
 	t.bad += c.Bad
 }
 
-// decay lets time pass; memory is the time constant.
+// decay applies the decay of an elapsed time; memory is the time constant.
 func (t *decayedCounts) decay(elapsed, memory time.Duration) {
 	factor := math.Exp(-elapsed.Seconds() / memory.Seconds())
 	t.good *= factor
 	t.bad *= factor
 }
 
-// without returns the tally less that of one of its parts.
+// without returns the counts less those of one target.
 func (t *decayedCounts) without(part decayedCounts) decayedCounts {
 	return decayedCounts{
 		good: max(t.good-part.good, 0),
@@ -89,21 +89,23 @@
 	}
 }
 
-// badShare returns the bad share, drawn to leastHealthy by prior requests.
+// badShare returns the share of bad requests, with minBadShare as the prior that
+// counts for prior requests.
 func (t decayedCounts) badShare(prior float64) float64 {
 	return (t.bad + minBadShare*prior) / (t.good + t.bad + prior)
 }
 
-// targetScore is the state of one target.
+// targetScore is the detector's state of one target.
 type targetScore struct {
 	score    float64
 	baseline decayedCounts
 	recent   decayedCounts
 	stalled  float64
-	// lastBad is set if most requests of the last tick with any were bad.
+	// lastBad is set if at least half of the requests were bad in the last tick
+	// that had any.
 	lastBad bool
-	// carry is evidence beyond what one tick may add. It counts in later ticks
-	// unless the target does good work.
+	// carry is the gain beyond the bound of one tick. It counts in later ticks until
+	// the target serves a good request.
 	carry float64
 }
 
@@ -111,18 +113,18 @@
 type Detector struct {
 	threshold float64
 	targets   map[string]*targetScore
-	// carrying are the targets with evidence left for later ticks.
+	// carrying is the set of targets with a carry for later ticks.
 	carrying map[string]bool
 	baseline decayedCounts
 	recent   decayedCounts
-	// failingTargets is the number of targets whose last requests went badly.
+	// failingTargets is the number of targets with lastBad set.
 	failingTargets int
 	updatedAt      time.Time
 }
 
-// NewDetector returns a detector for a service. threshold is the score at which
-// evidence is strong: the false-alarm rate falls and the detection time grows
-// with it.
+// NewDetector returns a detector for a service. threshold is the score at which a
+// target counts as sick: a higher one lowers the false-alarm rate and lengthens
+// the detection time.
 func NewDetector(threshold float64) *Detector {
 	return &Detector{
 		threshold: threshold,
@@ -131,12 +133,12 @@
 	}
 }
 
-// Idle reports whether a tick without counts would change nothing.
+// Idle reports whether a tick without counts would leave all scores unchanged.
 func (d *Detector) Idle() bool {
 	return len(d.carrying) == 0
 }
 
-// Update takes the counts of one tick.
+// Update updates the scores from the counts of one tick.
 func (d *Detector) Update(now time.Time, tick []Counts) {
 	d.decay(now)
 	silent := maps.Clone(d.carrying)
@@ -154,7 +156,7 @@
 	}
 }
 
-// decay lets old counts fade.
+// decay applies the decay since the last update to all counts.
 func (d *Detector) decay(now time.Time) {
 	if !d.updatedAt.IsZero() {
 		elapsed := now.Sub(d.updatedAt)
@@ -169,11 +171,12 @@
 	d.updatedAt = now
 }
 
+// updateScore adds the log-likelihood ratio of c to its target's CUSUM.
 func (d *Detector) updateScore(c *Counts) {
 	t := d.target(c.Target)
 	healthy := d.othersBadShare(t)
 	if healthy >= commonCauseShare || d.failingShare(t) >= commonCauseTargets {
-		// Nothing tells this target from the others now.
+		// The target cannot be distinguished from the others: a common cause is likelier.
 		t.carry = 0
 		delete(d.carrying, c.Target)
 		return
@@ -194,8 +197,8 @@
 	t.score = min(max(t.score+gain, 0), maxScore*d.threshold)
 }
 
-// othersBadShare returns the bad share of all other targets, usual or recent,
-// whichever is worse, and at least leastHealthy.
+// othersBadShare returns the share of bad requests at all other targets: the larger
+// of baseline and recent share, but at least minBadShare.
 func (d *Detector) othersBadShare(t *targetScore) float64 {
 	return max(
 		d.baseline.without(t.baseline).badShare(poolPrior),
@@ -204,7 +207,7 @@
 	)
 }
 
-// failingShare returns the share of the other targets whose last requests went badly.
+// failingShare returns the share of the other targets with lastBad set.
 func (d *Detector) failingShare(t *targetScore) float64 {
 	others := len(d.targets) - 1
 	if others < 1 {
@@ -217,7 +220,7 @@
 	return float64(bad) / float64(others)
 }
 
-// setLastBad keeps count of the targets whose last requests went badly.
+// setLastBad sets lastBad of a target and maintains failingTargets.
 func (d *Detector) setLastBad(t *targetScore, bad bool) {
 	if t.lastBad == bad {
 		return
@@ -230,7 +233,7 @@
 	}
 }
 
-// remove forgets a target.
+// remove deletes the state of a target.
 func (d *Detector) remove(target string) {
 	if t := d.targets[target]; t != nil {
 		d.setLastBad(t, false)
@@ -239,6 +242,7 @@
 	delete(d.carrying, target)
 }
 
+// record adds c to the counts of its target and of the pool.
 func (d *Detector) record(c *Counts) {
 	t := d.target(c.Target)
 	if c.Good+c.Bad > 0 {
@@ -251,6 +255,7 @@
 	d.recent.add(c)
 }
 
+// target returns the state of a target and creates it if it is new.
 func (d *Detector) target(target string) *targetScore {
 	t := d.targets[target]
 	if t == nil {
@@ -260,7 +265,7 @@
 	return t
 }
 
-// Reading is what a detector holds of one target.
+// Reading holds the score and the decayed counts of one target.
 type Reading struct {
 	Score   float64
 	Good    float64
@@ -268,7 +273,7 @@
 	Stalled float64
 }
 
-// Health returns the reading as a policy sees it. threshold is the service's;
+// Health returns the reading as variables of a policy. threshold is the service's;
 // reporters and dataHalls count the sources of the evidence.
 func (r Reading) Health(threshold float64, reporters, dataHalls int) policy.Health {
 	return policy.Health{
@@ -282,7 +287,7 @@
 	}
 }
 
-// Read returns the reading of a target; the zero value for an unknown one.
+// Read returns the reading of a target, or the zero value for an unknown one.
 func (d *Detector) Read(target string) Reading {
 	t := d.targets[target]
 	if t == nil {
@@ -296,9 +301,9 @@
 	}
 }
 
-// Reset forgets a target, as after an ejection: what it did no longer says what
-// is usual in its pool. It stays in the recent share for its short memory: when
-// one target after another goes, a common cause is the likelier.
+// Reset removes a target, as after an ejection, and its counts from the baseline
+// of the pool. They remain in the recent share, which decays soon: when several
+// targets are ejected in a row, a common cause is likelier.
 func (d *Detector) Reset(target string) {
 	t := d.targets[target]
 	if t == nil {
@@ -308,7 +313,7 @@
 	d.remove(target)
 }
 
-// Keep drops all targets that are not in the set.
+// Keep removes all targets that are not in the set.
 func (d *Detector) Keep(targets map[string]bool) {
 	for name := range d.targets {
 		if !targets[name] {
@@ -317,5 +322,5 @@
 	}
 }
 
-// Threshold returns the score at which evidence is strong.
+// Threshold returns the score at which a target counts as sick.
 func (d *Detector) Threshold() float64 { return d.threshold }
--- a/internal/outlier/ejection.go
+++ b/internal/outlier/ejection.go
@@ -4,24 +4,25 @@
 
 import "time"
 
-// Times of ejections.
+// Parameters of ejections.
 const (
-	// FirstHold is how long a target is out after its first ejection.
+	// FirstHold is the duration of a target's first ejection.
 	FirstHold = 5 * time.Second
-	// MaxHold bounds the doubling after relapses.
+	// MaxHold bounds the duration, which doubles with each relapse.
 	MaxHold = 2 * time.Minute
-	// relapseExpiry is after how many holds without a relapse one relapse is forgotten.
+	// relapseExpiry is the time, in ejection durations, after which a target without
+	// a relapse has one relapse less.
 	relapseExpiry = 4
 )
 
-// ejection is the ejection of one target; it lasts twice as long after each relapse.
+// ejection is the ejection of one target. Its duration doubles with each relapse.
 type ejection struct {
 	relapses int
 	until    time.Time
 	duration time.Duration
 }
 
-// start ejects at now.
+// start begins an ejection at now.
 func (h *ejection) start(now time.Time) {
 	h.expireRelapses(now)
 	h.duration = min(FirstHold<<min(h.relapses, 16), MaxHold)
@@ -29,7 +30,7 @@
 	h.relapses++
 }
 
-// expireRelapses forgets relapses that lie far back.
+// expireRelapses removes relapses that are older than their expiry.
 func (h *ejection) expireRelapses(now time.Time) {
 	for h.relapses > 0 && now.Sub(h.until) > relapseExpiry*h.duration {
 		h.relapses--
--- a/internal/outlier/guard_test.go
+++ b/internal/outlier/guard_test.go
@@ -11,8 +11,8 @@
 	"ploverjunction.example/ploverjunction/internal/policy"
 )
 
-// mergeTime returns the time in nanoseconds for each record of evidence that an
-// observer of n targets takes and judges.
+// mergeTime returns the time in nanoseconds that an observer of n targets needs to
+// record and evaluate one report.
 func mergeTime(t *testing.T, n int) float64 {
 	t.Helper()
 	prg, err := policy.Compile(policy.Text{})
@@ -46,8 +46,8 @@
 
 func TestMergeGuard(t *testing.T) {
 	small, large := mergeTime(t, 30), mergeTime(t, 300)
-	t.Logf("a record costs %.0f ns with 30 targets, %.0f ns with 300", small, large)
+	t.Logf("a report takes %.0f ns with 30 targets, %.0f ns with 300", small, large)
 	if large > 3*small {
-		t.Fatalf("a record costs %.1f times as much with ten times the targets", large/small)
+		t.Fatalf("a report takes %.1f times as long with ten times the targets", large/small)
 	}
 }
--- a/internal/outlier/merge.go
+++ b/internal/outlier/merge.go
@@ -7,13 +7,13 @@
 	"time"
 )
 
-// mergeMemory is the time constant with which a source's bad requests fade.
+// mergeMemory is the time constant with which a source's bad requests decay.
 const mergeMemory = 20 * time.Second
 
-// merger adds up the counts of several sources. For each target it leaves out the
-// source that has seen the most bad requests lately: what only one source sees,
-// such as a cut of its own link, is a matter of that source, and a source that
-// lies alone achieves nothing.
+// merger sums the counts of several sources. For each target it leaves out the
+// source with the most recent bad requests: a fault that only one source observes,
+// such as the loss of its own link, is the source's, and a single source that
+// reports falsely has no effect.
 type merger struct {
 	targets map[string]*sourceCounts
 	at      time.Time
@@ -31,7 +31,7 @@
 	}
 }
 
-// add takes the counts of one source.
+// add adds the counts of one source.
 func (m *merger) add(source string, c Counts) {
 	t := m.targets[c.Target]
 	if t == nil {
@@ -66,7 +66,7 @@
 	return out
 }
 
-// sum adds up all sources but the worst.
+// sum returns the sum of all sources but the worst.
 func (t *sourceCounts) sum() Counts {
 	worst := t.worst()
 	var out Counts
@@ -91,7 +91,7 @@
 	return name
 }
 
-// minBadCount is the number of bad requests below which a source is forgotten.
+// minBadCount is the number of bad requests below which a source's count is deleted.
 const minBadCount = 0.05
 
 func (t *sourceCounts) decay(factor float64) {
@@ -103,7 +103,7 @@
 	}
 }
 
-// retain drops all targets that are not in the set.
+// retain removes all targets that are not in the set.
 func (m *merger) retain(targets map[string]bool) {
 	for name := range m.targets {
 		if !targets[name] {
--- a/internal/outlier/observer.go
+++ b/internal/outlier/observer.go
@@ -8,7 +8,7 @@
 	"ploverjunction.example/ploverjunction/internal/policy"
 )
 
-// Service is what an observer needs to know of a service.
+// Service is the configuration of a service for its observer.
 type Service struct {
 	Name      string
 	Policy    *policy.Program
@@ -16,7 +16,8 @@
 	Targets   []string
 }
 
-// Verdict is an observer's word on a target.
+// Verdict is an observer's decision on a target: to eject it for a lease or, with
+// Leaving set, that it is draining.
 type Verdict struct {
 	Service string
 	Target  string
@@ -26,9 +27,9 @@
 }
 
 // Observer merges the evidence of many nodes about one service. It keeps two
-// scores of each target: one from the nodes of its own data hall, which sees
-// what only this data hall sees, such as a cut; and one from all nodes, which is
-// faster. It isn't safe for concurrent use.
+// scores of each target: one from the nodes of its own data hall, which detects
+// faults visible only there, such as a network partition; and one from all nodes,
+// which is faster. It isn't safe for concurrent use.
 type Observer struct {
 	service       Service
 	hall          *Detector
@@ -43,10 +44,10 @@
 	halls         map[string]time.Time
 }
 
-// sourceExpiry is how long a source of evidence counts as present.
+// sourceExpiry is how long a source of evidence counts after its last report.
 const sourceExpiry = 30 * time.Second
 
-// drainingRepeat is how often the word that a target leaves is passed on.
+// drainingRepeat is the interval at which a draining signal is forwarded.
 const drainingRepeat = 10 * time.Second
 
 // NewObserver returns an observer without evidence.
@@ -66,7 +67,8 @@
 	}
 }
 
-// Configure takes a new configuration of the service and keeps the evidence.
+// Configure replaces the configuration of the service. The evidence on its targets
+// is retained.
 func (o *Observer) Configure(s Service) {
 	o.service = s
 	o.hall.threshold = s.Threshold
@@ -91,14 +93,14 @@
 	}
 }
 
-// Report takes the evidence of a node of the own data hall.
+// Report records the evidence of a node in the observer's data hall.
 func (o *Observer) Report(now time.Time, node, dataHall string, c Counts) {
 	o.hallEvidence.add(node, c)
 	addCounts(o.summary, c)
 	o.record(now, node, dataHall, c)
 }
 
-// Summary takes the evidence of another data hall, which counts as one source.
+// Summary records the evidence of another data hall, which counts as one source.
 func (o *Observer) Summary(now time.Time, dataHall string, c Counts) {
 	o.record(now, "data hall "+dataHall, dataHall, c)
 }
@@ -123,8 +125,8 @@
 	t.add(c)
 }
 
-// recordDraining notes that a target is leaving. Its word is passed on when it is new and
-// then now and again.
+// recordDraining records that a target is draining. The signal is forwarded when it
+// is new and then at intervals of drainingRepeat.
 func (o *Observer) recordDraining(now time.Time, target string) {
 	if now.Sub(o.drainingSent[target]) >= drainingRepeat {
 		o.drainingUntil[target] = now.Add(LeavingTime)
@@ -141,12 +143,12 @@
 	return out
 }
 
-// urgentShare is the part of the threshold from which on the observers of the
-// other data halls should know at once what mounts up here.
+// urgentShare is the fraction of the threshold above which evidence is sent to the
+// observers of the other data halls at once.
 const urgentShare = 0.25
 
-// Urgent reports whether the next summary should not wait: evidence against a
-// target mounts up, or a target says that it leaves.
+// Urgent reports whether the next summary should be sent at once: evidence against
+// a target accumulates, or a target is draining.
 func (o *Observer) Urgent() bool {
 	for _, c := range o.summary {
 		if c.Leaving || o.hall.Read(c.Target).Score > urgentShare*o.service.Threshold {
@@ -156,13 +158,14 @@
 	return false
 }
 
-// TakeSummary returns what the own data hall's nodes reported since the last
-// call, for the observers of the other data halls.
+// TakeSummary returns the reports of the data hall's nodes since the last call, for
+// the observers of the other data halls.
 func (o *Observer) TakeSummary() []Counts { return drainCounts(o.summary) }
 
-// Reporters returns how many nodes reported lately.
+// Reporters returns the number of sources of recent evidence.
 func (o *Observer) Reporters(now time.Time) int { return countRecent(o.reporters, now) }
 
+// countRecent deletes expired sources and returns the number of the others.
 func countRecent(m map[string]time.Time, now time.Time) int {
 	for k, at := range m {
 		if now.Sub(at) > sourceExpiry {
@@ -172,7 +175,7 @@
 	return len(m)
 }
 
-// Advance judges the evidence since the last call and returns the new verdicts.
+// Advance evaluates the evidence since the last call and returns the new decisions.
 func (o *Observer) Advance(now time.Time) []Verdict {
 	o.hall.Update(now, o.hallEvidence.drain(now))
 	o.all.Update(now, o.allEvidence.drain(now))
@@ -194,6 +197,7 @@
 	return out
 }
 
+// decide ejects the target if the policy counts it as sick and it isn't ejected yet.
 func (o *Observer) decide(now time.Time, target string) (Verdict, bool) {
 	r := o.hall.Read(target)
 	if all := o.all.Read(target); all.Score > r.Score {
--- a/internal/outlier/outlier_test.go
+++ b/internal/outlier/outlier_test.go
@@ -15,8 +15,9 @@
 
 var start = time.Unix(1_000_000, 0)
 
-// updateUntilSick gives a detector the same counts for some ticks of a second and returns
-// after how many of them the first target's score reached the threshold, or 0.
+// updateUntilSick updates a detector with the same counts for up to ticks ticks of a
+// second and returns the number of ticks after which the first target's score
+// reached the threshold, or 0.
 func updateUntilSick(d *outlier.Detector, ticks int, first, others outlier.Counts) int {
 	for i := range ticks {
 		counts := []outlier.Counts{first}
@@ -146,7 +147,7 @@
 	}
 }
 
-// Once the pool is known to suffer, one more bad target says nothing.
+// While most of the pool fails, one more bad target is no evidence against it.
 func TestCommonCauseStopsEjections(t *testing.T) {
 	d := outlier.NewDetector(threshold)
 	bad := outlier.Counts{
@@ -156,7 +157,7 @@
 	updateUntilSick(d, 3, bad, bad)
 	d.Reset("first")
 	if ticks := updateUntilSick(d, 20, bad, bad); ticks != 0 {
-		t.Fatalf("ejected after %d ticks though the whole pool suffers", ticks)
+		t.Fatalf("detected after %d ticks while the whole pool fails", ticks)
 	}
 }
 
@@ -169,10 +170,10 @@
 	if n := updateUntilSick(d, 1, outlier.Counts{
 		Bad: 20,
 	}, good); n != 0 {
-		t.Fatal("one tick was enough")
+		t.Fatal("detected after one bad tick")
 	}
 	if n := updateUntilSick(d, 10, good, good); n != 0 {
-		t.Fatalf("detected %d ticks after the pause ended", n)
+		t.Fatalf("detected %d ticks after the pause", n)
 	}
 }
 
@@ -185,9 +186,9 @@
 		Bad:     4,
 		Stalled: 4,
 	}, good)
-	// All callers wait for their answers: no request ends any more.
+	// All callers are blocked on their answers, so no further request ends.
 	if n := updateUntilSick(d, 10, outlier.Counts{}, good); n == 0 {
-		t.Fatal("evidence beyond the first tick is lost")
+		t.Fatal("stalled target not detected: gain beyond the first tick was not carried over")
 	}
 }
 
@@ -195,7 +196,7 @@
 	const tick = 250 * time.Millisecond
 	cases := []struct {
 		name string
-		// run gets a collector that knows requests of 10 ms.
+		// run gets a collector whose median latency is 10 ms.
 		run  func(c *outlier.Collector, now time.Time) time.Time
 		want outlier.Counts
 	}{
@@ -306,7 +307,7 @@
 	}
 }
 
-// phases lets time pass in steps of a second and returns the phases of target t.
+// phases advances j in steps of a second and returns the phases of target t in order.
 func phases(j *outlier.Judge, from time.Time, seconds int, evidence outlier.Counts) []outlier.Phase {
 	var out []outlier.Phase
 	evidence.Target = "t"
@@ -348,20 +349,20 @@
 		}
 		held := now.Sub(begun)
 		if held < last || held > outlier.MaxHold+time.Second {
-			t.Fatalf("relapse %d held for %v after %v", i, held, last)
+			t.Fatalf("relapse %d ejected for %v, the one before for %v", i, held, last)
 		}
 		last = held
-		// A bad trial request is a relapse.
+		// A failed trial request counts as a relapse.
 		j.Evidence(now, outlier.Counts{
 			Target: "t",
 			Bad:    1,
 		})
 		if p := j.State(now, "t").Phase; p != outlier.PhaseEjected {
-			t.Fatalf("after a bad trial: %v", p)
+			t.Fatalf("phase after a failed trial request: %v", p)
 		}
 	}
 	if last < outlier.MaxHold/2 {
-		t.Fatalf("the last hold was only %v", last)
+		t.Fatalf("last ejection took only %v", last)
 	}
 }
 
@@ -371,17 +372,17 @@
 	j.Verdict(start, "t", threshold, 3*time.Second)
 	j.Advance(start.Add(2 * time.Second))
 	if p := j.State(start.Add(2*time.Second), "t").Phase; p != outlier.PhaseEjected {
-		t.Fatalf("within the lease: %v", p)
+		t.Fatalf("phase within the lease: %v", p)
 	}
 	j.Advance(start.Add(3 * time.Second))
 	if p := j.State(start.Add(3*time.Second), "t").Phase; p != outlier.PhaseTrial {
-		t.Fatalf("after the lease: %v", p)
+		t.Fatalf("phase after the lease: %v", p)
 	}
-	// A lease of hours, as a lying observer might give, is cut.
+	// A lease of hours, which a faulty observer could send, is limited to MaxHold.
 	j.Verdict(start, "t", threshold, 24*time.Hour)
 	j.Advance(start.Add(outlier.MaxHold))
 	if p := j.State(start.Add(outlier.MaxHold), "t").Phase; p == outlier.PhaseEjected {
-		t.Fatal("a long lease is believed")
+		t.Fatal("lease is not limited to MaxHold")
 	}
 }
 
@@ -391,10 +392,10 @@
 	j.Leaving(start, "t")
 	j.SetTargets(start.Add(time.Second), []string{"t"})
 	if !j.State(start.Add(30*time.Second), "t").Leaving {
-		t.Fatal("no longer leaving while the list still lags")
+		t.Fatal("not draining while the target list is stale")
 	}
 	if j.State(start.Add(2*outlier.LeavingTime), "t").Leaving {
-		t.Fatal("leaving for ever")
+		t.Fatal("still draining after twice LeavingTime")
 	}
 }
 
@@ -412,7 +413,8 @@
 	})
 }
 
-// report lets nodes report for some ticks; bad nodes see target t as bad.
+// report sends reports of nodes for some ticks. For the first bad nodes target t fails
+// all requests.
 func report(o *outlier.Observer, nodes, bad, ticks int) []outlier.Verdict {
 	var out []outlier.Verdict
 	for i := range ticks {
@@ -444,12 +446,12 @@
 		want int
 	}{
 		{
-			name: "nobody",
+			name: "no node",
 			bad:  0,
 			want: 0,
 		},
 		{
-			name: "one node alone",
+			name: "one node",
 			bad:  1,
 			want: 0,
 		},
@@ -468,10 +470,10 @@
 		t.Run(c.name, func(t *testing.T) {
 			got := report(newObserver(t), 10, c.bad, 8)
 			if len(got) != c.want {
-				t.Fatalf("%d verdicts, want %d: %+v", len(got), c.want, got)
+				t.Fatalf("%d decisions, want %d: %+v", len(got), c.want, got)
 			}
 			if c.want > 0 && (got[0].Target != "t" || got[0].Lease != outlier.FirstHold) {
-				t.Fatalf("verdict %+v", got[0])
+				t.Fatalf("decision %+v", got[0])
 			}
 		})
 	}
