--- a/internal/health/estimation.go
+++ b/internal/health/estimation.go
@@ -4,21 +4,21 @@
 
 import "time"
 
-// message is how likely a series of events is if the target works, or fails, at its
-// first one.
+// message holds the likelihoods of a series of events for a target that works, or
+// fails, at the first one (the backward message of a hidden Markov model).
 type message struct{ working, failing float64 }
 
-// transition holds how likely each pair of states is at two events in turn.
+// transition holds the probabilities of the pairs of states at two successive events.
 type transition struct {
 	stayed, entered, left, remained float64
 }
 
-// failing returns the probability that the target failed at the first of the two.
+// failing returns the probability that the target was failing at the first event.
 func (c *transition) failing() float64 { return c.left + c.remained }
 
-// evict folds the oldest event into the base. By then others have shown in which
-// state the target was, so that the model learns from it (expectation maximization
-// with a fixed lag).
+// evict folds the oldest event into the base probability. The later events show in
+// which state the target was, so that the model learns from it (expectation
+// maximization with a fixed lag).
 func (t *Target) evict(now time.Time) {
 	first := &t.events[0]
 	p := t.update(t.model.predict(t.base, first.started.Sub(t.baseAt)), first, now)
@@ -30,7 +30,7 @@
 	t.events = append(t.events[:0], t.events[1:]...)
 }
 
-// backward returns how likely the events after the first are.
+// backward returns the likelihoods of the events after the first.
 func (t *Target) backward(now time.Time) message {
 	b := message{
 		working: 1,
@@ -47,8 +47,8 @@
 	return b
 }
 
-// propagateBack moves a message to a time that lies past earlier. Only the ratio matters;
-// small numbers would run out.
+// propagateBack moves a message back by an elapsed time. Only the ratio matters; it is
+// normalized because small numbers would underflow.
 func (m *Model) propagateBack(b message, elapsed time.Duration) message {
 	enter, stay := m.predict(0, elapsed), m.predict(1, elapsed)
 	working := (1-enter)*b.working + enter*b.failing
@@ -59,9 +59,9 @@
 	}
 }
 
-// transition returns how likely a target changed between two events that lie past apart.
-// p is the probability that it failed at the first one, as seen then; b is what the
-// second and all after it say.
+// transition returns the probabilities of the states at two events an elapsed time
+// apart. p is the probability of failing at the first one, given the events up to it;
+// b holds the likelihoods of the second and all later ones.
 func (m *Model) transition(p float64, elapsed time.Duration, b message) transition {
 	enter, stay := m.predict(0, elapsed), m.predict(1, elapsed)
 	c := transition{
@@ -78,7 +78,7 @@
 	return c
 }
 
-// learnTransition counts a change of state and the time in which it could happen.
+// learnTransition counts the expected changes of state and the time spent in each state.
 func (m *Model) learnTransition(c transition, elapsed time.Duration) {
 	m.enter.events += c.entered
 	m.leave.events += c.left
@@ -86,7 +86,7 @@
 	m.leave.seconds += c.failing() * elapsed.Seconds()
 }
 
-// learnKind counts an event whose target was failing with probability q.
+// learnKind counts the kind of an event whose target was failing with probability q.
 func (m *Model) learnKind(e *event, q float64, now time.Time) {
 	switch {
 	case int(e.kind) < kinds:
@@ -98,7 +98,7 @@
 	}
 }
 
-// learnOpen counts an attempt that was given up: it would have been silent or good.
+// learnOpen counts an abandoned attempt: it would have been silent or good.
 func (m *Model) learnOpen(e *event, q float64, now time.Time) {
 	longer := e.route.latency.longer(e.waited(now))
 	unanswered := silentAfter(m.failingShares[Silent], longer)
@@ -111,9 +111,9 @@
 	}
 }
 
-// silentAfter returns the probability that an attempt gets no answer which has got
-// none so far. share is that probability at its start, longer the share of answers
-// that take longer than it has waited.
+// silentAfter returns the probability that an attempt without an answer so far gets
+// none. share is that probability at its start, longer the share of answers that take
+// longer than it has waited.
 func silentAfter(share, longer float64) float64 {
 	return share / (share + (1-share)*longer)
 }
--- a/internal/health/health_test.go
+++ b/internal/health/health_test.go
@@ -15,14 +15,14 @@
 	"ploverjunction.example/ploverjunction/internal/health"
 )
 
-// start is when all models of these tests begin.
+// start is the start time of all models in these tests.
 var start = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// medianLatency is the time of an answer in these tests.
+// medianLatency is the latency of an answer in these tests.
 const medianLatency = 200 * time.Millisecond
 
-// trainedModel returns a model, a route whose answers take about the usual time, and
-// when that had been learned.
+// trainedModel returns a model, a route whose answers take about medianLatency, and the
+// time at which that was learned.
 func trainedModel(t testing.TB) (*health.Model, *health.Route, time.Time) {
 	t.Helper()
 	m := health.NewModel(start)
@@ -54,8 +54,8 @@
 	// after two quick failures: true
 }
 
-// An attempt that waits for its answer speaks against its target as soon as nearly
-// all others would have been answered.
+// An attempt in flight is evidence against its target once it has waited longer than
+// nearly all answers take.
 func TestUnansweredAttemptCountsByItsAge(t *testing.T) {
 	tests := []struct {
 		name        string
@@ -63,18 +63,18 @@
 		least, most float64
 	}{
 		{
-			name: "usual",
+			name: "usual latency",
 			age:  medianLatency,
 			most: 0.06,
 		},
 		{
-			name:  "twice the usual time",
+			name:  "twice the usual latency",
 			age:   2 * medianLatency,
 			least: 0.2,
 			most:  1,
 		},
 		{
-			name:  "five times the usual time",
+			name:  "five times the usual latency",
 			age:   5 * medianLatency,
 			least: 0.28,
 			most:  1,
@@ -93,8 +93,8 @@
 	}
 }
 
-// An attempt that was given up, because its caller left or another target was
-// quicker, says as much as it would have said at that age.
+// An attempt that was abandoned, because its caller disconnected or another target was
+// faster, is the same evidence as an attempt in flight of that age.
 func TestAbandonedAttemptCountsByItsAge(t *testing.T) {
 	m, r, now := trainedModel(t)
 	for _, age := range []time.Duration{20 * time.Millisecond, 3 * medianLatency} {
@@ -104,13 +104,13 @@
 		running := target.Failing(end)
 		target.End(end, n, health.Open)
 		if p := target.Failing(end); p != running {
-			t.Errorf("given up after %v: %.3f, while it ran %.3f", age, p, running)
+			t.Errorf("abandoned after %v: %.3f, in flight %.3f", age, p, running)
 		}
 	}
 }
 
-// What an attempt shows counts at the time at which it was sent: answers to later
-// ones outweigh a time-out that is told after them.
+// The result of an attempt counts at the time at which it was sent: answers to later
+// ones outweigh a time-out that is reported after them.
 func TestLaterAnswersOutweighAnOldTimeout(t *testing.T) {
 	m, r, now := trainedModel(t)
 	target := health.NewTarget(now, m)
@@ -127,8 +127,8 @@
 	}
 }
 
-// A route whose requests are never answered, whatever their target, makes nobody
-// doubt the targets once that has been learned.
+// Once the model has learned that a route's requests are never answered, whatever
+// their target, they don't raise the failure probability of targets.
 func TestUnansweredRouteIsNoEvidence(t *testing.T) {
 	m, good, now := trainedModel(t)
 	mute := m.Route(now, "mute")
@@ -160,8 +160,8 @@
 	}
 }
 
-// When all targets become slower, answers are late at first; none is taken for
-// failing once the new times are known.
+// When all targets become slower, answers are late at first; no target is estimated
+// to fail once the new latencies are learned.
 func TestCommonSlowdownIsNotFailing(t *testing.T) {
 	m, r, now := trainedModel(t)
 	target := health.NewTarget(now, m)
@@ -177,18 +177,18 @@
 	}
 	target.Begin(now, r)
 	if p := target.Failing(now.Add(3 * medianLatency)); p > 0.1 {
-		t.Errorf("failing with probability %.3f after the new usual time", p)
+		t.Errorf("failing with probability %.3f after the new usual latency", p)
 	}
 }
 
-// simulatedTarget is a target of which a test knows the state.
+// simulatedTarget is a target with its true state.
 type simulatedTarget struct {
 	failing bool
 	target  *health.Target
 }
 
-// How often targets begin and end to fail, and what they do then, is learned from
-// what they show.
+// The rates at which targets begin and stop failing, and the share of requests that
+// failing ones lose, are learned from the results of attempts.
 func TestRatesAreLearned(t *testing.T) {
 	const (
 		enter, leave = 0.06, 0.3
@@ -243,16 +243,16 @@
 			}
 			gotEnter, gotLeave := m.Rates()
 			if gotEnter < enter/2.5 || gotEnter > enter*2.5 || gotLeave < leave/2.5 || gotLeave > leave*2.5 {
-				t.Errorf("learned %.3f/s to begin and %.3f/s to end, true are %v and %v", gotEnter, gotLeave, enter, leave)
+				t.Errorf("learned rates %.3f/s to begin and %.3f/s to stop failing, true are %v and %v", gotEnter, gotLeave, enter, leave)
 			}
 			if got := m.LostFailing(); got < lost-0.2 || got > lost+0.15 {
-				t.Errorf("learned that failing targets lose %.2f, true is %v", got, lost)
+				t.Errorf("learned that failing targets lose a share of %.2f, true is %v", got, lost)
 			}
 		})
 	}
 }
 
-// Whatever comes in whatever order, beliefs are probabilities.
+// All estimates are probabilities after any sequence of events.
 func TestEstimatesAreProbabilities(t *testing.T) {
 	properties := gopter.NewProperties(nil)
 	properties.Property("between 0 and 1", prop.ForAll(func(seed uint64) bool {
--- a/internal/health/kind.go
+++ b/internal/health/kind.go
@@ -2,45 +2,45 @@
 
 package health
 
-// Kind is what an attempt showed of its target.
+// Kind classifies the result of an attempt as evidence about its target.
 type Kind uint8
 
-// Kinds of ends.
+// Kinds of results.
 const (
-	// Good is an answer in the usual time.
+	// Good is a good answer within the usual latency.
 	Good Kind = iota
-	// Late is a good answer that took longer than nearly all others.
+	// Late is a good answer slower than nearly all others.
 	Late
 	// Quick is a failure before any work can have been done.
 	Quick
-	// Worked is a failure after about the time that an answer takes.
+	// Worked is a failure after about the latency of an answer.
 	Worked
-	// Silent is no answer in a time in which nearly all others come.
+	// Silent is no answer in a time within which nearly all others arrive.
 	Silent
-	// Open is no answer yet, or an attempt that was given up before its time was
-	// over: only its age speaks.
+	// Open is an attempt in flight, or one that was abandoned before its deadline:
+	// only its age is evidence.
 	Open
-	// Shed is a refusal in spite of free slots.
+	// Shed is a refusal although slots are free.
 	Shed
-	// Unreached is a connection that couldn't be opened.
+	// Unreached is a failure to connect.
 	Unreached
 )
 
-// kinds is the number of kinds whose shares are learned: those before Open.
+// kinds is the number of kinds with learned shares: those before Open.
 const kinds = int(Open)
 
-// Evidence of kinds whose shares are not learned, as odds. A target that sheds may
-// just be full; one node alone may have lost its way to a target, and avoids it
-// itself.
+// Likelihood ratios, failing to working, of kinds without learned shares. They are
+// low because a target that sheds may just be full, and a single node that cannot
+// reach a target avoids it by itself.
 const (
 	oddsShed      = 2
 	oddsUnreached = 6
 )
 
-// shares are the probabilities of the learned kinds.
+// shares holds the probabilities of the learned kinds.
 type shares [kinds]float64
 
-// counts are weighted counts of the learned kinds.
+// counts holds decayed counts of the learned kinds.
 type counts [kinds]float64
 
 func (c *counts) total() float64 {
@@ -57,7 +57,8 @@
 	}
 }
 
-// withPrior returns the shares that the counts give with a guess that counts for weight.
+// withPrior returns the shares of the counts, with a prior that counts for weight
+// observations.
 func (c *counts) withPrior(prior *shares, weight float64) shares {
 	var out shares
 	all := c.total() + weight
--- a/internal/health/latency.go
+++ b/internal/health/latency.go
@@ -9,33 +9,34 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Parameters of the time that a good answer takes.
+// Parameters of the latency of good answers.
 const (
-	// maxLatencyMs is the greatest time that is told from longer ones, in milliseconds;
-	// no route waits as long as that. timeDigits is the precision of the histograms.
+	// maxLatencyMs is the greatest recorded latency in milliseconds; no route waits as
+	// long as that. histogramDigits is the number of significant digits.
 	maxLatencyMs    = 60_000
 	histogramDigits = 1
-	// defaultMedian is the usual time before any answer was seen.
+	// defaultMedian is the median latency before any answer was recorded.
 	defaultMedian = 300 * time.Millisecond
-	// generationSize is how many answers a generation of the histogram holds. The
-	// last two generations count.
+	// generationSize is the number of answers in a histogram. The last two histograms
+	// are used.
 	generationSize = 150
-	// updateEvery is after how many answers the table is made anew.
+	// updateEvery is the number of answers between updates of the table.
 	updateEvery = 8
-	// latencyPriorWeight is how many answers the guess for an unknown route counts for.
+	// latencyPriorWeight is the number of answers that the prior counts for.
 	latencyPriorWeight = 6
-	// tailShare is the share of answers that take longer than any that was seen.
+	// tailShare is the share of answers that take longer than any recorded one.
 	tailShare = 0.004
 )
 
-// quantiles are the shares of answers, in percent, whose times the table holds.
+// quantiles are the percentiles in the table.
 var quantiles = [...]float64{0, 10, 25, 50, 75, 90, 95, 98, 99, 100}
 
-// latencies is the learned distribution of the time that good answers take.
+// latencies is the learned latency distribution of good answers.
 type latencies struct {
 	current  *hdrhistogram.Histogram
 	previous *hdrhistogram.Histogram
-	// table holds the quantiles in milliseconds, n how many answers they are made of.
+	// table holds the quantiles in milliseconds, n the number of answers that they were
+	// computed from.
 	table       [len(quantiles)]float64
 	n           float64
 	sinceUpdate int
@@ -48,7 +49,7 @@
 	}
 }
 
-// add records the time of a good answer.
+// add records the latency of a good answer.
 func (t *latencies) add(took time.Duration) error {
 	if t.current.TotalCount() >= generationSize {
 		t.current, t.previous = t.previous, t.current
@@ -65,7 +66,7 @@
 	return nil
 }
 
-// update makes the table of both generations.
+// update computes the table from both histograms.
 func (t *latencies) update() {
 	all := hdrhistogram.New(1, maxLatencyMs, histogramDigits)
 	all.Merge(t.previous)
@@ -76,7 +77,7 @@
 	}
 }
 
-// median returns the median time.
+// median returns the median latency.
 func (t *latencies) median() time.Duration {
 	if t.n < updateEvery {
 		return defaultMedian
@@ -84,11 +85,11 @@
 	return time.Duration(t.table[medianIndex] * float64(time.Millisecond))
 }
 
-// medianIndex is the place of the median in the table.
+// medianIndex is the index of the median in the table.
 const medianIndex = 3
 
-// within returns the time within which a share of the good answers comes, of those
-// in the table the least that is as great, or 0 before any are known.
+// within returns the latency within which a share of the good answers arrives,
+// rounded up to a quantile of the table, or 0 while there are too few answers.
 func (t *latencies) within(share float64) time.Duration {
 	if t.n < updateEvery {
 		return 0
@@ -111,7 +112,7 @@
 	return (t.n*t.observedLonger(ms) + latencyPriorWeight*prior) / (t.n + latencyPriorWeight)
 }
 
-// observedLonger returns the same of the answers in the table.
+// observedLonger returns the share of the answers in the table that take longer than ms.
 func (t *latencies) observedLonger(ms float64) float64 {
 	if ms <= t.table[0] {
 		return 1
--- a/internal/health/model.go
+++ b/internal/health/model.go
@@ -7,11 +7,12 @@
 	"time"
 )
 
-// Parameters of what is learned of a service. Guesses are what is believed before
-// anything was seen, weights how many observations they count for.
+// Parameters of the model of a service. Priors hold before any observation, weights
+// are the numbers of observations that they count for.
 const (
-	// enterPrior and leaveGuess are the rates, in 1/s, at which targets begin and end
-	// to fail: between the phases of one second and of ten that users' targets showed.
+	// enterPrior and leaveGuess are the rates, in 1/s, at which targets begin and stop
+	// failing: between the phases of one second and of ten seconds that users'
+	// targets showed.
 	enterPrior      = 0.03
 	leavePrior      = 0.15
 	ratePriorWeight = 3
@@ -19,22 +20,24 @@
 	maxEnterRate    = 0.4
 	minLeaveRate    = 0.08
 	maxLeaveRate    = 2
-	// failingPriorWeight and workingWeight belong to the guesses of what targets do.
+	// failingPriorWeight and workingPriorWeight are the weights of failingPrior and
+	// workingPrior.
 	failingPriorWeight = 8
 	workingPriorWeight = 100
-	// routePriorWeight is what the service's shares count for on one of its routes.
+	// routePriorWeight is the weight of the service's shares as the prior of a route.
 	routePriorWeight = 12
-	// maxFailingGood and workingGoodLeast keep the two states apart.
+	// maxFailingGood and minWorkingGood bound the shares of good answers, so that the
+	// two states remain distinguishable.
 	maxFailingGood = 0.6
 	minWorkingGood = 0.85
-	// memory is the time constant with which what was learned fades.
+	// memory is the time constant with which all counts decay.
 	memory = 60 * time.Second
-	// lateShare is the share of good answers that count as late: those that take
-	// longer than the others.
+	// lateShare is the share of good answers that count as late: the slowest ones.
 	lateShare = 0.012
-	// quickFraction is the part of the usual time below which a failure is quick.
+	// quickFraction is the fraction of the median latency below which a failure is
+	// quick.
 	quickFraction = 0.15
-	// maxRoutes bounds the routes that are told apart.
+	// maxRoutes bounds the number of routes with a distribution of their own.
 	maxRoutes = 256
 )
 
@@ -55,17 +58,18 @@
 	}
 )
 
-// rate learns how often something happens.
+// rate estimates the rate of an event.
 type rate struct {
 	events  float64
 	seconds float64
 }
 
+// estimate returns the rate in 1/s, with a prior, between least and most.
 func (r *rate) estimate(prior, least, most float64) float64 {
 	return min(max((r.events+ratePriorWeight)/(r.seconds+ratePriorWeight/prior), least), most)
 }
 
-// Model is what is learned of the targets of one service.
+// Model holds the learned behavior of the targets of one service.
 type Model struct {
 	enter     rate
 	leave     rate
@@ -73,15 +77,15 @@
 	working   counts
 	routes    map[string]*Route
 	decayedAt time.Time
-	// failingShares and workingShares are made of the counts, enterRate and leaveRate
-	// of the rates.
+	// failingShares and workingShares are computed from the counts, enterRate and
+	// leaveRate from the rates.
 	failingShares shares
 	workingShares shares
 	enterRate     float64
 	leaveRate     float64
 }
 
-// Route is what is learned of one route of a service.
+// Route holds the learned behavior of one route of a service.
 type Route struct {
 	name    string
 	latency *latencies
@@ -90,7 +94,7 @@
 	used    time.Time
 }
 
-// NewModel returns a model that knows only the guesses.
+// NewModel returns a model that consists of the priors.
 func NewModel(now time.Time) *Model {
 	m := &Model{
 		routes:    map[string]*Route{},
@@ -100,7 +104,7 @@
 	return m
 }
 
-// updateEstimates makes the shares and rates of what was counted.
+// updateEstimates computes the shares and rates from the counts.
 func (m *Model) updateEstimates() {
 	m.enterRate = m.enter.estimate(enterPrior, minEnterRate, maxEnterRate)
 	m.leaveRate = m.leave.estimate(leavePrior, minLeaveRate, maxLeaveRate)
@@ -113,7 +117,8 @@
 	}
 }
 
-// bound keeps the share of good answers between least and most.
+// bound limits the share of good answers to between least and most and scales the
+// others.
 func bound(s *shares, least, most float64) {
 	good := min(max(s[Good], least), most)
 	if good == s[Good] {
@@ -126,7 +131,7 @@
 	s[Good] = good
 }
 
-// Advance lets what was learned fade and adds what was counted since.
+// Advance decays the counts and updates the estimates.
 func (m *Model) Advance(now time.Time) {
 	elapsed := now.Sub(m.decayedAt)
 	m.decayedAt = now
@@ -143,8 +148,8 @@
 	m.updateEstimates()
 }
 
-// Route returns what is known of a route. The one that was used least lately makes
-// room for a new one.
+// Route returns the state of a route. If there are too many routes, a new one evicts
+// the least recently used.
 func (m *Model) Route(now time.Time, name string) *Route {
 	r := m.routes[name]
 	if r == nil {
@@ -172,20 +177,21 @@
 	delete(m.routes, oldest.name)
 }
 
-// Answered records the time of a good answer.
+// Answered records the latency of a good answer.
 func (r *Route) Answered(took time.Duration) error { return r.latency.add(took) }
 
-// Usual returns the median time of the route's good answers.
+// Usual returns the median latency of the route's good answers.
 func (r *Route) Usual() time.Duration { return r.latency.median() }
 
-// Within returns the time within which a share of the route's good answers comes, 0
-// while that isn't known.
+// Within returns the latency within which a share of the route's good answers
+// arrives, or 0 while that isn't known.
 func (r *Route) Within(share float64) time.Duration { return r.latency.within(share) }
 
 // Longer returns the share of the route's good answers that take longer than age.
 func (r *Route) Longer(age time.Duration) float64 { return r.latency.longer(age) }
 
-// EndKind returns the kind of an attempt's end after a time.
+// EndKind returns the kind of an attempt that took a time and was answered well if
+// good is set.
 func (r *Route) EndKind(good bool, took time.Duration) Kind {
 	late := r.latency.longer(took) < lateShare
 	switch {
@@ -202,20 +208,20 @@
 	}
 }
 
-// Share returns the part of the time that targets are failing.
+// Share returns the stationary probability that a target is failing.
 func (m *Model) Share() float64 { return m.enterRate / (m.enterRate + m.leaveRate) }
 
-// Rates returns how often, in 1/s, targets begin and end to fail.
+// Rates returns the rates, in 1/s, at which targets begin and stop failing.
 func (m *Model) Rates() (enter, leave float64) { return m.enterRate, m.leaveRate }
 
-// LostFailing and LostWorking return the share of requests that a target doesn't
-// answer well in either state.
+// LostFailing returns the share of requests that a failing target doesn't answer
+// well. A late answer counts half.
 func (m *Model) LostFailing() float64 { return 1 - m.failingShares[Good] - m.failingShares[Late]/2 }
 
 // LostWorking returns the share of requests that a working target doesn't answer.
 func (m *Model) LostWorking() float64 { return 1 - m.workingShares[Good] - m.workingShares[Late] }
 
-// predict returns the probability of failing after a time in which nothing was seen.
+// predict returns the probability of failing after a time without observations.
 func (m *Model) predict(p float64, elapsed time.Duration) float64 {
 	if elapsed <= 0 {
 		return p
@@ -224,15 +230,15 @@
 	return share + (p-share)*math.Exp(-(m.enterRate+m.leaveRate)*elapsed.Seconds())
 }
 
-// Silent returns the probability that an attempt on a route which has waited for
-// age gets no answer, if its target fails with probability p when it is sent.
+// Silent returns the probability that an attempt of a certain age gets no answer, if
+// its target was failing with probability p when it was sent.
 func (m *Model) Silent(r *Route, p float64, age time.Duration) float64 {
 	unanswered := r.shares[Silent]
 	share := unanswered + (1-unanswered)*p*m.failingShares[Silent]
 	return silentAfter(share, r.latency.longer(age))
 }
 
-// likelihoods returns how likely a working and a failing target shows a thing.
+// likelihoods returns the likelihoods of an event for a working and a failing target.
 func (m *Model) likelihoods(e *event, now time.Time) (working, failing float64) {
 	switch e.kind {
 	case Shed:
--- a/internal/health/steady.go
+++ b/internal/health/steady.go
@@ -7,8 +7,9 @@
 	"time"
 )
 
-// Steady returns the probability that the target has been working all the time from
-// since to now. Of what the model no longer keeps, only what follows counts.
+// Steady returns the probability that the target has been working without interruption
+// from since to now. The time before baseAt is
+// not covered, as its events were evicted.
 func (t *Target) Steady(now, since time.Time) float64 {
 	if since.Before(t.baseAt) {
 		since = t.baseAt
@@ -26,13 +27,13 @@
 		elapsed := e.started.Sub(at)
 		before := t.model.predict(p, elapsed)
 		p, at = t.update(before, e, now), e.started
-		// What is seen speaks alike for all ways in which the target works now.
+		// The likelihood of an event depends only on the state at the event.
 		steady *= t.model.stay(elapsed) * (1 - p) / (1 - before)
 	}
 	return steady * t.model.stay(now.Sub(at))
 }
 
-// stay returns the probability that a working target doesn't begin to fail for a time.
+// stay returns the probability that a working target doesn't begin to fail in a time.
 func (m *Model) stay(elapsed time.Duration) float64 {
 	return math.Exp(-m.enterRate * max(elapsed, 0).Seconds())
 }
--- a/internal/health/steady_test.go
+++ b/internal/health/steady_test.go
@@ -32,13 +32,13 @@
 	// hardly for the last six seconds: true
 }
 
-// A target that failed and answers again works, but has not worked since before it
-// failed.
+// A target that failed and has recovered is working, but has not been working
+// without interruption.
 func TestSteadyExcludesRecoveredTargets(t *testing.T) {
 	const past = 4 * time.Second
 	tests := []struct {
 		name string
-		// kinds are the ends of attempts, one each half second up to now.
+		// kinds are the results of attempts, one every half second up to now.
 		kinds       []health.Kind
 		least, most float64
 	}{
@@ -76,8 +76,8 @@
 	}
 }
 
-// Whatever was seen, a target is no more likely to have worked all the time than to
-// work now, and the longer the time the less.
+// After any events, a target is no more likely to have been working all the time than
+// to be working now, and the less likely the longer the time.
 func TestSteadyIsBoundedByWorking(t *testing.T) {
 	const slack = 1e-9
 	properties := gopter.NewProperties(nil)
--- a/internal/health/target.go
+++ b/internal/health/target.go
@@ -8,15 +8,16 @@
 )
 
 const (
-	// maxEvents bounds the attempts that are kept of each target. What falls out
-	// has been followed by that many others.
+	// maxEvents bounds the attempts that are retained of each target. An evicted one
+	// was followed by that many others.
 	maxEvents = 10
-	// initialFailing is the probability that a target fails that has just started.
+	// initialFailing is the probability that a newly started target is failing.
 	initialFailing = 0.02
-	// minFailing and mostFailing bound the belief: no evidence is certain.
+	// minFailing and mostFailing bound the probability of failing: no evidence is
+	// certain.
 	minFailing = 0.004
 	maxFailing = 0.985
-	// cacheTime is how long a belief is used again while nothing new was seen.
+	// cacheTime is how long a computed probability is reused without new events.
 	cacheTime = 20 * time.Millisecond
 )
 
@@ -26,8 +27,7 @@
 	started time.Time
 	route   *Route
 	kind    Kind
-	// inFlight is set while the attempt goes on, age is how long it took if it was
-	// given up.
+	// inFlight is set until the attempt ends, age is how long it took.
 	inFlight bool
 	age      time.Duration
 }
@@ -40,10 +40,10 @@
 	return e.age
 }
 
-// Target is the belief about one target.
+// Target estimates whether one target is failing.
 type Target struct {
 	model *Model
-	// base is the probability of failing at the time at, before the events.
+	// base is the probability of failing at baseAt, before the events.
 	base   float64
 	baseAt time.Time
 	events []event
@@ -53,7 +53,7 @@
 	cachedAt time.Time
 }
 
-// NewTarget returns the belief about a target that has just started.
+// NewTarget returns the estimate of a newly started target.
 func NewTarget(now time.Time, m *Model) *Target {
 	return &Target{
 		model:  m,
@@ -63,7 +63,7 @@
 	}
 }
 
-// Begin notes an attempt and returns its number.
+// Begin records the start of an attempt and returns its ID.
 func (t *Target) Begin(now time.Time, r *Route) uint64 {
 	t.lastID++
 	t.insert(now, event{
@@ -76,8 +76,8 @@
 	return t.lastID
 }
 
-// End notes the end of an attempt that Begin noted. Attempts that many others have
-// followed say nothing any more.
+// End records the result of an attempt that Begin returned. It is ignored if the
+// attempt was evicted by later ones.
 func (t *Target) End(now time.Time, id uint64, k Kind) {
 	t.cachedAt = time.Time{}
 	for i := range t.events {
@@ -91,7 +91,7 @@
 	}
 }
 
-// Saw notes an attempt of which only the end is known.
+// Saw records an attempt of which only the end was reported.
 func (t *Target) Saw(now time.Time, r *Route, k Kind, took time.Duration) {
 	t.insert(now, event{
 		started: now.Add(-took),
@@ -101,7 +101,7 @@
 	})
 }
 
-// insert adds an event in the order of begin.
+// insert adds an event in the order of the start times.
 func (t *Target) insert(now time.Time, e event) {
 	at := len(t.events)
 	for at > 0 && e.started.Before(t.events[at-1].started) {
@@ -130,7 +130,8 @@
 	return t.cached
 }
 
-// Answering reports whether the last attempt that has ended was answered well.
+// Answering reports whether the last finished attempt got a good answer, or none has
+// finished.
 func (t *Target) Answering() bool {
 	for i := len(t.events) - 1; i >= 0; i-- {
 		if k := t.events[i].kind; k != Open {
@@ -140,7 +141,7 @@
 	return true
 }
 
-// update returns the probability of failing after one event.
+// update returns the probability of failing after one event (Bayes' rule).
 func (t *Target) update(p float64, e *event, now time.Time) float64 {
 	working, failing := t.model.likelihoods(e, now)
 	p = p * failing / (p*failing + (1-p)*working)
@@ -153,7 +154,7 @@
 	return p
 }
 
-// Lost returns the probability that a request sent at now is not answered well.
+// Lost returns the probability that a request sent at now gets no good answer.
 func (t *Target) Lost(now time.Time) float64 {
 	p := t.Failing(now)
 	return p*t.model.LostFailing() + (1-p)*t.model.LostWorking()
