--- a/internal/balance/balance_test.go
+++ b/internal/balance/balance_test.go
@@ -39,8 +39,8 @@
 	// Output: 192.0.2.2:80 true
 }
 
-// membersInStates makes members from small numbers: 0 healthy, 1 sick, 2 leaving, 3 sick
-// and leaving, 4 on trial, 5 cold.
+// membersInStates returns members in the states given by codes: 0 healthy, 1 sick,
+// 2 draining, 3 sick and draining, 4 on trial, 5 cold.
 func membersInStates(codes []int) []balance.Member {
 	list := members(len(codes))
 	for i, c := range codes {
@@ -55,11 +55,11 @@
 	return list
 }
 
-// The floor is held whatever is sick, as far as targets that aren't leaving can
-// hold it; and nothing sick serves without need.
+// The floor is met whichever targets are sick, as far as those that aren't draining
+// have the capacity, and no sick target is used without need.
 func TestFloorProperty(t *testing.T) {
 	p := gopter.NewProperties(nil)
-	p.Property("serving capacity never falls below the floor", prop.ForAll(
+	p.Property("serving capacity is never below the floor", prop.ForAll(
 		func(codes []int, share float64) bool {
 			list := membersInStates(codes)
 			capacity := balance.NewPool(list, 0, "n", 1).Capacity()
@@ -70,7 +70,7 @@
 		gen.SliceOfN(9, gen.IntRange(0, 5)),
 		gen.Float64Range(0, 1),
 	))
-	p.Property("leaving targets are never used", prop.ForAll(
+	p.Property("draining targets are never used", prop.ForAll(
 		func(codes []int) bool {
 			list := membersInStates(codes)
 			pool := balance.NewPool(list, 1e9, "n", 1)
@@ -83,7 +83,7 @@
 		},
 		gen.SliceOfN(9, gen.IntRange(0, 5)),
 	))
-	p.Property("without a floor nothing sick is used", prop.ForAll(
+	p.Property("without a floor no sick target is used", prop.ForAll(
 		func(codes []int) bool {
 			list := membersInStates(codes)
 			pool := balance.NewPool(list, 0, "n", 1)
@@ -110,7 +110,7 @@
 	slices.Sort(got)
 	want := []string{list[2].Key, list[3].Key}
 	if !slices.Equal(got, want) {
-		t.Fatalf("kept %v, want %v", got, want)
+		t.Fatalf("targets in use %v, want %v", got, want)
 	}
 }
 
@@ -178,19 +178,19 @@
 	pool := balance.NewPool(list, 0, "n", 1)
 	p, ok := pool.PickTrial(rand.Uint64)
 	if !ok || p.Key() != list[0].Key {
-		t.Fatal("no trial")
+		t.Fatal("no trial target picked")
 	}
 	if _, ok := pool.PickTrial(rand.Uint64); ok {
-		t.Fatal("two trials at once")
+		t.Fatal("second request picked for a target on trial")
 	}
 	p.Release()
 	if _, ok := pool.PickTrial(rand.Uint64); !ok {
-		t.Fatal("no trial after the first ended")
+		t.Fatal("no trial target picked after the first request ended")
 	}
 }
 
-// The subset shrinks as the fleet grows and keeps the connections of all nodes
-// together within those of a target.
+// The subset shrinks as the fleet grows, so that the connections of all nodes stay
+// within those that a target accepts.
 func TestSubset(t *testing.T) {
 	cases := []struct {
 		nodes, targets int
@@ -243,7 +243,8 @@
 			for _, n := range uses {
 				most = max(most, n)
 			}
-			// A small pool can't give each of 1,000 nodes a choice of targets.
+			// In a small pool the least subset of each of 1,000 nodes exceeds the
+			// connections.
 			if most > 200 && c.targets >= 20 {
 				t.Fatalf("%d connections to a target that accepts 200", most)
 			}
@@ -266,7 +267,7 @@
 		}
 	}
 	if changed > 1 {
-		t.Fatalf("%d of %d targets changed with one leaving", changed, len(after))
+		t.Fatalf("%d of %d targets changed when one drains", changed, len(after))
 	}
 }
 
@@ -291,11 +292,11 @@
 		p.Release()
 	})
 	if allocs != 0 {
-		t.Fatalf("%v allocations a pick", allocs)
+		t.Fatalf("%v allocations per pick", allocs)
 	}
 	small, large := pickTime(6), pickTime(300)
 	t.Logf("6 targets %.0f ns, 300 targets %.0f ns", small, large)
 	if large > 4*small {
-		t.Fatalf("a pick among 300 targets takes %.1f times one among 6", large/small)
+		t.Fatalf("a pick among 300 targets takes %.1f times as long as one among 6", large/small)
 	}
 }
--- a/internal/balance/pick.go
+++ b/internal/balance/pick.go
@@ -2,28 +2,28 @@
 
 package balance
 
-// Pick is one target taken for one attempt. Release must be called once.
+// Pick is a target chosen for one attempt. Release must be called once.
 type Pick struct {
 	key   string
 	gauge *Gauge
 }
 
-// Key returns the key of the target, as its Member gave it.
+// Key returns the Member.Key of the target.
 func (p Pick) Key() string { return p.key }
 
-// Release ends the attempt's claim on the target.
+// Release ends the attempt's use of the target.
 func (p Pick) Release() { p.gauge.inFlight.Add(-1) }
 
-// samples is how many targets a pick compares. Two random choices already avoid
-// the worst (Mitzenmacher 2001); the pools are small, so that a third costs
-// nothing and helps when one of the two was tried before.
+// samples is the number of targets that Pick compares. Two random choices already
+// avoid the worst (Mitzenmacher 2001); pools are small, so a third is cheap and
+// helps when one of the two was tried before.
 const samples = 3
 
-// Pick takes a target: the least loaded of a few random ones, the load being
-// what this node has in flight and what the target reported, for each slot.
-// random gives random bits; tried names the targets of earlier attempts, which
-// are taken only when there is no other, barred those that are never taken. It
-// reports false when no other target has a connection left. It does not allocate.
+// Pick chooses the least loaded of a few random targets. The load is the larger of
+// this node's requests in flight and the reported load, per slot. random returns
+// random bits; tried lists the targets of earlier attempts, which are chosen only if
+// there is no other, and unavailable those that are never chosen. It reports false
+// when no other target has a free connection. It does not allocate.
 func (p *Pool) Pick(random func() uint64, tried, unavailable []string) (Pick, bool) {
 	n := len(p.choices)
 	if n == 0 {
@@ -41,8 +41,8 @@
 	return p.scan(int(bits>>48)*n>>16, tried, unavailable)
 }
 
-// PickTrial takes a target on trial for a copy of a repeatable request. It
-// reports false when there is none, or this node has one in flight there.
+// PickTrial chooses a target on trial for a copy of a repeatable request. It reports
+// false when there is none or the chosen one has a request in flight from this node.
 func (p *Pool) PickTrial(random func() uint64) (Pick, bool) {
 	n := len(p.trials)
 	if n == 0 {
@@ -58,8 +58,8 @@
 	}, true
 }
 
-// better returns the better of two choices; choices without a connection left,
-// tried before or barred are never better than none.
+// better returns the less loaded of two choices. A choice at that has no free
+// connection, was tried before or is unavailable is not considered.
 func (p *Pool) better(best, at int, tried, unavailable []string) int {
 	c := &p.choices[at]
 	if c.gauge.inFlight.Load() >= c.limit || contains(tried, c.key) || contains(unavailable, c.key) {
@@ -71,11 +71,13 @@
 	return best
 }
 
+// load returns the load per slot that a further request would lead to.
 func (p *Pool) load(at int) float64 {
 	c := &p.choices[at]
 	return (max(float64(c.gauge.inFlight.Load()), c.load) + 1) / c.weight
 }
 
+// acquire counts a request at a target and reports whether it is within the limit.
 func (p *Pool) acquire(at int) bool {
 	c := &p.choices[at]
 	if c.gauge.inFlight.Add(1) <= c.limit {
@@ -92,7 +94,7 @@
 	}
 }
 
-// scan looks at every target once: first for one not tried, then for any.
+// scan examines all targets in order: first those not tried before, then the others.
 func (p *Pool) scan(from int, tried, unavailable []string) (Pick, bool) {
 	n := len(p.choices)
 	for _, retried := range [...]bool{false, true} {
--- a/internal/balance/pool.go
+++ b/internal/balance/pool.go
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 
 // Package balance chooses the target of each attempt. A Pool is an immutable
-// view of one service's targets as one node sees them; controllers build a new
-// one when something changes and requests read it without a lock.
+// snapshot of one node's view of a service's targets; controllers build a new one
+// on every change, and requests read it without a lock.
 package balance
 
 import (
@@ -13,8 +13,8 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Gauge counts what this node has in flight at one target. It outlives pools and
-// may be used concurrently.
+// Gauge counts this node's requests in flight at one target. It outlives pools and
+// is safe for concurrent use.
 type Gauge struct {
 	inFlight atomic.Int32
 }
@@ -24,26 +24,27 @@
 
 // Member is one target in a pool.
 type Member struct {
-	// Key names the target among those of its service.
+	// Key identifies the target within its service.
 	Key string
-	// Slots is the target's capacity; Connections what it accepts in all.
+	// Slots is the target's capacity in concurrent requests, Connections the number of
+	// connections that it accepts from all nodes.
 	Slots       int
 	Connections int
-	// Warmth is the part of the slots that a starting target can use, from 0
-	// to 1; 0 means a warm target, as 1 does.
+	// Warmth is the share of the slots that a warming target can use, from 0 to 1; 0
+	// means fully warm, as does 1.
 	Warmth float64
-	// Leaving targets get no work, whatever the floor asks.
+	// Leaving targets get no requests, even if the floor isn't met.
 	Leaving bool
-	// Sick targets get no work unless the floor needs them. Score orders them:
-	// those with the least evidence return first.
+	// Sick targets get no requests unless the floor needs them. Score orders them:
+	// those with the least evidence are used first.
 	Sick  bool
 	Score float64
-	// Trial marks a sick target that gets copies of repeatable requests.
+	// Trial is set for a sick target that gets copies of repeatable requests.
 	Trial bool
-	// Reported is the load that the target last reported, in requests, already
-	// reduced for its age.
+	// Reported is the load last reported by the target, in requests, already reduced
+	// for its age.
 	Reported float64
-	// Gauge counts this node's requests at the target, never nil.
+	// Gauge counts this node's requests in flight at the target. It must not be nil.
 	Gauge *Gauge
 }
 
@@ -54,7 +55,7 @@
 	return float64(m.Slots)
 }
 
-// choice is one target that may get work, prepared for picking.
+// choice is a target that may get requests, in the form that Pick reads.
 type choice struct {
 	key    string
 	weight float64
@@ -63,8 +64,8 @@
 	gauge  *Gauge
 }
 
-// Pool chooses among the targets of one service. It never changes and may be
-// used concurrently.
+// Pool chooses among the targets of one service. It is immutable and safe for
+// concurrent use.
 type Pool struct {
 	choices  []choice
 	trials   []choice
@@ -74,10 +75,10 @@
 	kept     int
 }
 
-// NewPool builds the view of one node. floor is the capacity in slots that must
-// stay in service: sick targets are kept, those with the least evidence first,
-// until it is met. nodes is the number of nodes of the fleet and node names this
-// one; both shape the subset of targets that the node uses and its share of
+// NewPool returns the pool of one node. floor is the capacity in slots that must
+// stay in service: sick targets are retained, those with the least evidence first,
+// until it is met. nodes is the number of nodes in the fleet, node the name of this
+// one; they determine the subset of targets that the node uses and its share of
 // their connections.
 func NewPool(members []Member, floor float64, node string, nodes int) *Pool {
 	p := &Pool{
@@ -117,10 +118,11 @@
 	}
 }
 
-// minWeight keeps a target that is nearly cold pickable.
+// minWeight is the least weight of a target, so that a cold one can be picked.
 const minWeight = 0.05
 
-// selectServing returns the healthy members and, below the floor, the least sick.
+// selectServing returns the healthy members and as many of the least sick ones as the
+// floor needs.
 func (p *Pool) selectServing(present []Member) []Member {
 	slices.SortStableFunc(present, func(a, b Member) int {
 		if a.Sick != b.Sick {
@@ -146,19 +148,20 @@
 	return present[:n]
 }
 
-// Sizes of subsets. minSubset leaves a choice when one target fails; with
-// minShare connections each a node can pick by load. headroom is the part of a
-// target's connections that is given out: hashing spreads the nodes unevenly.
+// Parameters of subsets. minSubset targets leave a choice when one fails; with
+// minConnections connections to each a node can choose by load. headroom is the
+// share of a target's connections that is allocated, as hashing spreads the nodes
+// unevenly.
 const (
 	minSubset      = 4
 	minConnections = 2
 	headroom       = 0.8
 )
 
-// subset returns how many targets a node uses and which part of a target's
-// connections is its own. Up to the bound of the connections a node uses all
-// targets; beyond it the subset shrinks as the fleet grows, so that all nodes
-// together stay within each target's connections.
+// subset returns the number of targets that a node uses and its share of a target's
+// connections. A node uses all targets if there are enough connections; otherwise
+// the subset shrinks as the fleet grows, so that all nodes together stay within each
+// target's connections.
 func subset(serving []Member, nodes int) (size int, share float64) {
 	nodes = max(nodes, 1)
 	connections := 0.0
@@ -170,7 +173,7 @@
 	case 0:
 		return 0, 0
 	case len(serving):
-		// All nodes use all targets: nothing is uneven.
+		// All nodes use all targets, so the load is even and needs no headroom.
 		return size, 1 / float64(nodes)
 	default:
 		return size, headroom * float64(len(serving)) / float64(nodes*size)
@@ -178,7 +181,7 @@
 }
 
 // sortForNode sorts members by rendezvous hashing for a node: each node has its own
-// order, and a change of one member moves only that member.
+// order, and adding or removing a member leaves the order of the others.
 func sortForNode(members []Member, node string) {
 	slices.SortFunc(members, func(a, b Member) int {
 		return cmp.Or(
@@ -197,16 +200,16 @@
 	return d.Sum64()
 }
 
-// Capacity returns the slots of all targets that aren't leaving.
+// Capacity returns the slots of all targets that aren't draining.
 func (p *Pool) Capacity() float64 { return p.capacity }
 
-// Serving returns the slots of the targets that get work in the whole fleet.
+// Serving returns the slots of the targets that get requests from any node.
 func (p *Pool) Serving() float64 { return p.serving }
 
 // Floor returns the slots that must stay in service.
 func (p *Pool) Floor() float64 { return p.floor }
 
-// Kept returns how many sick targets get work because of the floor.
+// Kept returns the number of sick targets that get requests because of the floor.
 func (p *Pool) Kept() int { return p.kept }
 
 // Trials returns the number of targets on trial.
@@ -215,8 +218,8 @@
 // Len returns the number of targets that this node uses.
 func (p *Pool) Len() int { return len(p.choices) }
 
-// Limit returns how many requests this node may have in flight at a target, which
-// is also how many connections it may hold; 0 for a target that it doesn't use.
+// Limit returns the bound of this node's requests in flight and connections at a
+// target, or 0 for a target that it doesn't use.
 func (p *Pool) Limit(key string) int {
 	for i := range p.choices {
 		if p.choices[i].key == key {
