--- a/internal/health/health_test.go
+++ b/internal/health/health_test.go
@@ -131,14 +131,14 @@
 // their target, they don't raise the failure probability of targets.
 func TestUnansweredRouteIsNoEvidence(t *testing.T) {
 	m, good, now := trainedModel(t)
-	mute := m.Route(now, "mute")
+	unanswered := m.Route(now, "mute")
 	target := health.NewTarget(now, m)
 	after := 0.0
 	for i := range 200 {
 		now = now.Add(50 * time.Millisecond)
 		route, kind := good, health.Good
 		if i%4 == 0 {
-			route, kind = mute, health.Silent
+			route, kind = unanswered, health.Silent
 		}
 		n := target.Begin(now, route)
 		now = now.Add(50 * time.Millisecond)
