--- a/internal/health/steady_test.go
+++ b/internal/health/steady_test.go
@@ -35,7 +35,7 @@
 // A target that failed and has recovered is working, but has not been working
 // without interruption.
 func TestSteadyExcludesRecoveredTargets(t *testing.T) {
-	const past = 4 * time.Second
+	const window = 4 * time.Second
 	tests := []struct {
 		name string
 		// kinds are the results of attempts, one every half second up to now.
@@ -69,7 +69,7 @@
 				target.End(at.Add(medianLatency), n, k)
 			}
 			now := at.Add(medianLatency)
-			if p := target.Steady(now, now.Add(-past)); p < tt.least || p > tt.most {
+			if p := target.Steady(now, now.Add(-window)); p < tt.least || p > tt.most {
 				t.Errorf("steady with probability %.3f, want %.2f to %.2f", p, tt.least, tt.most)
 			}
 		})
