--- a/internal/health/steady_test.go
+++ b/internal/health/steady_test.go
@@ -91,8 +91,8 @@
 		}
 		now = now.Add(medianLatency)
 		before := 1 - target.Failing(now)
-		for past := time.Duration(0); past <= 6*time.Second; past += 500 * time.Millisecond {
-			p := target.Steady(now, now.Add(-past))
+		for window := time.Duration(0); window <= 6*time.Second; window += 500 * time.Millisecond {
+			p := target.Steady(now, now.Add(-window))
 			if p < 0 || p > before+slack {
 				return false
 			}
