--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -19,7 +19,7 @@
 func ExampleBudget() {
 	b := admission.NewBudget()
 	retries := 0
-	// Every request of an outage wants to be tried again.
+	// During an outage every request needs a retry.
 	for range 1000 {
 		b.First()
 		if b.Retry() {
@@ -51,7 +51,8 @@
 	p.TestingRun(t)
 }
 
-// admitted counts the requests that enter when many come evenly over some time.
+// admitted returns the number of admitted requests out of requests sent evenly over
+// some time.
 func admitted(l *admission.Limiter, id string, rate, burst float64, nodes, requests int, over time.Duration) int {
 	count := 0
 	for i := range requests {
@@ -125,7 +126,7 @@
 	l := admission.NewLimiter()
 	admitted(l, "busy", 10, 10, 1, 100000, time.Second)
 	if n := admitted(l, "quiet", 10, 10, 1, 10, time.Second); n != 10 {
-		t.Fatalf("%d of 10 admitted beside a busy workspace", n)
+		t.Fatalf("%d of 10 requests admitted next to a busy workspace", n)
 	}
 }
 
@@ -134,7 +135,7 @@
 	l.Admit(start, "w", 2, 1, 1)
 	wait := l.Admit(start, "w", 2, 1, 1)
 	if wait != 500*time.Millisecond {
-		t.Fatalf("wait %v", wait)
+		t.Fatalf("wait %v, want 500ms", wait)
 	}
 	if l.Admit(start.Add(wait), "w", 2, 1, 1) != 0 {
 		t.Fatal("refused after the wait")
@@ -146,7 +147,7 @@
 	l.Admit(start, "w", 1, 1, 1)
 	for i := range 100 {
 		if l.Admit(start.Add(-time.Duration(i)*time.Second), "w", 1, 1, 1) == 0 {
-			t.Fatal("a clock that goes back gave a token")
+			t.Fatal("request admitted after the clock stepped back")
 		}
 	}
 }
--- a/internal/admission/limit.go
+++ b/internal/admission/limit.go
@@ -8,12 +8,12 @@
 	"time"
 )
 
-// maxBuckets bounds the table of active workspaces. At the bound the workspaces
-// whose bucket is full are forgotten: a full bucket is what a new one starts as.
+// maxBuckets bounds the table of active workspaces. At the bound, workspaces with a
+// full bucket are evicted first, which loses nothing: a new bucket is full as well.
 const maxBuckets = 8192
 
-// minWait is the least time that a refused request is told to wait. A shorter
-// one could round to 0, which means that the request may enter.
+// minWait is the least wait that Admit returns for a refused request. A shorter one
+// could round to 0, which means that the request is admitted.
 const minWait = time.Millisecond
 
 // bucket is the token bucket of one workspace on this node.
@@ -22,7 +22,7 @@
 	at     time.Time
 }
 
-// Limiter bounds the requests of workspaces. It may be used concurrently.
+// Limiter limits the request rate of workspaces. It is safe for concurrent use.
 type Limiter struct {
 	mu      sync.Mutex
 	buckets map[string]*bucket
@@ -35,10 +35,10 @@
 	}
 }
 
-// Admit takes one request of workspace id, whose limits for the whole fleet are
-// rate in requests a second and burst in requests, on one of nodes nodes. A rate
-// of 0 admits all. It returns 0 if the request may enter, else after how long
-// the next one may.
+// Admit returns 0 if a request of workspace id is admitted, otherwise the time until
+// the next one will be. rate, in requests per second, and burst, in requests, are the
+// limits of the workspace for the whole fleet, of which this is one of nodes nodes.
+// A rate of 0 admits all requests.
 func (l *Limiter) Admit(now time.Time, id string, rate, burst float64, nodes int) time.Duration {
 	if rate <= 0 {
 		return 0
@@ -57,6 +57,7 @@
 	return max(wait, minWait)
 }
 
+// refill adds the tokens since the last refill, share per second up to capacity.
 func (b *bucket) refill(now time.Time, share, capacity float64) {
 	if elapsed := now.Sub(b.at).Seconds(); elapsed > 0 {
 		b.tokens += elapsed * share
@@ -65,6 +66,7 @@
 	b.tokens = math.Min(b.tokens, capacity)
 }
 
+// bucket returns the bucket of workspace id and creates a full one if there is none.
 func (l *Limiter) bucket(now time.Time, id string, share, capacity float64) *bucket {
 	if b := l.buckets[id]; b != nil {
 		return b
@@ -80,8 +82,8 @@
 	return b
 }
 
-// evict forgets a few idle workspaces: those whose bucket would be full by now
-// at the asking workspace's rate, else any that it meets first.
+// evict removes idle workspaces from a sample of the table: those whose bucket would
+// be full by now at the rate share, or the least recently used one if there are none.
 func (l *Limiter) evict(now time.Time, share, capacity float64) {
 	const maxScanned = 64
 	scanned := 0
--- a/internal/balance/pick.go
+++ b/internal/balance/pick.go
@@ -58,8 +58,8 @@
 	}, true
 }
 
-// better returns the less loaded of two choices. A choice at that has no free
-// connection, was tried before or is unavailable is not considered.
+// better returns the index of the less loaded of two choices, or best if the one at
+// at has no free connection, was tried before or is unavailable.
 func (p *Pool) better(best, at int, tried, unavailable []string) int {
 	c := &p.choices[at]
 	if c.gauge.inFlight.Load() >= c.limit || contains(tried, c.key) || contains(unavailable, c.key) {
--- a/internal/health/steady.go
+++ b/internal/health/steady.go
@@ -8,8 +8,7 @@
 )
 
 // Steady returns the probability that the target has been working without interruption
-// from since to now. The time before baseAt is
-// not covered, as its events were evicted.
+// from since to now. The time before baseAt is not covered, as its events were evicted.
 func (t *Target) Steady(now, since time.Time) float64 {
 	if since.Before(t.baseAt) {
 		since = t.baseAt
--- a/internal/policy/policy.go
+++ b/internal/policy/policy.go
@@ -1,10 +1,10 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package policy compiles and evaluates the short programs that operators attach
-// to services. A policy has three expressions in the Common Expression Language
-// (https://cel.dev): when a target is sick, whether a request may be tried again,
-// and how many slots stay in service. Expressions are type-checked, have no
-// loops and no clock, and are refused when their estimated cost is too high.
+// Package policy compiles and evaluates the policies that operators attach to
+// services. A policy has three expressions in the Common Expression Language
+// (https://cel.dev): when a target is sick, whether a request may be retried, and
+// how many slots stay in service. Expressions are type-checked, have no loops and
+// no access to a clock, and are refused if their estimated cost is too high.
 package policy
 
 import (
@@ -14,27 +14,27 @@
 	"cel.dev/cel-go/checker"
 )
 
-// Expressions in force where a policy leaves one empty.
+// Defaults of empty expressions.
 const (
 	DefaultSick  = "score >= threshold"
 	DefaultRetry = "attempt < 3"
 	DefaultFloor = "0.5 * capacity"
 )
 
-// MaxCost is the greatest estimated cost of one expression, in CEL's cost units.
+// MaxCost is the maximum estimated cost of one expression, in CEL's cost units.
 const MaxCost = 500
 
-// maxText is the greatest length of one expression in bytes.
+// maxText is the maximum length of one expression in bytes.
 const maxText = 4096
 
-// Text is a policy as operators write it.
+// Text is the source of a policy. An empty expression has its default.
 type Text struct {
 	Sick  string
 	Retry string
 	Floor string
 }
 
-// Error is a fault in one expression of a policy.
+// Error is an error in one expression of a policy.
 type Error struct {
 	expression string
 	line       int
@@ -42,7 +42,7 @@
 	detail     string
 }
 
-// Error names the expression, the place in it and the fault.
+// Error returns the expression, the position in it and the error.
 func (e *Error) Error() string {
 	return fmt.Sprintf("policy: %s:%d:%d: %s", e.expression, e.line, e.column, e.detail)
 }
@@ -50,13 +50,13 @@
 // Part returns "sick", "retry" or "floor".
 func (e *Error) Part() string { return e.expression }
 
-// Line returns the line of the fault, from 1.
+// Line returns the line of the error, from 1.
 func (e *Error) Line() int { return e.line }
 
-// Column returns the column of the fault, from 1.
+// Column returns the column of the error, from 1.
 func (e *Error) Column() int { return e.column }
 
-// Program is a compiled policy. It may be used concurrently.
+// Program is a compiled policy. It is safe for concurrent use.
 type Program struct {
 	text  Text
 	sick  cel.Program
@@ -88,7 +88,7 @@
 	)
 )
 
-// mustEnv makes the environment of one expression. Macros are left out: they are
+// mustEnv returns the environment of one expression. It has no macros, as these are
 // CEL's only loops.
 func mustEnv(opts ...cel.EnvOption) *cel.Env {
 	env, err := cel.NewEnv(append(opts, cel.ClearMacros())...)
@@ -98,7 +98,7 @@
 	return env
 }
 
-// Compile checks and compiles a policy. Every fault is an *Error.
+// Compile checks and compiles a policy. Every error is an *Error.
 func Compile(t Text) (*Program, error) {
 	p := &Program{
 		text: t,
@@ -153,13 +153,13 @@
 	return prg, nil
 }
 
-// maxString is the length that cost estimates assume for strings, in bytes.
+// maxString is the length of string variables, in bytes, assumed in cost estimates.
 const maxString = 256
 
-// estimator bounds the sizes of variables for cel's cost estimate.
+// estimator bounds the sizes of variables for CEL's cost estimate.
 type estimator struct{}
 
-// EstimateSize bounds every string by maxString.
+// EstimateSize returns a size of up to maxString for every variable.
 func (estimator) EstimateSize(_ checker.AstNode) *checker.SizeEstimate {
 	return &checker.SizeEstimate{
 		Min: 0,
@@ -167,7 +167,7 @@
 	}
 }
 
-// EstimateCallCost leaves calls to cel's own estimate.
+// EstimateCallCost returns nil, so that CEL's own estimate is used.
 func (estimator) EstimateCallCost(_, _ string, _ *checker.AstNode, _ []checker.AstNode) *checker.CallEstimate {
 	return nil
 }
@@ -175,11 +175,12 @@
 // Text returns the source of the policy.
 func (p *Program) Text() Text { return p.text }
 
-// Health is what the expression "sick" sees of one target.
+// Health holds the variables of the expression "sick" for one target.
 type Health struct {
 	// Score is the strength of the evidence against the target, 0 for none.
 	Score float64
-	// Threshold is the score at which evidence counts as strong enough.
+	// Threshold is the score configured for the service, at which a target counts as
+	// sick by default.
 	Threshold float64
 	// Good, Bad and Stalled count recent requests.
 	Good    float64
@@ -190,8 +191,8 @@
 	DataHalls int
 }
 
-// Sick reports whether a target counts as sick. A failed evaluation counts as not
-// sick: a faulty policy must not take targets out of service.
+// Sick reports whether a target counts as sick. If the evaluation fails, it doesn't:
+// a faulty policy must not take targets out of service.
 func (p *Program) Sick(h Health) bool {
 	return evalBool(p.sick, map[string]any{
 		"score":      h.Score,
@@ -204,7 +205,7 @@
 	})
 }
 
-// evalBool evaluates an expression that gives a bool; a failed one counts as false.
+// evalBool evaluates a bool expression. It returns false if the evaluation fails.
 func evalBool(prg cel.Program, vars map[string]any) bool {
 	out, _, err := prg.Eval(vars)
 	if err != nil {
@@ -214,9 +215,9 @@
 	return ok && b
 }
 
-// Try is what the expression "retry" sees of one failed attempt.
+// Try holds the variables of the expression "retry" for one failed attempt.
 type Try struct {
-	// Attempt counts the attempts made so far, from 1.
+	// Attempt is the number of attempts so far, from 1.
 	Attempt int
 	// Outcome is "not run" or "unknown".
 	Outcome    string
@@ -226,8 +227,8 @@
 	Class      string
 }
 
-// Retry reports whether the policy allows another attempt. A failed evaluation
-// counts as no.
+// Retry reports whether the policy allows another attempt. If the evaluation fails,
+// it doesn't.
 func (p *Program) Retry(t Try) bool {
 	return evalBool(p.retry, map[string]any{
 		"attempt":    t.Attempt,
@@ -239,8 +240,9 @@
 	})
 }
 
-// Floor returns how many slots must stay in service, between 0 and capacity. A
-// failed evaluation gives the whole capacity: nothing may be ejected then.
+// Floor returns the number of slots that must stay in service, between 0 and
+// capacity. If the evaluation fails, it returns capacity, so that no target is
+// ejected.
 func (p *Program) Floor(capacity float64, targets int) float64 {
 	out, _, err := p.floor.Eval(map[string]any{
 		"capacity": capacity,
--- a/internal/policy/policy_test.go
+++ b/internal/policy/policy_test.go
@@ -103,7 +103,7 @@
 			_, err := policy.Compile(c.text)
 			var pe *policy.Error
 			if !errors.As(err, &pe) {
-				t.Fatalf("got %v", err)
+				t.Fatalf("got %v, want a *policy.Error", err)
 			}
 			if pe.Part() != c.part || pe.Line() < 1 || pe.Column() < 1 {
 				t.Fatalf("part %q at %d:%d", pe.Part(), pe.Line(), pe.Column())
@@ -112,8 +112,8 @@
 	}
 }
 
-// A policy that fails while it runs must not take targets out of service, nor
-// lower the floor, nor cause retries.
+// A policy whose evaluation fails must not take targets out of service, lower the
+// floor or cause retries.
 func TestEvaluationErrorKeepsTargetsInService(t *testing.T) {
 	p, err := policy.Compile(policy.Text{
 		Sick:  "1 / (reporters - reporters) > 0",
@@ -128,7 +128,7 @@
 	}) || p.Retry(policy.Try{
 		Attempt: 1,
 	}) || p.Floor(12, 4) != 12 {
-		t.Fatal("a failing policy acted")
+		t.Fatal("failed evaluation counted as sick, allowed a retry or lowered the floor")
 	}
 }
 
@@ -146,8 +146,8 @@
 	}
 }
 
-// The policy of a service is evaluated for each target with evidence at each
-// tick, and for each retry: it must stay a small part of either.
+// The policy of a service is evaluated at each tick for each target with evidence,
+// and for each retry. It must remain a small share of the cost of either.
 func TestEvaluationGuard(t *testing.T) {
 	short, err := policy.Compile(policy.Text{
 		Sick: "score >= threshold",
@@ -176,7 +176,7 @@
 		allocs := testing.AllocsPerRun(1000, func() { p.Sick(h) })
 		t.Logf("%s: %v allocations", name, allocs)
 		if allocs > 25 {
-			t.Errorf("%s: %v allocations an evaluation", name, allocs)
+			t.Errorf("%s: %v allocations per evaluation", name, allocs)
 		}
 	}
 }
