--- a/internal/health/model.go
+++ b/internal/health/model.go
@@ -10,7 +10,7 @@
 // Parameters of the model of a service. Priors hold before any observation, weights
 // are the numbers of observations that they count for.
 const (
-	// enterPrior and leaveGuess are the rates, in 1/s, at which targets begin and stop
+	// enterPrior and leavePrior are the rates, in 1/s, at which targets begin and stop
 	// failing: between the phases of one second and of ten seconds that users'
 	// targets showed.
 	enterPrior      = 0.03
--- a/internal/outlier/collector.go
+++ b/internal/outlier/collector.go
@@ -66,7 +66,8 @@
 	started   time.Time
 	// stallCounts is how often the attempt was counted as bad while in flight.
 	stallCounts int
-	// discarded is set when the process was paused: the attempt's age proves nothing.
+	// discarded is set when the process was paused: the attempt's age is
+	// no evidence.
 	discarded bool
 }
 
@@ -82,7 +83,8 @@
 
 type classKey struct{ service, class string }
 
-// Collector counts the attempts of one node. It may be used concurrently.
+// Collector counts the attempts of one node. It is safe for
+// concurrent use.
 type Collector struct {
 	tick      time.Duration
 	mu        sync.Mutex
@@ -100,7 +102,8 @@
 	}
 }
 
-// Begin records the start of an attempt. Requests of one class take similar time.
+// Begin records the start of an attempt. Requests of one class have
+// similar latency.
 func (c *Collector) Begin(now time.Time, service, class, target string) *Flight {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/policy/policy.go
+++ b/internal/policy/policy.go
@@ -137,14 +137,14 @@
 		return nil, fault(first.Location.Line(), first.Location.Column()+1, first.Message)
 	}
 	if !ast.OutputType().IsExactType(want) {
-		return nil, fault(1, 1, fmt.Sprintf("gives %s, want %s", ast.OutputType(), want))
+		return nil, fault(1, 1, fmt.Sprintf("result has type %s, want %s", ast.OutputType(), want))
 	}
 	cost, err := env.EstimateCost(ast, estimator{})
 	if err != nil {
 		return nil, fault(1, 1, err.Error())
 	}
 	if cost.Max > MaxCost {
-		return nil, fault(1, 1, fmt.Sprintf("may cost %d, at most %d is allowed", cost.Max, MaxCost))
+		return nil, fault(1, 1, fmt.Sprintf("estimated cost of %d, at most %d is allowed", cost.Max, MaxCost))
 	}
 	prg, err := env.Program(ast, cel.EvalOptions(cel.OptOptimize), cel.CostLimit(MaxCost))
 	if err != nil {
@@ -219,7 +219,7 @@
 type Try struct {
 	// Attempt is the number of attempts so far, from 1.
 	Attempt int
-	// Outcome is "not run" or "unknown".
+	// Outcome is "not-run" or "unknown".
 	Outcome    string
 	Repeatable bool
 	Method     string
