--- a/internal/outlier/collector.go
+++ b/internal/outlier/collector.go
@@ -36,17 +36,17 @@
 	samples int
 }
 
-func (u *medianEstimate) add(d time.Duration) {
-	u.samples++
-	if u.samples == 1 {
-		u.median = max(d, time.Microsecond)
+func (m *medianEstimate) add(d time.Duration) {
+	m.samples++
+	if m.samples == 1 {
+		m.median = max(d, time.Microsecond)
 		return
 	}
-	step := time.Duration(float64(u.median) * medianStep)
-	if d > u.median {
-		u.median += step
+	step := time.Duration(float64(m.median) * medianStep)
+	if d > m.median {
+		m.median += step
 	} else {
-		u.median = max(u.median-step, time.Microsecond)
+		m.median = max(m.median-step, time.Microsecond)
 	}
 }
 
