--- a/internal/outlier/collector.go
+++ b/internal/outlier/collector.go
@@ -51,11 +51,11 @@
 }
 
 // slowAfter returns the latency above which a request counts as slow.
-func (u *medianEstimate) slowAfter() time.Duration {
-	if u.samples < medianSamples {
+func (m *medianEstimate) slowAfter() time.Duration {
+	if m.samples < medianSamples {
 		return defaultSlow
 	}
-	return max(u.median*slowFactor, minSlow)
+	return max(m.median*slowFactor, minSlow)
 }
 
 // Flight is one attempt in flight. End must be called once.
