--- a/internal/outlier/ejection.go
+++ b/internal/outlier/ejection.go
@@ -23,11 +23,11 @@
 }
 
 // start begins an ejection at now.
-func (h *ejection) start(now time.Time) {
-	h.expireRelapses(now)
-	h.duration = min(FirstHold<<min(h.relapses, 16), MaxHold)
-	h.until = now.Add(h.duration)
-	h.relapses++
+func (e *ejection) start(now time.Time) {
+	e.expireRelapses(now)
+	e.duration = min(FirstHold<<min(e.relapses, 16), MaxHold)
+	e.until = now.Add(e.duration)
+	e.relapses++
 }
 
 // expireRelapses removes relapses that are older than their expiry.
