--- a/internal/outlier/ejection.go
+++ b/internal/outlier/ejection.go
@@ -31,11 +31,11 @@
 }
 
 // expireRelapses removes relapses that are older than their expiry.
-func (h *ejection) expireRelapses(now time.Time) {
-	for h.relapses > 0 && now.Sub(h.until) > relapseExpiry*h.duration {
-		h.relapses--
-		h.duration /= 2
-		h.until = h.until.Add(relapseExpiry * h.duration)
+func (e *ejection) expireRelapses(now time.Time) {
+	for e.relapses > 0 && now.Sub(e.until) > relapseExpiry*e.duration {
+		e.relapses--
+		e.duration /= 2
+		e.until = e.until.Add(relapseExpiry * e.duration)
 	}
 }
 
