--- a/internal/outlier/ejection.go
+++ b/internal/outlier/ejection.go
@@ -39,4 +39,4 @@
 	}
 }
 
-func (h *ejection) active(now time.Time) bool { return now.Before(h.until) }
+func (e *ejection) active(now time.Time) bool { return now.Before(e.until) }
