--- a/internal/outlier/detector.go
+++ b/internal/outlier/detector.go
@@ -82,10 +82,10 @@
 }
 
 // without returns the counts less those of one target.
-func (t *decayedCounts) without(part decayedCounts) decayedCounts {
+func (t *decayedCounts) without(target decayedCounts) decayedCounts {
 	return decayedCounts{
-		good: max(t.good-part.good, 0),
-		bad:  max(t.bad-part.bad, 0),
+		good: max(t.good-target.good, 0),
+		bad:  max(t.bad-target.bad, 0),
 	}
 }
 
