--- a/internal/outlier/controller.go
+++ b/internal/outlier/controller.go
@@ -70,9 +70,9 @@
 // SetTargets replaces the published targets. Targets of the first non-empty list
 // are healthy, later ones begin to warm up.
 func (j *Judge) SetTargets(now time.Time, addresses []string) {
-	known := map[string]bool{}
+	listed := map[string]bool{}
 	for _, a := range addresses {
-		known[a] = true
+		listed[a] = true
 		if j.targets[a] != nil {
 			continue
 		}
@@ -86,7 +86,7 @@
 		j.targets[a] = t
 	}
 	for a := range j.targets {
-		if !known[a] {
+		if !listed[a] {
 			delete(j.targets, a)
 			delete(j.unhealthy, a)
 		}
