--- a/internal/outlier/observer.go
+++ b/internal/outlier/observer.go
@@ -73,21 +73,21 @@
 	o.service = s
 	o.hall.threshold = s.Threshold
 	o.all.threshold = s.Threshold
-	known := map[string]bool{}
+	listed := map[string]bool{}
 	for _, t := range s.Targets {
-		known[t] = true
+		listed[t] = true
 	}
-	o.hallEvidence.retain(known)
-	o.allEvidence.retain(known)
-	o.hall.Keep(known)
-	o.all.Keep(known)
+	o.hallEvidence.retain(listed)
+	o.allEvidence.retain(listed)
+	o.hall.Keep(listed)
+	o.all.Keep(listed)
 	for t := range o.ejections {
-		if !known[t] {
+		if !listed[t] {
 			delete(o.ejections, t)
 		}
 	}
 	for t := range o.drainingSent {
-		if !known[t] {
+		if !listed[t] {
 			delete(o.drainingSent, t)
 		}
 	}
