--- a/internal/outlier/outlier_test.go
+++ b/internal/outlier/outlier_test.go
@@ -342,12 +342,12 @@
 	var last time.Duration
 	for i := range 8 {
 		j.Sick(now, "t", threshold)
-		begun := now
+		ejectedAt := now
 		for j.State(now, "t").Phase == outlier.PhaseEjected {
 			now = now.Add(100 * time.Millisecond)
 			j.Advance(now)
 		}
-		held := now.Sub(begun)
+		held := now.Sub(ejectedAt)
 		if held < last || held > outlier.MaxHold+time.Second {
 			t.Fatalf("relapse %d ejected for %v, the one before for %v", i, held, last)
 		}
