--- a/internal/outlier/outlier_test.go
+++ b/internal/outlier/outlier_test.go
@@ -347,11 +347,11 @@
 			now = now.Add(100 * time.Millisecond)
 			j.Advance(now)
 		}
-		held := now.Sub(ejectedAt)
-		if held < last || held > outlier.MaxHold+time.Second {
-			t.Fatalf("relapse %d ejected for %v, the one before for %v", i, held, last)
+		ejectedFor := now.Sub(ejectedAt)
+		if ejectedFor < last || ejectedFor > outlier.MaxHold+time.Second {
+			t.Fatalf("relapse %d ejected for %v, the one before for %v", i, ejectedFor, last)
 		}
-		last = held
+		last = ejectedFor
 		// A failed trial request counts as a relapse.
 		j.Evidence(now, outlier.Counts{
 			Target: "t",
