--- a/internal/health/latency.go
+++ b/internal/health/latency.go
@@ -68,12 +68,12 @@
 
 // update computes the table from both histograms.
 func (t *latencies) update() {
-	all := hdrhistogram.New(1, maxLatencyMs, histogramDigits)
-	all.Merge(t.previous)
-	all.Merge(t.current)
-	t.n = float64(all.TotalCount())
+	merged := hdrhistogram.New(1, maxLatencyMs, histogramDigits)
+	merged.Merge(t.previous)
+	merged.Merge(t.current)
+	t.n = float64(merged.TotalCount())
 	for i, q := range quantiles {
-		t.table[i] = float64(all.ValueAtQuantile(q))
+		t.table[i] = float64(merged.ValueAtQuantile(q))
 	}
 }
 
