--- a/internal/balance/pick.go
+++ b/internal/balance/pick.go
@@ -32,8 +32,8 @@
 	bits := random()
 	best := -1
 	for i := range samples {
-		at := int(uint16(bits>>(16*i))) * n >> 16
-		best = p.better(best, at, tried, unavailable)
+		index := int(uint16(bits>>(16*i))) * n >> 16
+		best = p.better(best, index, tried, unavailable)
 	}
 	if best >= 0 && p.acquire(best) {
 		return p.pick(best), true
