--- a/internal/balance/pick.go
+++ b/internal/balance/pick.go
@@ -60,13 +60,13 @@
 
 // better returns the index of the less loaded of two choices, or best if the one at
 // at has no free connection, was tried before or is unavailable.
-func (p *Pool) better(best, at int, tried, unavailable []string) int {
-	c := &p.choices[at]
+func (p *Pool) better(best, index int, tried, unavailable []string) int {
+	c := &p.choices[index]
 	if c.gauge.inFlight.Load() >= c.limit || contains(tried, c.key) || contains(unavailable, c.key) {
 		return best
 	}
-	if best < 0 || p.load(at) < p.load(best) {
-		return at
+	if best < 0 || p.load(index) < p.load(best) {
+		return index
 	}
 	return best
 }
