--- a/internal/balance/pick.go
+++ b/internal/balance/pick.go
@@ -72,8 +72,8 @@
 }
 
 // load returns the load per slot that a further request would lead to.
-func (p *Pool) load(at int) float64 {
-	c := &p.choices[at]
+func (p *Pool) load(index int) float64 {
+	c := &p.choices[index]
 	return (max(float64(c.gauge.inFlight.Load()), c.load) + 1) / c.weight
 }
 
