--- a/internal/balance/pick.go
+++ b/internal/balance/pick.go
@@ -78,8 +78,8 @@
 }
 
 // acquire counts a request at a target and reports whether it is within the limit.
-func (p *Pool) acquire(at int) bool {
-	c := &p.choices[at]
+func (p *Pool) acquire(index int) bool {
+	c := &p.choices[index]
 	if c.gauge.inFlight.Add(1) <= c.limit {
 		return true
 	}
