--- a/internal/balance/pick.go
+++ b/internal/balance/pick.go
@@ -87,10 +87,10 @@
 	return false
 }
 
-func (p *Pool) pick(at int) Pick {
+func (p *Pool) pick(index int) Pick {
 	return Pick{
-		key:   p.choices[at].key,
-		gauge: p.choices[at].gauge,
+		key:   p.choices[index].key,
+		gauge: p.choices[index].gauge,
 	}
 }
 
