--- a/internal/balance/pick.go
+++ b/internal/balance/pick.go
@@ -99,10 +99,10 @@
 	n := len(p.choices)
 	for _, retried := range [...]bool{false, true} {
 		for i := range n {
-			at := (from + i) % n
-			key := p.choices[at].key
-			if contains(tried, key) == retried && !contains(unavailable, key) && p.acquire(at) {
-				return p.pick(at), true
+			index := (from + i) % n
+			key := p.choices[index].key
+			if contains(tried, key) == retried && !contains(unavailable, key) && p.acquire(index) {
+				return p.pick(index), true
 			}
 		}
 	}
