--- a/internal/balance/pool.go
+++ b/internal/balance/pool.go
@@ -67,12 +67,12 @@
 // Pool chooses among the targets of one service. It is immutable and safe for
 // concurrent use.
 type Pool struct {
-	choices  []choice
-	trials   []choice
-	capacity float64
-	serving  float64
-	floor    float64
-	kept     int
+	choices     []choice
+	trials      []choice
+	capacity    float64
+	serving     float64
+	floor       float64
+	keptByFloor int
 }
 
 // NewPool returns the pool of one node. floor is the capacity in slots that must
@@ -141,7 +141,7 @@
 	for n < len(present) && (!present[n].Sick || capacity < min(p.floor, p.capacity)) {
 		capacity += present[n].capacity()
 		if present[n].Sick {
-			p.kept++
+			p.keptByFloor++
 		}
 		n++
 	}
@@ -210,7 +210,7 @@
 func (p *Pool) Floor() float64 { return p.floor }
 
 // Kept returns the number of sick targets that get requests because of the floor.
-func (p *Pool) Kept() int { return p.kept }
+func (p *Pool) Kept() int { return p.keptByFloor }
 
 // Trials returns the number of targets on trial.
 func (p *Pool) Trials() int { return len(p.trials) }
