--- a/internal/outlier/collector.go
+++ b/internal/outlier/collector.go
@@ -32,21 +32,21 @@
 // medianEstimate estimates the median latency of one class of requests by
 // stochastic approximation: each request moves it one step towards its own latency.
 type medianEstimate struct {
-	median  time.Duration
+	value   time.Duration
 	samples int
 }
 
 func (m *medianEstimate) add(d time.Duration) {
 	m.samples++
 	if m.samples == 1 {
-		m.median = max(d, time.Microsecond)
+		m.value = max(d, time.Microsecond)
 		return
 	}
-	step := time.Duration(float64(m.median) * medianStep)
-	if d > m.median {
-		m.median += step
+	step := time.Duration(float64(m.value) * medianStep)
+	if d > m.value {
+		m.value += step
 	} else {
-		m.median = max(m.median-step, time.Microsecond)
+		m.value = max(m.value-step, time.Microsecond)
 	}
 }
 
@@ -55,7 +55,7 @@
 	if m.samples < medianSamples {
 		return defaultSlow
 	}
-	return max(m.median*slowFactor, minSlow)
+	return max(m.value*slowFactor, minSlow)
 }
 
 // Flight is one attempt in flight. End must be called once.
