--- a/internal/balance/pick.go
+++ b/internal/balance/pick.go
@@ -58,8 +58,8 @@
 	}, true
 }
 
-// better returns the index of the less loaded of two choices, or best if the one at
-// at has no free connection, was tried before or is unavailable.
+// better returns the index of the less loaded of two choices, or best if that at
+// index has no free connection, was tried before or is unavailable.
 func (p *Pool) better(best, index int, tried, unavailable []string) int {
 	c := &p.choices[index]
 	if c.gauge.inFlight.Load() >= c.limit || contains(tried, c.key) || contains(unavailable, c.key) {
--- a/internal/health/target.go
+++ b/internal/health/target.go
@@ -13,7 +13,7 @@
 	maxEvents = 10
 	// initialFailing is the probability that a newly started target is failing.
 	initialFailing = 0.02
-	// minFailing and mostFailing bound the probability of failing: no evidence is
+	// minFailing and maxFailing bound the probability of failing: no evidence is
 	// certain.
 	minFailing = 0.004
 	maxFailing = 0.985
