--- a/internal/health/health_test.go
+++ b/internal/health/health_test.go
@@ -63,7 +63,7 @@
 		least, most float64
 	}{
 		{
-			name: "usual latency",
+			name: "usual",
 			age:  medianLatency,
 			most: 0.06,
 		},
--- a/internal/outlier/outlier_test.go
+++ b/internal/outlier/outlier_test.go
@@ -446,7 +446,7 @@
 		want int
 	}{
 		{
-			name: "no node",
+			name: "nobody",
 			bad:  0,
 			want: 0,
 		},
