--- a/internal/outlier/collector.go
+++ b/internal/outlier/collector.go
@@ -227,7 +227,7 @@
 	return out
 }
 
-// discard drops the counts and excludes the attempts in flight from later ones.
+// discard clears the counts and excludes the attempts in flight from later counts.
 func (v *targetCounts) discard() {
 	v.counts = Counts{}
 	for f := range v.inFlight {
@@ -235,7 +235,7 @@
 	}
 }
 
-// countStalled counts attempts in flight that are slow already as bad.
+// countStalled counts attempts in flight that are already slow as bad.
 func (v *targetCounts) countStalled(now time.Time) {
 	for f := range v.inFlight {
 		if f.discarded || f.stallCounts >= maxStallCounts {
