--- a/internal/admission/limit.go
+++ b/internal/admission/limit.go
@@ -8,13 +8,13 @@
 	"time"
 )
 
-// maxBuckets bounds the table of active workspaces. At the bound the workspaces
-// whose bucket is full are forgotten: a full bucket is what a new one starts as.
+// maxBuckets bounds the table of active workspaces. At the bound, workspaces with a
+// full bucket are evicted first, which loses nothing: a new bucket is full as well.
 const maxBuckets = 8192
 
-// leastWait is the least time that a refused request is told to wait. A shorter
-// one could round to 0, which means that the request may enter.
-const leastWait = time.Millisecond
+// minWait is the least wait that Admit returns for a refused request. A shorter one
+// could round to 0, which means that the request is admitted.
+const minWait = time.Millisecond
 
 // bucket is the token bucket of one workspace on this node.
 type bucket struct {
@@ -22,7 +22,7 @@
 	at     time.Time
 }
 
-// Limiter bounds the requests of workspaces. It may be used concurrently.
+// Limiter limits the request rate of workspaces. It is safe for concurrent use.
 type Limiter struct {
 	mu      sync.Mutex
 	buckets map[string]*bucket
@@ -35,66 +35,68 @@
 	}
 }
 
-// Admit takes one request of workspace id, whose limits for the whole fleet are
-// rate in requests a second and burst in requests, on one of nodes nodes. A rate
-// of 0 admits all. It returns 0 if the request may enter, else after how long
-// the next one may.
+// Admit returns 0 if a request of workspace id is admitted, otherwise the time until
+// the next one will be. rate, in requests per second, and burst, in requests, are the
+// limits of the workspace for the whole fleet, of which this is one of nodes nodes.
+// A rate of 0 admits all requests.
 func (l *Limiter) Admit(now time.Time, id string, rate, burst float64, nodes int) time.Duration {
 	if rate <= 0 {
 		return 0
 	}
 	share := rate / float64(max(nodes, 1))
-	room := math.Max(burst/float64(max(nodes, 1)), 1)
+	capacity := math.Max(burst/float64(max(nodes, 1)), 1)
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	b := l.find(now, id, share, room)
-	b.refill(now, share, room)
+	b := l.bucket(now, id, share, capacity)
+	b.refill(now, share, capacity)
 	if b.tokens >= 1 {
 		b.tokens--
 		return 0
 	}
 	wait := time.Duration((1 - b.tokens) / share * float64(time.Second))
-	return max(wait, leastWait)
+	return max(wait, minWait)
 }
 
-func (b *bucket) refill(now time.Time, share, room float64) {
-	if past := now.Sub(b.at).Seconds(); past > 0 {
-		b.tokens += past * share
+// refill adds the tokens since the last refill, share per second up to capacity.
+func (b *bucket) refill(now time.Time, share, capacity float64) {
+	if elapsed := now.Sub(b.at).Seconds(); elapsed > 0 {
+		b.tokens += elapsed * share
 		b.at = now
 	}
-	b.tokens = math.Min(b.tokens, room)
+	b.tokens = math.Min(b.tokens, capacity)
 }
 
-func (l *Limiter) find(now time.Time, id string, share, room float64) *bucket {
+// bucket returns the bucket of workspace id and creates a full one if there is none.
+func (l *Limiter) bucket(now time.Time, id string, share, capacity float64) *bucket {
 	if b := l.buckets[id]; b != nil {
 		return b
 	}
 	if len(l.buckets) >= maxBuckets {
-		l.evict(now, share, room)
+		l.evict(now, share, capacity)
 	}
 	b := &bucket{
-		tokens: room,
+		tokens: capacity,
 		at:     now,
 	}
 	l.buckets[id] = b
 	return b
 }
 
-// evict forgets a few idle workspaces: those whose bucket would be full by now
-// at the asking workspace's rate, else any that it meets first.
-func (l *Limiter) evict(now time.Time, share, room float64) {
-	const most = 64
-	seen := 0
+// evict removes idle workspaces from a sample of the table: those whose bucket would
+// be full by now at the rate share, or the least recently used one if there are none.
+func (l *Limiter) evict(now time.Time, share, capacity float64) {
+	const maxScanned = 64
+	scanned := 0
 	var oldest string
 	var at time.Time
 	for id, b := range l.buckets {
 		if oldest == "" || b.at.Before(at) {
 			oldest, at = id, b.at
 		}
-		if now.Sub(b.at).Seconds()*share >= room {
+		if now.Sub(b.at).Seconds()*share >= capacity {
 			delete(l.buckets, id)
 		}
-		if seen++; seen >= most {
+		if scanned++; scanned >= maxScanned {
 			break
 		}
 	}
--- a/internal/health/health_test.go
+++ b/internal/health/health_test.go
@@ -15,21 +15,21 @@
 	"ploverjunction.example/ploverjunction/internal/health"
 )
 
-// start is when all models of these tests begin.
+// start is the start time of all models in these tests.
 var start = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// usual is the time of an answer in these tests.
-const usual = 200 * time.Millisecond
+// medianLatency is the latency of an answer in these tests.
+const medianLatency = 200 * time.Millisecond
 
-// answered returns a model, a route whose answers take about the usual time, and
-// when that had been learned.
-func answered(t testing.TB) (*health.Model, *health.Route, time.Time) {
+// trainedModel returns a model, a route whose answers take about medianLatency, and the
+// time at which that was learned.
+func trainedModel(t testing.TB) (*health.Model, *health.Route, time.Time) {
 	t.Helper()
 	m := health.NewModel(start)
 	r := m.Route(start, "route")
 	rng := rand.New(rand.NewPCG(1, 2))
 	for range 200 {
-		took := usual/2 + time.Duration(rng.Int64N(int64(usual)))
+		took := medianLatency/2 + time.Duration(rng.Int64N(int64(medianLatency)))
 		if err := r.Answered(took); err != nil {
 			t.Fatal(err)
 		}
@@ -54,9 +54,9 @@
 	// after two quick failures: true
 }
 
-// An attempt that waits for its answer speaks against its target as soon as nearly
-// all others would have been answered.
-func TestSilenceIsSeenByItsAge(t *testing.T) {
+// An attempt in flight is evidence against its target once it has waited longer than
+// nearly all answers take.
+func TestUnansweredAttemptCountsByItsAge(t *testing.T) {
 	tests := []struct {
 		name        string
 		age         time.Duration
@@ -64,25 +64,25 @@
 	}{
 		{
 			name: "usual",
-			age:  usual,
+			age:  medianLatency,
 			most: 0.06,
 		},
 		{
-			name:  "twice the usual time",
-			age:   2 * usual,
+			name:  "twice the usual latency",
+			age:   2 * medianLatency,
 			least: 0.2,
 			most:  1,
 		},
 		{
-			name:  "five times the usual time",
-			age:   5 * usual,
+			name:  "five times the usual latency",
+			age:   5 * medianLatency,
 			least: 0.28,
 			most:  1,
 		},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			m, r, now := answered(t)
+			m, r, now := trainedModel(t)
 			target := health.NewTarget(now, m)
 			target.Begin(now, r)
 			p := target.Failing(now.Add(tt.age))
@@ -93,52 +93,52 @@
 	}
 }
 
-// An attempt that was given up, because its caller left or another target was
-// quicker, says as much as it would have said at that age.
-func TestAttemptThatWasGivenUpSpeaksByItsAge(t *testing.T) {
-	m, r, now := answered(t)
-	for _, age := range []time.Duration{20 * time.Millisecond, 3 * usual} {
+// An attempt that was abandoned, because its caller disconnected or another target was
+// faster, is the same evidence as an attempt in flight of that age.
+func TestAbandonedAttemptCountsByItsAge(t *testing.T) {
+	m, r, now := trainedModel(t)
+	for _, age := range []time.Duration{20 * time.Millisecond, 3 * medianLatency} {
 		target := health.NewTarget(now, m)
 		n := target.Begin(now, r)
 		end := now.Add(age)
 		running := target.Failing(end)
 		target.End(end, n, health.Open)
 		if p := target.Failing(end); p != running {
-			t.Errorf("given up after %v: %.3f, while it ran %.3f", age, p, running)
+			t.Errorf("abandoned after %v: %.3f, in flight %.3f", age, p, running)
 		}
 	}
 }
 
-// What an attempt shows counts at the time at which it was sent: answers to later
-// ones outweigh a time-out that is told after them.
+// The result of an attempt counts at the time at which it was sent: answers to later
+// ones outweigh a time-out that is reported after them.
 func TestLaterAnswersOutweighAnOldTimeout(t *testing.T) {
-	m, r, now := answered(t)
+	m, r, now := trainedModel(t)
 	target := health.NewTarget(now, m)
 	old := target.Begin(now, r)
 	for range 4 {
-		now = now.Add(usual)
+		now = now.Add(medianLatency)
 		n := target.Begin(now, r)
-		target.End(now.Add(usual/2), n, health.Good)
+		target.End(now.Add(medianLatency/2), n, health.Good)
 	}
-	now = now.Add(usual)
+	now = now.Add(medianLatency)
 	target.End(now, old, health.Silent)
 	if p := target.Failing(now); p > 0.1 {
 		t.Errorf("failing with probability %.3f after four answers to later requests", p)
 	}
 }
 
-// A route whose requests are never answered, whatever their target, makes nobody
-// doubt the targets once that has been learned.
-func TestRouteThatIsNeverAnsweredSaysNothing(t *testing.T) {
-	m, good, now := answered(t)
-	mute := m.Route(now, "mute")
+// Once the model has learned that a route's requests are never answered, whatever
+// their target, they don't raise the failure probability of targets.
+func TestUnansweredRouteIsNoEvidence(t *testing.T) {
+	m, good, now := trainedModel(t)
+	unanswered := m.Route(now, "mute")
 	target := health.NewTarget(now, m)
 	after := 0.0
 	for i := range 200 {
 		now = now.Add(50 * time.Millisecond)
 		route, kind := good, health.Good
 		if i%4 == 0 {
-			route, kind = mute, health.Silent
+			route, kind = unanswered, health.Silent
 		}
 		n := target.Begin(now, route)
 		now = now.Add(50 * time.Millisecond)
@@ -160,13 +160,13 @@
 	}
 }
 
-// When all targets become slower, answers are late at first; none is taken for
-// failing once the new times are known.
-func TestAllSlowTogetherIsNotFailing(t *testing.T) {
-	m, r, now := answered(t)
+// When all targets become slower, answers are late at first; no target is estimated
+// to fail once the new latencies are learned.
+func TestCommonSlowdownIsNotFailing(t *testing.T) {
+	m, r, now := trainedModel(t)
 	target := health.NewTarget(now, m)
 	for i := range 400 {
-		took := 3*usual + time.Duration(i%7)*10*time.Millisecond
+		took := 3*medianLatency + time.Duration(i%7)*10*time.Millisecond
 		n := target.Begin(now, r)
 		now = now.Add(took)
 		if err := r.Answered(took); err != nil {
@@ -176,19 +176,19 @@
 		m.Advance(now)
 	}
 	target.Begin(now, r)
-	if p := target.Failing(now.Add(3 * usual)); p > 0.1 {
-		t.Errorf("failing with probability %.3f after the new usual time", p)
+	if p := target.Failing(now.Add(3 * medianLatency)); p > 0.1 {
+		t.Errorf("failing with probability %.3f after the new usual latency", p)
 	}
 }
 
-// channel is a target of which a test knows the state.
-type channel struct {
+// simulatedTarget is a target with its true state.
+type simulatedTarget struct {
 	failing bool
 	target  *health.Target
 }
 
-// How often targets begin and end to fail, and what they do then, is learned from
-// what they show.
+// The rates at which targets begin and stop failing, and the share of requests that
+// failing ones lose, are learned from the results of attempts.
 func TestRatesAreLearned(t *testing.T) {
 	const (
 		enter, leave = 0.06, 0.3
@@ -213,9 +213,9 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			m, r, now := answered(t)
+			m, r, now := trainedModel(t)
 			rng := rand.New(rand.NewPCG(5, 6))
-			channels := make([]channel, 12)
+			channels := make([]simulatedTarget, 12)
 			for i := range channels {
 				channels[i].target = health.NewTarget(now, m)
 			}
@@ -236,24 +236,24 @@
 					if c.failing && rng.Float64() < lost {
 						c.target.Saw(now, r, tt.kind, tt.took)
 					} else {
-						c.target.Saw(now, r, health.Good, usual)
+						c.target.Saw(now, r, health.Good, medianLatency)
 					}
 				}
 				m.Advance(now)
 			}
 			gotEnter, gotLeave := m.Rates()
 			if gotEnter < enter/2.5 || gotEnter > enter*2.5 || gotLeave < leave/2.5 || gotLeave > leave*2.5 {
-				t.Errorf("learned %.3f/s to begin and %.3f/s to end, true are %v and %v", gotEnter, gotLeave, enter, leave)
+				t.Errorf("learned rates %.3f/s to begin and %.3f/s to stop failing, true are %v and %v", gotEnter, gotLeave, enter, leave)
 			}
 			if got := m.LostFailing(); got < lost-0.2 || got > lost+0.15 {
-				t.Errorf("learned that failing targets lose %.2f, true is %v", got, lost)
+				t.Errorf("learned that failing targets lose a share of %.2f, true is %v", got, lost)
 			}
 		})
 	}
 }
 
-// Whatever comes in whatever order, beliefs are probabilities.
-func TestBeliefsAreProbabilities(t *testing.T) {
+// All estimates are probabilities after any sequence of events.
+func TestEstimatesAreProbabilities(t *testing.T) {
 	properties := gopter.NewProperties(nil)
 	properties.Property("between 0 and 1", prop.ForAll(func(seed uint64) bool {
 		rng := rand.New(rand.NewPCG(seed, 1))
--- a/internal/health/steady_test.go
+++ b/internal/health/steady_test.go
@@ -32,13 +32,13 @@
 	// hardly for the last six seconds: true
 }
 
-// A target that failed and answers again works, but has not worked since before it
-// failed.
-func TestSteadyTellsRecoveredFromWorking(t *testing.T) {
-	const past = 4 * time.Second
+// A target that failed and has recovered is working, but has not been working
+// without interruption.
+func TestSteadyExcludesRecoveredTargets(t *testing.T) {
+	const window = 4 * time.Second
 	tests := []struct {
 		name string
-		// kinds are the ends of attempts, one each half second up to now.
+		// kinds are the results of attempts, one every half second up to now.
 		kinds       []health.Kind
 		least, most float64
 	}{
@@ -61,38 +61,38 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			m, r, at := answered(t)
+			m, r, at := trainedModel(t)
 			target := health.NewTarget(at, m)
 			for _, k := range tt.kinds {
 				at = at.Add(500 * time.Millisecond)
 				n := target.Begin(at, r)
-				target.End(at.Add(usual), n, k)
+				target.End(at.Add(medianLatency), n, k)
 			}
-			now := at.Add(usual)
-			if p := target.Steady(now, now.Add(-past)); p < tt.least || p > tt.most {
+			now := at.Add(medianLatency)
+			if p := target.Steady(now, now.Add(-window)); p < tt.least || p > tt.most {
 				t.Errorf("steady with probability %.3f, want %.2f to %.2f", p, tt.least, tt.most)
 			}
 		})
 	}
 }
 
-// Whatever was seen, a target is no more likely to have worked all the time than to
-// work now, and the longer the time the less.
+// After any events, a target is no more likely to have been working all the time than
+// to be working now, and the less likely the longer the time.
 func TestSteadyIsBoundedByWorking(t *testing.T) {
 	const slack = 1e-9
 	properties := gopter.NewProperties(nil)
 	properties.Property("steady", prop.ForAll(func(kinds []uint8, gaps []uint16) bool {
-		m, r, now := answered(t)
+		m, r, now := trainedModel(t)
 		target := health.NewTarget(now, m)
 		for i := range min(len(kinds), len(gaps)) {
 			now = now.Add(time.Duration(gaps[i]%1500) * time.Millisecond)
 			n := target.Begin(now, r)
-			target.End(now.Add(usual), n, health.Kind(kinds[i]%uint8(health.Unreached+1)))
+			target.End(now.Add(medianLatency), n, health.Kind(kinds[i]%uint8(health.Unreached+1)))
 		}
-		now = now.Add(usual)
+		now = now.Add(medianLatency)
 		before := 1 - target.Failing(now)
-		for past := time.Duration(0); past <= 6*time.Second; past += 500 * time.Millisecond {
-			p := target.Steady(now, now.Add(-past))
+		for window := time.Duration(0); window <= 6*time.Second; window += 500 * time.Millisecond {
+			p := target.Steady(now, now.Add(-window))
 			if p < 0 || p > before+slack {
 				return false
 			}
--- a/internal/health/target.go
+++ b/internal/health/target.go
@@ -8,129 +8,130 @@
 )
 
 const (
-	// mostEvents bounds the attempts that are kept of each target. What falls out
-	// has been followed by that many others.
-	mostEvents = 10
-	// startFailing is the probability that a target fails that has just started.
-	startFailing = 0.02
-	// leastFailing and mostFailing bound the belief: no evidence is certain.
-	leastFailing = 0.004
-	mostFailing  = 0.985
-	// cacheTime is how long a belief is used again while nothing new was seen.
+	// maxEvents bounds the attempts that are retained of each target. An evicted one
+	// was followed by that many others.
+	maxEvents = 10
+	// initialFailing is the probability that a newly started target is failing.
+	initialFailing = 0.02
+	// minFailing and maxFailing bound the probability of failing: no evidence is
+	// certain.
+	minFailing = 0.004
+	maxFailing = 0.985
+	// cacheTime is how long a computed probability is reused without new events.
 	cacheTime = 20 * time.Millisecond
 )
 
 // event is one attempt at a target.
 type event struct {
-	id    uint64
-	begun time.Time
-	route *Route
-	kind  Kind
-	// running is set while the attempt goes on, age is how long it took if it was
-	// given up.
-	running bool
-	age     time.Duration
+	id      uint64
+	started time.Time
+	route   *Route
+	kind    Kind
+	// inFlight is set until the attempt ends, age is how long it took.
+	inFlight bool
+	age      time.Duration
 }
 
 // waited returns how long the attempt waited for its answer.
 func (e *event) waited(now time.Time) time.Duration {
-	if e.running {
-		return now.Sub(e.begun)
+	if e.inFlight {
+		return now.Sub(e.started)
 	}
 	return e.age
 }
 
-// Target is the belief about one target.
+// Target estimates whether one target is failing.
 type Target struct {
 	model *Model
-	// base is the probability of failing at the time at, before the events.
+	// base is the probability of failing at baseAt, before the events.
 	base   float64
-	at     time.Time
+	baseAt time.Time
 	events []event
-	next   uint64
+	lastID uint64
 
 	cached   float64
 	cachedAt time.Time
 }
 
-// NewTarget returns the belief about a target that has just started.
+// NewTarget returns the estimate of a newly started target.
 func NewTarget(now time.Time, m *Model) *Target {
 	return &Target{
 		model:  m,
-		base:   startFailing,
-		at:     now,
-		events: make([]event, 0, mostEvents+1),
+		base:   initialFailing,
+		baseAt: now,
+		events: make([]event, 0, maxEvents+1),
 	}
 }
 
-// Begin notes an attempt and returns its number.
+// Begin records the start of an attempt and returns its ID.
 func (t *Target) Begin(now time.Time, r *Route) uint64 {
-	t.next++
+	t.lastID++
 	t.insert(now, event{
-		id:      t.next,
-		begun:   now,
-		route:   r,
-		kind:    Open,
-		running: true,
+		id:       t.lastID,
+		started:  now,
+		route:    r,
+		kind:     Open,
+		inFlight: true,
 	})
-	return t.next
+	return t.lastID
 }
 
-// End notes the end of an attempt that Begin noted. Attempts that many others have
-// followed say nothing any more.
+// End records the result of an attempt that Begin returned. It is ignored if the
+// attempt was evicted by later ones.
 func (t *Target) End(now time.Time, id uint64, k Kind) {
 	t.cachedAt = time.Time{}
 	for i := range t.events {
 		e := &t.events[i]
-		if e.id == id && e.running {
-			e.running = false
+		if e.id == id && e.inFlight {
+			e.inFlight = false
 			e.kind = k
-			e.age = now.Sub(e.begun)
+			e.age = now.Sub(e.started)
 			return
 		}
 	}
 }
 
-// Saw notes an attempt of which only the end is known.
+// Saw records an attempt of which only the end was reported.
 func (t *Target) Saw(now time.Time, r *Route, k Kind, took time.Duration) {
 	t.insert(now, event{
-		begun: now.Add(-took),
-		route: r,
-		kind:  k,
-		age:   took,
+		started: now.Add(-took),
+		route:   r,
+		kind:    k,
+		age:     took,
 	})
 }
 
-// insert adds an event in the order of begin.
+// insert adds an event in the order of the start times.
 func (t *Target) insert(now time.Time, e event) {
 	at := len(t.events)
-	for at > 0 && e.begun.Before(t.events[at-1].begun) {
+	for at > 0 && e.started.Before(t.events[at-1].started) {
 		at--
 	}
 	t.events = slices.Insert(t.events, at, e)
 	t.cachedAt = time.Time{}
-	if len(t.events) > mostEvents {
+	if len(t.events) > maxEvents {
 		t.evict(now)
 	}
 }
 
 // Failing returns the probability that the target is failing at now.
 func (t *Target) Failing(now time.Time) float64 {
-	if past := now.Sub(t.cachedAt); past >= 0 && past < cacheTime {
+	if elapsed := now.Sub(t.cachedAt); elapsed >= 0 && elapsed < cacheTime {
 		return t.cached
 	}
-	p, at := t.base, t.at
+	p, at := t.base, t.baseAt
 	for i := range t.events {
 		e := &t.events[i]
-		p = t.update(t.model.drift(p, e.begun.Sub(at)), e, now)
-		at = e.begun
+		p = t.update(t.model.predict(p, e.started.Sub(at)), e, now)
+		at = e.started
 	}
-	t.cached = t.model.drift(p, now.Sub(at))
+	t.cached = t.model.predict(p, now.Sub(at))
 	t.cachedAt = now
 	return t.cached
 }
 
-// Answering reports whether the last attempt that has ended was answered well.
+// Answering reports whether the last finished attempt got a good answer, or none has
+// finished.
 func (t *Target) Answering() bool {
 	for i := len(t.events) - 1; i >= 0; i-- {
 		if k := t.events[i].kind; k != Open {
@@ -140,20 +141,20 @@
 	return true
 }
 
-// update returns the probability of failing after one event.
+// update returns the probability of failing after one event (Bayes' rule).
 func (t *Target) update(p float64, e *event, now time.Time) float64 {
 	working, failing := t.model.likelihoods(e, now)
 	p = p * failing / (p*failing + (1-p)*working)
-	if p < leastFailing {
-		return leastFailing
+	if p < minFailing {
+		return minFailing
 	}
-	if p > mostFailing {
-		return mostFailing
+	if p > maxFailing {
+		return maxFailing
 	}
 	return p
 }
 
-// Lost returns the probability that a request sent at now is not answered well.
+// Lost returns the probability that a request sent at now gets no good answer.
 func (t *Target) Lost(now time.Time) float64 {
 	p := t.Failing(now)
 	return p*t.model.LostFailing() + (1-p)*t.model.LostWorking()
--- a/internal/outlier/collector.go
+++ b/internal/outlier/collector.go
@@ -7,153 +7,157 @@
 	"time"
 )
 
-// Parameters of what counts as slow.
+// Parameters that decide which requests count as slow.
 const (
-	// slowFactor is how many times the usual latency counts as slow.
+	// slowFactor is the multiple of the median latency that counts as slow.
 	slowFactor = 5
-	// slowLeast is the least time that counts as slow.
-	slowLeast = 50 * time.Millisecond
-	// slowUnknown counts as slow while the usual latency is unknown.
-	slowUnknown = time.Second
-	// usualStep is the part by which one request moves the usual latency.
-	usualStep = 0.05
-	// usualNeeds is how many requests make the usual latency known.
-	usualNeeds = 8
-	// pauseFactor is how many ticks late a drain shows that the process stood
-	// still.
+	// minSlow is the shortest latency that counts as slow.
+	minSlow = 50 * time.Millisecond
+	// defaultSlow is the latency that counts as slow until the median is known.
+	defaultSlow = time.Second
+	// medianStep is the fraction by which one request moves the median estimate.
+	medianStep = 0.05
+	// medianSamples is the number of requests after which the median is known.
+	medianSamples = 8
+	// pauseFactor is the number of ticks between two drains above which the
+	// process is taken to have been paused.
 	pauseFactor = 4
-	// countAge is how often an attempt in flight may count as bad, ageStep the
-	// time from the first to the second count. One attempt alone, which may just
-	// be a long one, thus never ejects a target.
-	countAge = 2
-	ageStep  = 500 * time.Millisecond
+	// maxStallCounts is how often an attempt in flight may count as bad,
+	// stallCountInterval the time from the first to the second count. A single
+	// attempt, which may just be a long one, thus never ejects a target.
+	maxStallCounts     = 2
+	stallCountInterval = 500 * time.Millisecond
 )
 
-// usual estimates the median latency of one class of requests by stochastic
-// approximation: each request moves it a step towards itself.
-type usual struct {
-	median time.Duration
-	seen   int
+// medianEstimate estimates the median latency of one class of requests by
+// stochastic approximation: each request moves it one step towards its own latency.
+type medianEstimate struct {
+	value   time.Duration
+	samples int
 }
 
-func (u *usual) add(d time.Duration) {
-	u.seen++
-	if u.seen == 1 {
-		u.median = max(d, time.Microsecond)
+func (m *medianEstimate) add(d time.Duration) {
+	m.samples++
+	if m.samples == 1 {
+		m.value = max(d, time.Microsecond)
 		return
 	}
-	step := time.Duration(float64(u.median) * usualStep)
-	if d > u.median {
-		u.median += step
+	step := time.Duration(float64(m.value) * medianStep)
+	if d > m.value {
+		m.value += step
 	} else {
-		u.median = max(u.median-step, time.Microsecond)
+		m.value = max(m.value-step, time.Microsecond)
 	}
 }
 
-func (u *usual) slow() time.Duration {
-	if u.seen < usualNeeds {
-		return slowUnknown
+// slowAfter returns the latency above which a request counts as slow.
+func (m *medianEstimate) slowAfter() time.Duration {
+	if m.samples < medianSamples {
+		return defaultSlow
 	}
-	return max(u.median*slowFactor, slowLeast)
+	return max(m.value*slowFactor, minSlow)
 }
 
 // Flight is one attempt in flight. End must be called once.
 type Flight struct {
 	collector *Collector
-	cell      *cell
-	usual     *usual
-	begun     time.Time
-	// counted is how often the flight was counted as bad for its age.
-	counted int
-	// dropped is set when the process stood still: its age proves nothing.
-	dropped bool
+	counts    *targetCounts
+	median    *medianEstimate
+	started   time.Time
+	// stallCounts is how often the attempt was counted as bad while in flight.
+	stallCounts int
+	// discarded is set when the process was paused: the attempt's age is
+	// no evidence.
+	discarded bool
 }
 
-// cell holds the counts of one target since the last drain.
-type cell struct {
-	service string
-	target  string
-	counts  Counts
-	flights map[*Flight]struct{}
+// targetCounts holds the counts of one target since the last drain.
+type targetCounts struct {
+	service  string
+	target   string
+	counts   Counts
+	inFlight map[*Flight]struct{}
 }
 
-type cellKey struct{ service, target string }
+type targetKey struct{ service, target string }
 
-type usualKey struct{ service, class string }
+type classKey struct{ service, class string }
 
-// Collector counts the attempts of one node. It may be used concurrently.
+// Collector counts the attempts of one node. It is safe for
+// concurrent use.
 type Collector struct {
-	tick  time.Duration
-	mu    sync.Mutex
-	cells map[cellKey]*cell
-	usual map[usualKey]*usual
-	at    time.Time
+	tick      time.Duration
+	mu        sync.Mutex
+	targets   map[targetKey]*targetCounts
+	medians   map[classKey]*medianEstimate
+	drainedAt time.Time
 }
 
 // NewCollector returns a collector that is drained every tick.
 func NewCollector(tick time.Duration) *Collector {
 	return &Collector{
-		tick:  tick,
-		cells: map[cellKey]*cell{},
-		usual: map[usualKey]*usual{},
+		tick:    tick,
+		targets: map[targetKey]*targetCounts{},
+		medians: map[classKey]*medianEstimate{},
 	}
 }
 
-// Begin notes the start of an attempt. Requests of one class take similar time.
+// Begin records the start of an attempt. Requests of one class have
+// similar latency.
 func (c *Collector) Begin(now time.Time, service, class, target string) *Flight {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	f := &Flight{
 		collector: c,
-		cell:      c.cell(service, target),
-		usual:     c.usualOf(service, class),
-		begun:     now,
+		counts:    c.target(service, target),
+		median:    c.median(service, class),
+		started:   now,
 	}
-	f.cell.flights[f] = struct{}{}
+	f.counts.inFlight[f] = struct{}{}
 	return f
 }
 
-func (c *Collector) cell(service, target string) *cell {
-	k := cellKey{
+func (c *Collector) target(service, target string) *targetCounts {
+	k := targetKey{
 		service: service,
 		target:  target,
 	}
-	if v := c.cells[k]; v != nil {
+	if v := c.targets[k]; v != nil {
 		return v
 	}
-	v := &cell{
-		service: service,
-		target:  target,
-		flights: map[*Flight]struct{}{},
+	v := &targetCounts{
+		service:  service,
+		target:   target,
+		inFlight: map[*Flight]struct{}{},
 	}
-	c.cells[k] = v
+	c.targets[k] = v
 	return v
 }
 
-func (c *Collector) usualOf(service, class string) *usual {
-	k := usualKey{
+func (c *Collector) median(service, class string) *medianEstimate {
+	k := classKey{
 		service: service,
 		class:   class,
 	}
-	if v := c.usual[k]; v != nil {
+	if v := c.medians[k]; v != nil {
 		return v
 	}
-	v := &usual{}
-	c.usual[k] = v
+	v := &medianEstimate{}
+	c.medians[k] = v
 	return v
 }
 
-// End is what an attempt showed.
+// End is the result of an attempt as evidence about its target.
 type End struct {
-	// Failed speaks against the target.
+	// Failed is set when the target failed the attempt.
 	Failed bool
-	// Ignored is an end that says nothing about the target: it shed the request,
-	// or the caller left. What took too long until then counts all the same.
+	// Ignored is set when the result is no evidence about the target: it shed the
+	// request, or the caller disconnected. A slow attempt counts as bad all the same.
 	Ignored bool
-	// Leaving is set when the target said that it leaves.
+	// Leaving is set when the target signaled that it is draining.
 	Leaving bool
 	// Shed is set when the target refused the request before running it, Other
-	// when another process has its address.
+	// when another process has the target's address.
 	Shed  bool
 	Other bool
 	// Unreached is set when no connection could be opened.
@@ -162,88 +166,90 @@
 	Lost bool
 }
 
-// End notes the end of the attempt.
+// End records the end of the attempt.
 func (f *Flight) End(now time.Time, e End) {
 	c := f.collector
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	delete(f.cell.flights, f)
-	f.cell.counts.Leaving = f.cell.counts.Leaving || e.Leaving
-	if f.dropped {
+	delete(f.counts.inFlight, f)
+	f.counts.counts.Leaving = f.counts.counts.Leaving || e.Leaving
+	if f.discarded {
 		return
 	}
-	took := now.Sub(f.begun)
-	slow := took > f.usual.slow()
+	took := now.Sub(f.started)
+	slow := took > f.median.slowAfter()
 	if !e.Failed && !e.Ignored {
-		f.usual.add(took)
+		f.median.add(took)
 	}
 	switch {
-	case f.counted > 0:
+	case f.stallCounts > 0:
 	case slow || e.Failed && !e.Ignored:
-		f.cell.counts.Bad++
+		f.counts.counts.Bad++
 	case !e.Ignored:
-		f.cell.counts.Good++
+		f.counts.counts.Good++
 	}
 }
 
-// Slow returns the time after which a request of a class counts as slow.
+// Slow returns the latency above which a request of a class counts as slow.
 func (c *Collector) Slow(service, class string) time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.usualOf(service, class).slow()
+	return c.median(service, class).slowAfter()
 }
 
-// Evidence is what a drain gives of one target.
+// Evidence holds the counts of one target from one drain.
 type Evidence struct {
 	Service string
 	Counts  Counts
 }
 
 // Drain returns the counts since the last drain. Attempts that have been in
-// flight for too long count as bad before they end. If the process stood still
-// meanwhile all counts and all attempts in flight are dropped: they show the
+// flight for too long count as bad before they end. If the process was paused in
+// between, all counts and attempts in flight are discarded: they reflect the
 // pause, not the targets.
 func (c *Collector) Drain(now time.Time) []Evidence {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	paused := !c.at.IsZero() && now.Sub(c.at) > pauseFactor*c.tick
-	c.at = now
+	paused := !c.drainedAt.IsZero() && now.Sub(c.drainedAt) > pauseFactor*c.tick
+	c.drainedAt = now
 	var out []Evidence
-	for k, v := range c.cells {
+	for k, v := range c.targets {
 		if paused {
-			v.drop()
+			v.discard()
 		}
-		v.age(now)
+		v.countStalled(now)
 		if e, ok := v.drain(); ok {
 			out = append(out, e)
-		} else if len(v.flights) == 0 {
-			delete(c.cells, k)
+		} else if len(v.inFlight) == 0 {
+			delete(c.targets, k)
 		}
 	}
 	return out
 }
 
-func (v *cell) drop() {
+// discard clears the counts and excludes the attempts in flight from later counts.
+func (v *targetCounts) discard() {
 	v.counts = Counts{}
-	for f := range v.flights {
-		f.dropped = true
+	for f := range v.inFlight {
+		f.discarded = true
 	}
 }
 
-func (v *cell) age(now time.Time) {
-	for f := range v.flights {
-		if f.dropped || f.counted >= countAge {
+// countStalled counts attempts in flight that are already slow as bad.
+func (v *targetCounts) countStalled(now time.Time) {
+	for f := range v.inFlight {
+		if f.discarded || f.stallCounts >= maxStallCounts {
 			continue
 		}
-		if now.Sub(f.begun) > f.usual.slow()+time.Duration(f.counted)*ageStep {
-			f.counted++
+		if now.Sub(f.started) > f.median.slowAfter()+time.Duration(f.stallCounts)*stallCountInterval {
+			f.stallCounts++
 			v.counts.Bad++
 			v.counts.Stalled++
 		}
 	}
 }
 
-func (v *cell) drain() (Evidence, bool) {
+func (v *targetCounts) drain() (Evidence, bool) {
 	e := Evidence{
 		Service: v.service,
 		Counts:  v.counts,
--- /dev/null
+++ b/internal/outlier/controller.go
@@ -0,0 +1,220 @@
+// SPDX-License-Identifier: Apache-2.0
+
+package outlier
+
+import "time"
+
+// Phase is the ejection state of a target on one node.
+type Phase uint8
+
+// Phases. An ejected target passes through trial and warming to healthy.
+const (
+	PhaseHealthy Phase = iota
+	// PhaseEjected targets get no requests unless the floor needs them.
+	PhaseEjected
+	// PhaseTrial targets get copies of repeatable requests whose answers are
+	// discarded.
+	PhaseTrial
+	// PhaseWarming targets get a growing share of requests.
+	PhaseWarming
+)
+
+func (p Phase) String() string {
+	return [...]string{"healthy", "ejected", "trial", "warming"}[p]
+}
+
+// Parameters of reinstatement.
+const (
+	// trialSuccesses is the number of good trial requests that end a trial.
+	trialSuccesses = 3
+	// TrialWait is the duration of a trial without requests, for services that have
+	// no repeatable ones.
+	TrialWait = 30 * time.Second
+	// WarmTime is the time in which a target's share grows to its full size.
+	WarmTime = 10 * time.Second
+	// minWarmth is the share of its slots that a warming target starts with.
+	minWarmth = 0.1
+	// LeavingTime is how long a target's own draining signal counts. The platform's
+	// list, which lags by up to 30 s, is up to date by then.
+	LeavingTime = time.Minute
+)
+
+// targetState is the ejection state of one target.
+type targetState struct {
+	phase         Phase
+	since         time.Time
+	ejection      ejection
+	leaseEnd      time.Time
+	score         float64
+	good          float64
+	drainingUntil time.Time
+}
+
+// Judge holds a node's ejection state of the targets of one service. It isn't safe
+// for concurrent use.
+type Judge struct {
+	targets map[string]*targetState
+	// unhealthy holds the targets in any phase but PhaseHealthy.
+	unhealthy   map[string]*targetState
+	initialized bool
+}
+
+// NewJudge returns a Judge without targets.
+func NewJudge() *Judge {
+	return &Judge{
+		targets:   map[string]*targetState{},
+		unhealthy: map[string]*targetState{},
+	}
+}
+
+// SetTargets replaces the published targets. Targets of the first non-empty list
+// are healthy, later ones begin to warm up.
+func (j *Judge) SetTargets(now time.Time, addresses []string) {
+	listed := map[string]bool{}
+	for _, a := range addresses {
+		listed[a] = true
+		if j.targets[a] != nil {
+			continue
+		}
+		t := &targetState{
+			since: now,
+		}
+		if j.initialized {
+			t.phase = PhaseWarming
+			j.unhealthy[a] = t
+		}
+		j.targets[a] = t
+	}
+	for a := range j.targets {
+		if !listed[a] {
+			delete(j.targets, a)
+			delete(j.unhealthy, a)
+		}
+	}
+	j.initialized = j.initialized || len(addresses) > 0
+}
+
+// Sick ejects a target on this node's own evidence.
+func (j *Judge) Sick(now time.Time, target string, score float64) {
+	t := j.targets[target]
+	if t == nil || t.phase == PhaseEjected {
+		return
+	}
+	t.ejection.start(now)
+	j.eject(now, target, score)
+}
+
+// Verdict ejects a target on an observer's decision until lease has passed, so that
+// decisions of an observer that hangs or is partitioned expire.
+func (j *Judge) Verdict(now time.Time, target string, score float64, lease time.Duration) {
+	t := j.targets[target]
+	if t == nil {
+		return
+	}
+	if until := now.Add(min(lease, MaxHold)); until.After(t.leaseEnd) {
+		t.leaseEnd = until
+	}
+	j.eject(now, target, score)
+}
+
+func (j *Judge) eject(now time.Time, target string, score float64) {
+	t := j.targets[target]
+	j.unhealthy[target] = t
+	if t.phase != PhaseEjected {
+		t.since = now
+	}
+	t.phase = PhaseEjected
+	t.score = score
+	t.good = 0
+}
+
+// Leaving records a target's signal that it is draining.
+func (j *Judge) Leaving(now time.Time, target string) {
+	if t := j.targets[target]; t != nil {
+		t.drainingUntil = now.Add(LeavingTime)
+	}
+}
+
+// Evidence records the requests to a target in one tick. Only those of a trial
+// count: a bad one ejects the target again.
+func (j *Judge) Evidence(now time.Time, c Counts) {
+	t := j.targets[c.Target]
+	if t == nil || t.phase != PhaseTrial {
+		return
+	}
+	if c.Bad > 0 {
+		t.ejection.start(now)
+		j.eject(now, c.Target, t.score)
+		return
+	}
+	t.good += c.Good
+}
+
+// Advance moves targets to their next phase when it is due. It reports whether any
+// state changed, which is always so while a target warms up.
+func (j *Judge) Advance(now time.Time) bool {
+	changed := false
+	for a, t := range j.unhealthy {
+		if next := t.next(now); next != t.phase {
+			t.phase = next
+			t.since = now
+			changed = true
+		}
+		// The warmth of a warming target changes with time.
+		changed = changed || t.phase == PhaseWarming
+		if t.phase == PhaseHealthy {
+			delete(j.unhealthy, a)
+		}
+	}
+	return changed
+}
+
+func (t *targetState) next(now time.Time) Phase {
+	switch t.phase {
+	case PhaseEjected:
+		if !t.ejection.active(now) && !now.Before(t.leaseEnd) {
+			return PhaseTrial
+		}
+	case PhaseTrial:
+		if t.good >= trialSuccesses || t.good == 0 && now.Sub(t.since) >= TrialWait {
+			return PhaseWarming
+		}
+	case PhaseWarming:
+		if now.Sub(t.since) >= WarmTime {
+			return PhaseHealthy
+		}
+	}
+	return t.phase
+}
+
+// State is the ejection state of one target.
+type State struct {
+	Phase   Phase
+	Since   time.Time
+	Score   float64
+	Leaving bool
+	// Warmth is the share of the target's slots in use, from 0 to 1.
+	Warmth float64
+}
+
+// State returns the state of a target, or the zero value with full warmth for an
+// unknown one.
+func (j *Judge) State(now time.Time, target string) State {
+	t := j.targets[target]
+	if t == nil {
+		return State{
+			Warmth: 1,
+		}
+	}
+	s := State{
+		Phase:   t.phase,
+		Since:   t.since,
+		Score:   t.score,
+		Leaving: now.Before(t.drainingUntil),
+		Warmth:  1,
+	}
+	if t.phase == PhaseWarming {
+		s.Warmth = min(minWarmth+(1-minWarmth)*now.Sub(t.since).Seconds()/WarmTime.Seconds(), 1)
+	}
+	return s
+}
--- a/internal/outlier/detector.go
+++ b/internal/outlier/detector.go
@@ -10,39 +10,39 @@
 	"ploverjunction.example/ploverjunction/internal/policy"
 )
 
-// Parameters of the test. Shares are shares of bad requests.
+// Parameters of the detector. Shares are shares of bad requests.
 const (
-	// leastHealthy is the share that a healthy target is always allowed.
-	leastHealthy = 0.02
-	// leastSick is the smallest share that counts as sick.
-	leastSick = 0.3
-	// sickFactor is how many times worse than its pool a sick target is.
+	// minBadShare is the share that is always tolerated in a healthy target.
+	minBadShare = 0.02
+	// minSickShare is the smallest share expected of a sick target.
+	minSickShare = 0.3
+	// sickFactor is the ratio of a sick target's share to that of its pool.
 	sickFactor = 3
-	// mostSick bounds the sick share, so that good requests stay finite evidence.
-	mostSick = 0.9
-	// commonCause is the share of the rest of the pool above which a cause
-	// outside the targets is likelier than one more sick target. It lies above a
-	// half: a data hall that is lost takes a third of a pool or more with it, and
-	// those targets must go.
-	commonCause = 0.6
-	// commonTargets is the same for the share of the other targets whose last
-	// requests went badly. A node with little traffic sees it sooner than a share
-	// of requests.
-	commonTargets = 0.5
-	// poolMemory is the time constant of the pool's usual share, recentMemory
-	// that of its recent share. A cause that meets the whole pool at once shows
-	// in the recent one.
+	// maxSickShare bounds the sick share, so that good requests remain finite evidence.
+	maxSickShare = 0.9
+	// commonCauseShare is the share in the rest of the pool from which a cause
+	// outside the targets is likelier than one more sick target. It is above one
+	// half because the loss of a data hall fails a third of a pool or more, and
+	// those targets must be ejected.
+	commonCauseShare = 0.6
+	// commonCauseTargets is the corresponding share of the other targets whose last
+	// requests were mostly bad. With little traffic it is reached sooner than the
+	// share of requests.
+	commonCauseTargets = 0.5
+	// poolMemory is the time constant of the pool's baseline share, recentMemory
+	// that of its recent share, which shows a cause that affects the whole pool at
+	// once.
 	poolMemory   = 20 * time.Second
 	recentMemory = 750 * time.Millisecond
-	// poolPrior and recentPrior are how many requests the expectation
-	// leastHealthy stands for.
+	// poolPrior and recentPrior are the numbers of requests that the prior
+	// minBadShare counts for.
 	poolPrior   = 10
 	recentPrior = 4
-	// intervalShare is the part of the threshold that one tick may add. Requests of
-	// one tick often share one short cause, such as a pause of the target.
-	intervalShare = 0.45
-	// ceiling bounds the score in thresholds, so that recovery stays possible.
-	ceiling = 2
+	// maxTickGain is the largest gain of one tick, as a fraction of the threshold.
+	// Requests of one tick often share a short cause, such as a pause of the target.
+	maxTickGain = 0.45
+	// maxScore bounds the score, in thresholds, so that a target can recover.
+	maxScore = 2
 )
 
 // Counts are requests to one target in one tick.
@@ -51,11 +51,11 @@
 	Good    float64
 	Bad     float64
 	Stalled float64
-	// Leaving is set when the target said that it is leaving.
+	// Leaving is set when the target signaled that it is draining.
 	Leaving bool
 }
 
-// add adds the requests of o; the target stays.
+// add adds the requests of o and leaves the target unchanged.
 func (c *Counts) add(o Counts) {
 	c.Good += o.Good
 	c.Bad += o.Bad
@@ -63,204 +63,209 @@
 	c.Leaving = c.Leaving || o.Leaving
 }
 
-// tally counts requests that fade with time.
-type tally struct {
+// decayedCounts counts requests with exponential decay.
+type decayedCounts struct {
 	good float64
 	bad  float64
 }
 
-func (t *tally) add(c *Counts) {
+func (t *decayedCounts) add(c *Counts) {
 	t.good += c.Good
 	t.bad += c.Bad
 }
 
-// fade lets time pass; memory is the time constant.
-func (t *tally) fade(past, memory time.Duration) {
-	keep := math.Exp(-past.Seconds() / memory.Seconds())
-	t.good *= keep
-	t.bad *= keep
+// decay applies the decay of an elapsed time; memory is the time constant.
+func (t *decayedCounts) decay(elapsed, memory time.Duration) {
+	factor := math.Exp(-elapsed.Seconds() / memory.Seconds())
+	t.good *= factor
+	t.bad *= factor
 }
 
-// without returns the tally less that of one of its parts.
-func (t *tally) without(part tally) tally {
-	return tally{
-		good: max(t.good-part.good, 0),
-		bad:  max(t.bad-part.bad, 0),
+// without returns the counts less those of one target.
+func (t *decayedCounts) without(target decayedCounts) decayedCounts {
+	return decayedCounts{
+		good: max(t.good-target.good, 0),
+		bad:  max(t.bad-target.bad, 0),
 	}
 }
 
-// share returns the bad share, drawn to leastHealthy by prior requests.
-func (t tally) share(prior float64) float64 {
-	return (t.bad + leastHealthy*prior) / (t.good + t.bad + prior)
+// badShare returns the share of bad requests, with minBadShare as the prior that
+// counts for prior requests.
+func (t decayedCounts) badShare(prior float64) float64 {
+	return (t.bad + minBadShare*prior) / (t.good + t.bad + prior)
 }
 
-// track is the state of one target.
-type track struct {
-	score   float64
-	usual   tally
-	recent  tally
-	stalled float64
-	// lastBad is set if most requests of the last tick with any were bad.
+// targetScore is the detector's state of one target.
+type targetScore struct {
+	score    float64
+	baseline decayedCounts
+	recent   decayedCounts
+	stalled  float64
+	// lastBad is set if at least half of the requests were bad in the last tick
+	// that had any.
 	lastBad bool
-	// carry is evidence beyond what one tick may add. It counts in later ticks
-	// unless the target does good work.
+	// carry is the gain beyond the bound of one tick. It counts in later ticks until
+	// the target serves a good request.
 	carry float64
 }
 
 // Detector scores the targets of one service. It isn't safe for concurrent use.
 type Detector struct {
 	threshold float64
-	tracks    map[string]*track
-	// carriers are the targets with evidence left for later ticks.
-	carriers map[string]bool
-	usual    tally
-	recent   tally
-	// suffer is the number of targets whose last requests went badly.
-	suffer int
-	at     time.Time
+	targets   map[string]*targetScore
+	// carrying is the set of targets with a carry for later ticks.
+	carrying map[string]bool
+	baseline decayedCounts
+	recent   decayedCounts
+	// failingTargets is the number of targets with lastBad set.
+	failingTargets int
+	updatedAt      time.Time
 }
 
-// NewDetector returns a detector for a service. threshold is the score at which
-// evidence is strong: the false-alarm rate falls and the detection time grows
-// with it.
+// NewDetector returns a detector for a service. threshold is the score at which a
+// target counts as sick: a higher one lowers the false-alarm rate and lengthens
+// the detection time.
 func NewDetector(threshold float64) *Detector {
 	return &Detector{
 		threshold: threshold,
-		tracks:    map[string]*track{},
-		carriers:  map[string]bool{},
+		targets:   map[string]*targetScore{},
+		carrying:  map[string]bool{},
 	}
 }
 
-// Idle reports whether a tick without counts would change nothing.
+// Idle reports whether a tick without counts would leave all scores unchanged.
 func (d *Detector) Idle() bool {
-	return len(d.carriers) == 0
+	return len(d.carrying) == 0
 }
 
-// Update takes the counts of one tick.
+// Update updates the scores from the counts of one tick.
 func (d *Detector) Update(now time.Time, tick []Counts) {
-	d.forget(now)
-	silent := maps.Clone(d.carriers)
+	d.decay(now)
+	silent := maps.Clone(d.carrying)
 	for i := range tick {
-		d.pool(&tick[i])
+		d.record(&tick[i])
 	}
 	for i := range tick {
 		delete(silent, tick[i].Target)
-		d.add(&tick[i])
+		d.updateScore(&tick[i])
 	}
 	for target := range silent {
-		d.add(&Counts{
+		d.updateScore(&Counts{
 			Target: target,
 		})
 	}
 }
 
-// forget lets old counts fade.
-func (d *Detector) forget(now time.Time) {
-	if !d.at.IsZero() {
-		past := now.Sub(d.at)
-		d.usual.fade(past, poolMemory)
-		d.recent.fade(past, recentMemory)
-		for _, t := range d.tracks {
-			t.usual.fade(past, poolMemory)
-			t.recent.fade(past, recentMemory)
-			t.stalled *= math.Exp(-past.Seconds() / poolMemory.Seconds())
+// decay applies the decay since the last update to all counts.
+func (d *Detector) decay(now time.Time) {
+	if !d.updatedAt.IsZero() {
+		elapsed := now.Sub(d.updatedAt)
+		d.baseline.decay(elapsed, poolMemory)
+		d.recent.decay(elapsed, recentMemory)
+		for _, t := range d.targets {
+			t.baseline.decay(elapsed, poolMemory)
+			t.recent.decay(elapsed, recentMemory)
+			t.stalled *= math.Exp(-elapsed.Seconds() / poolMemory.Seconds())
 		}
 	}
-	d.at = now
+	d.updatedAt = now
 }
 
-func (d *Detector) add(c *Counts) {
-	t := d.track(c.Target)
-	healthy := d.othersShare(t)
-	if healthy >= commonCause || d.suffering(t) >= commonTargets {
-		// Nothing tells this target from the others now.
+// updateScore adds the log-likelihood ratio of c to its target's CUSUM.
+func (d *Detector) updateScore(c *Counts) {
+	t := d.target(c.Target)
+	healthy := d.othersBadShare(t)
+	if healthy >= commonCauseShare || d.failingShare(t) >= commonCauseTargets {
+		// The target cannot be distinguished from the others: a common cause is likelier.
 		t.carry = 0
-		delete(d.carriers, c.Target)
+		delete(d.carrying, c.Target)
 		return
 	}
-	sick := min(max(leastSick, sickFactor*healthy), mostSick)
+	sick := min(max(minSickShare, sickFactor*healthy), maxSickShare)
 	gain := c.Bad*math.Log(sick/healthy) + c.Good*math.Log((1-sick)/(1-healthy))
-	delete(d.carriers, c.Target)
+	delete(d.carrying, c.Target)
 	if c.Good > 0 {
 		t.carry = 0
 	}
 	gain += t.carry
-	most := intervalShare * d.threshold
-	t.carry = min(max(gain-most, 0), d.threshold)
+	limit := maxTickGain * d.threshold
+	t.carry = min(max(gain-limit, 0), d.threshold)
 	if t.carry > 0 {
-		d.carriers[c.Target] = true
+		d.carrying[c.Target] = true
 	}
-	gain = min(gain, most)
-	t.score = min(max(t.score+gain, 0), ceiling*d.threshold)
+	gain = min(gain, limit)
+	t.score = min(max(t.score+gain, 0), maxScore*d.threshold)
 }
 
-// othersShare returns the bad share of all other targets, usual or recent,
-// whichever is worse, and at least leastHealthy.
-func (d *Detector) othersShare(t *track) float64 {
+// othersBadShare returns the share of bad requests at all other targets: the larger
+// of baseline and recent share, but at least minBadShare.
+func (d *Detector) othersBadShare(t *targetScore) float64 {
 	return max(
-		d.usual.without(t.usual).share(poolPrior),
-		d.recent.without(t.recent).share(recentPrior),
-		leastHealthy,
+		d.baseline.without(t.baseline).badShare(poolPrior),
+		d.recent.without(t.recent).badShare(recentPrior),
+		minBadShare,
 	)
 }
 
-// suffering returns the share of the other targets whose last requests went badly.
-func (d *Detector) suffering(t *track) float64 {
-	others := len(d.tracks) - 1
+// failingShare returns the share of the other targets with lastBad set.
+func (d *Detector) failingShare(t *targetScore) float64 {
+	others := len(d.targets) - 1
 	if others < 1 {
 		return 0
 	}
-	bad := d.suffer
+	bad := d.failingTargets
 	if t.lastBad {
 		bad--
 	}
 	return float64(bad) / float64(others)
 }
 
-// note keeps count of the targets whose last requests went badly.
-func (d *Detector) note(t *track, bad bool) {
+// setLastBad sets lastBad of a target and maintains failingTargets.
+func (d *Detector) setLastBad(t *targetScore, bad bool) {
 	if t.lastBad == bad {
 		return
 	}
 	t.lastBad = bad
 	if bad {
-		d.suffer++
+		d.failingTargets++
 	} else {
-		d.suffer--
+		d.failingTargets--
 	}
 }
 
-// drop forgets a target.
-func (d *Detector) drop(target string) {
-	if t := d.tracks[target]; t != nil {
-		d.note(t, false)
+// remove deletes the state of a target.
+func (d *Detector) remove(target string) {
+	if t := d.targets[target]; t != nil {
+		d.setLastBad(t, false)
 	}
-	delete(d.tracks, target)
-	delete(d.carriers, target)
+	delete(d.targets, target)
+	delete(d.carrying, target)
 }
 
-func (d *Detector) pool(c *Counts) {
-	t := d.track(c.Target)
+// record adds c to the counts of its target and of the pool.
+func (d *Detector) record(c *Counts) {
+	t := d.target(c.Target)
 	if c.Good+c.Bad > 0 {
-		d.note(t, c.Bad >= c.Good)
+		d.setLastBad(t, c.Bad >= c.Good)
 	}
-	t.usual.add(c)
+	t.baseline.add(c)
 	t.recent.add(c)
 	t.stalled += c.Stalled
-	d.usual.add(c)
+	d.baseline.add(c)
 	d.recent.add(c)
 }
 
-func (d *Detector) track(target string) *track {
-	t := d.tracks[target]
+// target returns the state of a target and creates it if it is new.
+func (d *Detector) target(target string) *targetScore {
+	t := d.targets[target]
 	if t == nil {
-		t = &track{}
-		d.tracks[target] = t
+		t = &targetScore{}
+		d.targets[target] = t
 	}
 	return t
 }
 
-// Reading is what a detector holds of one target.
+// Reading holds the score and the decayed counts of one target.
 type Reading struct {
 	Score   float64
 	Good    float64
@@ -268,7 +273,7 @@
 	Stalled float64
 }
 
-// Health returns the reading as a policy sees it. threshold is the service's;
+// Health returns the reading as variables of a policy. threshold is the service's;
 // reporters and dataHalls count the sources of the evidence.
 func (r Reading) Health(threshold float64, reporters, dataHalls int) policy.Health {
 	return policy.Health{
@@ -282,40 +287,40 @@
 	}
 }
 
-// Read returns the reading of a target; the zero value for an unknown one.
+// Read returns the reading of a target, or the zero value for an unknown one.
 func (d *Detector) Read(target string) Reading {
-	t := d.tracks[target]
+	t := d.targets[target]
 	if t == nil {
 		return Reading{}
 	}
 	return Reading{
 		Score:   t.score,
-		Good:    t.usual.good,
-		Bad:     t.usual.bad,
+		Good:    t.baseline.good,
+		Bad:     t.baseline.bad,
 		Stalled: t.stalled,
 	}
 }
 
-// Reset forgets a target, as after an ejection: what it did no longer says what
-// is usual in its pool. It stays in the recent share for its short memory: when
-// one target after another goes, a common cause is the likelier.
+// Reset removes a target, as after an ejection, and its counts from the baseline
+// of the pool. They remain in the recent share, which decays soon: when several
+// targets are ejected in a row, a common cause is likelier.
 func (d *Detector) Reset(target string) {
-	t := d.tracks[target]
+	t := d.targets[target]
 	if t == nil {
 		return
 	}
-	d.usual = d.usual.without(t.usual)
-	d.drop(target)
+	d.baseline = d.baseline.without(t.baseline)
+	d.remove(target)
 }
 
-// Keep drops all targets that are not in the set.
+// Keep removes all targets that are not in the set.
 func (d *Detector) Keep(targets map[string]bool) {
-	for name := range d.tracks {
+	for name := range d.targets {
 		if !targets[name] {
-			d.drop(name)
+			d.remove(name)
 		}
 	}
 }
 
-// Threshold returns the score at which evidence is strong.
+// Threshold returns the score at which a target counts as sick.
 func (d *Detector) Threshold() float64 { return d.threshold }
--- a/internal/outlier/merge.go
+++ b/internal/outlier/merge.go
@@ -7,35 +7,35 @@
 	"time"
 )
 
-// mergeMemory is the time constant with which a source's bad requests fade.
+// mergeMemory is the time constant with which a source's bad requests decay.
 const mergeMemory = 20 * time.Second
 
-// merge adds up the counts of several sources. For each target it leaves out the
-// source that has seen the most bad requests lately: what only one source sees,
-// such as a cut of its own link, is a matter of that source, and a source that
-// lies alone achieves nothing.
-type merge struct {
-	targets map[string]*merged
+// merger sums the counts of several sources. For each target it leaves out the
+// source with the most recent bad requests: a fault that only one source observes,
+// such as the loss of its own link, is the source's, and a single source that
+// reports falsely has no effect.
+type merger struct {
+	targets map[string]*sourceCounts
 	at      time.Time
 }
 
-// merged holds the counts of one target by source.
-type merged struct {
+// sourceCounts holds the counts of one target by source.
+type sourceCounts struct {
 	tick map[string]Counts
 	bad  map[string]float64
 }
 
-func newMerge() *merge {
-	return &merge{
-		targets: map[string]*merged{},
+func newMerger() *merger {
+	return &merger{
+		targets: map[string]*sourceCounts{},
 	}
 }
 
-// add takes the counts of one source.
-func (m *merge) add(source string, c Counts) {
+// add adds the counts of one source.
+func (m *merger) add(source string, c Counts) {
 	t := m.targets[c.Target]
 	if t == nil {
-		t = &merged{
+		t = &sourceCounts{
 			tick: map[string]Counts{},
 			bad:  map[string]float64{},
 		}
@@ -48,11 +48,11 @@
 	t.bad[source] += c.Bad
 }
 
-// take returns the sums since the last call.
-func (m *merge) take(now time.Time) []Counts {
-	keep := 1.0
+// drain returns the sums since the last call.
+func (m *merger) drain(now time.Time) []Counts {
+	factor := 1.0
 	if !m.at.IsZero() {
-		keep = math.Exp(-now.Sub(m.at).Seconds() / mergeMemory.Seconds())
+		factor = math.Exp(-now.Sub(m.at).Seconds() / mergeMemory.Seconds())
 	}
 	m.at = now
 	var out []Counts
@@ -61,13 +61,13 @@
 			out = append(out, c)
 		}
 		clear(t.tick)
-		t.fade(keep)
+		t.decay(factor)
 	}
 	return out
 }
 
-// sum adds up all sources but the worst.
-func (t *merged) sum() Counts {
+// sum returns the sum of all sources but the worst.
+func (t *sourceCounts) sum() Counts {
 	worst := t.worst()
 	var out Counts
 	for source, c := range t.tick {
@@ -81,7 +81,7 @@
 }
 
 // worst returns the source with the most bad requests, or "" if there are none.
-func (t *merged) worst() string {
+func (t *sourceCounts) worst() string {
 	name, most := "", 0.0
 	for source, bad := range t.bad {
 		if bad > most || bad == most && bad > 0 && source < name {
@@ -91,20 +91,20 @@
 	return name
 }
 
-// faded is the number of bad requests below which a source is forgotten.
-const faded = 0.05
+// minBadCount is the number of bad requests below which a source's count is deleted.
+const minBadCount = 0.05
 
-func (t *merged) fade(keep float64) {
+func (t *sourceCounts) decay(factor float64) {
 	for source := range t.bad {
-		t.bad[source] *= keep
-		if t.bad[source] < faded {
+		t.bad[source] *= factor
+		if t.bad[source] < minBadCount {
 			delete(t.bad, source)
 		}
 	}
 }
 
-// keep drops all targets that are not in the set.
-func (m *merge) keep(targets map[string]bool) {
+// retain removes all targets that are not in the set.
+func (m *merger) retain(targets map[string]bool) {
 	for name := range m.targets {
 		if !targets[name] {
 			delete(m.targets, name)
--- a/internal/outlier/observer.go
+++ b/internal/outlier/observer.go
@@ -8,7 +8,7 @@
 	"ploverjunction.example/ploverjunction/internal/policy"
 )
 
-// Service is what an observer needs to know of a service.
+// Service is the configuration of a service for its observer.
 type Service struct {
 	Name      string
 	Policy    *policy.Program
@@ -16,7 +16,8 @@
 	Targets   []string
 }
 
-// Verdict is an observer's word on a target.
+// Verdict is an observer's decision on a target: to eject it for a lease or, with
+// Leaving set, that it is draining.
 type Verdict struct {
 	Service string
 	Target  string
@@ -26,93 +27,94 @@
 }
 
 // Observer merges the evidence of many nodes about one service. It keeps two
-// scores of each target: one from the nodes of its own data hall, which sees
-// what only this data hall sees, such as a cut; and one from all nodes, which is
-// faster. It isn't safe for concurrent use.
+// scores of each target: one from the nodes of its own data hall, which detects
+// faults visible only there, such as a network partition; and one from all nodes,
+// which is faster. It isn't safe for concurrent use.
 type Observer struct {
-	service     Service
-	own         *Detector
-	all         *Detector
-	ownInterval *merge
-	allInterval *merge
-	summary     map[string]*Counts
-	leaving     map[string]time.Time
-	told        map[string]time.Time
-	holds       map[string]*hold
-	reporters   map[string]time.Time
-	halls       map[string]time.Time
+	service       Service
+	hall          *Detector
+	all           *Detector
+	hallEvidence  *merger
+	allEvidence   *merger
+	summary       map[string]*Counts
+	drainingUntil map[string]time.Time
+	drainingSent  map[string]time.Time
+	ejections     map[string]*ejection
+	reporters     map[string]time.Time
+	halls         map[string]time.Time
 }
 
-// sourceTime is how long a source of evidence counts as present.
-const sourceTime = 30 * time.Second
+// sourceExpiry is how long a source of evidence counts after its last report.
+const sourceExpiry = 30 * time.Second
 
-// leavingRepeat is how often the word that a target leaves is passed on.
-const leavingRepeat = 10 * time.Second
+// drainingRepeat is the interval at which a draining signal is forwarded.
+const drainingRepeat = 10 * time.Second
 
 // NewObserver returns an observer without evidence.
 func NewObserver(s Service) *Observer {
 	return &Observer{
-		service:     s,
-		own:         NewDetector(s.Threshold),
-		all:         NewDetector(s.Threshold),
-		ownInterval: newMerge(),
-		allInterval: newMerge(),
-		summary:     map[string]*Counts{},
-		leaving:     map[string]time.Time{},
-		told:        map[string]time.Time{},
-		holds:       map[string]*hold{},
-		reporters:   map[string]time.Time{},
-		halls:       map[string]time.Time{},
-	}
-}
-
-// Configure takes a new configuration of the service and keeps the evidence.
+		service:       s,
+		hall:          NewDetector(s.Threshold),
+		all:           NewDetector(s.Threshold),
+		hallEvidence:  newMerger(),
+		allEvidence:   newMerger(),
+		summary:       map[string]*Counts{},
+		drainingUntil: map[string]time.Time{},
+		drainingSent:  map[string]time.Time{},
+		ejections:     map[string]*ejection{},
+		reporters:     map[string]time.Time{},
+		halls:         map[string]time.Time{},
+	}
+}
+
+// Configure replaces the configuration of the service. The evidence on its targets
+// is retained.
 func (o *Observer) Configure(s Service) {
 	o.service = s
-	o.own.threshold = s.Threshold
+	o.hall.threshold = s.Threshold
 	o.all.threshold = s.Threshold
-	known := map[string]bool{}
+	listed := map[string]bool{}
 	for _, t := range s.Targets {
-		known[t] = true
-	}
-	o.ownInterval.keep(known)
-	o.allInterval.keep(known)
-	o.own.Keep(known)
-	o.all.Keep(known)
-	for t := range o.holds {
-		if !known[t] {
-			delete(o.holds, t)
+		listed[t] = true
+	}
+	o.hallEvidence.retain(listed)
+	o.allEvidence.retain(listed)
+	o.hall.Keep(listed)
+	o.all.Keep(listed)
+	for t := range o.ejections {
+		if !listed[t] {
+			delete(o.ejections, t)
 		}
 	}
-	for t := range o.told {
-		if !known[t] {
-			delete(o.told, t)
+	for t := range o.drainingSent {
+		if !listed[t] {
+			delete(o.drainingSent, t)
 		}
 	}
 }
 
-// Report takes the evidence of a node of the own data hall.
+// Report records the evidence of a node in the observer's data hall.
 func (o *Observer) Report(now time.Time, node, dataHall string, c Counts) {
-	o.ownInterval.add(node, c)
-	add(o.summary, c)
-	o.take(now, node, dataHall, c)
+	o.hallEvidence.add(node, c)
+	addCounts(o.summary, c)
+	o.record(now, node, dataHall, c)
 }
 
-// Summary takes the evidence of another data hall, which counts as one source.
+// Summary records the evidence of another data hall, which counts as one source.
 func (o *Observer) Summary(now time.Time, dataHall string, c Counts) {
-	o.take(now, "data hall "+dataHall, dataHall, c)
+	o.record(now, "data hall "+dataHall, dataHall, c)
 }
 
-func (o *Observer) take(now time.Time, source, dataHall string, c Counts) {
-	o.allInterval.add(source, c)
+func (o *Observer) record(now time.Time, source, dataHall string, c Counts) {
+	o.allEvidence.add(source, c)
 	if c.Leaving {
-		o.leave(now, c.Target)
+		o.recordDraining(now, c.Target)
 	}
 	o.reporters[source] = now
 	o.halls[dataHall] = now
 }
 
-func add(to map[string]*Counts, c Counts) {
+func addCounts(to map[string]*Counts, c Counts) {
 	t := to[c.Target]
 	if t == nil {
 		t = &Counts{
@@ -123,16 +125,16 @@
 	t.add(c)
 }
 
-// leave notes that a target is leaving. Its word is passed on when it is new and
-// then now and again.
-func (o *Observer) leave(now time.Time, target string) {
-	if now.Sub(o.told[target]) >= leavingRepeat {
-		o.leaving[target] = now.Add(LeavingTime)
-		o.told[target] = now
+// recordDraining records that a target is draining. The signal is forwarded when it
+// is new and then at intervals of drainingRepeat.
+func (o *Observer) recordDraining(now time.Time, target string) {
+	if now.Sub(o.drainingSent[target]) >= drainingRepeat {
+		o.drainingUntil[target] = now.Add(LeavingTime)
+		o.drainingSent[target] = now
 	}
 }
 
-func take(from map[string]*Counts) []Counts {
+func drainCounts(from map[string]*Counts) []Counts {
 	out := make([]Counts, 0, len(from))
 	for _, c := range from {
 		out = append(out, *c)
@@ -141,86 +143,88 @@
 	return out
 }
 
-// urgentShare is the part of the threshold from which on the observers of the
-// other data halls should know at once what mounts up here.
+// urgentShare is the fraction of the threshold above which evidence is sent to the
+// observers of the other data halls at once.
 const urgentShare = 0.25
 
-// Urgent reports whether the next summary should not wait: evidence against a
-// target mounts up, or a target says that it leaves.
+// Urgent reports whether the next summary should be sent at once: evidence against
+// a target accumulates, or a target is draining.
 func (o *Observer) Urgent() bool {
 	for _, c := range o.summary {
-		if c.Leaving || o.own.Read(c.Target).Score > urgentShare*o.service.Threshold {
+		if c.Leaving || o.hall.Read(c.Target).Score > urgentShare*o.service.Threshold {
 			return true
 		}
 	}
 	return false
 }
 
-// TakeSummary returns what the own data hall's nodes reported since the last
-// call, for the observers of the other data halls.
-func (o *Observer) TakeSummary() []Counts { return take(o.summary) }
+// TakeSummary returns the reports of the data hall's nodes since the last call, for
+// the observers of the other data halls.
+func (o *Observer) TakeSummary() []Counts { return drainCounts(o.summary) }
 
-// Reporters returns how many nodes reported lately.
-func (o *Observer) Reporters(now time.Time) int { return recent(o.reporters, now) }
+// Reporters returns the number of sources of recent evidence.
+func (o *Observer) Reporters(now time.Time) int { return countRecent(o.reporters, now) }
 
-func recent(m map[string]time.Time, now time.Time) int {
+// countRecent deletes expired sources and returns the number of the others.
+func countRecent(m map[string]time.Time, now time.Time) int {
 	for k, at := range m {
-		if now.Sub(at) > sourceTime {
+		if now.Sub(at) > sourceExpiry {
 			delete(m, k)
 		}
 	}
 	return len(m)
 }
 
-// Advance judges the evidence since the last call and returns the new verdicts.
+// Advance evaluates the evidence since the last call and returns the new decisions.
 func (o *Observer) Advance(now time.Time) []Verdict {
-	o.own.Update(now, o.ownInterval.take(now))
-	o.all.Update(now, o.allInterval.take(now))
+	o.hall.Update(now, o.hallEvidence.drain(now))
+	o.all.Update(now, o.allEvidence.drain(now))
 	var out []Verdict
 	for _, t := range o.service.Targets {
-		if v, ok := o.judge(now, t); ok {
+		if v, ok := o.decide(now, t); ok {
 			out = append(out, v)
 		}
 	}
-	for t, until := range o.leaving {
+	for t, until := range o.drainingUntil {
 		out = append(out, Verdict{
 			Service: o.service.Name,
 			Target:  t,
 			Lease:   until.Sub(now),
 			Leaving: true,
 		})
-		delete(o.leaving, t)
+		delete(o.drainingUntil, t)
 	}
 	return out
 }
 
-func (o *Observer) judge(now time.Time, target string) (Verdict, bool) {
-	r := o.own.Read(target)
+// decide ejects the target if the policy counts it as sick and it isn't ejected yet.
+func (o *Observer) decide(now time.Time, target string) (Verdict, bool) {
+	r := o.hall.Read(target)
 	if all := o.all.Read(target); all.Score > r.Score {
 		r = all
 	}
 	if r.Score == 0 || !o.sick(now, r) {
 		return Verdict{}, false
 	}
-	h := o.holds[target]
+	h := o.ejections[target]
 	if h == nil {
-		h = &hold{}
-		o.holds[target] = h
+		h = &ejection{}
+		o.ejections[target] = h
 	}
 	if h.active(now) {
 		return Verdict{}, false
 	}
-	h.begin(now)
-	o.own.Reset(target)
+	h.start(now)
+	o.hall.Reset(target)
 	o.all.Reset(target)
 	return Verdict{
 		Service: o.service.Name,
 		Target:  target,
 		Score:   r.Score,
-		Lease:   h.length,
+		Lease:   h.duration,
 	}, true
 }
 
 func (o *Observer) sick(now time.Time, r Reading) bool {
-	return o.service.Policy.Sick(r.Health(o.service.Threshold, recent(o.reporters, now), recent(o.halls, now)))
+	return o.service.Policy.Sick(r.Health(o.service.Threshold, countRecent(o.reporters, now), countRecent(o.halls, now)))
 }
