--- a/internal/ratelimit/allocator.go
+++ b/internal/ratelimit/allocator.go
@@ -173,7 +173,7 @@
 		begun: now,
 		at:    now,
 		level: l.Burst,
-		nodes: map[string]*member{},
+		nodes: map[string]*nodeState{},
 
 		former: map[uint64]*former{},
 	}
--- a/internal/ratelimit/bucket.go
+++ b/internal/ratelimit/bucket.go
@@ -15,7 +15,7 @@
 	// fall below 0 by as many as the nodes hold.
 	at    time.Time
 	level float64
-	nodes map[string]*member
+	nodes map[string]*nodeState
 	// former are the allocators that nodes had before this one.
 	former map[uint64]*former
 	// held, demand and told, of what they may admit alone, are the sums over the nodes.
@@ -43,8 +43,8 @@
 	since time.Time
 }
 
-// member is one node that has callers of a workspace.
-type member struct {
+// nodeState is one node that has callers of a workspace.
+type nodeState struct {
 	life     uint64
 	returned int64
 	alone    int64
@@ -61,11 +61,11 @@
 }
 
 // grace returns how long a node may be silent until its rate is kept back.
-func (m *member) grace() time.Duration { return time.Duration(silentAfter * float64(m.every)) }
+func (m *nodeState) grace() time.Duration { return time.Duration(silentAfter * float64(m.every)) }
 
 // uncovered returns how many requests a node admitted alone for which nothing was kept
 // back: it may have reached no allocator for a moment only.
-func (m *member) uncovered(now time.Time, r Report) float64 {
+func (m *nodeState) uncovered(now time.Time, r Report) float64 {
 	silence := max(now.Sub(m.heard)-m.grace(), 0)
 	return max(float64(r.Alone-m.alone)-m.rate*silence.Seconds(), 0)
 }
@@ -145,7 +145,7 @@
 }
 
 // drop takes a node out of the sums.
-func (b *bucket) drop(m *member) {
+func (b *bucket) drop(m *nodeState) {
 	b.held -= m.held
 	b.demand -= m.demand
 	b.told -= m.rate
@@ -153,7 +153,7 @@
 
 // member returns a node in one of its lives. One that was not known, or has begun anew,
 // has not been heard before.
-func (b *bucket) member(node string, life uint64, r Report) *member {
+func (b *bucket) member(node string, life uint64, r Report) *nodeState {
 	m := b.nodes[node]
 	if m != nil && m.life == life {
 		return m
@@ -161,7 +161,7 @@
 	if m != nil {
 		b.drop(m)
 	}
-	m = &member{
+	m = &nodeState{
 		life:     life,
 		returned: r.Returned,
 		alone:    r.Alone,
@@ -175,7 +175,7 @@
 }
 
 // heard records the report of a node.
-func (b *bucket) heard(now time.Time, m *member, r Report) {
+func (b *bucket) heard(now time.Time, m *nodeState, r Report) {
 	if m.heard.IsZero() {
 		m.heard = now
 		if r.Age > 0 {
@@ -195,7 +195,7 @@
 
 // learn takes what another allocator told a node. The level is lowered to the one told;
 // what has come in since was used up by nodes that reached none.
-func (b *bucket) learn(now time.Time, m *member, r Report) {
+func (b *bucket) learn(now time.Time, m *nodeState, r Report) {
 	b.level = min(b.level, r.Level)
 	f := b.former[r.By]
 	if f == nil {
@@ -219,7 +219,7 @@
 }
 
 // reserve gives a node tokens to hold, up to as many as it wants.
-func (b *bucket) reserve(l Limit, t Tolerance, m *member, want int) int {
+func (b *bucket) reserve(l Limit, t Tolerance, m *nodeState, want int) int {
 	most := reserveBurst*l.Burst + reserveTolerance*t.of(l)
 	left := min(most-float64(b.held), b.level-reserveFrom*l.Burst)
 	n := min(want-m.held, int(math.Floor(left)))
@@ -234,7 +234,7 @@
 
 // share works out what a node may admit when it reaches no allocator, and when it can
 // have tokens. begun says that the allocator and its bucket have just begun.
-func (b *bucket) share(l Limit, t Tolerance, m *member, r Report, begun bool, s *Share) {
+func (b *bucket) share(l Limit, t Tolerance, m *nodeState, r Report, begun bool, s *Share) {
 	part := b.part(m)
 	b.told -= m.rate
 	m.rate = min(aloneGrowth*b.demand, l.Rate) * part
@@ -264,7 +264,7 @@
 // part returns which part of a workspace's requests may come to a node: what it measured,
 // but no less than half way from there to the mean of the nodes. Of a caller or two a node
 // sees too little to know what they will send.
-func (b *bucket) part(m *member) float64 {
+func (b *bucket) part(m *nodeState) float64 {
 	if b.demand <= 0 || m.demand <= 0 {
 		return 0
 	}
