--- a/internal/ratelimit/allocator.go
+++ b/internal/ratelimit/allocator.go
@@ -138,7 +138,7 @@
 	b := a.bucket(now, workspace, l)
 	b.review(now, l, a.lost)
 	b.refill(now, l)
-	m := b.member(node, life, r)
+	m := b.node(node, life, r)
 	switch {
 	case r.Age == 0 || r.Age >= a.tolerance.Window:
 	case r.By == a.life:
--- a/internal/ratelimit/bucket.go
+++ b/internal/ratelimit/bucket.go
@@ -151,9 +151,9 @@
 	b.told -= m.rate
 }
 
-// member returns a node in one of its lives. One that was not known, or has begun anew,
+// node returns a node in one of its lives. One that was not known, or has begun anew,
 // has not been heard before.
-func (b *bucket) member(node string, life uint64, r Report) *nodeState {
+func (b *bucket) node(node string, life uint64, r Report) *nodeState {
 	m := b.nodes[node]
 	if m != nil && m.life == life {
 		return m
