--- a/internal/ratelimit/allocator.go
+++ b/internal/ratelimit/allocator.go
@@ -175,7 +175,7 @@
 		level: l.Burst,
 		nodes: map[string]*nodeState{},
 
-		former: map[uint64]*former{},
+		former: map[uint64]*formerAllocator{},
 	}
 	if up := now.Sub(a.begun); up < a.tolerance.Window {
 		part := max(newLevel, up.Seconds()/a.tolerance.Window.Seconds())
--- a/internal/ratelimit/bucket.go
+++ b/internal/ratelimit/bucket.go
@@ -17,7 +17,7 @@
 	level float64
 	nodes map[string]*nodeState
 	// former are the allocators that nodes had before this one.
-	former map[uint64]*former
+	former map[uint64]*formerAllocator
 	// held, demand and told, of what they may admit alone, are the sums over the nodes.
 	held   int
 	demand float64
@@ -29,9 +29,9 @@
 	reviewed  time.Time
 }
 
-// former is what an allocator before this one told nodes. Those that it told of and that
+// formerAllocator is what an allocator before this one told nodes. Those that it told of and that
 // have not come here may be out of reach, or still be that one's.
-type former struct {
+type formerAllocator struct {
 	// told is the sum of the rates of its nodes, came that of those which have come here.
 	told float64
 	came float64
@@ -199,7 +199,7 @@
 	b.level = min(b.level, r.Level)
 	f := b.former[r.By]
 	if f == nil {
-		f = &former{
+		f = &formerAllocator{
 			level: r.Level,
 			since: now,
 		}
