--- a/internal/ratelimit/bucket.go
+++ b/internal/ratelimit/bucket.go
@@ -32,9 +32,9 @@
 // formerAllocator is what an allocator before this one told nodes. Those that it told of and that
 // have not come here may be out of reach, or still be that one's.
 type formerAllocator struct {
-	// told is the sum of the rates of its nodes, came that of those which have come here.
-	told float64
-	came float64
+	// rateSum is the sum of the rates of its nodes, came that of those which have come here.
+	rateSum float64
+	came    float64
 	// level is the least that it told of its bucket.
 	level float64
 	// at is when it told that.
@@ -127,7 +127,7 @@
 		if now.Sub(f.since) <= movingTime {
 			part = max(out, movingPart)
 		}
-		most = max(most, min(f.told-f.came, part*l.Rate))
+		most = max(most, min(f.rateSum-f.came, part*l.Rate))
 	}
 	return most
 }
@@ -137,8 +137,8 @@
 func (b *bucket) elsewhereLeft(now time.Time) float64 {
 	most := 0.0
 	for _, f := range b.former {
-		if now.Sub(f.since) <= movingTime && f.told > 0 {
-			most = max(most, f.level*max(1-f.came/f.told, 0))
+		if now.Sub(f.since) <= movingTime && f.rateSum > 0 {
+			most = max(most, f.level*max(1-f.came/f.rateSum, 0))
 		}
 	}
 	return most
@@ -208,7 +208,7 @@
 		b.reviewed = time.Time{}
 	}
 	if at := now.Add(-r.Age); at.After(f.at) {
-		f.told, f.at = r.Total, at
+		f.rateSum, f.at = r.Total, at
 	}
 	f.level = min(f.level, r.Level)
 	if m.from != r.By {
