--- a/internal/ratelimit/bucket.go
+++ b/internal/ratelimit/bucket.go
@@ -33,8 +33,8 @@
 // have not come here may be out of reach, or still be that one's.
 type formerAllocator struct {
 	// rateSum is the sum of the rates of its nodes, came that of those which have come here.
-	rateSum float64
-	came    float64
+	rateSum     float64
+	arrivedRate float64
 	// level is the least that it told of its bucket.
 	level float64
 	// at is when it told that.
@@ -127,7 +127,7 @@
 		if now.Sub(f.since) <= movingTime {
 			part = max(out, movingPart)
 		}
-		most = max(most, min(f.rateSum-f.came, part*l.Rate))
+		most = max(most, min(f.rateSum-f.arrivedRate, part*l.Rate))
 	}
 	return most
 }
@@ -138,7 +138,7 @@
 	most := 0.0
 	for _, f := range b.former {
 		if now.Sub(f.since) <= movingTime && f.rateSum > 0 {
-			most = max(most, f.level*max(1-f.came/f.rateSum, 0))
+			most = max(most, f.level*max(1-f.arrivedRate/f.rateSum, 0))
 		}
 	}
 	return most
@@ -214,7 +214,7 @@
 	if m.from != r.By {
 		// It says so in each of its reports until an answer has come to it.
 		m.from = r.By
-		f.came += r.Rate
+		f.arrivedRate += r.Rate
 	}
 }
 
