--- a/internal/ratelimit/bucket.go
+++ b/internal/ratelimit/bucket.go
@@ -37,8 +37,8 @@
 	arrivedRate float64
 	// level is the least that it told of its bucket.
 	level float64
-	// at is when it told that.
-	at time.Time
+	// sentAt is when it told that.
+	sentAt time.Time
 	// since is when the first of them came.
 	since time.Time
 }
@@ -207,8 +207,8 @@
 		// Until the next review nobody else of that one's nodes is known.
 		b.reviewed = time.Time{}
 	}
-	if at := now.Add(-r.Age); at.After(f.at) {
-		f.rateSum, f.at = r.Total, at
+	if at := now.Add(-r.Age); at.After(f.sentAt) {
+		f.rateSum, f.sentAt = r.Total, at
 	}
 	f.level = min(f.level, r.Level)
 	if m.from != r.By {
