--- a/internal/ratelimit/bucket.go
+++ b/internal/ratelimit/bucket.go
@@ -39,8 +39,8 @@
 	level float64
 	// sentAt is when it told that.
 	sentAt time.Time
-	// since is when the first of them came.
-	since time.Time
+	// firstSeen is when the first of them came.
+	firstSeen time.Time
 }
 
 // nodeState is one node that has callers of a workspace.
@@ -101,7 +101,7 @@
 		}
 	}
 	for life, f := range b.former {
-		if now.Sub(f.since) > forgetAfter {
+		if now.Sub(f.firstSeen) > forgetAfter {
 			delete(b.former, life)
 		}
 	}
@@ -124,7 +124,7 @@
 	most := 0.0
 	for _, f := range b.former {
 		part := out
-		if now.Sub(f.since) <= movingTime {
+		if now.Sub(f.firstSeen) <= movingTime {
 			part = max(out, movingPart)
 		}
 		most = max(most, min(f.rateSum-f.arrivedRate, part*l.Rate))
@@ -137,7 +137,7 @@
 func (b *bucket) elsewhereLeft(now time.Time) float64 {
 	most := 0.0
 	for _, f := range b.former {
-		if now.Sub(f.since) <= movingTime && f.rateSum > 0 {
+		if now.Sub(f.firstSeen) <= movingTime && f.rateSum > 0 {
 			most = max(most, f.level*max(1-f.arrivedRate/f.rateSum, 0))
 		}
 	}
@@ -200,8 +200,8 @@
 	f := b.former[r.By]
 	if f == nil {
 		f = &formerAllocator{
-			level: r.Level,
-			since: now,
+			level:     r.Level,
+			firstSeen: now,
 		}
 		b.former[r.By] = f
 		// Until the next review nobody else of that one's nodes is known.
