--- a/internal/ratelimit/allocator.go
+++ b/internal/ratelimit/allocator.go
@@ -158,7 +158,7 @@
 	s.Reserve = b.reserve(l, a.tolerance, m, r.Want)
 	s.Level = b.level
 	s.Kept = b.kept
-	begun := now.Sub(a.begun) < a.tolerance.Window && now.Sub(b.begun) < movingTime
+	begun := now.Sub(a.begun) < a.tolerance.Window && now.Sub(b.created) < movingTime
 	b.share(l, a.tolerance, m, r, begun, &s)
 	return s
 }
@@ -170,10 +170,10 @@
 		return b
 	}
 	b = &bucket{
-		begun: now,
-		at:    now,
-		level: l.Burst,
-		nodes: map[string]*nodeState{},
+		created: now,
+		at:      now,
+		level:   l.Burst,
+		nodes:   map[string]*nodeState{},
 
 		former: map[uint64]*formerAllocator{},
 	}
--- a/internal/ratelimit/bucket.go
+++ b/internal/ratelimit/bucket.go
@@ -9,8 +9,8 @@
 
 // bucket is the token bucket of one workspace, with what the nodes have of it.
 type bucket struct {
-	// begun is when the first report came.
-	begun time.Time
+	// created is when the first report came.
+	created time.Time
 	// level are the tokens left at a time; those in reserve are taken out already. It may
 	// fall below 0 by as many as the nodes hold.
 	at    time.Time
