--- a/internal/ratelimit/bucket.go
+++ b/internal/ratelimit/bucket.go
@@ -19,9 +19,9 @@
 	// former are the allocators that nodes had before this one.
 	former map[uint64]*formerAllocator
 	// held, demand and told, of what they may admit alone, are the sums over the nodes.
-	held   int
-	demand float64
-	told   float64
+	held         int
+	demand       float64
+	isolatedRate float64
 	// kept is the rate that is kept back since reviewed: for silent nodes, and elsewhere for
 	// those of former allocators.
 	kept      float64
@@ -109,7 +109,7 @@
 	b.kept += b.elsewhere
 	if len(b.nodes) == 0 {
 		// What rounding left of the sums.
-		b.demand, b.told = 0, 0
+		b.demand, b.isolatedRate = 0, 0
 	}
 }
 
@@ -148,7 +148,7 @@
 func (b *bucket) drop(m *nodeState) {
 	b.held -= m.held
 	b.demand -= m.demand
-	b.told -= m.rate
+	b.isolatedRate -= m.rate
 }
 
 // node returns a node in one of its lives. One that was not known, or has begun anew,
@@ -236,7 +236,7 @@
 // have tokens. begun says that the allocator and its bucket have just begun.
 func (b *bucket) share(l Limit, t Tolerance, m *nodeState, r Report, begun bool, s *Share) {
 	part := b.part(m)
-	b.told -= m.rate
+	b.isolatedRate -= m.rate
 	m.rate = min(aloneGrowth*b.demand, l.Rate) * part
 	if len(b.former) > 0 && r.Age > 0 {
 		// Not all nodes may have come yet, so that each seems to have a large part.
@@ -245,12 +245,12 @@
 	if begun {
 		m.rate = min(m.rate, max(r.Rate, newPart*m.rate))
 	}
-	if sum := b.told + m.rate + b.elsewhere; sum > l.Rate {
+	if sum := b.isolatedRate + m.rate + b.elsewhere; sum > l.Rate {
 		m.rate *= l.Rate / sum
 	}
-	b.told += m.rate
+	b.isolatedRate += m.rate
 	s.Rate = m.rate
-	s.Total = b.told + b.elsewhere
+	s.Total = b.isolatedRate + b.elsewhere
 	s.Depth = tightTolerance * t.of(l) * part
 	if b.level+float64(b.held) >= reserveFrom*l.Burst {
 		s.Depth = min(aloneMore, aloneMost*t.of(l)/float64(len(b.nodes))) + aloneTolerance*t.of(l)*part
