--- a/internal/ratelimit/allocator.go
+++ b/internal/ratelimit/allocator.go
@@ -157,7 +157,7 @@
 	b.level -= float64(s.Admitted)
 	s.Reserve = b.reserve(l, a.tolerance, m, r.Want)
 	s.Level = b.level
-	s.Kept = b.kept
+	s.Kept = b.withheld
 	begun := now.Sub(a.begun) < a.tolerance.Window && now.Sub(b.created) < movingTime
 	b.share(l, a.tolerance, m, r, begun, &s)
 	return s
--- a/internal/ratelimit/bucket.go
+++ b/internal/ratelimit/bucket.go
@@ -22,9 +22,9 @@
 	held         int
 	demand       float64
 	isolatedRate float64
-	// kept is the rate that is kept back since reviewed: for silent nodes, and elsewhere for
+	// withheld is the rate that is kept back since reviewed: for silent nodes, and elsewhere for
 	// those of former allocators.
-	kept      float64
+	withheld  float64
 	elsewhere float64
 	reviewed  time.Time
 }
@@ -77,7 +77,7 @@
 // refill adds what has come in since the last report.
 func (b *bucket) refill(now time.Time, l Limit) {
 	if past := now.Sub(b.at).Seconds(); past > 0 {
-		b.level += past * max(l.Rate-b.kept, 0)
+		b.level += past * max(l.Rate-b.withheld, 0)
 		b.at = now
 	}
 	b.level = min(b.level, l.Burst)
@@ -90,14 +90,14 @@
 		return
 	}
 	b.reviewed = now
-	b.kept = 0
+	b.withheld = 0
 	for name, m := range b.nodes {
 		switch silence := now.Sub(m.heard); {
 		case silence > forgetAfter:
 			b.drop(m)
 			delete(b.nodes, name)
 		case silence > m.grace():
-			b.kept += m.rate
+			b.withheld += m.rate
 		}
 	}
 	for life, f := range b.former {
@@ -106,7 +106,7 @@
 		}
 	}
 	b.elsewhere = b.away(now, l, lost)
-	b.kept += b.elsewhere
+	b.withheld += b.elsewhere
 	if len(b.nodes) == 0 {
 		// What rounding left of the sums.
 		b.demand, b.isolatedRate = 0, 0
