--- a/internal/ratelimit/bucket.go
+++ b/internal/ratelimit/bucket.go
@@ -24,9 +24,9 @@
 	isolatedRate float64
 	// withheld is the rate that is kept back since reviewed: for silent nodes, and elsewhere for
 	// those of former allocators.
-	withheld  float64
-	elsewhere float64
-	reviewed  time.Time
+	withheld    float64
+	missingRate float64
+	reviewed    time.Time
 }
 
 // formerAllocator is what an allocator before this one told nodes. Those that it told of and that
@@ -105,8 +105,8 @@
 			delete(b.former, life)
 		}
 	}
-	b.elsewhere = b.away(now, l, lost)
-	b.withheld += b.elsewhere
+	b.missingRate = b.away(now, l, lost)
+	b.withheld += b.missingRate
 	if len(b.nodes) == 0 {
 		// What rounding left of the sums.
 		b.demand, b.isolatedRate = 0, 0
@@ -245,12 +245,12 @@
 	if begun {
 		m.rate = min(m.rate, max(r.Rate, newPart*m.rate))
 	}
-	if sum := b.isolatedRate + m.rate + b.elsewhere; sum > l.Rate {
+	if sum := b.isolatedRate + m.rate + b.missingRate; sum > l.Rate {
 		m.rate *= l.Rate / sum
 	}
 	b.isolatedRate += m.rate
 	s.Rate = m.rate
-	s.Total = b.isolatedRate + b.elsewhere
+	s.Total = b.isolatedRate + b.missingRate
 	s.Depth = tightTolerance * t.of(l) * part
 	if b.level+float64(b.held) >= reserveFrom*l.Burst {
 		s.Depth = min(aloneMore, aloneMost*t.of(l)/float64(len(b.nodes))) + aloneTolerance*t.of(l)*part
