--- a/internal/ratelimit/bucket.go
+++ b/internal/ratelimit/bucket.go
@@ -105,7 +105,7 @@
 			delete(b.former, life)
 		}
 	}
-	b.missingRate = b.away(now, l, lost)
+	b.missingRate = b.missingNodesRate(now, l, lost)
 	b.withheld += b.missingRate
 	if len(b.nodes) == 0 {
 		// What rounding left of the sums.
@@ -113,10 +113,10 @@
 	}
 }
 
-// away returns what nodes may admit that former allocators told of and that have not come
+// missingNodesRate returns what nodes may admit that former allocators told of and that have not come
 // here. Nodes may have come by way of a third one, so that of several it is the most that
 // counts, not the sum.
-func (b *bucket) away(now time.Time, l Limit, lost float64) float64 {
+func (b *bucket) missingNodesRate(now time.Time, l Limit, lost float64) float64 {
 	out := 0.0
 	if lost > 0 {
 		out = lostMore*lost + lostFew/math.Sqrt(float64(max(len(b.nodes), 1)))
