--- a/internal/ratelimit/allocator.go
+++ b/internal/ratelimit/allocator.go
@@ -152,7 +152,7 @@
 	// because of that.
 	s := Share{
 		By:       a.life,
-		Admitted: min(r.Waiting, int(max(b.level+float64(b.held)-b.elsewhereLeft(now), 0))),
+		Admitted: min(r.Waiting, int(max(b.level+float64(b.held)-b.missingNodesTokens(now), 0))),
 	}
 	b.level -= float64(s.Admitted)
 	s.Reserve = b.reserve(l, a.tolerance, m, r.Want)
--- a/internal/ratelimit/bucket.go
+++ b/internal/ratelimit/bucket.go
@@ -132,9 +132,9 @@
 	return most
 }
 
-// elsewhereLeft returns how many tokens an allocator before this one may still give to its
+// missingNodesTokens returns how many tokens an allocator before this one may still give to its
 // nodes that have not come: their part of what it told last.
-func (b *bucket) elsewhereLeft(now time.Time) float64 {
+func (b *bucket) missingNodesTokens(now time.Time) float64 {
 	most := 0.0
 	for _, f := range b.former {
 		if now.Sub(f.firstSeen) <= movingTime && f.rateSum > 0 {
