--- a/internal/ratelimit/allocator.go
+++ b/internal/ratelimit/allocator.go
@@ -191,7 +191,7 @@
 		if m := b.nodes[node]; m != nil && m.life != life {
 			b.drop(m)
 			delete(b.nodes, node)
-			b.reviewed = time.Time{}
+			b.reviewedAt = time.Time{}
 		}
 	}
 }
--- a/internal/ratelimit/bucket.go
+++ b/internal/ratelimit/bucket.go
@@ -26,7 +26,7 @@
 	// those of former allocators.
 	withheld    float64
 	missingRate float64
-	reviewed    time.Time
+	reviewedAt  time.Time
 }
 
 // formerAllocator is what an allocator before this one told nodes. Those that it told of and that
@@ -86,10 +86,10 @@
 // review keeps back what silent nodes admit alone, and forgets those that have been
 // silent for long.
 func (b *bucket) review(now time.Time, l Limit, lost float64) {
-	if now.Sub(b.reviewed) < reviewInterval {
+	if now.Sub(b.reviewedAt) < reviewInterval {
 		return
 	}
-	b.reviewed = now
+	b.reviewedAt = now
 	b.withheld = 0
 	for name, m := range b.nodes {
 		switch silence := now.Sub(m.heard); {
@@ -205,7 +205,7 @@
 		}
 		b.former[r.By] = f
 		// Until the next review nobody else of that one's nodes is known.
-		b.reviewed = time.Time{}
+		b.reviewedAt = time.Time{}
 	}
 	if at := now.Add(-r.Age); at.After(f.sentAt) {
 		f.rateSum, f.sentAt = r.Total, at
