--- a/internal/ratelimit/bucket.go
+++ b/internal/ratelimit/bucket.go
@@ -45,11 +45,11 @@
 
 // nodeState is one node that has callers of a workspace.
 type nodeState struct {
-	life     uint64
-	returned int64
-	alone    int64
-	held     int
-	demand   float64
+	incarnation uint64
+	returned    int64
+	alone       int64
+	held        int
+	demand      float64
 	// rate is what the node may admit alone.
 	rate float64
 	// from is the allocator from which it came last, until it says that it has been answered
@@ -155,16 +155,16 @@
 // has not been heard before.
 func (b *bucket) node(node string, life uint64, r Report) *nodeState {
 	m := b.nodes[node]
-	if m != nil && m.life == life {
+	if m != nil && m.incarnation == life {
 		return m
 	}
 	if m != nil {
 		b.drop(m)
 	}
 	m = &nodeState{
-		life:     life,
-		returned: r.Returned,
-		alone:    r.Alone,
+		incarnation: life,
+		returned:    r.Returned,
+		alone:       r.Alone,
 	}
 	if r.Age == 0 {
 		// It has admitted these while it met nobody.
