--- a/internal/ratelimit/bucket.go
+++ b/internal/ratelimit/bucket.go
@@ -47,7 +47,7 @@
 type nodeState struct {
 	incarnation uint64
 	returned    int64
-	alone       int64
+	isolated    int64
 	held        int
 	demand      float64
 	// rate is what the node may admit alone.
@@ -67,7 +67,7 @@
 // back: it may have reached no allocator for a moment only.
 func (m *nodeState) uncovered(now time.Time, r Report) float64 {
 	silence := max(now.Sub(m.heard)-m.grace(), 0)
-	return max(float64(r.Alone-m.alone)-m.rate*silence.Seconds(), 0)
+	return max(float64(r.Alone-m.isolated)-m.rate*silence.Seconds(), 0)
 }
 
 // unfilled returns how many requests a node admitted alone since another allocator told it
@@ -164,11 +164,11 @@
 	m = &nodeState{
 		incarnation: life,
 		returned:    r.Returned,
-		alone:       r.Alone,
+		isolated:    r.Alone,
 	}
 	if r.Age == 0 {
 		// It has admitted these while it met nobody.
-		m.alone = 0
+		m.isolated = 0
 	}
 	b.nodes[node] = m
 	return m
@@ -187,7 +187,7 @@
 	b.held += r.Held - m.held
 	b.demand += r.Demand - m.demand
 	m.returned = r.Returned
-	m.alone = r.Alone
+	m.isolated = r.Alone
 	m.held = r.Held
 	m.demand = r.Demand
 	m.every = r.Every
