--- a/internal/ratelimit/bucket.go
+++ b/internal/ratelimit/bucket.go
@@ -50,8 +50,8 @@
 	isolated    int64
 	held        int
 	demand      float64
-	// rate is what the node may admit alone.
-	rate float64
+	// isolatedRate is what the node may admit alone.
+	isolatedRate float64
 	// from is the allocator from which it came last, until it says that it has been answered
 	// by this one.
 	from uint64
@@ -67,7 +67,7 @@
 // back: it may have reached no allocator for a moment only.
 func (m *nodeState) uncovered(now time.Time, r Report) float64 {
 	silence := max(now.Sub(m.heard)-m.grace(), 0)
-	return max(float64(r.Alone-m.isolated)-m.rate*silence.Seconds(), 0)
+	return max(float64(r.Alone-m.isolated)-m.isolatedRate*silence.Seconds(), 0)
 }
 
 // unfilled returns how many requests a node admitted alone since another allocator told it
@@ -97,7 +97,7 @@
 			b.drop(m)
 			delete(b.nodes, name)
 		case silence > m.grace():
-			b.withheld += m.rate
+			b.withheld += m.isolatedRate
 		}
 	}
 	for life, f := range b.former {
@@ -148,7 +148,7 @@
 func (b *bucket) drop(m *nodeState) {
 	b.held -= m.held
 	b.demand -= m.demand
-	b.isolatedRate -= m.rate
+	b.isolatedRate -= m.isolatedRate
 }
 
 // node returns a node in one of its lives. One that was not known, or has begun anew,
@@ -236,20 +236,20 @@
 // have tokens. begun says that the allocator and its bucket have just begun.
 func (b *bucket) share(l Limit, t Tolerance, m *nodeState, r Report, begun bool, s *Share) {
 	part := b.part(m)
-	b.isolatedRate -= m.rate
-	m.rate = min(aloneGrowth*b.demand, l.Rate) * part
+	b.isolatedRate -= m.isolatedRate
+	m.isolatedRate = min(aloneGrowth*b.demand, l.Rate) * part
 	if len(b.former) > 0 && r.Age > 0 {
 		// Not all nodes may have come yet, so that each seems to have a large part.
-		m.rate = min(m.rate, max(r.Rate, m.demand))
+		m.isolatedRate = min(m.isolatedRate, max(r.Rate, m.demand))
 	}
 	if begun {
-		m.rate = min(m.rate, max(r.Rate, newPart*m.rate))
+		m.isolatedRate = min(m.isolatedRate, max(r.Rate, newPart*m.isolatedRate))
 	}
-	if sum := b.isolatedRate + m.rate + b.missingRate; sum > l.Rate {
-		m.rate *= l.Rate / sum
+	if sum := b.isolatedRate + m.isolatedRate + b.missingRate; sum > l.Rate {
+		m.isolatedRate *= l.Rate / sum
 	}
-	b.isolatedRate += m.rate
-	s.Rate = m.rate
+	b.isolatedRate += m.isolatedRate
+	s.Rate = m.isolatedRate
 	s.Total = b.isolatedRate + b.missingRate
 	s.Depth = tightTolerance * t.of(l) * part
 	if b.level+float64(b.held) >= reserveFrom*l.Burst {
