--- a/internal/ratelimit/allocator.go
+++ b/internal/ratelimit/allocator.go
@@ -142,7 +142,7 @@
 	switch {
 	case r.Age == 0 || r.Age >= a.tolerance.Window:
 	case r.By == a.life:
-		m.from = 0
+		m.formerAllocator = 0
 	default:
 		b.learn(now, m, r)
 	}
--- a/internal/ratelimit/bucket.go
+++ b/internal/ratelimit/bucket.go
@@ -52,9 +52,9 @@
 	demand      float64
 	// isolatedRate is what the node may admit alone.
 	isolatedRate float64
-	// from is the allocator from which it came last, until it says that it has been answered
+	// formerAllocator is the allocator from which it came last, until it says that it has been answered
 	// by this one.
-	from uint64
+	formerAllocator uint64
 	// every is how often it reports, heard when it last did.
 	every time.Duration
 	heard time.Time
@@ -211,9 +211,9 @@
 		f.rateSum, f.sentAt = r.Total, at
 	}
 	f.level = min(f.level, r.Level)
-	if m.from != r.By {
+	if m.formerAllocator != r.By {
 		// It says so in each of its reports until an answer has come to it.
-		m.from = r.By
+		m.formerAllocator = r.By
 		f.arrivedRate += r.Rate
 	}
 }
