--- a/internal/ratelimit/bucket.go
+++ b/internal/ratelimit/bucket.go
@@ -55,13 +55,13 @@
 	// formerAllocator is the allocator from which it came last, until it says that it has been answered
 	// by this one.
 	formerAllocator uint64
-	// every is how often it reports, heard when it last did.
-	every time.Duration
-	heard time.Time
+	// interval is how often it reports, heard when it last did.
+	interval time.Duration
+	heard    time.Time
 }
 
 // grace returns how long a node may be silent until its rate is kept back.
-func (m *nodeState) grace() time.Duration { return time.Duration(silentAfter * float64(m.every)) }
+func (m *nodeState) grace() time.Duration { return time.Duration(silentAfter * float64(m.interval)) }
 
 // uncovered returns how many requests a node admitted alone for which nothing was kept
 // back: it may have reached no allocator for a moment only.
@@ -190,7 +190,7 @@
 	m.isolated = r.Alone
 	m.held = r.Held
 	m.demand = r.Demand
-	m.every = r.Every
+	m.interval = r.Every
 }
 
 // learn takes what another allocator told a node. The level is lowered to the one told;
