--- a/internal/ratelimit/allocator.go
+++ b/internal/ratelimit/allocator.go
@@ -147,7 +147,7 @@
 		b.learn(now, m, r)
 	}
 	b.heard(now, m, r)
-	m.heard = now
+	m.reportedAt = now
 	// What the nodes hold may lie there unused: one that has none must not be refused
 	// because of that.
 	s := Share{
--- a/internal/ratelimit/bucket.go
+++ b/internal/ratelimit/bucket.go
@@ -56,8 +56,8 @@
 	// by this one.
 	formerAllocator uint64
 	// interval is how often it reports, heard when it last did.
-	interval time.Duration
-	heard    time.Time
+	interval   time.Duration
+	reportedAt time.Time
 }
 
 // grace returns how long a node may be silent until its rate is kept back.
@@ -66,7 +66,7 @@
 // uncovered returns how many requests a node admitted alone for which nothing was kept
 // back: it may have reached no allocator for a moment only.
 func (m *nodeState) uncovered(now time.Time, r Report) float64 {
-	silence := max(now.Sub(m.heard)-m.grace(), 0)
+	silence := max(now.Sub(m.reportedAt)-m.grace(), 0)
 	return max(float64(r.Alone-m.isolated)-m.isolatedRate*silence.Seconds(), 0)
 }
 
@@ -92,7 +92,7 @@
 	b.reviewedAt = now
 	b.withheld = 0
 	for name, m := range b.nodes {
-		switch silence := now.Sub(m.heard); {
+		switch silence := now.Sub(m.reportedAt); {
 		case silence > forgetAfter:
 			b.drop(m)
 			delete(b.nodes, name)
@@ -176,8 +176,8 @@
 
 // heard records the report of a node.
 func (b *bucket) heard(now time.Time, m *nodeState, r Report) {
-	if m.heard.IsZero() {
-		m.heard = now
+	if m.reportedAt.IsZero() {
+		m.reportedAt = now
 		if r.Age > 0 {
 			b.level -= r.unfilled()
 		}
