--- a/internal/ratelimit/allocator.go
+++ b/internal/ratelimit/allocator.go
@@ -146,7 +146,7 @@
 	default:
 		b.learn(now, m, r)
 	}
-	b.heard(now, m, r)
+	b.record(now, m, r)
 	m.reportedAt = now
 	// What the nodes hold may lie there unused: one that has none must not be refused
 	// because of that.
--- a/internal/ratelimit/bucket.go
+++ b/internal/ratelimit/bucket.go
@@ -174,8 +174,8 @@
 	return m
 }
 
-// heard records the report of a node.
-func (b *bucket) heard(now time.Time, m *nodeState, r Report) {
+// record records the report of a node.
+func (b *bucket) record(now time.Time, m *nodeState, r Report) {
 	if m.reportedAt.IsZero() {
 		m.reportedAt = now
 		if r.Age > 0 {
