--- a/internal/ratelimit/allocator.go
+++ b/internal/ratelimit/allocator.go
@@ -144,7 +144,7 @@
 	case r.By == a.life:
 		m.formerAllocator = 0
 	default:
-		b.learn(now, m, r)
+		b.inherit(now, m, r)
 	}
 	b.record(now, m, r)
 	m.reportedAt = now
--- a/internal/ratelimit/bucket.go
+++ b/internal/ratelimit/bucket.go
@@ -193,9 +193,9 @@
 	m.interval = r.Every
 }
 
-// learn takes what another allocator told a node. The level is lowered to the one told;
+// inherit takes what another allocator told a node. The level is lowered to the one told;
 // what has come in since was used up by nodes that reached none.
-func (b *bucket) learn(now time.Time, m *nodeState, r Report) {
+func (b *bucket) inherit(now time.Time, m *nodeState, r Report) {
 	b.level = min(b.level, r.Level)
 	f := b.former[r.By]
 	if f == nil {
