--- a/internal/ratelimit/bucket.go
+++ b/internal/ratelimit/bucket.go
@@ -70,9 +70,9 @@
 	return max(float64(r.Alone-m.isolated)-m.isolatedRate*silence.Seconds(), 0)
 }
 
-// unfilled returns how many requests a node admitted alone since another allocator told it
+// isolatedExcess returns how many requests a node admitted alone since another allocator told it
 // of the bucket, beyond what may have come in for it meanwhile: learn does not add that.
-func (r Report) unfilled() float64 { return max(float64(r.Lately)-r.Rate*r.Age.Seconds(), 0) }
+func (r Report) isolatedExcess() float64 { return max(float64(r.Lately)-r.Rate*r.Age.Seconds(), 0) }
 
 // refill adds what has come in since the last report.
 func (b *bucket) refill(now time.Time, l Limit) {
@@ -179,7 +179,7 @@
 	if m.reportedAt.IsZero() {
 		m.reportedAt = now
 		if r.Age > 0 {
-			b.level -= r.unfilled()
+			b.level -= r.isolatedExcess()
 		}
 	}
 	b.level += float64(r.Returned - m.returned)
