--- a/internal/ratelimit/bucket.go
+++ b/internal/ratelimit/bucket.go
@@ -235,7 +235,7 @@
 // share works out what a node may admit when it reaches no allocator, and when it can
 // have tokens. begun says that the allocator and its bucket have just begun.
 func (b *bucket) share(l Limit, t Tolerance, m *nodeState, r Report, begun bool, s *Share) {
-	part := b.part(m)
+	part := b.demandShare(m)
 	b.isolatedRate -= m.isolatedRate
 	m.isolatedRate = min(aloneGrowth*b.demand, l.Rate) * part
 	if len(b.former) > 0 && r.Age > 0 {
@@ -261,10 +261,10 @@
 	}
 }
 
-// part returns which part of a workspace's requests may come to a node: what it measured,
+// demandShare returns which part of a workspace's requests may come to a node: what it measured,
 // but no less than half way from there to the mean of the nodes. Of a caller or two a node
 // sees too little to know what they will send.
-func (b *bucket) part(m *nodeState) float64 {
+func (b *bucket) demandShare(m *nodeState) float64 {
 	if b.demand <= 0 || m.demand <= 0 {
 		return 0
 	}
