--- a/internal/ratelimit/allocator.go
+++ b/internal/ratelimit/allocator.go
@@ -159,7 +159,7 @@
 	s.Level = b.level
 	s.Kept = b.withheld
 	begun := now.Sub(a.begun) < a.tolerance.Window && now.Sub(b.created) < movingTime
-	b.share(l, a.tolerance, m, r, begun, &s)
+	b.setShare(l, a.tolerance, m, r, begun, &s)
 	return s
 }
 
--- a/internal/ratelimit/bucket.go
+++ b/internal/ratelimit/bucket.go
@@ -232,9 +232,9 @@
 	return n
 }
 
-// share works out what a node may admit when it reaches no allocator, and when it can
+// setShare works out what a node may admit when it reaches no allocator, and when it can
 // have tokens. begun says that the allocator and its bucket have just begun.
-func (b *bucket) share(l Limit, t Tolerance, m *nodeState, r Report, begun bool, s *Share) {
+func (b *bucket) setShare(l Limit, t Tolerance, m *nodeState, r Report, begun bool, s *Share) {
 	part := b.demandShare(m)
 	b.isolatedRate -= m.isolatedRate
 	m.isolatedRate = min(aloneGrowth*b.demand, l.Rate) * part
