--- a/internal/ratelimit/limit.go
+++ b/internal/ratelimit/limit.go
@@ -25,8 +25,8 @@
 	Slack  float64
 }
 
-// of returns the requests beyond a limit that may run in a window.
-func (t Tolerance) of(l Limit) float64 {
+// requests returns the requests beyond a limit that may run in a window.
+func (t Tolerance) requests(l Limit) float64 {
 	return t.Excess*(l.Rate*t.Window.Seconds()+l.Burst) + t.Slack
 }
 
