--- a/internal/ratelimit/limit.go
+++ b/internal/ratelimit/limit.go
@@ -36,7 +36,7 @@
 
 // meter measures a rate of events by an exponentially weighted average.
 type meter struct {
-	begun time.Time
+	started time.Time
 	// at is when the last event came.
 	at  time.Time
 	sum float64
@@ -44,8 +44,8 @@
 
 // add counts an event.
 func (m *meter) add(now time.Time) {
-	if m.begun.IsZero() {
-		m.begun = now
+	if m.started.IsZero() {
+		m.started = now
 	}
 	m.sum = m.faded(now) + 1/meterTime.Seconds()
 	m.at = now
@@ -60,9 +60,9 @@
 // rate returns the events a second. A meter that began a moment ago has seen less than
 // its average holds, which is made up for.
 func (m *meter) rate(now time.Time) float64 {
-	if m.begun.IsZero() {
+	if m.started.IsZero() {
 		return 0
 	}
-	age := max(now.Sub(m.begun), meterTime/4)
+	age := max(now.Sub(m.started), meterTime/4)
 	return m.faded(now) / (1 - math.Exp(-age.Seconds()/meterTime.Seconds()))
 }
