--- a/internal/ratelimit/limit.go
+++ b/internal/ratelimit/limit.go
@@ -37,9 +37,9 @@
 // meter measures a rate of events by an exponentially weighted average.
 type meter struct {
 	started time.Time
-	// at is when the last event came.
-	at  time.Time
-	sum float64
+	// last is when the last event came.
+	last time.Time
+	sum  float64
 }
 
 // add counts an event.
@@ -48,12 +48,12 @@
 		m.started = now
 	}
 	m.sum = m.faded(now) + 1/meterTime.Seconds()
-	m.at = now
+	m.last = now
 }
 
 // faded returns what is left of the sum.
 func (m *meter) faded(now time.Time) float64 {
-	past := max(now.Sub(m.at), 0)
+	past := max(now.Sub(m.last), 0)
 	return m.sum * math.Exp(-past.Seconds()/meterTime.Seconds())
 }
 
--- a/internal/ratelimit/limiter.go
+++ b/internal/ratelimit/limiter.go
@@ -217,11 +217,11 @@
 	every := l.every()
 	var out []string
 	for workspace, a := range l.accounts {
-		idle := now.Sub(a.demand.at)
+		idle := now.Sub(a.demand.last)
 		switch {
 		case idle > accountForget:
 			delete(l.accounts, workspace)
-		case a.reported.Sub(a.demand.at) > quietAfter:
+		case a.reported.Sub(a.demand.last) > quietAfter:
 		case now.Sub(a.reported) >= every:
 			out = append(out, workspace)
 		}
@@ -243,7 +243,7 @@
 	a.reported = now
 	demand := a.demand.rate(now)
 	want := int(math.Ceil(demand * every.Seconds()))
-	switch idle := now.Sub(a.demand.at); {
+	switch idle := now.Sub(a.demand.last); {
 	case idle > quietAfter:
 		want, demand = 0, 0
 	case idle > idleAfter:
