--- a/internal/ratelimit/limit.go
+++ b/internal/ratelimit/limit.go
@@ -47,12 +47,12 @@
 	if m.started.IsZero() {
 		m.started = now
 	}
-	m.sum = m.faded(now) + 1/meterTime.Seconds()
+	m.sum = m.decayed(now) + 1/meterTime.Seconds()
 	m.last = now
 }
 
-// faded returns what is left of the sum.
-func (m *meter) faded(now time.Time) float64 {
+// decayed returns what is left of the sum.
+func (m *meter) decayed(now time.Time) float64 {
 	past := max(now.Sub(m.last), 0)
 	return m.sum * math.Exp(-past.Seconds()/meterTime.Seconds())
 }
@@ -64,5 +64,5 @@
 		return 0
 	}
 	age := max(now.Sub(m.started), meterTime/4)
-	return m.faded(now) / (1 - math.Exp(-age.Seconds()/meterTime.Seconds()))
+	return m.decayed(now) / (1 - math.Exp(-age.Seconds()/meterTime.Seconds()))
 }
