--- a/internal/ratelimit/allocator.go
+++ b/internal/ratelimit/allocator.go
@@ -9,8 +9,8 @@
 	// reserveBurstShare and reserveTolerance are the parts of the burst and of the tolerance
 	// that all nodes together may hold in reserve: most of the tolerance is left for nodes
 	// that reach no allocator.
-	reserveBurstShare = 0.25
-	reserveTolerance  = 0.2
+	reserveBurstShare     = 0.25
+	reserveToleranceShare = 0.2
 	// reserveFrom is the part of the burst that must be left in the bucket, beside all
 	// reserves, for a node to get more of them: while a workspace sends more than its
 	// limit there are none, and the bucket alone decides.
--- a/internal/ratelimit/bucket.go
+++ b/internal/ratelimit/bucket.go
@@ -220,7 +220,7 @@
 
 // reserve gives a node tokens to hold, up to as many as it wants.
 func (b *bucket) reserve(l Limit, t Tolerance, m *nodeState, want int) int {
-	most := reserveBurstShare*l.Burst + reserveTolerance*t.requests(l)
+	most := reserveBurstShare*l.Burst + reserveToleranceShare*t.requests(l)
 	left := min(most-float64(b.held), b.level-reserveFrom*l.Burst)
 	n := min(want-m.held, int(math.Floor(left)))
 	if n <= 0 {
