--- a/internal/ratelimit/allocator.go
+++ b/internal/ratelimit/allocator.go
@@ -11,10 +11,10 @@
 	// that reach no allocator.
 	reserveBurstShare     = 0.25
 	reserveToleranceShare = 0.2
-	// reserveFrom is the part of the burst that must be left in the bucket, beside all
+	// reserveMinLevel is the part of the burst that must be left in the bucket, beside all
 	// reserves, for a node to get more of them: while a workspace sends more than its
 	// limit there are none, and the bucket alone decides.
-	reserveFrom = 0.5
+	reserveMinLevel = 0.5
 	// aloneGrowth is by how much a node that reaches no allocator may exceed what was
 	// asked of it before, as long as the limit has room: what a few callers ask varies.
 	// At 1.1 a third of 113 nodes refused 20% of what was below the limit while they were
--- a/internal/ratelimit/bucket.go
+++ b/internal/ratelimit/bucket.go
@@ -221,7 +221,7 @@
 // reserve gives a node tokens to hold, up to as many as it wants.
 func (b *bucket) reserve(l Limit, t Tolerance, m *nodeState, want int) int {
 	most := reserveBurstShare*l.Burst + reserveToleranceShare*t.requests(l)
-	left := min(most-float64(b.held), b.level-reserveFrom*l.Burst)
+	left := min(most-float64(b.held), b.level-reserveMinLevel*l.Burst)
 	n := min(want-m.held, int(math.Floor(left)))
 	if n <= 0 {
 		return 0
@@ -252,7 +252,7 @@
 	s.Rate = m.isolatedRate
 	s.Total = b.isolatedRate + b.missingRate
 	s.Depth = tightTolerance * t.requests(l) * part
-	if b.level+float64(b.held) >= reserveFrom*l.Burst {
+	if b.level+float64(b.held) >= reserveMinLevel*l.Burst {
 		s.Depth = min(aloneMore, aloneMost*t.requests(l)/float64(len(b.nodes))) + aloneTolerance*t.requests(l)*part
 	}
 	s.Pace = l.Rate * part
