--- a/internal/ratelimit/allocator.go
+++ b/internal/ratelimit/allocator.go
@@ -15,11 +15,11 @@
 	// reserves, for a node to get more of them: while a workspace sends more than its
 	// limit there are none, and the bucket alone decides.
 	reserveMinLevel = 0.5
-	// aloneGrowth is by how much a node that reaches no allocator may exceed what was
+	// isolatedGrowth is by how much a node that reaches no allocator may exceed what was
 	// asked of it before, as long as the limit has room: what a few callers ask varies.
 	// At 1.1 a third of 113 nodes refused 20% of what was below the limit while they were
 	// cut off, in the model of TestFleetKeepsLimits.
-	aloneGrowth = 1.5
+	isolatedGrowth = 1.5
 	// aloneTolerance is the part of the tolerance that such nodes may use at once, by their
 	// parts of the requests. Each may have aloneMore requests beyond it, for a caller or two
 	// whose requests come close to each other, as long as that is aloneMost of the
--- a/internal/ratelimit/bucket.go
+++ b/internal/ratelimit/bucket.go
@@ -237,7 +237,7 @@
 func (b *bucket) setShare(l Limit, t Tolerance, m *nodeState, r Report, begun bool, s *Share) {
 	part := b.demandShare(m)
 	b.isolatedRate -= m.isolatedRate
-	m.isolatedRate = min(aloneGrowth*b.demand, l.Rate) * part
+	m.isolatedRate = min(isolatedGrowth*b.demand, l.Rate) * part
 	if len(b.former) > 0 && r.Age > 0 {
 		// Not all nodes may have come yet, so that each seems to have a large part.
 		m.isolatedRate = min(m.isolatedRate, max(r.Rate, m.demand))
