--- a/internal/ratelimit/allocator.go
+++ b/internal/ratelimit/allocator.go
@@ -20,14 +20,14 @@
 	// At 1.1 a third of 113 nodes refused 20% of what was below the limit while they were
 	// cut off, in the model of TestFleetKeepsLimits.
 	isolatedGrowth = 1.5
-	// aloneTolerance is the part of the tolerance that such nodes may use at once, by their
+	// isolatedToleranceShare is the part of the tolerance that such nodes may use at once, by their
 	// parts of the requests. Each may have aloneMore requests beyond it, for a caller or two
 	// whose requests come close to each other, as long as that is aloneMost of the
 	// tolerance for all nodes. While the bucket is low they get tightTolerance only.
-	aloneTolerance = 0.25
-	aloneMore      = 3
-	aloneMost      = 0.7
-	tightTolerance = 0.1
+	isolatedToleranceShare = 0.25
+	aloneMore              = 3
+	aloneMost              = 0.7
+	tightTolerance         = 0.1
 	// newLevel is the part of the burst with which the bucket of a process begins that has
 	// just started, where no node can tell what was spent before. A fleet that is killed
 	// again and again would give a burst each time.
