--- a/internal/ratelimit/allocator.go
+++ b/internal/ratelimit/allocator.go
@@ -25,7 +25,7 @@
 	// whose requests come close to each other, as long as that is aloneMost of the
 	// tolerance for all nodes. While the bucket is low they get tightTolerance only.
 	isolatedToleranceShare = 0.25
-	aloneMore              = 3
+	isolatedExtra          = 3
 	aloneMost              = 0.7
 	tightTolerance         = 0.1
 	// newLevel is the part of the burst with which the bucket of a process begins that has
