--- a/internal/ratelimit/allocator.go
+++ b/internal/ratelimit/allocator.go
@@ -26,7 +26,7 @@
 	// tolerance for all nodes. While the bucket is low they get tightTolerance only.
 	isolatedToleranceShare = 0.25
 	isolatedExtra          = 3
-	aloneMost              = 0.7
+	isolatedExtraShare     = 0.7
 	tightTolerance         = 0.1
 	// newLevel is the part of the burst with which the bucket of a process begins that has
 	// just started, where no node can tell what was spent before. A fleet that is killed
