--- a/internal/ratelimit/allocator.go
+++ b/internal/ratelimit/allocator.go
@@ -27,7 +27,7 @@
 	isolatedToleranceShare = 0.25
 	isolatedExtra          = 3
 	isolatedExtraShare     = 0.7
-	tightTolerance         = 0.1
+	lowLevelToleranceShare = 0.1
 	// newLevel is the part of the burst with which the bucket of a process begins that has
 	// just started, where no node can tell what was spent before. A fleet that is killed
 	// again and again would give a burst each time.
--- a/internal/ratelimit/bucket.go
+++ b/internal/ratelimit/bucket.go
@@ -251,7 +251,7 @@
 	b.isolatedRate += m.isolatedRate
 	s.Rate = m.isolatedRate
 	s.Total = b.isolatedRate + b.missingRate
-	s.Depth = tightTolerance * t.requests(l) * part
+	s.Depth = lowLevelToleranceShare * t.requests(l) * part
 	if b.level+float64(b.held) >= reserveMinLevel*l.Burst {
 		s.Depth = min(isolatedExtra, isolatedExtraShare*t.requests(l)/float64(len(b.nodes))) + isolatedToleranceShare*t.requests(l)*part
 	}
