--- a/internal/ratelimit/allocator.go
+++ b/internal/ratelimit/allocator.go
@@ -28,10 +28,10 @@
 	isolatedExtra          = 3
 	isolatedExtraShare     = 0.7
 	lowLevelToleranceShare = 0.1
-	// newLevel is the part of the burst with which the bucket of a process begins that has
+	// initialLevelShare is the part of the burst with which the bucket of a process begins that has
 	// just started, where no node can tell what was spent before. A fleet that is killed
 	// again and again would give a burst each time.
-	newLevel = 0.5
+	initialLevelShare = 0.5
 	// newPart is the part of what a node could admit alone that an allocator tells which has
 	// just begun, as does its bucket: not all nodes have come to it, and while they meet they
 	// may take others for the allocator, so that each of a few would tell the whole limit.
@@ -178,7 +178,7 @@
 		former: map[uint64]*formerAllocator{},
 	}
 	if up := now.Sub(a.begun); up < a.tolerance.Window {
-		part := max(newLevel, up.Seconds()/a.tolerance.Window.Seconds())
+		part := max(initialLevelShare, up.Seconds()/a.tolerance.Window.Seconds())
 		b.level = max(part*l.Burst, 1)
 	}
 	a.buckets[workspace] = b
