--- a/internal/ratelimit/allocator.go
+++ b/internal/ratelimit/allocator.go
@@ -32,12 +32,12 @@
 	// just started, where no node can tell what was spent before. A fleet that is killed
 	// again and again would give a burst each time.
 	initialLevelShare = 0.5
-	// newPart is the part of what a node could admit alone that an allocator tells which has
+	// initialRateShare is the part of what a node could admit alone that an allocator tells which has
 	// just begun, as does its bucket: not all nodes have come to it, and while they meet they
 	// may take others for the allocator, so that each of a few would tell the whole limit.
 	// All nodes killed, and the allocator again within 2 s, at 6.5 times the limit: 1.14 of
 	// what may run in 5 s without it.
-	newPart = 0.25
+	initialRateShare = 0.25
 )
 
 // Times of allocators.
--- a/internal/ratelimit/bucket.go
+++ b/internal/ratelimit/bucket.go
@@ -243,7 +243,7 @@
 		m.isolatedRate = min(m.isolatedRate, max(r.Rate, m.demand))
 	}
 	if begun {
-		m.isolatedRate = min(m.isolatedRate, max(r.Rate, newPart*m.isolatedRate))
+		m.isolatedRate = min(m.isolatedRate, max(r.Rate, initialRateShare*m.isolatedRate))
 	}
 	if sum := b.isolatedRate + m.isolatedRate + b.missingRate; sum > l.Rate {
 		m.isolatedRate *= l.Rate / sum
