--- a/internal/ratelimit/bucket.go
+++ b/internal/ratelimit/bucket.go
@@ -61,7 +61,9 @@
 }
 
 // grace returns how long a node may be silent until its rate is kept back.
-func (m *nodeState) grace() time.Duration { return time.Duration(silentAfter * float64(m.interval)) }
+func (m *nodeState) grace() time.Duration {
+	return time.Duration(silentIntervals * float64(m.interval))
+}
 
 // uncovered returns how many requests a node admitted alone for which nothing was kept
 // back: it may have reached no allocator for a moment only.
