--- a/internal/ratelimit/allocator.go
+++ b/internal/ratelimit/allocator.go
@@ -46,9 +46,9 @@
 	// of reach; forgetAfter is how long after its last report a node is forgotten, and after
 	// the move of the role what an allocator told before this one. aloneTime is how long a
 	// node goes on at what it was told last, less than forgetAfter by a tick.
-	silentIntervals = 1.5
-	forgetAfter     = 15 * time.Second
-	aloneTime       = 14 * time.Second
+	silentIntervals      = 1.5
+	forgetAfter          = 15 * time.Second
+	isolatedRateLifetime = 14 * time.Second
 	// movingTime is how long after a node of another allocator came more of them are on their
 	// way: what is kept back for them is bounded by movingPart of the limit. Later those that
 	// have not come are out of reach, and the part of the fleet that is bounds it: lostMore
--- a/internal/ratelimit/limiter.go
+++ b/internal/ratelimit/limiter.go
@@ -161,7 +161,7 @@
 		return Refused, pauseMost
 	}
 	rate, depth := a.told.Rate, a.told.Depth
-	if now.Sub(a.toldAt) > aloneTime {
+	if now.Sub(a.toldAt) > isolatedRateLifetime {
 		if nodes < 2 {
 			nodes = fleetUnknown
 		}
