--- a/internal/ratelimit/allocator.go
+++ b/internal/ratelimit/allocator.go
@@ -49,15 +49,15 @@
 	silentIntervals      = 1.5
 	forgetAfter          = 15 * time.Second
 	isolatedRateLifetime = 14 * time.Second
-	// movingTime is how long after a node of another allocator came more of them are on their
+	// handoverTime is how long after a node of another allocator came more of them are on their
 	// way: what is kept back for them is bounded by movingPart of the limit. Later those that
 	// have not come are out of reach, and the part of the fleet that is bounds it: lostMore
 	// times that part of the limit, and lostFew for a workspace with a single node, less by
 	// the root of their number with more: the part of a few nodes may be any.
-	movingTime = 1500 * time.Millisecond
-	movingPart = 0.6
-	lostMore   = 1.2
-	lostFew    = 0.6
+	handoverTime = 1500 * time.Millisecond
+	movingPart   = 0.6
+	lostMore     = 1.2
+	lostFew      = 0.6
 	// reviewInterval is how often the silent nodes of a workspace are looked for.
 	reviewInterval = 250 * time.Millisecond
 	// bucketForget is how long a bucket without reports is kept; it is full again by then.
@@ -158,7 +158,7 @@
 	s.Reserve = b.reserve(l, a.tolerance, m, r.Want)
 	s.Level = b.level
 	s.Kept = b.withheld
-	begun := now.Sub(a.begun) < a.tolerance.Window && now.Sub(b.created) < movingTime
+	begun := now.Sub(a.begun) < a.tolerance.Window && now.Sub(b.created) < handoverTime
 	b.setShare(l, a.tolerance, m, r, begun, &s)
 	return s
 }
--- a/internal/ratelimit/bucket.go
+++ b/internal/ratelimit/bucket.go
@@ -126,7 +126,7 @@
 	most := 0.0
 	for _, f := range b.former {
 		part := out
-		if now.Sub(f.firstSeen) <= movingTime {
+		if now.Sub(f.firstSeen) <= handoverTime {
 			part = max(out, movingPart)
 		}
 		most = max(most, min(f.rateSum-f.arrivedRate, part*l.Rate))
@@ -139,7 +139,7 @@
 func (b *bucket) missingNodesTokens(now time.Time) float64 {
 	most := 0.0
 	for _, f := range b.former {
-		if now.Sub(f.firstSeen) <= movingTime && f.rateSum > 0 {
+		if now.Sub(f.firstSeen) <= handoverTime && f.rateSum > 0 {
 			most = max(most, f.level*max(1-f.arrivedRate/f.rateSum, 0))
 		}
 	}
