--- a/internal/ratelimit/bucket.go
+++ b/internal/ratelimit/bucket.go
@@ -127,7 +127,7 @@
 	for _, f := range b.former {
 		part := out
 		if now.Sub(f.firstSeen) <= handoverTime {
-			part = max(out, movingPart)
+			part = max(out, handoverShare)
 		}
 		most = max(most, min(f.rateSum-f.arrivedRate, part*l.Rate))
 	}
