--- a/internal/ratelimit/allocator.go
+++ b/internal/ratelimit/allocator.go
@@ -56,7 +56,7 @@
 	// the root of their number with more: the part of a few nodes may be any.
 	handoverTime  = 1500 * time.Millisecond
 	handoverShare = 0.6
-	lostMore      = 1.2
+	lostFactor    = 1.2
 	lostFew       = 0.6
 	// reviewInterval is how often the silent nodes of a workspace are looked for.
 	reviewInterval = 250 * time.Millisecond
