--- a/internal/ratelimit/allocator.go
+++ b/internal/ratelimit/allocator.go
@@ -54,10 +54,10 @@
 	// have not come are out of reach, and the part of the fleet that is bounds it: lostMore
 	// times that part of the limit, and lostFew for a workspace with a single node, less by
 	// the root of their number with more: the part of a few nodes may be any.
-	handoverTime  = 1500 * time.Millisecond
-	handoverShare = 0.6
-	lostFactor    = 1.2
-	lostFew       = 0.6
+	handoverTime      = 1500 * time.Millisecond
+	handoverShare     = 0.6
+	lostFactor        = 1.2
+	lostFewNodesShare = 0.6
 	// reviewInterval is how often the silent nodes of a workspace are looked for.
 	reviewInterval = 250 * time.Millisecond
 	// bucketForget is how long a bucket without reports is kept; it is full again by then.
--- a/internal/ratelimit/bucket.go
+++ b/internal/ratelimit/bucket.go
@@ -121,7 +121,7 @@
 func (b *bucket) missingNodesRate(now time.Time, l Limit, lost float64) float64 {
 	out := 0.0
 	if lost > 0 {
-		out = lostFactor*lost + lostFew/math.Sqrt(float64(max(len(b.nodes), 1)))
+		out = lostFactor*lost + lostFewNodesShare/math.Sqrt(float64(max(len(b.nodes), 1)))
 	}
 	most := 0.0
 	for _, f := range b.former {
