--- a/internal/ratelimit/allocator.go
+++ b/internal/ratelimit/allocator.go
@@ -60,8 +60,8 @@
 	lostFewNodesShare = 0.6
 	// reviewInterval is how often the silent nodes of a workspace are looked for.
 	reviewInterval = 250 * time.Millisecond
-	// bucketForget is how long a bucket without reports is kept; it is full again by then.
-	bucketForget = time.Minute
+	// bucketLifetime is how long a bucket without reports is kept; it is full again by then.
+	bucketLifetime = time.Minute
 )
 
 // Report is what a node tells the allocator of one workspace.
@@ -202,7 +202,7 @@
 // Forget drops the buckets that nobody uses.
 func (a *Allocator) Forget(now time.Time) {
 	for workspace, b := range a.buckets {
-		if now.Sub(b.at) > bucketForget {
+		if now.Sub(b.at) > bucketLifetime {
 			delete(a.buckets, workspace)
 		}
 	}
