--- a/internal/ratelimit/allocator.go
+++ b/internal/ratelimit/allocator.go
@@ -114,9 +114,9 @@
 
 // Allocator has the buckets of workspaces. It isn't safe for concurrent use.
 type Allocator struct {
-	life      uint64
-	begun     time.Time
-	tolerance Tolerance
+	incarnation uint64
+	begun       time.Time
+	tolerance   Tolerance
 	// lost is the part of the fleet's nodes that are out of reach.
 	lost    float64
 	buckets map[string]*bucket
@@ -126,10 +126,10 @@
 // it from all others.
 func NewAllocator(life uint64, begun time.Time, t Tolerance) *Allocator {
 	return &Allocator{
-		life:      life,
-		begun:     begun,
-		tolerance: t,
-		buckets:   map[string]*bucket{},
+		incarnation: life,
+		begun:       begun,
+		tolerance:   t,
+		buckets:     map[string]*bucket{},
 	}
 }
 
@@ -141,7 +141,7 @@
 	m := b.node(node, life, r)
 	switch {
 	case r.Age == 0 || r.Age >= a.tolerance.Window:
-	case r.By == a.life:
+	case r.By == a.incarnation:
 		m.formerAllocator = 0
 	default:
 		b.inherit(now, m, r)
@@ -151,7 +151,7 @@
 	// What the nodes hold may lie there unused: one that has none must not be refused
 	// because of that.
 	s := Share{
-		By:       a.life,
+		By:       a.incarnation,
 		Admitted: min(r.Waiting, int(max(b.level+float64(b.held)-b.missingNodesTokens(now), 0))),
 	}
 	b.level -= float64(s.Admitted)
