--- a/internal/ratelimit/allocator.go
+++ b/internal/ratelimit/allocator.go
@@ -115,7 +115,7 @@
 // Allocator has the buckets of workspaces. It isn't safe for concurrent use.
 type Allocator struct {
 	incarnation uint64
-	begun       time.Time
+	started     time.Time
 	tolerance   Tolerance
 	// lost is the part of the fleet's nodes that are out of reach.
 	lost    float64
@@ -127,7 +127,7 @@
 func NewAllocator(life uint64, begun time.Time, t Tolerance) *Allocator {
 	return &Allocator{
 		incarnation: life,
-		begun:       begun,
+		started:     begun,
 		tolerance:   t,
 		buckets:     map[string]*bucket{},
 	}
@@ -158,7 +158,7 @@
 	s.Reserve = b.reserve(l, a.tolerance, m, r.Want)
 	s.Level = b.level
 	s.Kept = b.withheld
-	begun := now.Sub(a.begun) < a.tolerance.Window && now.Sub(b.created) < handoverTime
+	begun := now.Sub(a.started) < a.tolerance.Window && now.Sub(b.created) < handoverTime
 	b.setShare(l, a.tolerance, m, r, begun, &s)
 	return s
 }
@@ -177,7 +177,7 @@
 
 		former: map[uint64]*formerAllocator{},
 	}
-	if up := now.Sub(a.begun); up < a.tolerance.Window {
+	if up := now.Sub(a.started); up < a.tolerance.Window {
 		part := max(initialLevelShare, up.Seconds()/a.tolerance.Window.Seconds())
 		b.level = max(part*l.Burst, 1)
 	}
