--- a/internal/ratelimit/limiter.go
+++ b/internal/ratelimit/limiter.go
@@ -20,9 +20,9 @@
 	// idleAfter is after how long without a request a node gives its reserve back, quietAfter
 	// when it reports no more: a caller with two requests in three seconds is silent for
 	// longer than idleAfter one time in ten. accountForget is when it forgets the workspace.
-	idleAfter     = 3 * time.Second
-	quietAfter    = 15 * time.Second
-	accountForget = time.Minute
+	idleAfter       = 3 * time.Second
+	quietAfter      = 15 * time.Second
+	accountLifetime = time.Minute
 	// reserveMost is how many times what it wants a node holds at most, after many
 	// requests gave their tokens back.
 	reserveMost = 4
@@ -219,7 +219,7 @@
 	for workspace, a := range l.accounts {
 		idle := now.Sub(a.demand.last)
 		switch {
-		case idle > accountForget:
+		case idle > accountLifetime:
 			delete(l.accounts, workspace)
 		case a.reported.Sub(a.demand.last) > quietAfter:
 		case now.Sub(a.reported) >= every:
