--- a/internal/ratelimit/limiter.go
+++ b/internal/ratelimit/limiter.go
@@ -23,9 +23,9 @@
 	idleAfter       = 3 * time.Second
 	quietAfter      = 15 * time.Second
 	accountLifetime = time.Minute
-	// reserveMost is how many times what it wants a node holds at most, after many
+	// maxReserveFactor is how many times what it wants a node holds at most, after many
 	// requests gave their tokens back.
-	reserveMost = 4
+	maxReserveFactor = 4
 	// pauseMost is the longest time for which requests are refused without asking again.
 	pauseMost = 200 * time.Millisecond
 	// retryMost bounds what a refused caller is told to wait, aloneRetry the same on a node
@@ -249,7 +249,7 @@
 	case idle > idleAfter:
 		want = 0
 	}
-	a.keep(reserveMost * want)
+	a.keep(maxReserveFactor * want)
 	r := Report{
 		Returned: a.returned,
 		Alone:    a.admitted,
