--- a/internal/ratelimit/limiter.go
+++ b/internal/ratelimit/limiter.go
@@ -26,8 +26,8 @@
 	// maxReserveFactor is how many times what it wants a node holds at most, after many
 	// requests gave their tokens back.
 	maxReserveFactor = 4
-	// pauseMost is the longest time for which requests are refused without asking again.
-	pauseMost = 200 * time.Millisecond
+	// maxPause is the longest time for which requests are refused without asking again.
+	maxPause = 200 * time.Millisecond
 	// retryMost bounds what a refused caller is told to wait, aloneRetry the same on a node
 	// that reaches no allocator: it may do so again soon, and other nodes may now.
 	retryMost  = time.Minute
@@ -158,7 +158,7 @@
 	defer l.mu.Unlock()
 	a := l.accounts[workspace]
 	if a == nil {
-		return Refused, pauseMost
+		return Refused, maxPause
 	}
 	rate, depth := a.told.Rate, a.told.Depth
 	if now.Sub(a.toldAt) > isolatedRateLifetime {
@@ -296,7 +296,7 @@
 	if a.told.Pace > 0 && a.demand.rate(now) > a.told.Pace {
 		pause = max(pause, time.Duration(float64(time.Second)/a.told.Pace))
 	}
-	return min(pause, pauseMost)
+	return min(pause, maxPause)
 }
 
 // Told returns what the allocator of a workspace last answered, and when; the zero time
