--- a/internal/ratelimit/limiter.go
+++ b/internal/ratelimit/limiter.go
@@ -28,10 +28,10 @@
 	maxReserveFactor = 4
 	// maxPause is the longest time for which requests are refused without asking again.
 	maxPause = 200 * time.Millisecond
-	// retryMost bounds what a refused caller is told to wait, aloneRetry the same on a node
+	// maxRetryAfter bounds what a refused caller is told to wait, aloneRetry the same on a node
 	// that reaches no allocator: it may do so again soon, and other nodes may now.
-	retryMost  = time.Minute
-	aloneRetry = time.Second
+	maxRetryAfter = time.Minute
+	aloneRetry    = time.Second
 	// retryLeast is the same from below: a shorter time could round to 0.
 	retryLeast = time.Millisecond
 	// untoldPart is the part of a limit that all nodes together admit that were told
@@ -134,7 +134,7 @@
 		a.next = now
 	}
 	a.next = a.next.Add(time.Duration(float64(time.Second) / pace))
-	if latest := now.Add(retryMost); a.next.After(latest) {
+	if latest := now.Add(maxRetryAfter); a.next.After(latest) {
 		a.next = latest
 	}
 	return max(a.next.Sub(now), retryLeast)
