--- a/internal/ratelimit/limiter.go
+++ b/internal/ratelimit/limiter.go
@@ -30,8 +30,8 @@
 	maxPause = 200 * time.Millisecond
 	// maxRetryAfter bounds what a refused caller is told to wait, aloneRetry the same on a node
 	// that reaches no allocator: it may do so again soon, and other nodes may now.
-	maxRetryAfter = time.Minute
-	aloneRetry    = time.Second
+	maxRetryAfter         = time.Minute
+	maxIsolatedRetryAfter = time.Second
 	// retryLeast is the same from below: a shorter time could round to 0.
 	retryLeast = time.Millisecond
 	// untoldPart is the part of a limit that all nodes together admit that were told
@@ -171,7 +171,7 @@
 		a.alone = NewPacer(now, depth)
 	}
 	if wait := a.alone.Take(now, rate, depth); wait > 0 {
-		return Refused, min(max(wait, retryLeast), aloneRetry)
+		return Refused, min(max(wait, retryLeast), maxIsolatedRetryAfter)
 	}
 	a.admitted++
 	return Admitted, 0
