--- a/internal/ratelimit/limiter.go
+++ b/internal/ratelimit/limiter.go
@@ -32,8 +32,8 @@
 	// that reaches no allocator: it may do so again soon, and other nodes may now.
 	maxRetryAfter         = time.Minute
 	maxIsolatedRetryAfter = time.Second
-	// retryLeast is the same from below: a shorter time could round to 0.
-	retryLeast = time.Millisecond
+	// minRetryAfter is the same from below: a shorter time could round to 0.
+	minRetryAfter = time.Millisecond
 	// untoldPart is the part of a limit that all nodes together admit that were told
 	// nothing, or nothing lately, and reach no allocator. Nothing is kept back for them.
 	untoldPart = 0.25
@@ -137,7 +137,7 @@
 	if latest := now.Add(maxRetryAfter); a.next.After(latest) {
 		a.next = latest
 	}
-	return max(a.next.Sub(now), retryLeast)
+	return max(a.next.Sub(now), minRetryAfter)
 }
 
 // Refuse refuses a request for which the allocator had no token.
@@ -146,7 +146,7 @@
 	defer l.mu.Unlock()
 	a := l.accounts[workspace]
 	if a == nil {
-		return retryLeast
+		return minRetryAfter
 	}
 	return a.retryAfter(now)
 }
@@ -171,7 +171,7 @@
 		a.alone = NewPacer(now, depth)
 	}
 	if wait := a.alone.Take(now, rate, depth); wait > 0 {
-		return Refused, min(max(wait, retryLeast), maxIsolatedRetryAfter)
+		return Refused, min(max(wait, minRetryAfter), maxIsolatedRetryAfter)
 	}
 	a.admitted++
 	return Admitted, 0
