--- a/internal/ratelimit/limiter.go
+++ b/internal/ratelimit/limiter.go
@@ -34,9 +34,9 @@
 	maxIsolatedRetryAfter = time.Second
 	// minRetryAfter is the same from below: a shorter time could round to 0.
 	minRetryAfter = time.Millisecond
-	// untoldPart is the part of a limit that all nodes together admit that were told
+	// noShareFraction is the part of a limit that all nodes together admit that were told
 	// nothing, or nothing lately, and reach no allocator. Nothing is kept back for them.
-	untoldPart = 0.25
+	noShareFraction = 0.25
 	// newTime is how long after its begin a node may reach no allocator because it hasn't
 	// met the others: requests wait for one then. After a loss of power 113 nodes took 0.6 s
 	// for that and refused 278 requests, of some 700, of workspaces that kept to their
@@ -165,7 +165,7 @@
 		if nodes < 2 {
 			nodes = fleetUnknown
 		}
-		rate, depth = untoldPart*limit.Rate/float64(nodes), untoldPart*limit.Burst/float64(nodes)
+		rate, depth = noShareFraction*limit.Rate/float64(nodes), noShareFraction*limit.Burst/float64(nodes)
 	}
 	if a.alone == nil {
 		a.alone = NewPacer(now, depth)
