--- a/internal/ratelimit/limiter.go
+++ b/internal/ratelimit/limiter.go
@@ -37,11 +37,11 @@
 	// noShareFraction is the part of a limit that all nodes together admit that were told
 	// nothing, or nothing lately, and reach no allocator. Nothing is kept back for them.
 	noShareFraction = 0.25
-	// newTime is how long after its begin a node may reach no allocator because it hasn't
+	// joinTime is how long after its begin a node may reach no allocator because it hasn't
 	// met the others: requests wait for one then. After a loss of power 113 nodes took 0.6 s
 	// for that and refused 278 requests, of some 700, of workspaces that kept to their
 	// limits. Two requests each without asking ran 84 in 5 s where 67 may, on 104 nodes.
-	newTime = 2 * time.Second
+	joinTime = 2 * time.Second
 	// fleetUnknown is by how many nodes a limit is divided on a node that hears nobody and
 	// was told nothing: it can't know how many others are in the same state.
 	fleetUnknown = 100
@@ -180,7 +180,7 @@
 // Meeting reports whether this node has just begun and no allocator has told it of a
 // workspace: it may meet one soon.
 func (l *Limiter) Meeting(now time.Time, workspace string) bool {
-	if now.Sub(l.begun) >= newTime {
+	if now.Sub(l.begun) >= joinTime {
 		return false
 	}
 	_, at := l.Told(workspace)
