--- a/internal/ratelimit/limiter.go
+++ b/internal/ratelimit/limiter.go
@@ -42,9 +42,9 @@
 	// for that and refused 278 requests, of some 700, of workspaces that kept to their
 	// limits. Two requests each without asking ran 84 in 5 s where 67 may, on 104 nodes.
 	joinTime = 2 * time.Second
-	// fleetUnknown is by how many nodes a limit is divided on a node that hears nobody and
+	// assumedNodes is by how many nodes a limit is divided on a node that hears nobody and
 	// was told nothing: it can't know how many others are in the same state.
-	fleetUnknown = 100
+	assumedNodes = 100
 )
 
 // Verdict is the answer to a request.
@@ -128,7 +128,7 @@
 func (a *account) retryAfter(now time.Time) time.Duration {
 	pace := a.told.Pace
 	if pace <= 0 {
-		pace = a.limit.Rate / fleetUnknown
+		pace = a.limit.Rate / assumedNodes
 	}
 	if a.next.Before(now) {
 		a.next = now
@@ -163,7 +163,7 @@
 	rate, depth := a.told.Rate, a.told.Depth
 	if now.Sub(a.toldAt) > isolatedRateLifetime {
 		if nodes < 2 {
-			nodes = fleetUnknown
+			nodes = assumedNodes
 		}
 		rate, depth = noShareFraction*limit.Rate/float64(nodes), noShareFraction*limit.Burst/float64(nodes)
 	}
