--- a/internal/ratelimit/limiter.go
+++ b/internal/ratelimit/limiter.go
@@ -63,7 +63,7 @@
 // Limiter decides on a node which requests of workspaces may enter. It may be used
 // concurrently.
 type Limiter struct {
-	begun    time.Time
+	started  time.Time
 	mu       sync.Mutex
 	accounts map[string]*account
 }
@@ -95,7 +95,7 @@
 // NewLimiter returns a limiter of a process that began at the time given.
 func NewLimiter(begun time.Time) *Limiter {
 	return &Limiter{
-		begun:    begun,
+		started:  begun,
 		accounts: map[string]*account{},
 	}
 }
@@ -180,7 +180,7 @@
 // Meeting reports whether this node has just begun and no allocator has told it of a
 // workspace: it may meet one soon.
 func (l *Limiter) Meeting(now time.Time, workspace string) bool {
-	if now.Sub(l.begun) >= joinTime {
+	if now.Sub(l.started) >= joinTime {
 		return false
 	}
 	_, at := l.Told(workspace)
