--- a/internal/ratelimit/limiter.go
+++ b/internal/ratelimit/limiter.go
@@ -74,8 +74,8 @@
 	held  int
 	// returned counts the tokens that were given back.
 	returned int64
-	// admitted counts the requests that were admitted without an allocator.
-	admitted int64
+	// isolated counts the requests that were admitted without an allocator.
+	isolated int64
 	// before are those of them that came before the allocator's last answer.
 	before int64
 	demand meter
@@ -173,7 +173,7 @@
 	if wait := a.alone.Take(now, rate, depth); wait > 0 {
 		return Refused, min(max(wait, minRetryAfter), maxIsolatedRetryAfter)
 	}
-	a.admitted++
+	a.isolated++
 	return Admitted, 0
 }
 
@@ -252,7 +252,7 @@
 	a.keep(maxReserveFactor * want)
 	r := Report{
 		Returned: a.returned,
-		Alone:    a.admitted,
+		Alone:    a.isolated,
 		Held:     a.held,
 		Want:     want,
 		Waiting:  waiting,
@@ -265,7 +265,7 @@
 		r.Total = a.told.Total
 		r.By = a.told.By
 		r.Age = max(now.Sub(a.toldAt), 1)
-		r.Lately = a.admitted - a.before
+		r.Lately = a.isolated - a.before
 	}
 	return r, a.limit, true
 }
@@ -281,7 +281,7 @@
 	}
 	a.told = s
 	a.toldAt = now
-	a.before = a.admitted
+	a.before = a.isolated
 	a.held += s.Reserve
 	if s.Admitted < waiting {
 		a.pause = now.Add(a.pauseFor(now))
