--- a/internal/ratelimit/limiter.go
+++ b/internal/ratelimit/limiter.go
@@ -76,9 +76,9 @@
 	returned int64
 	// isolated counts the requests that were admitted without an allocator.
 	isolated int64
-	// before are those of them that came before the allocator's last answer.
-	before int64
-	demand meter
+	// isolatedBefore are those of them that came before the allocator's last answer.
+	isolatedBefore int64
+	demand         meter
 	// reported is when the allocator was last told.
 	reported time.Time
 	// told is the allocator's last answer, toldAt when it came, the zero time for never.
@@ -265,7 +265,7 @@
 		r.Total = a.told.Total
 		r.By = a.told.By
 		r.Age = max(now.Sub(a.toldAt), 1)
-		r.Lately = a.isolated - a.before
+		r.Lately = a.isolated - a.isolatedBefore
 	}
 	return r, a.limit, true
 }
@@ -281,7 +281,7 @@
 	}
 	a.told = s
 	a.toldAt = now
-	a.before = a.isolated
+	a.isolatedBefore = a.isolated
 	a.held += s.Reserve
 	if s.Admitted < waiting {
 		a.pause = now.Add(a.pauseFor(now))
