--- a/internal/ratelimit/limiter.go
+++ b/internal/ratelimit/limiter.go
@@ -81,8 +81,8 @@
 	demand         meter
 	// reported is when the allocator was last told.
 	reported time.Time
-	// told is the allocator's last answer, toldAt when it came, the zero time for never.
-	told   Share
+	// share is the allocator's last answer, toldAt when it came, the zero time for never.
+	share  Share
 	toldAt time.Time
 	// pause is until when requests are refused without asking.
 	pause time.Time
@@ -126,7 +126,7 @@
 // retryAfter gives a refused caller its place among those that were refused before it: at
 // the pace at which tokens come, so that they don't all return at once.
 func (a *account) retryAfter(now time.Time) time.Duration {
-	pace := a.told.Pace
+	pace := a.share.Pace
 	if pace <= 0 {
 		pace = a.limit.Rate / assumedNodes
 	}
@@ -160,7 +160,7 @@
 	if a == nil {
 		return Refused, maxPause
 	}
-	rate, depth := a.told.Rate, a.told.Depth
+	rate, depth := a.share.Rate, a.share.Depth
 	if now.Sub(a.toldAt) > isolatedRateLifetime {
 		if nodes < 2 {
 			nodes = assumedNodes
@@ -260,10 +260,10 @@
 		Every:    every,
 	}
 	if !a.toldAt.IsZero() {
-		r.Level = a.told.Level
-		r.Rate = a.told.Rate
-		r.Total = a.told.Total
-		r.By = a.told.By
+		r.Level = a.share.Level
+		r.Rate = a.share.Rate
+		r.Total = a.share.Total
+		r.By = a.share.By
 		r.Age = max(now.Sub(a.toldAt), 1)
 		r.Lately = a.isolated - a.isolatedBefore
 	}
@@ -279,7 +279,7 @@
 	if a == nil {
 		return min(s.Admitted, waiting)
 	}
-	a.told = s
+	a.share = s
 	a.toldAt = now
 	a.isolatedBefore = a.isolated
 	a.held += s.Reserve
@@ -292,9 +292,9 @@
 // pauseFor returns for how long no token can be expected: until the bucket has one, or
 // where many nodes wait for it the time between two of this one's.
 func (a *account) pauseFor(now time.Time) time.Duration {
-	pause := a.told.Wait
-	if a.told.Pace > 0 && a.demand.rate(now) > a.told.Pace {
-		pause = max(pause, time.Duration(float64(time.Second)/a.told.Pace))
+	pause := a.share.Wait
+	if a.share.Pace > 0 && a.demand.rate(now) > a.share.Pace {
+		pause = max(pause, time.Duration(float64(time.Second)/a.share.Pace))
 	}
 	return min(pause, maxPause)
 }
@@ -305,7 +305,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if a := l.accounts[workspace]; a != nil {
-		return a.told, a.toldAt
+		return a.share, a.toldAt
 	}
 	return Share{}, time.Time{}
 }
@@ -333,7 +333,7 @@
 			Limit:     a.limit,
 			Demand:    a.demand.rate(now),
 			Held:      a.held,
-			Told:      a.told,
+			Told:      a.share,
 			At:        a.toldAt,
 		})
 	}
