--- a/internal/ratelimit/limiter.go
+++ b/internal/ratelimit/limiter.go
@@ -82,8 +82,8 @@
 	// reported is when the allocator was last told.
 	reported time.Time
 	// share is the allocator's last answer, toldAt when it came, the zero time for never.
-	share  Share
-	toldAt time.Time
+	share   Share
+	shareAt time.Time
 	// pause is until when requests are refused without asking.
 	pause time.Time
 	// alone bounds what is admitted without an allocator; nil while none was.
@@ -161,7 +161,7 @@
 		return Refused, maxPause
 	}
 	rate, depth := a.share.Rate, a.share.Depth
-	if now.Sub(a.toldAt) > isolatedRateLifetime {
+	if now.Sub(a.shareAt) > isolatedRateLifetime {
 		if nodes < 2 {
 			nodes = assumedNodes
 		}
@@ -259,12 +259,12 @@
 		Demand:   demand,
 		Every:    every,
 	}
-	if !a.toldAt.IsZero() {
+	if !a.shareAt.IsZero() {
 		r.Level = a.share.Level
 		r.Rate = a.share.Rate
 		r.Total = a.share.Total
 		r.By = a.share.By
-		r.Age = max(now.Sub(a.toldAt), 1)
+		r.Age = max(now.Sub(a.shareAt), 1)
 		r.Lately = a.isolated - a.isolatedBefore
 	}
 	return r, a.limit, true
@@ -280,7 +280,7 @@
 		return min(s.Admitted, waiting)
 	}
 	a.share = s
-	a.toldAt = now
+	a.shareAt = now
 	a.isolatedBefore = a.isolated
 	a.held += s.Reserve
 	if s.Admitted < waiting {
@@ -305,7 +305,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if a := l.accounts[workspace]; a != nil {
-		return a.share, a.toldAt
+		return a.share, a.shareAt
 	}
 	return Share{}, time.Time{}
 }
@@ -334,7 +334,7 @@
 			Demand:    a.demand.rate(now),
 			Held:      a.held,
 			Told:      a.share,
-			At:        a.toldAt,
+			At:        a.shareAt,
 		})
 	}
 	slices.SortFunc(out, func(a, b Standing) int { return strings.Compare(a.Workspace, b.Workspace) })
