--- a/internal/ratelimit/limiter.go
+++ b/internal/ratelimit/limiter.go
@@ -84,8 +84,8 @@
 	// share is the allocator's last answer, toldAt when it came, the zero time for never.
 	share   Share
 	shareAt time.Time
-	// pause is until when requests are refused without asking.
-	pause time.Time
+	// pausedUntil is until when requests are refused without asking.
+	pausedUntil time.Time
 	// alone bounds what is admitted without an allocator; nil while none was.
 	alone *Pacer
 	// next is when the last refused caller was told to come back.
@@ -116,7 +116,7 @@
 	case a.held > 0:
 		a.held--
 		return Admitted, 0
-	case now.Before(a.pause):
+	case now.Before(a.pausedUntil):
 		return Refused, a.retryAfter(now)
 	default:
 		return Ask, 0
@@ -284,7 +284,7 @@
 	a.isolatedBefore = a.isolated
 	a.held += s.Reserve
 	if s.Admitted < waiting {
-		a.pause = now.Add(a.pauseFor(now))
+		a.pausedUntil = now.Add(a.pauseFor(now))
 	}
 	return min(s.Admitted, waiting)
 }
