--- a/internal/ratelimit/limiter.go
+++ b/internal/ratelimit/limiter.go
@@ -86,8 +86,8 @@
 	shareAt time.Time
 	// pausedUntil is until when requests are refused without asking.
 	pausedUntil time.Time
-	// alone bounds what is admitted without an allocator; nil while none was.
-	alone *Pacer
+	// pacer bounds what is admitted without an allocator; nil while none was.
+	pacer *Pacer
 	// next is when the last refused caller was told to come back.
 	next time.Time
 }
@@ -167,10 +167,10 @@
 		}
 		rate, depth = noShareFraction*limit.Rate/float64(nodes), noShareFraction*limit.Burst/float64(nodes)
 	}
-	if a.alone == nil {
-		a.alone = NewPacer(now, depth)
+	if a.pacer == nil {
+		a.pacer = NewPacer(now, depth)
 	}
-	if wait := a.alone.Take(now, rate, depth); wait > 0 {
+	if wait := a.pacer.Take(now, rate, depth); wait > 0 {
 		return Refused, min(max(wait, minRetryAfter), maxIsolatedRetryAfter)
 	}
 	a.isolated++
