--- a/internal/ratelimit/limiter.go
+++ b/internal/ratelimit/limiter.go
@@ -88,8 +88,8 @@
 	pausedUntil time.Time
 	// pacer bounds what is admitted without an allocator; nil while none was.
 	pacer *Pacer
-	// next is when the last refused caller was told to come back.
-	next time.Time
+	// nextRetry is when the last refused caller was told to come back.
+	nextRetry time.Time
 }
 
 // NewLimiter returns a limiter of a process that began at the time given.
@@ -130,14 +130,14 @@
 	if pace <= 0 {
 		pace = a.limit.Rate / assumedNodes
 	}
-	if a.next.Before(now) {
-		a.next = now
+	if a.nextRetry.Before(now) {
+		a.nextRetry = now
 	}
-	a.next = a.next.Add(time.Duration(float64(time.Second) / pace))
-	if latest := now.Add(maxRetryAfter); a.next.After(latest) {
-		a.next = latest
+	a.nextRetry = a.nextRetry.Add(time.Duration(float64(time.Second) / pace))
+	if latest := now.Add(maxRetryAfter); a.nextRetry.After(latest) {
+		a.nextRetry = latest
 	}
-	return max(a.next.Sub(now), minRetryAfter)
+	return max(a.nextRetry.Sub(now), minRetryAfter)
 }
 
 // Refuse refuses a request for which the allocator had no token.
