--- a/internal/ratelimit/limiter.go
+++ b/internal/ratelimit/limiter.go
@@ -196,8 +196,8 @@
 	}
 }
 
-// keep gives back what is held beyond some tokens.
-func (a *account) keep(most int) {
+// trimReserve gives back what is held beyond some tokens.
+func (a *account) trimReserve(most int) {
 	if spare := a.held - most; spare > 0 {
 		a.held -= spare
 		a.returned += int64(spare)
@@ -249,7 +249,7 @@
 	case idle > idleAfter:
 		want = 0
 	}
-	a.keep(maxReserveFactor * want)
+	a.trimReserve(maxReserveFactor * want)
 	r := Report{
 		Returned: a.returned,
 		Alone:    a.isolated,
