--- a/internal/ratelimit/limiter.go
+++ b/internal/ratelimit/limiter.go
@@ -204,8 +204,8 @@
 	}
 }
 
-// every returns how often a workspace is reported.
-func (l *Limiter) every() time.Duration {
+// interval returns how often a workspace is reported.
+func (l *Limiter) interval() time.Duration {
 	return max(reportInterval, time.Duration(len(l.accounts))*time.Second/reportsPerSecond)
 }
 
@@ -214,7 +214,7 @@
 func (l *Limiter) Due(now time.Time) []string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	every := l.every()
+	every := l.interval()
 	var out []string
 	for workspace, a := range l.accounts {
 		idle := now.Sub(a.demand.last)
@@ -239,7 +239,7 @@
 	if a == nil {
 		return Report{}, Limit{}, false
 	}
-	every := l.every()
+	every := l.interval()
 	a.reported = now
 	demand := a.demand.rate(now)
 	want := int(math.Ceil(demand * every.Seconds()))
