--- a/internal/ratelimit/pacer.go
+++ b/internal/ratelimit/pacer.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// longestPause is what a pacer with a rate of 0 says.
-const longestPause = time.Hour
+// maxWait is what a pacer with a rate of 0 says.
+const maxWait = time.Hour
 
 // Pacer is a token bucket whose depth may be less than a token: many nodes that each
 // admitted one request at once would exceed a small limit by as many. A request is admitted
@@ -37,8 +37,8 @@
 	switch {
 	case p.tokens >= 1:
 		return 0
-	case rate*longestPause.Seconds() <= 1-p.tokens:
-		return longestPause
+	case rate*maxWait.Seconds() <= 1-p.tokens:
+		return maxWait
 	}
 	// At least 1 ns, which 0 would be rounded to.
 	return max(time.Duration((1-p.tokens)/rate*float64(time.Second)), 1)
