--- a/internal/ratelimit/fleet_test.go
+++ b/internal/ratelimit/fleet_test.go
@@ -26,12 +26,12 @@
 	Slack:  20,
 }
 
-// way is how the nodes keep a limit.
-type way int
+// method is how the nodes keep a limit.
+type method int
 
 const (
 	// equal gives each node the same part of the limit.
-	equal way = iota
+	equal method = iota
 	// asking asks the allocator for each request.
 	asking
 	// reserving holds tokens in reserve.
@@ -96,7 +96,7 @@
 
 // model is the fleet.
 type model struct {
-	way    way
+	way    method
 	limit  ratelimit.Limit
 	random *rand.Rand
 	now    time.Time
@@ -138,7 +138,7 @@
 	return true
 }
 
-func newModel(w way, l ratelimit.Limit, nodes int, seed uint64) *model {
+func newModel(w method, l ratelimit.Limit, nodes int, seed uint64) *model {
 	m := &model{
 		way:    w,
 		limit:  l,
--- a/internal/ratelimit/model_test.go
+++ b/internal/ratelimit/model_test.go
@@ -265,7 +265,7 @@
 	}
 }
 
-func (p play) play(w way, seed uint64) *model {
+func (p play) play(w method, seed uint64) *model {
 	m := newModel(w, p.limit, p.nodes, seed)
 	m.loss = p.loss
 	m.callers(p.callers, p.spread, p.usual*p.limit.Rate, 0, length)
@@ -288,7 +288,7 @@
 	most float64
 }
 
-func (p play) total(w way) total {
+func (p play) total(w method) total {
 	var sum total
 	for round := range *rounds {
 		m := p.play(w, uint64(round+1))
@@ -337,7 +337,7 @@
 // the table of docs/design.
 func TestWays(t *testing.T) {
 	for _, p := range plays() {
-		for _, w := range []way{equal, asking, reserving} {
+		for _, w := range []method{equal, asking, reserving} {
 			t.Logf("%-60s %-10s %s", p.name, [...]string{"equal", "asking", "reserving"}[w], p.total(w))
 		}
 	}
