--- a/internal/ratelimit/model_test.go
+++ b/internal/ratelimit/model_test.go
@@ -19,8 +19,8 @@
 
 var rounds = flag.Int("rounds", 1, "how often each case of the model is played, with a seed each")
 
-// play is one case: a workspace, its callers and what happens to the nodes.
-type play struct {
+// scenario is one case: a workspace, its callers and what happens to the nodes.
+type scenario struct {
 	name    string
 	limit   ratelimit.Limit
 	nodes   int
@@ -38,7 +38,7 @@
 
 const length = 40 * time.Second
 
-func plays() []play {
+func plays() []scenario {
 	middle := ratelimit.Limit{
 		Rate:  22,
 		Burst: 22,
@@ -58,7 +58,7 @@
 			}
 		}
 	}
-	return []play{
+	return []scenario{
 		{
 			name:    "calm",
 			limit:   middle,
@@ -265,7 +265,7 @@
 	}
 }
 
-func (p play) play(w method, seed uint64) *model {
+func (p scenario) play(w method, seed uint64) *model {
 	m := newModel(w, p.limit, p.nodes, seed)
 	m.loss = p.loss
 	m.callers(p.callers, p.spread, p.usual*p.limit.Rate, 0, length)
@@ -288,7 +288,7 @@
 	most float64
 }
 
-func (p play) total(w method) total {
+func (p scenario) total(w method) total {
 	var sum total
 	for round := range *rounds {
 		m := p.play(w, uint64(round+1))
@@ -344,13 +344,13 @@
 }
 
 // randomPlay returns a case with a load and faults drawn from a seed.
-func randomPlay(seed uint64) play {
+func randomPlay(seed uint64) scenario {
 	r := rand.New(rand.NewPCG(seed, 2))
 	limit := ratelimit.Limit{
 		Rate: 1 + 200*math.Pow(r.Float64(), 3),
 	}
 	limit.Burst = math.Ceil(limit.Rate * (0.5 + r.Float64()))
-	p := play{
+	p := scenario{
 		limit:   limit,
 		nodes:   3 + r.IntN(110),
 		callers: 1 + r.IntN(120),
