--- a/internal/ratelimit/model_test.go
+++ b/internal/ratelimit/model_test.go
@@ -38,7 +38,7 @@
 
 const length = 40 * time.Second
 
-func plays() []scenario {
+func scenarios() []scenario {
 	middle := ratelimit.Limit{
 		Rate:  22,
 		Burst: 22,
@@ -319,7 +319,7 @@
 // The limit of the fleet is kept in every window, and a workspace that keeps to it isn't
 // refused, whatever happens to the nodes.
 func TestFleetKeepsLimits(t *testing.T) {
-	for _, p := range plays() {
+	for _, p := range scenarios() {
 		t.Run(p.name, func(t *testing.T) {
 			got := p.total(reserving)
 			t.Log(got)
@@ -336,7 +336,7 @@
 // The ways that were weighed, side by side; go test -v -run TestWays -rounds 20 prints
 // the table of docs/design.
 func TestWays(t *testing.T) {
-	for _, p := range plays() {
+	for _, p := range scenarios() {
 		for _, w := range []method{equal, asking, reserving} {
 			t.Logf("%-60s %-10s %s", p.name, [...]string{"equal", "asking", "reserving"}[w], p.total(w))
 		}
@@ -487,7 +487,7 @@
 func TestLimitChanges(t *testing.T) {
 	const change = 20 * time.Second
 	for _, factor := range []float64{0.25, 3} {
-		p := plays()[1]
+		p := scenarios()[1]
 		m := newModel(reserving, p.limit, p.nodes, 7)
 		m.callers(p.callers, p.spread, p.usual*p.limit.Rate, 0, length)
 		m.run(change)
