--- a/internal/ratelimit/model_test.go
+++ b/internal/ratelimit/model_test.go
@@ -265,7 +265,7 @@
 	}
 }
 
-func (p scenario) play(w method, seed uint64) *model {
+func (p scenario) run(w method, seed uint64) *model {
 	m := newModel(w, p.limit, p.nodes, seed)
 	m.loss = p.loss
 	m.callers(p.callers, p.spread, p.usual*p.limit.Rate, 0, length)
@@ -291,7 +291,7 @@
 func (p scenario) total(w method) total {
 	var sum total
 	for round := range *rounds {
-		m := p.play(w, uint64(round+1))
+		m := p.run(w, uint64(round+1))
 		sum.requests += m.result.requests
 		sum.admitted += m.result.admitted
 		sum.refused += m.result.refused
@@ -400,7 +400,7 @@
 	var sum total
 	properties.Property("no window has more than the bound", prop.ForAll(
 		func(seed uint64) bool {
-			m := randomPlay(seed).play(reserving, seed)
+			m := randomPlay(seed).run(reserving, seed)
 			sum.requests += m.result.requests
 			ran, allowed := m.most()
 			sum.most = max(sum.most, float64(ran)/allowed)
@@ -476,7 +476,7 @@
 		},
 	}
 	for _, c := range cases {
-		m := randomPlay(c.seed).play(reserving, c.seed)
+		m := randomPlay(c.seed).run(reserving, c.seed)
 		if ran, allowed := m.most(); float64(ran) > allowed {
 			t.Errorf("seed %d: %d ran in a window, allowed %v; it once was: %s", c.seed, ran, allowed, c.cause)
 		}
