--- a/internal/ratelimit/model_test.go
+++ b/internal/ratelimit/model_test.go
@@ -26,9 +26,9 @@
 	nodes   int
 	callers int
 	spread  int
-	// usual is what the callers send as a part of the limit, hot what comes on top of it.
-	usual, hot float64
-	loss       float64
+	// load is what the callers send as a part of the limit, hot what comes on top of it.
+	load, hot float64
+	loss      float64
 	// faults plays what happens.
 	faults func(m *model)
 	// falsely is the greatest share of requests that may be refused though the workspace
@@ -65,7 +65,7 @@
 			nodes:   113,
 			callers: 19,
 			spread:  113,
-			usual:   0.625,
+			load:    0.625,
 			falsely: 1e-5,
 		},
 		{
@@ -74,7 +74,7 @@
 			nodes:   113,
 			callers: 150,
 			spread:  113,
-			usual:   0.625,
+			load:    0.625,
 			falsely: 1e-5,
 		},
 		{
@@ -83,7 +83,7 @@
 			nodes:   1000,
 			callers: 150,
 			spread:  1000,
-			usual:   0.625,
+			load:    0.625,
 			falsely: 1e-5,
 		},
 		{
@@ -92,7 +92,7 @@
 			nodes:   113,
 			callers: 1,
 			spread:  113,
-			usual:   0.5,
+			load:    0.5,
 			falsely: 1e-5,
 		},
 		{
@@ -101,7 +101,7 @@
 			nodes:   113,
 			callers: 19,
 			spread:  1,
-			usual:   0.8,
+			load:    0.8,
 			falsely: 1e-5,
 		},
 		{
@@ -110,7 +110,7 @@
 			nodes:   113,
 			callers: 150,
 			spread:  113,
-			usual:   0.9,
+			load:    0.9,
 			falsely: 1e-3,
 		},
 		{
@@ -119,7 +119,7 @@
 			nodes:   113,
 			callers: 19,
 			spread:  113,
-			usual:   0.625,
+			load:    0.625,
 			loss:    0.03,
 			falsely: 1e-3,
 		},
@@ -129,7 +129,7 @@
 			nodes:   113,
 			callers: 19,
 			spread:  113,
-			usual:   0.625,
+			load:    0.625,
 			faults:  cutThird(10*time.Second, 22*time.Second),
 			falsely: 1.5e-2,
 		},
@@ -139,7 +139,7 @@
 			nodes:   113,
 			callers: 150,
 			spread:  113,
-			usual:   0.625,
+			load:    0.625,
 			hot:     4.7,
 			faults:  cutThird(10*time.Second, 22*time.Second),
 		},
@@ -149,7 +149,7 @@
 			nodes:   113,
 			callers: 40,
 			spread:  113,
-			usual:   0.625,
+			load:    0.625,
 			hot:     4.7,
 			faults:  cutThird(time.Second, 30*time.Second),
 		},
@@ -159,7 +159,7 @@
 			nodes:   113,
 			callers: 19,
 			spread:  113,
-			usual:   0.625,
+			load:    0.625,
 			hot:     4.7,
 			faults:  cutThird(15*time.Second, 27*time.Second),
 		},
@@ -169,7 +169,7 @@
 			nodes:   113,
 			callers: 19,
 			spread:  113,
-			usual:   0.625,
+			load:    0.625,
 			faults:  func(m *model) { m.fail(0, true, 10*time.Second, 13*time.Second) },
 			falsely: 3e-3,
 		},
@@ -179,7 +179,7 @@
 			nodes:   113,
 			callers: 150,
 			spread:  113,
-			usual:   0.625,
+			load:    0.625,
 			hot:     4.7,
 			faults: func(m *model) {
 				m.fail(0, true, 18*time.Second, 21*time.Second)
@@ -192,7 +192,7 @@
 			nodes:   113,
 			callers: 150,
 			spread:  113,
-			usual:   0.625,
+			load:    0.625,
 			faults: func(m *model) {
 				for i := range 4 {
 					m.move(i%2, time.Duration(10+4*i)*time.Second, 3*time.Second)
@@ -206,7 +206,7 @@
 			nodes:   113,
 			callers: 19,
 			spread:  113,
-			usual:   0.625,
+			load:    0.625,
 			hot:     4.7,
 			faults: func(m *model) {
 				for _, at := range []time.Duration{16 * time.Second, 18 * time.Second, 20 * time.Second} {
@@ -222,7 +222,7 @@
 			nodes:   113,
 			callers: 19,
 			spread:  113,
-			usual:   0.625,
+			load:    0.625,
 			faults: func(m *model) {
 				m.fail(0, false, 3*time.Second, 15*time.Second)
 				cutThird(3*time.Second, 15*time.Second)(m)
@@ -239,7 +239,7 @@
 			nodes:   113,
 			callers: 19,
 			spread:  113,
-			usual:   0.625,
+			load:    0.625,
 			faults: func(m *model) {
 				for i := range m.nodes {
 					m.fail(i, true, 16*time.Second, 16*time.Second+700*time.Millisecond)
@@ -253,7 +253,7 @@
 			nodes:   113,
 			callers: 19,
 			spread:  113,
-			usual:   0.625,
+			load:    0.625,
 			faults: func(m *model) {
 				for i := 1; i < len(m.nodes); i += 5 {
 					at := time.Duration(10+i/10) * time.Second
@@ -268,9 +268,9 @@
 func (p scenario) run(w method, seed uint64) *model {
 	m := newModel(w, p.limit, p.nodes, seed)
 	m.loss = p.loss
-	m.callers(p.callers, p.spread, p.usual*p.limit.Rate, 0, length)
+	m.callers(p.callers, p.spread, p.load*p.limit.Rate, 0, length)
 	if p.hot > 0 {
-		m.callers(p.callers, p.spread, (p.hot-p.usual)*p.limit.Rate, 15*time.Second, 25*time.Second)
+		m.callers(p.callers, p.spread, (p.hot-p.load)*p.limit.Rate, 15*time.Second, 25*time.Second)
 	}
 	if p.faults != nil {
 		p.faults(m)
@@ -354,7 +354,7 @@
 		limit:   limit,
 		nodes:   3 + r.IntN(110),
 		callers: 1 + r.IntN(120),
-		usual:   0.2 + 0.7*r.Float64(),
+		load:    0.2 + 0.7*r.Float64(),
 		loss:    0.05 * r.Float64(),
 	}
 	p.spread = 1 + r.IntN(p.nodes)
@@ -489,7 +489,7 @@
 	for _, factor := range []float64{0.25, 3} {
 		p := scenarios()[1]
 		m := newModel(reserving, p.limit, p.nodes, 7)
-		m.callers(p.callers, p.spread, p.usual*p.limit.Rate, 0, length)
+		m.callers(p.callers, p.spread, p.load*p.limit.Rate, 0, length)
 		m.run(change)
 		m.limit = ratelimit.Limit{
 			Rate:  factor * p.limit.Rate,
