--- a/internal/ratelimit/model_test.go
+++ b/internal/ratelimit/model_test.go
@@ -27,8 +27,8 @@
 	callers int
 	spread  int
 	// load is what the callers send as a part of the limit, hot what comes on top of it.
-	load, hot float64
-	loss      float64
+	load, peakLoad float64
+	loss           float64
 	// faults plays what happens.
 	faults func(m *model)
 	// falsely is the greatest share of requests that may be refused though the workspace
@@ -134,34 +134,34 @@
 			falsely: 1.5e-2,
 		},
 		{
-			name:    "a third of the nodes cut off, large and hot",
-			limit:   large,
-			nodes:   113,
-			callers: 150,
-			spread:  113,
-			load:    0.625,
-			hot:     4.7,
-			faults:  cutThird(10*time.Second, 22*time.Second),
+			name:     "a third of the nodes cut off, large and hot",
+			limit:    large,
+			nodes:    113,
+			callers:  150,
+			spread:   113,
+			load:     0.625,
+			peakLoad: 4.7,
+			faults:   cutThird(10*time.Second, 22*time.Second),
 		},
 		{
-			name:    "a third of the nodes cut off for long before it gets hot",
-			limit:   middle,
-			nodes:   113,
-			callers: 40,
-			spread:  113,
-			load:    0.625,
-			hot:     4.7,
-			faults:  cutThird(time.Second, 30*time.Second),
+			name:     "a third of the nodes cut off for long before it gets hot",
+			limit:    middle,
+			nodes:    113,
+			callers:  40,
+			spread:   113,
+			load:     0.625,
+			peakLoad: 4.7,
+			faults:   cutThird(time.Second, 30*time.Second),
 		},
 		{
-			name:    "a third of the nodes cut off as it gets hot",
-			limit:   middle,
-			nodes:   113,
-			callers: 19,
-			spread:  113,
-			load:    0.625,
-			hot:     4.7,
-			faults:  cutThird(15*time.Second, 27*time.Second),
+			name:     "a third of the nodes cut off as it gets hot",
+			limit:    middle,
+			nodes:    113,
+			callers:  19,
+			spread:   113,
+			load:     0.625,
+			peakLoad: 4.7,
+			faults:   cutThird(15*time.Second, 27*time.Second),
 		},
 		{
 			name:    "the allocator dies",
@@ -174,13 +174,13 @@
 			falsely: 3e-3,
 		},
 		{
-			name:    "the allocator dies while it is hot",
-			limit:   large,
-			nodes:   113,
-			callers: 150,
-			spread:  113,
-			load:    0.625,
-			hot:     4.7,
+			name:     "the allocator dies while it is hot",
+			limit:    large,
+			nodes:    113,
+			callers:  150,
+			spread:   113,
+			load:     0.625,
+			peakLoad: 4.7,
 			faults: func(m *model) {
 				m.fail(0, true, 18*time.Second, 21*time.Second)
 				m.move(0, 23*time.Second, 200*time.Millisecond)
@@ -201,13 +201,13 @@
 			falsely: 1e-3,
 		},
 		{
-			name:    "all nodes are killed and restarted three times while it is hot",
-			limit:   middle,
-			nodes:   113,
-			callers: 19,
-			spread:  113,
-			load:    0.625,
-			hot:     4.7,
+			name:     "all nodes are killed and restarted three times while it is hot",
+			limit:    middle,
+			nodes:    113,
+			callers:  19,
+			spread:   113,
+			load:     0.625,
+			peakLoad: 4.7,
 			faults: func(m *model) {
 				for _, at := range []time.Duration{16 * time.Second, 18 * time.Second, 20 * time.Second} {
 					for i := range m.nodes {
@@ -269,8 +269,8 @@
 	m := newModel(w, p.limit, p.nodes, seed)
 	m.loss = p.loss
 	m.callers(p.callers, p.spread, p.load*p.limit.Rate, 0, length)
-	if p.hot > 0 {
-		m.callers(p.callers, p.spread, (p.hot-p.load)*p.limit.Rate, 15*time.Second, 25*time.Second)
+	if p.peakLoad > 0 {
+		m.callers(p.callers, p.spread, (p.peakLoad-p.load)*p.limit.Rate, 15*time.Second, 25*time.Second)
 	}
 	if p.faults != nil {
 		p.faults(m)
@@ -326,7 +326,7 @@
 			if got.most > 1 {
 				t.Errorf("%.2f times what may run in a window", got.most)
 			}
-			if p.hot == 0 && got.falsely() > p.falsely {
+			if p.peakLoad == 0 && got.falsely() > p.falsely {
 				t.Errorf("%.6f of the requests refused falsely, at most %.6f", got.falsely(), p.falsely)
 			}
 		})
@@ -359,7 +359,7 @@
 	}
 	p.spread = 1 + r.IntN(p.nodes)
 	if r.IntN(3) > 0 {
-		p.hot = 1 + 6*r.Float64()
+		p.peakLoad = 1 + 6*r.Float64()
 	}
 	p.faults = func(m *model) {
 		for range 1 + r.IntN(5) {
