--- a/internal/ratelimit/model_test.go
+++ b/internal/ratelimit/model_test.go
@@ -31,9 +31,9 @@
 	loss           float64
 	// faults plays what happens.
 	faults func(m *model)
-	// falsely is the greatest share of requests that may be refused though the workspace
+	// maxFalseRefusals is the greatest share of requests that may be refused though the workspace
 	// kept to its limit.
-	falsely float64
+	maxFalseRefusals float64
 }
 
 const length = 40 * time.Second
@@ -60,78 +60,78 @@
 	}
 	return []scenario{
 		{
-			name:    "calm",
-			limit:   middle,
-			nodes:   113,
-			callers: 19,
-			spread:  113,
-			load:    0.625,
-			falsely: 1e-5,
-		},
-		{
-			name:    "calm, large",
-			limit:   large,
-			nodes:   113,
-			callers: 150,
-			spread:  113,
-			load:    0.625,
-			falsely: 1e-5,
-		},
-		{
-			name:    "calm, a thousand nodes",
-			limit:   large,
-			nodes:   1000,
-			callers: 150,
-			spread:  1000,
-			load:    0.625,
-			falsely: 1e-5,
-		},
-		{
-			name:    "calm, small, a single caller",
-			limit:   small,
-			nodes:   113,
-			callers: 1,
-			spread:  113,
-			load:    0.5,
-			falsely: 1e-5,
-		},
-		{
-			name:    "calm, all callers on one node",
-			limit:   middle,
-			nodes:   113,
-			callers: 19,
-			spread:  1,
-			load:    0.8,
-			falsely: 1e-5,
-		},
-		{
-			name:    "close to the limit",
-			limit:   large,
-			nodes:   113,
-			callers: 150,
-			spread:  113,
-			load:    0.9,
-			falsely: 1e-3,
-		},
-		{
-			name:    "lost packets",
-			limit:   middle,
-			nodes:   113,
-			callers: 19,
-			spread:  113,
-			load:    0.625,
-			loss:    0.03,
-			falsely: 1e-3,
-		},
-		{
-			name:    "a third of the nodes cut off",
-			limit:   middle,
-			nodes:   113,
-			callers: 19,
-			spread:  113,
-			load:    0.625,
-			faults:  cutThird(10*time.Second, 22*time.Second),
-			falsely: 1.5e-2,
+			name:             "calm",
+			limit:            middle,
+			nodes:            113,
+			callers:          19,
+			spread:           113,
+			load:             0.625,
+			maxFalseRefusals: 1e-5,
+		},
+		{
+			name:             "calm, large",
+			limit:            large,
+			nodes:            113,
+			callers:          150,
+			spread:           113,
+			load:             0.625,
+			maxFalseRefusals: 1e-5,
+		},
+		{
+			name:             "calm, a thousand nodes",
+			limit:            large,
+			nodes:            1000,
+			callers:          150,
+			spread:           1000,
+			load:             0.625,
+			maxFalseRefusals: 1e-5,
+		},
+		{
+			name:             "calm, small, a single caller",
+			limit:            small,
+			nodes:            113,
+			callers:          1,
+			spread:           113,
+			load:             0.5,
+			maxFalseRefusals: 1e-5,
+		},
+		{
+			name:             "calm, all callers on one node",
+			limit:            middle,
+			nodes:            113,
+			callers:          19,
+			spread:           1,
+			load:             0.8,
+			maxFalseRefusals: 1e-5,
+		},
+		{
+			name:             "close to the limit",
+			limit:            large,
+			nodes:            113,
+			callers:          150,
+			spread:           113,
+			load:             0.9,
+			maxFalseRefusals: 1e-3,
+		},
+		{
+			name:             "lost packets",
+			limit:            middle,
+			nodes:            113,
+			callers:          19,
+			spread:           113,
+			load:             0.625,
+			loss:             0.03,
+			maxFalseRefusals: 1e-3,
+		},
+		{
+			name:             "a third of the nodes cut off",
+			limit:            middle,
+			nodes:            113,
+			callers:          19,
+			spread:           113,
+			load:             0.625,
+			faults:           cutThird(10*time.Second, 22*time.Second),
+			maxFalseRefusals: 1.5e-2,
 		},
 		{
 			name:     "a third of the nodes cut off, large and hot",
@@ -164,14 +164,14 @@
 			faults:   cutThird(15*time.Second, 27*time.Second),
 		},
 		{
-			name:    "the allocator dies",
-			limit:   middle,
-			nodes:   113,
-			callers: 19,
-			spread:  113,
-			load:    0.625,
-			faults:  func(m *model) { m.fail(0, true, 10*time.Second, 13*time.Second) },
-			falsely: 3e-3,
+			name:             "the allocator dies",
+			limit:            middle,
+			nodes:            113,
+			callers:          19,
+			spread:           113,
+			load:             0.625,
+			faults:           func(m *model) { m.fail(0, true, 10*time.Second, 13*time.Second) },
+			maxFalseRefusals: 3e-3,
 		},
 		{
 			name:     "the allocator dies while it is hot",
@@ -198,7 +198,7 @@
 					m.move(i%2, time.Duration(10+4*i)*time.Second, 3*time.Second)
 				}
 			},
-			falsely: 1e-3,
+			maxFalseRefusals: 1e-3,
 		},
 		{
 			name:     "all nodes are killed and restarted three times while it is hot",
@@ -231,7 +231,7 @@
 				}
 				m.move(0, 16*time.Second, agreement)
 			},
-			falsely: 4e-2,
+			maxFalseRefusals: 4e-2,
 		},
 		{
 			name:    "all nodes lose power",
@@ -245,7 +245,7 @@
 					m.fail(i, true, 16*time.Second, 16*time.Second+700*time.Millisecond)
 				}
 			},
-			falsely: 4e-3,
+			maxFalseRefusals: 4e-3,
 		},
 		{
 			name:    "a fifth of the nodes restarted in turn",
@@ -260,7 +260,7 @@
 					m.fail(i, true, at, at+2*time.Second)
 				}
 			},
-			falsely: 1e-3,
+			maxFalseRefusals: 1e-3,
 		},
 	}
 }
@@ -326,8 +326,8 @@
 			if got.most > 1 {
 				t.Errorf("%.2f times what may run in a window", got.most)
 			}
-			if p.peakLoad == 0 && got.falsely() > p.falsely {
-				t.Errorf("%.6f of the requests refused falsely, at most %.6f", got.falsely(), p.falsely)
+			if p.peakLoad == 0 && got.falsely() > p.maxFalseRefusals {
+				t.Errorf("%.6f of the requests refused falsely, at most %.6f", got.falsely(), p.maxFalseRefusals)
 			}
 		})
 	}
