--- a/internal/ratelimit/model_test.go
+++ b/internal/ratelimit/model_test.go
@@ -304,16 +304,16 @@
 	return sum
 }
 
-// falsely is the share of requests that were refused beyond what one bucket for all would
+// falseRefusals is the share of requests that were refused beyond what one bucket for all would
 // have refused.
-func (t total) falsely() float64 {
+func (t total) falseRefusals() float64 {
 	return float64(max(t.refused-t.unfair, 0)) / float64(max(t.requests, 1))
 }
 
 func (t total) String() string {
 	n := float64(max(t.requests, 1))
 	return fmt.Sprintf("%d requests, %.5f refused, %.5f falsely, %.2f of the bound, %.3f waited, %.2f messages each",
-		t.requests, float64(t.refused)/n, t.falsely(), t.most, float64(t.waited)/n, float64(t.messages)/n)
+		t.requests, float64(t.refused)/n, t.falseRefusals(), t.most, float64(t.waited)/n, float64(t.messages)/n)
 }
 
 // The limit of the fleet is kept in every window, and a workspace that keeps to it isn't
@@ -326,8 +326,8 @@
 			if got.most > 1 {
 				t.Errorf("%.2f times what may run in a window", got.most)
 			}
-			if p.peakLoad == 0 && got.falsely() > p.maxFalseRefusals {
-				t.Errorf("%.6f of the requests refused falsely, at most %.6f", got.falsely(), p.maxFalseRefusals)
+			if p.peakLoad == 0 && got.falseRefusals() > p.maxFalseRefusals {
+				t.Errorf("%.6f of the requests refused falsely, at most %.6f", got.falseRefusals(), p.maxFalseRefusals)
 			}
 		})
 	}
