--- a/internal/ratelimit/model_test.go
+++ b/internal/ratelimit/model_test.go
@@ -343,8 +343,8 @@
 	}
 }
 
-// randomPlay returns a case with a load and faults drawn from a seed.
-func randomPlay(seed uint64) scenario {
+// randomScenario returns a case with a load and faults drawn from a seed.
+func randomScenario(seed uint64) scenario {
 	r := rand.New(rand.NewPCG(seed, 2))
 	limit := ratelimit.Limit{
 		Rate: 1 + 200*math.Pow(r.Float64(), 3),
@@ -400,7 +400,7 @@
 	var sum total
 	properties.Property("no window has more than the bound", prop.ForAll(
 		func(seed uint64) bool {
-			m := randomPlay(seed).run(reserving, seed)
+			m := randomScenario(seed).run(reserving, seed)
 			sum.requests += m.result.requests
 			ran, allowed := m.most()
 			sum.most = max(sum.most, float64(ran)/allowed)
@@ -476,7 +476,7 @@
 		},
 	}
 	for _, c := range cases {
-		m := randomPlay(c.seed).run(reserving, c.seed)
+		m := randomScenario(c.seed).run(reserving, c.seed)
 		if ran, allowed := m.most(); float64(ran) > allowed {
 			t.Errorf("seed %d: %d ran in a window, allowed %v; it once was: %s", c.seed, ran, allowed, c.cause)
 		}
