--- a/internal/ratelimit/fleet_test.go
+++ b/internal/ratelimit/fleet_test.go
@@ -40,11 +40,11 @@
 
 // Times of messages in the model.
 const (
-	oneWay   = time.Millisecond
-	resend   = 25 * time.Millisecond
-	giveUp   = 60 * time.Millisecond
-	distrust = 500 * time.Millisecond
-	tick     = 200 * time.Millisecond
+	oneWay          = time.Millisecond
+	resend          = 25 * time.Millisecond
+	giveUp          = 60 * time.Millisecond
+	unreachableTime = 500 * time.Millisecond
+	tick            = 200 * time.Millisecond
 	// detection is after how long a node is taken for dead, agreement how long it takes until
 	// all know that.
 	detection = 1200 * time.Millisecond
@@ -271,7 +271,7 @@
 	for range n.limiter.Due(now) {
 		m.ask(now, i, 0, func(now time.Time, _ int, ok bool) {
 			if !ok {
-				n.believe = now.Add(distrust)
+				n.believe = now.Add(unreachableTime)
 			}
 		})
 	}
@@ -327,7 +327,7 @@
 				}
 			})
 		default:
-			n.believe = now.Add(distrust)
+			n.believe = now.Add(unreachableTime)
 			m.alone(now, n)
 		}
 	})
