--- a/internal/ratelimit/fleet_test.go
+++ b/internal/ratelimit/fleet_test.go
@@ -49,8 +49,8 @@
 	// all know that.
 	detection = 1200 * time.Millisecond
 	agreement = 300 * time.Millisecond
-	// meeting is how long a node that starts reaches no other.
-	meeting = 600 * time.Millisecond
+	// joinTime is how long a node that starts reaches no other.
+	joinTime = 600 * time.Millisecond
 	// patience is how long a request waits for the allocator of a node that starts, and
 	// meetAgain how often it asks.
 	patience  = 500 * time.Millisecond
@@ -208,7 +208,7 @@
 // reach reports whether a message from one node comes to another.
 func (m *model) reach(from, to int) bool {
 	a, b := m.nodes[from], m.nodes[to]
-	if a.down || b.down || m.now.Sub(a.begun) < meeting || m.now.Sub(b.begun) < meeting {
+	if a.down || b.down || m.now.Sub(a.begun) < joinTime || m.now.Sub(b.begun) < joinTime {
 		return false
 	}
 	if from == to {
