--- a/internal/ratelimit/fleet_test.go
+++ b/internal/ratelimit/fleet_test.go
@@ -51,9 +51,9 @@
 	agreement = 300 * time.Millisecond
 	// joinTime is how long a node that starts reaches no other.
 	joinTime = 600 * time.Millisecond
-	// patience is how long a request waits for the allocator of a node that starts, and
+	// maxWait is how long a request waits for the allocator of a node that starts, and
 	// meetAgain how often it asks.
-	patience  = 500 * time.Millisecond
+	maxWait   = 500 * time.Millisecond
 	meetAgain = 50 * time.Millisecond
 )
 
@@ -309,7 +309,7 @@
 		m.alone(now, n)
 	default:
 		m.result.waited++
-		m.askFor(now, i, now.Add(patience))
+		m.askFor(now, i, now.Add(maxWait))
 	}
 }
 
