--- a/internal/ratelimit/fleet_test.go
+++ b/internal/ratelimit/fleet_test.go
@@ -54,7 +54,7 @@
 	// maxWait is how long a request waits for the allocator of a node that starts, and
 	// meetAgain how often it asks.
 	maxWait   = 500 * time.Millisecond
-	meetAgain = 50 * time.Millisecond
+	joinRetry = 50 * time.Millisecond
 )
 
 // event is something that happens at a time.
@@ -321,7 +321,7 @@
 		case ok:
 			m.ended(now, admitted > 0)
 		case n.limiter.Meeting(now, "w") && now.Before(until):
-			m.at(now.Add(meetAgain), func(now time.Time) {
+			m.at(now.Add(joinRetry), func(now time.Time) {
 				if !n.down {
 					m.askFor(now, i, until)
 				}
