--- a/internal/ratelimit/fleet_test.go
+++ b/internal/ratelimit/fleet_test.go
@@ -78,10 +78,10 @@
 
 // modelNode is one node of the model.
 type modelNode struct {
-	name    string
-	life    uint64
-	limiter *ratelimit.Limiter
-	equal   *admission.Limiter
+	name        string
+	incarnation uint64
+	limiter     *ratelimit.Limiter
+	equal       *admission.Limiter
 	// allocator is this node's, for when it has the role.
 	allocator *ratelimit.Allocator
 	down      bool
@@ -169,7 +169,7 @@
 
 // begin gives a node a new life.
 func (m *model) begin(n *modelNode, at time.Time) {
-	n.life++
+	n.incarnation++
 	n.down = false
 	n.limiter = ratelimit.NewLimiter(at)
 	n.begun = at
@@ -222,7 +222,7 @@
 // it; ok is false if no answer came.
 func (m *model) ask(now time.Time, i, waiting int, done func(now time.Time, admitted int, ok bool)) {
 	n := m.nodes[i]
-	life := n.life
+	life := n.incarnation
 	r, l, known := n.limiter.Report(now, "w", waiting)
 	if !known {
 		return
@@ -234,7 +234,7 @@
 	now, ok := m.sent(now, i, to)
 	if !ok {
 		m.at(now.Add(giveUp), func(now time.Time) {
-			if n.life == life {
+			if n.incarnation == life {
 				done(now, 0, false)
 			}
 		})
@@ -243,7 +243,7 @@
 	m.at(now.Add(oneWay), func(now time.Time) {
 		s := m.nodes[to].allocator.Report(now, "w", l, n.name, life, r)
 		m.at(now.Add(oneWay), func(now time.Time) {
-			if n.life == life {
+			if n.incarnation == life {
 				done(now, n.limiter.Answer(now, "w", s, waiting), true)
 			}
 		})
@@ -395,7 +395,7 @@
 func (m *model) began(n *modelNode) {
 	for _, other := range m.nodes {
 		if !other.down && !other.cut {
-			other.allocator.Began(n.name, n.life)
+			other.allocator.Began(n.name, n.incarnation)
 		}
 	}
 }
