--- a/internal/ratelimit/fleet_test.go
+++ b/internal/ratelimit/fleet_test.go
@@ -87,9 +87,9 @@
 	down      bool
 	begun     time.Time
 	// cut is set while the node reaches no other one, away since when it is cut or down.
-	cut     bool
-	away    time.Time
-	believe time.Time
+	cut              bool
+	away             time.Time
+	unreachableUntil time.Time
 	// holder is the node that it takes for the allocator.
 	holder int
 }
@@ -175,7 +175,7 @@
 	n.begun = at
 	n.equal = admission.NewLimiter()
 	n.allocator = ratelimit.NewAllocator(m.random.Uint64(), at, tolerance)
-	n.believe = time.Time{}
+	n.unreachableUntil = time.Time{}
 }
 
 func (m *model) at(t time.Time, do func(time.Time)) {
@@ -271,7 +271,7 @@
 	for range n.limiter.Due(now) {
 		m.ask(now, i, 0, func(now time.Time, _ int, ok bool) {
 			if !ok {
-				n.believe = now.Add(unreachableTime)
+				n.unreachableUntil = now.Add(unreachableTime)
 			}
 		})
 	}
@@ -305,7 +305,7 @@
 	switch {
 	case v == ratelimit.Admitted, v == ratelimit.Refused:
 		m.ended(now, v == ratelimit.Admitted)
-	case now.Before(n.believe):
+	case now.Before(n.unreachableUntil):
 		m.alone(now, n)
 	default:
 		m.result.waited++
@@ -327,7 +327,7 @@
 				}
 			})
 		default:
-			n.believe = now.Add(unreachableTime)
+			n.unreachableUntil = now.Add(unreachableTime)
 			m.alone(now, n)
 		}
 	})
