--- a/internal/ratelimit/fleet_test.go
+++ b/internal/ratelimit/fleet_test.go
@@ -90,8 +90,8 @@
 	cut              bool
 	away             time.Time
 	unreachableUntil time.Time
-	// holder is the node that it takes for the allocator.
-	holder int
+	// allocatorNode is the node that it takes for the allocator.
+	allocatorNode int
 }
 
 // model is the fleet.
@@ -230,7 +230,7 @@
 	if m.way == asking {
 		r.Want = 0
 	}
-	to := n.holder
+	to := n.allocatorNode
 	now, ok := m.sent(now, i, to)
 	if !ok {
 		m.at(now.Add(giveUp), func(now time.Time) {
@@ -426,7 +426,7 @@
 func (m *model) move(to int, from, disagree time.Duration) {
 	m.at(start.Add(from-1), func(time.Time) { m.role = to })
 	for _, n := range m.nodes {
-		m.at(start.Add(from+time.Duration(m.random.Float64()*float64(disagree))), func(time.Time) { n.holder = m.role })
+		m.at(start.Add(from+time.Duration(m.random.Float64()*float64(disagree))), func(time.Time) { n.allocatorNode = m.role })
 	}
 }
 
