--- a/internal/ratelimit/fleet_test.go
+++ b/internal/ratelimit/fleet_test.go
@@ -88,7 +88,7 @@
 	begun     time.Time
 	// cut is set while the node reaches no other one, away since when it is cut or down.
 	cut              bool
-	away             time.Time
+	unreachableSince time.Time
 	unreachableUntil time.Time
 	// allocatorNode is the node that it takes for the allocator.
 	allocatorNode int
@@ -370,7 +370,7 @@
 func (m *model) fail(i int, kill bool, from, to time.Duration) {
 	n := m.nodes[i]
 	m.at(start.Add(from), func(now time.Time) {
-		n.away = now
+		n.unreachableSince = now
 		if kill {
 			n.down = true
 		} else {
@@ -404,7 +404,7 @@
 func (m *model) lost(now time.Time) float64 {
 	n := 0
 	for _, node := range m.nodes {
-		if (node.down || node.cut) && now.Sub(node.away) > detection {
+		if (node.down || node.cut) && now.Sub(node.unreachableSince) > detection {
 			n++
 		}
 	}
