--- a/internal/ratelimit/fleet_test.go
+++ b/internal/ratelimit/fleet_test.go
@@ -96,7 +96,7 @@
 
 // model is the fleet.
 type model struct {
-	way    method
+	method method
 	limit  ratelimit.Limit
 	random *rand.Rand
 	now    time.Time
@@ -140,7 +140,7 @@
 
 func newModel(w method, l ratelimit.Limit, nodes int, seed uint64) *model {
 	m := &model{
-		way:    w,
+		method: w,
 		limit:  l,
 		random: rand.New(rand.NewPCG(seed, 1)),
 		now:    start,
@@ -227,7 +227,7 @@
 	if !known {
 		return
 	}
-	if m.way == asking {
+	if m.method == asking {
 		r.Want = 0
 	}
 	to := n.allocatorNode
@@ -265,7 +265,7 @@
 // report does what a node does at each tick.
 func (m *model) report(now time.Time, i int) {
 	n := m.nodes[i]
-	if n.down || m.way == equal {
+	if n.down || m.method == equal {
 		return
 	}
 	for range n.limiter.Due(now) {
@@ -297,7 +297,7 @@
 	if n.down {
 		return
 	}
-	if m.way == equal {
+	if m.method == equal {
 		m.ended(now, n.equal.Admit(now, "w", m.limit.Rate, m.limit.Burst, len(m.nodes)) == 0)
 		return
 	}
