--- a/internal/ratelimit/fleet_test.go
+++ b/internal/ratelimit/fleet_test.go
@@ -218,9 +218,9 @@
 	return !a.cut && !b.cut && m.random.Float64() >= m.loss
 }
 
-// ask sends a report with some waiting requests to the allocator, and done what came of
+// sendReport sends a report with some waiting requests to the allocator, and done what came of
 // it; ok is false if no answer came.
-func (m *model) ask(now time.Time, i, waiting int, done func(now time.Time, admitted int, ok bool)) {
+func (m *model) sendReport(now time.Time, i, waiting int, done func(now time.Time, admitted int, ok bool)) {
 	n := m.nodes[i]
 	life := n.incarnation
 	r, l, known := n.limiter.Report(now, "w", waiting)
@@ -269,7 +269,7 @@
 		return
 	}
 	for range n.limiter.Due(now) {
-		m.ask(now, i, 0, func(now time.Time, _ int, ok bool) {
+		m.sendReport(now, i, 0, func(now time.Time, _ int, ok bool) {
 			if !ok {
 				n.unreachableUntil = now.Add(unreachableTime)
 			}
@@ -316,7 +316,7 @@
 // askFor asks for a request that waits until a time at most while the node meets others.
 func (m *model) askFor(now time.Time, i int, until time.Time) {
 	n := m.nodes[i]
-	m.ask(now, i, 1, func(now time.Time, admitted int, ok bool) {
+	m.sendReport(now, i, 1, func(now time.Time, admitted int, ok bool) {
 		switch {
 		case ok:
 			m.ended(now, admitted > 0)
