--- a/internal/ratelimit/fleet_test.go
+++ b/internal/ratelimit/fleet_test.go
@@ -309,12 +309,12 @@
 		m.alone(now, n)
 	default:
 		m.result.waited++
-		m.askFor(now, i, now.Add(maxWait))
+		m.requestToken(now, i, now.Add(maxWait))
 	}
 }
 
-// askFor asks for a request that waits until a time at most while the node meets others.
-func (m *model) askFor(now time.Time, i int, until time.Time) {
+// requestToken asks for a request that waits until a time at most while the node meets others.
+func (m *model) requestToken(now time.Time, i int, until time.Time) {
 	n := m.nodes[i]
 	m.sendReport(now, i, 1, func(now time.Time, admitted int, ok bool) {
 		switch {
@@ -323,7 +323,7 @@
 		case n.limiter.Meeting(now, "w") && now.Before(until):
 			m.at(now.Add(joinRetry), func(now time.Time) {
 				if !n.down {
-					m.askFor(now, i, until)
+					m.requestToken(now, i, until)
 				}
 			})
 		default:
