--- a/internal/ratelimit/fleet_test.go
+++ b/internal/ratelimit/fleet_test.go
@@ -298,13 +298,13 @@
 		return
 	}
 	if m.method == equal {
-		m.ended(now, n.equal.Admit(now, "w", m.limit.Rate, m.limit.Burst, len(m.nodes)) == 0)
+		m.finish(now, n.equal.Admit(now, "w", m.limit.Rate, m.limit.Burst, len(m.nodes)) == 0)
 		return
 	}
 	v, _ := n.limiter.Take(now, "w", m.limit)
 	switch {
 	case v == ratelimit.Admitted, v == ratelimit.Refused:
-		m.ended(now, v == ratelimit.Admitted)
+		m.finish(now, v == ratelimit.Admitted)
 	case now.Before(n.unreachableUntil):
 		m.alone(now, n)
 	default:
@@ -319,7 +319,7 @@
 	m.sendReport(now, i, 1, func(now time.Time, admitted int, ok bool) {
 		switch {
 		case ok:
-			m.ended(now, admitted > 0)
+			m.finish(now, admitted > 0)
 		case n.limiter.Meeting(now, "w") && now.Before(until):
 			m.at(now.Add(joinRetry), func(now time.Time) {
 				if !n.down {
@@ -335,10 +335,10 @@
 
 func (m *model) alone(now time.Time, n *modelNode) {
 	v, _ := n.limiter.Alone(now, "w", m.limit, len(m.nodes))
-	m.ended(now, v == ratelimit.Admitted)
+	m.finish(now, v == ratelimit.Admitted)
 }
 
-func (m *model) ended(now time.Time, admitted bool) {
+func (m *model) finish(now time.Time, admitted bool) {
 	if admitted {
 		m.result.admitted++
 		m.result.ran = append(m.result.ran, now)
