--- a/internal/ratelimit/fleet_test.go
+++ b/internal/ratelimit/fleet_test.go
@@ -306,7 +306,7 @@
 	case v == ratelimit.Admitted, v == ratelimit.Refused:
 		m.finish(now, v == ratelimit.Admitted)
 	case now.Before(n.unreachableUntil):
-		m.alone(now, n)
+		m.decideIsolated(now, n)
 	default:
 		m.result.waited++
 		m.requestToken(now, i, now.Add(maxWait))
@@ -328,12 +328,12 @@
 			})
 		default:
 			n.unreachableUntil = now.Add(unreachableTime)
-			m.alone(now, n)
+			m.decideIsolated(now, n)
 		}
 	})
 }
 
-func (m *model) alone(now time.Time, n *modelNode) {
+func (m *model) decideIsolated(now time.Time, n *modelNode) {
 	v, _ := n.limiter.Alone(now, "w", m.limit, len(m.nodes))
 	m.finish(now, v == ratelimit.Admitted)
 }
