--- a/internal/ratelimit/fleet_test.go
+++ b/internal/ratelimit/fleet_test.go
@@ -385,14 +385,14 @@
 	m.at(start.Add(to), func(now time.Time) {
 		if kill {
 			m.begin(n, now)
-			m.at(now.Add(agreement), func(time.Time) { m.began(n) })
+			m.at(now.Add(agreement), func(time.Time) { m.announceStart(n) })
 		}
 		n.cut = false
 	})
 }
 
-// began tells all nodes of a node's new life.
-func (m *model) began(n *modelNode) {
+// announceStart tells all nodes of a node's new life.
+func (m *model) announceStart(n *modelNode) {
 	for _, other := range m.nodes {
 		if !other.down && !other.cut {
 			other.allocator.Began(n.name, n.incarnation)
