--- a/internal/ratelimit/fleet_test.go
+++ b/internal/ratelimit/fleet_test.go
@@ -153,7 +153,7 @@
 		m.nodes = append(m.nodes, &modelNode{
 			name: fmt.Sprint("n", i),
 		})
-		m.begin(m.nodes[i], start.Add(-time.Minute))
+		m.startNode(m.nodes[i], start.Add(-time.Minute))
 	}
 	m.every(tick, func(now time.Time) {
 		lost := m.lost(now)
@@ -167,8 +167,8 @@
 	return m
 }
 
-// begin gives a node a new life.
-func (m *model) begin(n *modelNode, at time.Time) {
+// startNode gives a node a new life.
+func (m *model) startNode(n *modelNode, at time.Time) {
 	n.incarnation++
 	n.down = false
 	n.limiter = ratelimit.NewLimiter(at)
@@ -384,7 +384,7 @@
 	})
 	m.at(start.Add(to), func(now time.Time) {
 		if kill {
-			m.begin(n, now)
+			m.startNode(n, now)
 			m.at(now.Add(agreement), func(time.Time) { m.announceStart(n) })
 		}
 		n.cut = false
