--- a/internal/ratelimit/fleet_test.go
+++ b/internal/ratelimit/fleet_test.go
@@ -114,8 +114,8 @@
 // result is what callers got.
 type result struct {
 	requests, admitted, refused int
-	// unfair counts what one bucket for all would have refused.
-	unfair int
+	// refusedByBucket counts what one bucket for all would have refused.
+	refusedByBucket int
 	// waited counts the requests that waited for the allocator.
 	waited int
 	// ran are the times of the requests that went on.
@@ -282,7 +282,7 @@
 	n := m.nodes[i]
 	m.result.requests++
 	if !m.ideal.take(now, m.limit) {
-		m.result.unfair++
+		m.result.refusedByBucket++
 	}
 	if n.down {
 		// Its caller finds another node.
--- a/internal/ratelimit/model_test.go
+++ b/internal/ratelimit/model_test.go
@@ -295,7 +295,7 @@
 		sum.requests += m.result.requests
 		sum.admitted += m.result.admitted
 		sum.refused += m.result.refused
-		sum.unfair += m.result.unfair
+		sum.refusedByBucket += m.result.refusedByBucket
 		sum.waited += m.result.waited
 		sum.messages += m.messages
 		ran, allowed := m.most()
@@ -307,7 +307,7 @@
 // falseRefusals is the share of requests that were refused beyond what one bucket for all would
 // have refused.
 func (t total) falseRefusals() float64 {
-	return float64(max(t.refused-t.unfair, 0)) / float64(max(t.requests, 1))
+	return float64(max(t.refused-t.refusedByBucket, 0)) / float64(max(t.requests, 1))
 }
 
 func (t total) String() string {
