--- a/internal/ratelimit/limiter_test.go
+++ b/internal/ratelimit/limiter_test.go
@@ -57,7 +57,7 @@
 }
 
 // Of the requests that were admitted alone a report tells which came since the last answer.
-func TestLately(t *testing.T) {
+func TestReportCountsRecentIsolatedRequests(t *testing.T) {
 	p := newPair()
 	alone := func(at time.Duration) {
 		p.limiter.Take(start.Add(at), "w", ten)
