--- a/internal/ratelimit/bucket.go
+++ b/internal/ratelimit/bucket.go
@@ -78,8 +78,8 @@
 
 // refill adds what has come in since the last report.
 func (b *bucket) refill(now time.Time, l Limit) {
-	if past := now.Sub(b.at).Seconds(); past > 0 {
-		b.level += past * max(l.Rate-b.withheld, 0)
+	if elapsed := now.Sub(b.at).Seconds(); elapsed > 0 {
+		b.level += elapsed * max(l.Rate-b.withheld, 0)
 		b.at = now
 	}
 	b.level = min(b.level, l.Burst)
