--- a/internal/ratelimit/bucket.go
+++ b/internal/ratelimit/bucket.go
@@ -102,9 +102,9 @@
 			b.withheld += m.isolatedRate
 		}
 	}
-	for life, f := range b.former {
+	for incarnation, f := range b.former {
 		if now.Sub(f.firstSeen) > forgetAfter {
-			delete(b.former, life)
+			delete(b.former, incarnation)
 		}
 	}
 	b.missingRate = b.missingNodesRate(now, l, lost)
