--- a/internal/ratelimit/bucket.go
+++ b/internal/ratelimit/bucket.go
@@ -119,15 +119,15 @@
 // here. Nodes may have come by way of a third one, so that of several it is the most that
 // counts, not the sum.
 func (b *bucket) missingNodesRate(now time.Time, l Limit, lost float64) float64 {
-	out := 0.0
+	unreachable := 0.0
 	if lost > 0 {
-		out = lostFactor*lost + lostFewNodesShare/math.Sqrt(float64(max(len(b.nodes), 1)))
+		unreachable = lostFactor*lost + lostFewNodesShare/math.Sqrt(float64(max(len(b.nodes), 1)))
 	}
 	most := 0.0
 	for _, f := range b.former {
-		part := out
+		part := unreachable
 		if now.Sub(f.firstSeen) <= handoverTime {
-			part = max(out, handoverShare)
+			part = max(unreachable, handoverShare)
 		}
 		most = max(most, min(f.rateSum-f.arrivedRate, part*l.Rate))
 	}
