--- a/internal/ratelimit/bucket.go
+++ b/internal/ratelimit/bucket.go
@@ -125,11 +125,11 @@
 	}
 	most := 0.0
 	for _, f := range b.former {
-		part := unreachable
+		share := unreachable
 		if now.Sub(f.firstSeen) <= handoverTime {
-			part = max(unreachable, handoverShare)
+			share = max(unreachable, handoverShare)
 		}
-		most = max(most, min(f.rateSum-f.arrivedRate, part*l.Rate))
+		most = max(most, min(f.rateSum-f.arrivedRate, share*l.Rate))
 	}
 	return most
 }
