--- a/internal/ratelimit/bucket.go
+++ b/internal/ratelimit/bucket.go
@@ -155,16 +155,16 @@
 
 // node returns a node in one of its lives. One that was not known, or has begun anew,
 // has not been heard before.
-func (b *bucket) node(node string, life uint64, r Report) *nodeState {
+func (b *bucket) node(node string, incarnation uint64, r Report) *nodeState {
 	m := b.nodes[node]
-	if m != nil && m.incarnation == life {
+	if m != nil && m.incarnation == incarnation {
 		return m
 	}
 	if m != nil {
 		b.drop(m)
 	}
 	m = &nodeState{
-		incarnation: life,
+		incarnation: incarnation,
 		returned:    r.Returned,
 		isolated:    r.Alone,
 	}
