--- a/internal/ratelimit/bucket.go
+++ b/internal/ratelimit/bucket.go
@@ -236,7 +236,7 @@
 
 // setShare works out what a node may admit when it reaches no allocator, and when it can
 // have tokens. begun says that the allocator and its bucket have just begun.
-func (b *bucket) setShare(l Limit, t Tolerance, m *nodeState, r Report, begun bool, s *Share) {
+func (b *bucket) setShare(l Limit, t Tolerance, m *nodeState, r Report, initial bool, s *Share) {
 	part := b.demandShare(m)
 	b.isolatedRate -= m.isolatedRate
 	m.isolatedRate = min(isolatedGrowth*b.demand, l.Rate) * part
@@ -244,7 +244,7 @@
 		// Not all nodes may have come yet, so that each seems to have a large part.
 		m.isolatedRate = min(m.isolatedRate, max(r.Rate, m.demand))
 	}
-	if begun {
+	if initial {
 		m.isolatedRate = min(m.isolatedRate, max(r.Rate, initialRateShare*m.isolatedRate))
 	}
 	if sum := b.isolatedRate + m.isolatedRate + b.missingRate; sum > l.Rate {
