--- a/internal/ratelimit/bucket.go
+++ b/internal/ratelimit/bucket.go
@@ -237,9 +237,9 @@
 // setShare works out what a node may admit when it reaches no allocator, and when it can
 // have tokens. begun says that the allocator and its bucket have just begun.
 func (b *bucket) setShare(l Limit, t Tolerance, m *nodeState, r Report, initial bool, s *Share) {
-	part := b.demandShare(m)
+	share := b.demandShare(m)
 	b.isolatedRate -= m.isolatedRate
-	m.isolatedRate = min(isolatedGrowth*b.demand, l.Rate) * part
+	m.isolatedRate = min(isolatedGrowth*b.demand, l.Rate) * share
 	if len(b.former) > 0 && r.Age > 0 {
 		// Not all nodes may have come yet, so that each seems to have a large part.
 		m.isolatedRate = min(m.isolatedRate, max(r.Rate, m.demand))
@@ -253,11 +253,11 @@
 	b.isolatedRate += m.isolatedRate
 	s.Rate = m.isolatedRate
 	s.Total = b.isolatedRate + b.missingRate
-	s.Depth = lowLevelToleranceShare * t.requests(l) * part
+	s.Depth = lowLevelToleranceShare * t.requests(l) * share
 	if b.level+float64(b.held) >= reserveMinLevel*l.Burst {
-		s.Depth = min(isolatedExtra, isolatedExtraShare*t.requests(l)/float64(len(b.nodes))) + isolatedToleranceShare*t.requests(l)*part
+		s.Depth = min(isolatedExtra, isolatedExtraShare*t.requests(l)/float64(len(b.nodes))) + isolatedToleranceShare*t.requests(l)*share
 	}
-	s.Pace = l.Rate * part
+	s.Pace = l.Rate * share
 	if b.level < 1 {
 		s.Wait = time.Duration((1 - b.level) / l.Rate * float64(time.Second))
 	}
