--- a/internal/ratelimit/allocator.go
+++ b/internal/ratelimit/allocator.go
@@ -124,9 +124,9 @@
 
 // NewAllocator returns an allocator of a process that began at the time given; life tells
 // it from all others.
-func NewAllocator(life uint64, begun time.Time, t Tolerance) *Allocator {
+func NewAllocator(incarnation uint64, begun time.Time, t Tolerance) *Allocator {
 	return &Allocator{
-		incarnation: life,
+		incarnation: incarnation,
 		started:     begun,
 		tolerance:   t,
 		buckets:     map[string]*bucket{},
