--- a/internal/ratelimit/allocator.go
+++ b/internal/ratelimit/allocator.go
@@ -124,10 +124,10 @@
 
 // NewAllocator returns an allocator of a process that began at the time given; life tells
 // it from all others.
-func NewAllocator(incarnation uint64, begun time.Time, t Tolerance) *Allocator {
+func NewAllocator(incarnation uint64, started time.Time, t Tolerance) *Allocator {
 	return &Allocator{
 		incarnation: incarnation,
-		started:     begun,
+		started:     started,
 		tolerance:   t,
 		buckets:     map[string]*bucket{},
 	}
