--- a/internal/ratelimit/allocator.go
+++ b/internal/ratelimit/allocator.go
@@ -134,11 +134,11 @@
 }
 
 // Report takes the report of a node in one of its lives and answers it.
-func (a *Allocator) Report(now time.Time, workspace string, l Limit, node string, life uint64, r Report) Share {
+func (a *Allocator) Report(now time.Time, workspace string, l Limit, node string, incarnation uint64, r Report) Share {
 	b := a.bucket(now, workspace, l)
 	b.review(now, l, a.lost)
 	b.refill(now, l)
-	m := b.node(node, life, r)
+	m := b.node(node, incarnation, r)
 	switch {
 	case r.Age == 0 || r.Age >= a.tolerance.Window:
 	case r.By == a.incarnation:
