--- a/internal/ratelimit/allocator.go
+++ b/internal/ratelimit/allocator.go
@@ -158,8 +158,8 @@
 	s.Reserve = b.reserve(l, a.tolerance, m, r.Want)
 	s.Level = b.level
 	s.Kept = b.withheld
-	begun := now.Sub(a.started) < a.tolerance.Window && now.Sub(b.created) < handoverTime
-	b.setShare(l, a.tolerance, m, r, begun, &s)
+	initial := now.Sub(a.started) < a.tolerance.Window && now.Sub(b.created) < handoverTime
+	b.setShare(l, a.tolerance, m, r, initial, &s)
 	return s
 }
 
