--- a/internal/ratelimit/allocator.go
+++ b/internal/ratelimit/allocator.go
@@ -178,8 +178,8 @@
 		former: map[uint64]*formerAllocator{},
 	}
 	if up := now.Sub(a.started); up < a.tolerance.Window {
-		part := max(initialLevelShare, up.Seconds()/a.tolerance.Window.Seconds())
-		b.level = max(part*l.Burst, 1)
+		share := max(initialLevelShare, up.Seconds()/a.tolerance.Window.Seconds())
+		b.level = max(share*l.Burst, 1)
 	}
 	a.buckets[workspace] = b
 	return b
