--- a/internal/ratelimit/allocator.go
+++ b/internal/ratelimit/allocator.go
@@ -186,9 +186,9 @@
 }
 
 // Began notes that a node has begun a life: what it had in those before is gone.
-func (a *Allocator) Began(node string, life uint64) {
+func (a *Allocator) Began(node string, incarnation uint64) {
 	for _, b := range a.buckets {
-		if m := b.nodes[node]; m != nil && m.incarnation != life {
+		if m := b.nodes[node]; m != nil && m.incarnation != incarnation {
 			b.drop(m)
 			delete(b.nodes, node)
 			b.reviewedAt = time.Time{}
