--- a/internal/ratelimit/allocator.go
+++ b/internal/ratelimit/allocator.go
@@ -197,7 +197,7 @@
 }
 
 // Lost takes the part of the fleet's nodes, from 0 to 1, that are out of reach.
-func (a *Allocator) Lost(part float64) { a.lost = part }
+func (a *Allocator) Lost(fraction float64) { a.lost = fraction }
 
 // Forget drops the buckets that nobody uses.
 func (a *Allocator) Forget(now time.Time) {
