--- a/internal/ratelimit/limiter.go
+++ b/internal/ratelimit/limiter.go
@@ -93,9 +93,9 @@
 }
 
 // NewLimiter returns a limiter of a process that began at the time given.
-func NewLimiter(begun time.Time) *Limiter {
+func NewLimiter(started time.Time) *Limiter {
 	return &Limiter{
-		started:  begun,
+		started:  started,
 		accounts: map[string]*account{},
 	}
 }
