--- a/internal/ratelimit/limit.go
+++ b/internal/ratelimit/limit.go
@@ -53,8 +53,8 @@
 
 // decayed returns what is left of the sum.
 func (m *meter) decayed(now time.Time) float64 {
-	past := max(now.Sub(m.last), 0)
-	return m.sum * math.Exp(-past.Seconds()/meterTime.Seconds())
+	elapsed := max(now.Sub(m.last), 0)
+	return m.sum * math.Exp(-elapsed.Seconds()/meterTime.Seconds())
 }
 
 // rate returns the events a second. A meter that began a moment ago has seen less than
