--- a/internal/ratelimit/allocator_test.go
+++ b/internal/ratelimit/allocator_test.go
@@ -23,7 +23,7 @@
 }
 
 // The role takes the level of the bucket along.
-func TestMovedRoleKeepsTheLevel(t *testing.T) {
+func TestNewAllocatorKeepsBucketLevel(t *testing.T) {
 	one, two := newAllocator(1), newAllocator(2)
 	s := one.Report(start, "w", ten, "n", 1, report(100))
 	if s.Admitted != 10 {
@@ -37,7 +37,7 @@
 }
 
 // What a node admitted alone for a moment is taken out of the bucket.
-func TestAloneIsCharged(t *testing.T) {
+func TestIsolatedRequestsAreCharged(t *testing.T) {
 	a := newAllocator(1)
 	a.Report(start, "w", ten, "n", 1, report(0))
 	r := report(100)
@@ -49,7 +49,7 @@
 
 // An allocator that takes the role over takes out what nodes admitted since they heard the
 // one before it, beyond what came in meanwhile.
-func TestAloneBetweenAllocatorsIsCharged(t *testing.T) {
+func TestNewAllocatorChargesIsolatedRequests(t *testing.T) {
 	one, two := newAllocator(1), newAllocator(2)
 	s := one.Report(start, "w", ten, "n", 1, report(0))
 	r := report(100)
@@ -63,7 +63,7 @@
 
 // An allocator that has just begun tells the first node that comes a part only of what it
 // may admit alone: others may come to another one.
-func TestAllocatorThatBeginsTellsLess(t *testing.T) {
+func TestNewAllocatorReducesIsolatedRate(t *testing.T) {
 	r := report(0)
 	r.Demand = 20
 	a := ratelimit.NewAllocator(1, start.Add(-time.Second), tolerance)
@@ -96,7 +96,7 @@
 }
 
 // A node that is silent gets its part kept back, until it has begun anew.
-func TestSilentNodesHaveTheirPartKeptBack(t *testing.T) {
+func TestRateOfSilentNodesIsWithheld(t *testing.T) {
 	a := newAllocator(1)
 	r := report(0)
 	r.Demand = 5
--- a/internal/ratelimit/limiter_test.go
+++ b/internal/ratelimit/limiter_test.go
@@ -75,7 +75,7 @@
 }
 
 // A node that reaches no allocator for long admits less than is kept back for it.
-func TestAloneForLong(t *testing.T) {
+func TestIsolatedRateExpires(t *testing.T) {
 	for _, c := range []struct {
 		after    time.Duration
 		admitted bool
@@ -99,7 +99,7 @@
 }
 
 // What didn't run is given back: the next request can have it.
-func TestGiveBack(t *testing.T) {
+func TestReturnedTokenIsReused(t *testing.T) {
 	p := newPair()
 	for i := range 1000 {
 		if ok, _ := p.take(start.Add(time.Duration(i)*time.Millisecond), "w", ten); !ok {
@@ -110,7 +110,7 @@
 }
 
 // Refused callers are told different times to come back, at the pace of the limit.
-func TestRefusedCallersComeBackInTurn(t *testing.T) {
+func TestRetryTimesAreSpreadAtTheLimit(t *testing.T) {
 	p := newPair()
 	var waits []time.Duration
 	for range 60 {
@@ -129,7 +129,7 @@
 }
 
 // A caller that comes back when it was told is admitted, if no one else came meanwhile.
-func TestRetryAfterIsTrue(t *testing.T) {
+func TestRequestAfterRetryTimeIsAdmitted(t *testing.T) {
 	p := newPair()
 	now := start
 	for range 10 {
@@ -145,7 +145,7 @@
 }
 
 // A busy workspace leaves the others their limits.
-func TestWorkspacesAreApart(t *testing.T) {
+func TestWorkspacesAreIndependent(t *testing.T) {
 	p := newPair()
 	for i := range 10000 {
 		p.take(start.Add(time.Duration(i)*100*time.Microsecond), "busy", ten)
--- a/internal/ratelimit/model_test.go
+++ b/internal/ratelimit/model_test.go
@@ -36,7 +36,7 @@
 	maxFalseRefusals float64
 }
 
-const length = 40 * time.Second
+const duration = 40 * time.Second
 
 func scenarios() []scenario {
 	middle := ratelimit.Limit{
@@ -268,14 +268,14 @@
 func (p scenario) run(w method, seed uint64) *model {
 	m := newModel(w, p.limit, p.nodes, seed)
 	m.loss = p.loss
-	m.callers(p.callers, p.spread, p.load*p.limit.Rate, 0, length)
+	m.callers(p.callers, p.spread, p.load*p.limit.Rate, 0, duration)
 	if p.peakLoad > 0 {
 		m.callers(p.callers, p.spread, (p.peakLoad-p.load)*p.limit.Rate, 15*time.Second, 25*time.Second)
 	}
 	if p.faults != nil {
 		p.faults(m)
 	}
-	m.run(length)
+	m.run(duration)
 	return m
 }
 
@@ -335,7 +335,7 @@
 
 // The ways that were weighed, side by side; go test -v -run TestWays -rounds 20 prints
 // the table of docs/design.
-func TestWays(t *testing.T) {
+func TestCompareMethods(t *testing.T) {
 	for _, p := range scenarios() {
 		for _, w := range []method{equal, asking, reserving} {
 			t.Logf("%-60s %-10s %s", p.name, [...]string{"equal", "asking", "reserving"}[w], p.total(w))
@@ -413,7 +413,7 @@
 }
 
 // Schedules that once broke the bound, each with its cause.
-func TestSchedulesThatBrokeTheBound(t *testing.T) {
+func TestRegressionSchedulesKeepLimits(t *testing.T) {
 	cases := []struct {
 		seed  uint64
 		cause string
@@ -489,7 +489,7 @@
 	for _, factor := range []float64{0.25, 3} {
 		p := scenarios()[1]
 		m := newModel(reserving, p.limit, p.nodes, 7)
-		m.callers(p.callers, p.spread, p.load*p.limit.Rate, 0, length)
+		m.callers(p.callers, p.spread, p.load*p.limit.Rate, 0, duration)
 		m.run(change)
 		m.limit = ratelimit.Limit{
 			Rate:  factor * p.limit.Rate,
@@ -497,7 +497,7 @@
 		}
 		before := len(m.result.ran)
 		refused := m.result.refused
-		m.run(length)
+		m.run(duration)
 		var later []time.Time
 		for _, at := range m.result.ran[before:] {
 			if at.Sub(start) >= change+tolerance.Window {
@@ -507,7 +507,7 @@
 		if got := mostIn(later); float64(got) > bound(m.limit) {
 			t.Errorf("limit times %v: %d ran in a window, allowed %v", factor, got, bound(m.limit))
 		}
-		if goodput := float64(len(later)) / (length - change - tolerance.Window).Seconds(); factor < 1 && goodput < 0.95*m.limit.Rate {
+		if goodput := float64(len(later)) / (duration - change - tolerance.Window).Seconds(); factor < 1 && goodput < 0.95*m.limit.Rate {
 			t.Errorf("limit times %v: %.1f requests a second of %.1f that are allowed", factor, goodput, m.limit.Rate)
 		}
 		if factor > 1 && m.result.refused > refused {
