--- a/internal/ratelimit/allocator.go
+++ b/internal/ratelimit/allocator.go
@@ -4,83 +4,82 @@
 
 import "time"
 
-// Parts of what a limit allows.
+// Shares of what a limit allows.
 const (
-	// reserveBurstShare and reserveTolerance are the parts of the burst and of the tolerance
-	// that all nodes together may hold in reserve: most of the tolerance is left for nodes
-	// that reach no allocator.
+	// reserveBurstShare and reserveToleranceShare are the shares of the burst and of the
+	// tolerance that all nodes together may hold in reserve: most of the tolerance is left for
+	// isolated nodes.
 	reserveBurstShare     = 0.25
 	reserveToleranceShare = 0.2
-	// reserveMinLevel is the part of the burst that must be left in the bucket, beside all
-	// reserves, for a node to get more of them: while a workspace sends more than its
-	// limit there are none, and the bucket alone decides.
+	// reserveMinLevel is the share of the burst that must be left in the bucket, besides all
+	// reserves, for a node to get more reserve: while a workspace exceeds its limit there is
+	// no reserve, and the bucket alone decides.
 	reserveMinLevel = 0.5
-	// isolatedGrowth is by how much a node that reaches no allocator may exceed what was
-	// asked of it before, as long as the limit has room: what a few callers ask varies.
-	// At 1.1 a third of 113 nodes refused 20% of what was below the limit while they were
-	// cut off, in the model of TestFleetKeepsLimits.
+	// isolatedGrowth is the factor by which an isolated node may exceed its earlier demand, up
+	// to the limit: the demand of a few callers varies. At 1.1, a third of 113 nodes that were
+	// cut off refused 20% of the requests below the limit in the model of TestFleetKeepsLimits.
 	isolatedGrowth = 1.5
-	// isolatedToleranceShare is the part of the tolerance that such nodes may use at once, by their
-	// parts of the requests. Each may have aloneMore requests beyond it, for a caller or two
-	// whose requests come close to each other, as long as that is aloneMost of the
-	// tolerance for all nodes. While the bucket is low they get tightTolerance only.
+	// isolatedToleranceShare is the share of the tolerance that isolated nodes may use at once, in
+	// proportion to their demand. Each may admit isolatedExtra requests more, for one or two
+	// callers with requests close to each other, up to isolatedExtraShare of the tolerance for
+	// all nodes. While the bucket is low they get lowLevelToleranceShare only.
 	isolatedToleranceShare = 0.25
 	isolatedExtra          = 3
 	isolatedExtraShare     = 0.7
 	lowLevelToleranceShare = 0.1
-	// initialLevelShare is the part of the burst with which the bucket of a process begins that has
-	// just started, where no node can tell what was spent before. A fleet that is killed
-	// again and again would give a burst each time.
+	// initialLevelShare is the share of the burst in a bucket of an allocator that has just
+	// started, where no node can report what was spent before. With a full burst, a fleet that
+	// is killed repeatedly would grant it each time.
 	initialLevelShare = 0.5
-	// initialRateShare is the part of what a node could admit alone that an allocator tells which has
-	// just begun, as does its bucket: not all nodes have come to it, and while they meet they
-	// may take others for the allocator, so that each of a few would tell the whole limit.
-	// All nodes killed, and the allocator again within 2 s, at 6.5 times the limit: 1.14 of
-	// what may run in 5 s without it.
+	// initialRateShare is the share of an isolated rate that a new allocator with a new bucket
+	// sends: not all nodes have reported yet, and while they join they may use several
+	// allocators, each of which would send the whole limit. Without it, 1.14 times the allowed
+	// requests ran in 5 s when all nodes were killed, and the allocator again within 2 s, at 6.5
+	// times the limit.
 	initialRateShare = 0.25
 )
 
 // Times of allocators.
 const (
-	// silentIntervals is how many of a node's own ticks without a report make it count as out
-	// of reach; forgetAfter is how long after its last report a node is forgotten, and after
-	// the move of the role what an allocator told before this one. aloneTime is how long a
-	// node goes on at what it was told last, less than forgetAfter by a tick.
+	// silentIntervals is after how many of its own report intervals without a report a node
+	// counts as unreachable. forgetAfter is how long after its last report a node is dropped, and
+	// after a change of allocators the state of the former one. isolatedRateLifetime is how
+	// long a node uses the last rate that it received, less than forgetAfter by one tick.
 	silentIntervals      = 1.5
 	forgetAfter          = 15 * time.Second
 	isolatedRateLifetime = 14 * time.Second
-	// handoverTime is how long after a node of another allocator came more of them are on their
-	// way: what is kept back for them is bounded by movingPart of the limit. Later those that
-	// have not come are out of reach, and the part of the fleet that is bounds it: lostMore
-	// times that part of the limit, and lostFew for a workspace with a single node, less by
-	// the root of their number with more: the part of a few nodes may be any.
+	// handoverTime is how long after the first report of a former allocator's node its others are
+	// expected: the rate withheld for them is at most handoverShare of the limit. Later they
+	// count as unreachable, and the unreachable fraction of the fleet bounds it: lostFactor times
+	// that fraction of the limit, plus lostFewNodesShare divided by the root of the number of the
+	// workspace's nodes, as the unreachable fraction of a few nodes may be any.
 	handoverTime      = 1500 * time.Millisecond
 	handoverShare     = 0.6
 	lostFactor        = 1.2
 	lostFewNodesShare = 0.6
-	// reviewInterval is how often the silent nodes of a workspace are looked for.
+	// reviewInterval is how often a workspace is checked for silent nodes.
 	reviewInterval = 250 * time.Millisecond
-	// bucketLifetime is how long a bucket without reports is kept; it is full again by then.
+	// bucketLifetime is how long a bucket is kept after its last report; it is full again by then.
 	bucketLifetime = time.Minute
 )
 
-// Report is what a node tells the allocator of one workspace.
+// Report is what a node sends to the allocator about one workspace.
 type Report struct {
-	// Returned counts the tokens that the node gave back since it began.
+	// Returned counts the tokens that the node returned since it started.
 	Returned int64
-	// Alone counts the requests that the node admitted without an allocator.
+	// Alone counts the requests that the node admitted while isolated.
 	Alone int64
-	// Held are the tokens in reserve, Want how many the node would like to hold.
+	// Held is the number of tokens in reserve, Want the number to hold.
 	Held int
 	Want int
-	// Waiting are the requests that wait for a token.
+	// Waiting is the number of requests that wait for a token.
 	Waiting int
-	// Demand is how many requests a second come to the node, whatever becomes of them.
+	// Demand is how many requests a second arrive at the node, admitted or not.
 	Demand float64
-	// Every is how often the node reports at least.
+	// Every is the longest time between two reports.
 	Every time.Duration
-	// Level, Rate and Total are what the allocator By last told, Age how long ago, 0 if none
-	// did; Lately are those of Alone that came since.
+	// Level, Rate and Total repeat the last answer, By its allocator. Age is the time since then,
+	// 0 if there was none; Lately counts those of Alone since then.
 	Level  float64
 	Rate   float64
 	Total  float64
@@ -89,41 +88,41 @@
 	Lately int64
 }
 
-// Share is what an allocator answers.
+// Share is an allocator's answer to a report.
 type Share struct {
-	// By names the life of the allocator.
+	// By is the incarnation of the allocator.
 	By uint64
-	// Admitted is how many of the waiting requests may go on.
+	// Admitted is how many of the waiting requests are admitted.
 	Admitted int
-	// Reserve are tokens more to hold.
+	// Reserve is how many more tokens the node may hold.
 	Reserve int
-	// Level is what the bucket holds.
+	// Level is the number of tokens in the bucket.
 	Level float64
-	// Pace is how many tokens a second the node can have while more is asked than allowed,
-	// Wait when the bucket has the next one.
+	// Pace is how many tokens a second the node gets while the limit is exceeded, Wait the time
+	// until the bucket has the next one.
 	Pace float64
 	Wait time.Duration
-	// Rate and Depth are what the node may admit when it reaches no allocator, Total is the
-	// sum of the rates of all nodes.
+	// Rate, in requests a second, and Depth are what the node may admit while it is isolated;
+	// Total is the sum of the rates of all nodes.
 	Rate  float64
 	Depth float64
 	Total float64
-	// Kept is the rate that is kept back for nodes out of reach.
+	// Kept is the rate withheld for unreachable nodes.
 	Kept float64
 }
 
-// Allocator has the buckets of workspaces. It isn't safe for concurrent use.
+// Allocator holds the buckets of workspaces. It isn't safe for concurrent use.
 type Allocator struct {
 	incarnation uint64
 	started     time.Time
 	tolerance   Tolerance
-	// lost is the part of the fleet's nodes that are out of reach.
+	// lost is the fraction of the fleet's nodes that are unreachable.
 	lost    float64
 	buckets map[string]*bucket
 }
 
-// NewAllocator returns an allocator of a process that began at the time given; life tells
-// it from all others.
+// NewAllocator returns an allocator of a process that started at the given time; no other
+// allocator may have the same incarnation.
 func NewAllocator(incarnation uint64, started time.Time, t Tolerance) *Allocator {
 	return &Allocator{
 		incarnation: incarnation,
@@ -133,7 +132,7 @@
 	}
 }
 
-// Report takes the report of a node in one of its lives and answers it.
+// Report applies the report of an incarnation of a node and returns the answer.
 func (a *Allocator) Report(now time.Time, workspace string, l Limit, node string, incarnation uint64, r Report) Share {
 	b := a.bucket(now, workspace, l)
 	b.review(now, l, a.lost)
@@ -148,8 +147,8 @@
 	}
 	b.record(now, m, r)
 	m.reportedAt = now
-	// What the nodes hold may lie there unused: one that has none must not be refused
-	// because of that.
+	// Tokens in reserve may be unused, and must not cause a request of another node to be
+	// refused.
 	s := Share{
 		By:       a.incarnation,
 		Admitted: min(r.Waiting, int(max(b.level+float64(b.held)-b.missingNodesTokens(now), 0))),
@@ -185,7 +184,7 @@
 	return b
 }
 
-// Began notes that a node has begun a life: what it had in those before is gone.
+// Began records that a node has started, and drops the state of its earlier incarnations.
 func (a *Allocator) Began(node string, incarnation uint64) {
 	for _, b := range a.buckets {
 		if m := b.nodes[node]; m != nil && m.incarnation != incarnation {
@@ -196,10 +195,10 @@
 	}
 }
 
-// Lost takes the part of the fleet's nodes, from 0 to 1, that are out of reach.
+// Lost sets the fraction of the fleet's nodes, from 0 to 1, that are unreachable.
 func (a *Allocator) Lost(fraction float64) { a.lost = fraction }
 
-// Forget drops the buckets that nobody uses.
+// Forget drops the buckets without a report for bucketLifetime.
 func (a *Allocator) Forget(now time.Time) {
 	for workspace, b := range a.buckets {
 		if now.Sub(b.at) > bucketLifetime {
--- a/internal/ratelimit/bucket.go
+++ b/internal/ratelimit/bucket.go
@@ -7,76 +7,78 @@
 	"time"
 )
 
-// bucket is the token bucket of one workspace, with what the nodes have of it.
+// bucket is the token bucket of one workspace, with the state of the nodes that share it.
 type bucket struct {
-	// created is when the first report came.
+	// created is when the first report arrived.
 	created time.Time
-	// level are the tokens left at a time; those in reserve are taken out already. It may
-	// fall below 0 by as many as the nodes hold.
+	// level is the number of tokens left at the time at, without those that nodes hold in
+	// reserve. It may fall below 0 by the number of these.
 	at    time.Time
 	level float64
 	nodes map[string]*nodeState
-	// former are the allocators that nodes had before this one.
+	// former holds the allocators that nodes had before this one, by incarnation.
 	former map[uint64]*formerAllocator
-	// held, demand and told, of what they may admit alone, are the sums over the nodes.
+	// held, demand and isolatedRate are the sums over the nodes.
 	held         int
 	demand       float64
 	isolatedRate float64
-	// withheld is the rate that is kept back since reviewed: for silent nodes, and elsewhere for
-	// those of former allocators.
+	// withheld is the rate withheld since reviewedAt for silent nodes and for nodes of former
+	// allocators; missingRate is the part for the latter.
 	withheld    float64
 	missingRate float64
 	reviewedAt  time.Time
 }
 
-// formerAllocator is what an allocator before this one told nodes. Those that it told of and that
-// have not come here may be out of reach, or still be that one's.
+// formerAllocator is what an earlier allocator sent to nodes. Those of its nodes that have not
+// reported here may be unreachable, or may still report to it.
 type formerAllocator struct {
-	// rateSum is the sum of the rates of its nodes, came that of those which have come here.
+	// rateSum is the sum of the isolated rates of its nodes, arrivedRate that of the nodes that
+	// have reported here.
 	rateSum     float64
 	arrivedRate float64
-	// level is the least that it told of its bucket.
+	// level is the lowest level of its bucket that it sent.
 	level float64
-	// sentAt is when it told that.
+	// sentAt is when it sent rateSum.
 	sentAt time.Time
-	// firstSeen is when the first of them came.
+	// firstSeen is when the first of its nodes reported here.
 	firstSeen time.Time
 }
 
-// nodeState is one node that has callers of a workspace.
+// nodeState is the state of a node that has callers of a workspace.
 type nodeState struct {
 	incarnation uint64
 	returned    int64
 	isolated    int64
 	held        int
 	demand      float64
-	// isolatedRate is what the node may admit alone.
+	// isolatedRate is how many requests a second the node may admit while it is isolated.
 	isolatedRate float64
-	// formerAllocator is the allocator from which it came last, until it says that it has been answered
-	// by this one.
+	// formerAllocator is the allocator that the node had before, until it reports an answer of
+	// this one.
 	formerAllocator uint64
-	// interval is how often it reports, heard when it last did.
+	// interval is the time between reports, reportedAt the time of the last one.
 	interval   time.Duration
 	reportedAt time.Time
 }
 
-// grace returns how long a node may be silent until its rate is kept back.
+// grace returns how long a node may be silent before its rate is withheld.
 func (m *nodeState) grace() time.Duration {
 	return time.Duration(silentIntervals * float64(m.interval))
 }
 
-// uncovered returns how many requests a node admitted alone for which nothing was kept
-// back: it may have reached no allocator for a moment only.
+// uncovered returns how many requests a node admitted while isolated for which no rate was
+// withheld: it may have been isolated for less than the grace time.
 func (m *nodeState) uncovered(now time.Time, r Report) float64 {
 	silence := max(now.Sub(m.reportedAt)-m.grace(), 0)
 	return max(float64(r.Alone-m.isolated)-m.isolatedRate*silence.Seconds(), 0)
 }
 
-// isolatedExcess returns how many requests a node admitted alone since another allocator told it
-// of the bucket, beyond what may have come in for it meanwhile: learn does not add that.
+// isolatedExcess returns how many requests a node admitted while isolated since the last answer
+// of another allocator, beyond those for which its rate refilled the bucket: inherit does not
+// add that refill.
 func (r Report) isolatedExcess() float64 { return max(float64(r.Lately)-r.Rate*r.Age.Seconds(), 0) }
 
-// refill adds what has come in since the last report.
+// refill adds the tokens gained since the last report.
 func (b *bucket) refill(now time.Time, l Limit) {
 	if elapsed := now.Sub(b.at).Seconds(); elapsed > 0 {
 		b.level += elapsed * max(l.Rate-b.withheld, 0)
@@ -85,8 +87,8 @@
 	b.level = min(b.level, l.Burst)
 }
 
-// review keeps back what silent nodes admit alone, and forgets those that have been
-// silent for long.
+// review withholds the isolated rates of silent nodes, and removes nodes that have been silent
+// for longer than forgetAfter.
 func (b *bucket) review(now time.Time, l Limit, lost float64) {
 	if now.Sub(b.reviewedAt) < reviewInterval {
 		return
@@ -110,14 +112,14 @@
 	b.missingRate = b.missingNodesRate(now, l, lost)
 	b.withheld += b.missingRate
 	if len(b.nodes) == 0 {
-		// What rounding left of the sums.
+		// Clear rounding errors.
 		b.demand, b.isolatedRate = 0, 0
 	}
 }
 
-// missingNodesRate returns what nodes may admit that former allocators told of and that have not come
-// here. Nodes may have come by way of a third one, so that of several it is the most that
-// counts, not the sum.
+// missingNodesRate returns the rate that nodes of former allocators which have not reported here
+// may admit. A node may have had several of these allocators, so the largest rate counts, not
+// the sum.
 func (b *bucket) missingNodesRate(now time.Time, l Limit, lost float64) float64 {
 	unreachable := 0.0
 	if lost > 0 {
@@ -134,8 +136,8 @@
 	return most
 }
 
-// missingNodesTokens returns how many tokens an allocator before this one may still give to its
-// nodes that have not come: their part of what it told last.
+// missingNodesTokens returns how many tokens a former allocator may still grant to its nodes that
+// have not reported here: their share of the last level that it sent.
 func (b *bucket) missingNodesTokens(now time.Time) float64 {
 	most := 0.0
 	for _, f := range b.former {
@@ -146,15 +148,14 @@
 	return most
 }
 
-// drop takes a node out of the sums.
+// drop subtracts a node from the sums.
 func (b *bucket) drop(m *nodeState) {
 	b.held -= m.held
 	b.demand -= m.demand
 	b.isolatedRate -= m.isolatedRate
 }
 
-// node returns a node in one of its lives. One that was not known, or has begun anew,
-// has not been heard before.
+// node returns the state of an incarnation of a node, a new one if it has not reported before.
 func (b *bucket) node(node string, incarnation uint64, r Report) *nodeState {
 	m := b.nodes[node]
 	if m != nil && m.incarnation == incarnation {
@@ -169,14 +170,14 @@
 		isolated:    r.Alone,
 	}
 	if r.Age == 0 {
-		// It has admitted these while it met nobody.
+		// It admitted these before it reached any allocator.
 		m.isolated = 0
 	}
 	b.nodes[node] = m
 	return m
 }
 
-// record records the report of a node.
+// record applies the report of a node.
 func (b *bucket) record(now time.Time, m *nodeState, r Report) {
 	if m.reportedAt.IsZero() {
 		m.reportedAt = now
@@ -195,8 +196,8 @@
 	m.interval = r.Every
 }
 
-// inherit takes what another allocator told a node. The level is lowered to the one told;
-// what has come in since was used up by nodes that reached none.
+// inherit applies what another allocator last sent to a node. The level is lowered to the one
+// sent; isolated nodes have used the tokens gained since then.
 func (b *bucket) inherit(now time.Time, m *nodeState, r Report) {
 	b.level = min(b.level, r.Level)
 	f := b.former[r.By]
@@ -206,7 +207,7 @@
 			firstSeen: now,
 		}
 		b.former[r.By] = f
-		// Until the next review nobody else of that one's nodes is known.
+		// Review now, to withhold the rate of its other nodes.
 		b.reviewedAt = time.Time{}
 	}
 	if at := now.Add(-r.Age); at.After(f.sentAt) {
@@ -214,13 +215,13 @@
 	}
 	f.level = min(f.level, r.Level)
 	if m.formerAllocator != r.By {
-		// It says so in each of its reports until an answer has come to it.
+		// The node repeats this in each report until it receives an answer.
 		m.formerAllocator = r.By
 		f.arrivedRate += r.Rate
 	}
 }
 
-// reserve gives a node tokens to hold, up to as many as it wants.
+// reserve grants a node tokens to hold, up to want in all, and returns their number.
 func (b *bucket) reserve(l Limit, t Tolerance, m *nodeState, want int) int {
 	most := reserveBurstShare*l.Burst + reserveToleranceShare*t.requests(l)
 	left := min(most-float64(b.held), b.level-reserveMinLevel*l.Burst)
@@ -234,14 +235,14 @@
 	return n
 }
 
-// setShare works out what a node may admit when it reaches no allocator, and when it can
-// have tokens. begun says that the allocator and its bucket have just begun.
+// setShare sets what a node may admit while it is isolated, and the pace of its tokens. initial
+// is set where the allocator and the bucket are new.
 func (b *bucket) setShare(l Limit, t Tolerance, m *nodeState, r Report, initial bool, s *Share) {
 	share := b.demandShare(m)
 	b.isolatedRate -= m.isolatedRate
 	m.isolatedRate = min(isolatedGrowth*b.demand, l.Rate) * share
 	if len(b.former) > 0 && r.Age > 0 {
-		// Not all nodes may have come yet, so that each seems to have a large part.
+		// Nodes that have not reported yet make the share of each other one seem too large.
 		m.isolatedRate = min(m.isolatedRate, max(r.Rate, m.demand))
 	}
 	if initial {
@@ -263,9 +264,9 @@
 	}
 }
 
-// demandShare returns which part of a workspace's requests may come to a node: what it measured,
-// but no less than half way from there to the mean of the nodes. Of a caller or two a node
-// sees too little to know what they will send.
+// demandShare returns the share of a workspace's requests that a node may get: the measured share,
+// but no less than the mean of that and an equal share, as the measurement of one or two callers
+// is a poor estimate.
 func (b *bucket) demandShare(m *nodeState) float64 {
 	if b.demand <= 0 || m.demand <= 0 {
 		return 0
--- a/internal/ratelimit/limit.go
+++ b/internal/ratelimit/limit.go
@@ -7,20 +7,20 @@
 	"time"
 )
 
-// Limit is what a workspace may send through the whole fleet.
+// Limit bounds the requests of a workspace through the whole fleet.
 type Limit struct {
 	// Rate is in requests a second, above 0.
 	Rate float64
-	// Burst is how many requests may come at once, above 0.
+	// Burst is how many requests may arrive at once, above 0.
 	Burst float64
 }
 
-// Tolerance is by how much the requests that run may exceed a limit within any window.
-// It pays for what nodes hold in reserve and for those that reach no allocator.
+// Tolerance is how many requests beyond a limit may run within any window. It covers the
+// reserves of nodes and the requests that isolated nodes admit.
 type Tolerance struct {
 	Window time.Duration
 	// Excess is a share of what the limit allows in the window, Slack a number of
-	// requests more.
+	// requests on top of it.
 	Excess float64
 	Slack  float64
 }
@@ -37,7 +37,7 @@
 // meter measures a rate of events by an exponentially weighted average.
 type meter struct {
 	started time.Time
-	// last is when the last event came.
+	// last is the time of the last event.
 	last time.Time
 	sum  float64
 }
@@ -51,14 +51,13 @@
 	m.last = now
 }
 
-// decayed returns what is left of the sum.
+// decayed returns the sum with its decay since the last event.
 func (m *meter) decayed(now time.Time) float64 {
 	elapsed := max(now.Sub(m.last), 0)
 	return m.sum * math.Exp(-elapsed.Seconds()/meterTime.Seconds())
 }
 
-// rate returns the events a second. A meter that began a moment ago has seen less than
-// its average holds, which is made up for.
+// rate returns the events a second, corrected for the time before the meter started.
 func (m *meter) rate(now time.Time) float64 {
 	if m.started.IsZero() {
 		return 0
--- a/internal/ratelimit/limiter.go
+++ b/internal/ratelimit/limiter.go
@@ -12,55 +12,56 @@
 
 // Times and counts of nodes.
 const (
-	// reportInterval is how often a node reports a workspace of which it has callers, as long
-	// as that are at most reportsPerSecond; with more of them it reports each less often,
-	// so that its messages don't grow with the workspaces: some 500 bytes a second.
+	// reportInterval is the time between reports of a workspace in use, for up to
+	// reportsPerSecond workspaces. With more of them each is reported less often, so that the
+	// messages of a node stay at some 500 bytes a second.
 	reportInterval   = time.Second
 	reportsPerSecond = 20
-	// idleAfter is after how long without a request a node gives its reserve back, quietAfter
-	// when it reports no more: a caller with two requests in three seconds is silent for
-	// longer than idleAfter one time in ten. accountForget is when it forgets the workspace.
+	// idleAfter is after how long without a request a node returns its reserve, quietAfter after
+	// how long it stops reporting: a caller with two requests in three seconds pauses for longer
+	// than idleAfter one time in ten. accountLifetime is when the workspace's account is dropped.
 	idleAfter       = 3 * time.Second
 	quietAfter      = 15 * time.Second
 	accountLifetime = time.Minute
-	// maxReserveFactor is how many times what it wants a node holds at most, after many
-	// requests gave their tokens back.
+	// maxReserveFactor bounds the reserve, as a multiple of the wanted one, after many requests
+	// returned their tokens.
 	maxReserveFactor = 4
-	// maxPause is the longest time for which requests are refused without asking again.
+	// maxPause is the longest time for which requests are refused without asking the allocator.
 	maxPause = 200 * time.Millisecond
-	// maxRetryAfter bounds what a refused caller is told to wait, aloneRetry the same on a node
-	// that reaches no allocator: it may do so again soon, and other nodes may now.
+	// maxRetryAfter bounds the retry time of a refused caller, maxIsolatedRetryAfter that on an
+	// isolated node: it may reach an allocator again soon, and other nodes may already.
 	maxRetryAfter         = time.Minute
 	maxIsolatedRetryAfter = time.Second
-	// minRetryAfter is the same from below: a shorter time could round to 0.
+	// minRetryAfter is the shortest retry time; a shorter one could round to 0.
 	minRetryAfter = time.Millisecond
-	// noShareFraction is the part of a limit that all nodes together admit that were told
-	// nothing, or nothing lately, and reach no allocator. Nothing is kept back for them.
+	// noShareFraction is the fraction of a limit that all isolated nodes together admit that
+	// have no share, or an outdated one. Nothing is withheld for them.
 	noShareFraction = 0.25
-	// joinTime is how long after its begin a node may reach no allocator because it hasn't
-	// met the others: requests wait for one then. After a loss of power 113 nodes took 0.6 s
-	// for that and refused 278 requests, of some 700, of workspaces that kept to their
-	// limits. Two requests each without asking ran 84 in 5 s where 67 may, on 104 nodes.
+	// joinTime is how long after its start a node may reach no allocator because it has not
+	// joined the fleet yet; requests wait for one meanwhile. After a loss of power 113 nodes
+	// took 0.6 s to join and refused 278 of some 700 requests of workspaces that kept to their
+	// limits. With two requests a node admitted without asking, 84 ran in 5 s on 104 nodes
+	// where 67 are allowed.
 	joinTime = 2 * time.Second
-	// assumedNodes is by how many nodes a limit is divided on a node that hears nobody and
-	// was told nothing: it can't know how many others are in the same state.
+	// assumedNodes is the number of nodes by which a limit is divided on a node that reaches no
+	// other and has no share: it can't tell how many others are in the same state.
 	assumedNodes = 100
 )
 
-// Verdict is the answer to a request.
+// Verdict is the decision about a request.
 type Verdict uint8
 
-// Verdicts.
+// Decisions about requests.
 const (
-	// Admitted means that the request may go on.
+	// Admitted means that the request may be forwarded.
 	Admitted Verdict = iota
-	// Refused means that the workspace sends more than its limit.
+	// Refused means that the workspace exceeds its limit.
 	Refused
 	// Ask means that the allocator must be asked.
 	Ask
 )
 
-// Limiter decides on a node which requests of workspaces may enter. It may be used
+// Limiter decides on a node which requests of workspaces are admitted. It may be used
 // concurrently.
 type Limiter struct {
 	started  time.Time
@@ -68,31 +69,31 @@
 	accounts map[string]*account
 }
 
-// account is what a node knows of one workspace.
+// account is the state of one workspace on a node.
 type account struct {
 	limit Limit
 	held  int
-	// returned counts the tokens that were given back.
+	// returned counts the tokens that were returned to the allocator.
 	returned int64
-	// isolated counts the requests that were admitted without an allocator.
+	// isolated counts the requests that were admitted while the node was isolated.
 	isolated int64
-	// isolatedBefore are those of them that came before the allocator's last answer.
+	// isolatedBefore counts those of them before the allocator's last answer.
 	isolatedBefore int64
 	demand         meter
-	// reported is when the allocator was last told.
+	// reported is the time of the last report to an allocator.
 	reported time.Time
-	// share is the allocator's last answer, toldAt when it came, the zero time for never.
+	// share is the allocator's last answer, shareAt the time of its arrival, the zero time for none.
 	share   Share
 	shareAt time.Time
-	// pausedUntil is until when requests are refused without asking.
+	// pausedUntil is until when requests are refused without asking the allocator.
 	pausedUntil time.Time
-	// pacer bounds what is admitted without an allocator; nil while none was.
+	// pacer bounds what is admitted while the node is isolated; nil before the first such request.
 	pacer *Pacer
-	// nextRetry is when the last refused caller was told to come back.
+	// nextRetry is the retry time of the last refused caller.
 	nextRetry time.Time
 }
 
-// NewLimiter returns a limiter of a process that began at the time given.
+// NewLimiter returns a limiter of a process that started at the given time.
 func NewLimiter(started time.Time) *Limiter {
 	return &Limiter{
 		started:  started,
@@ -100,8 +101,8 @@
 	}
 }
 
-// Take takes a request of a workspace. A refused one is told when its caller may come
-// back.
+// Take decides about a request of a workspace. For a refused one it returns after how long
+// its caller may retry.
 func (l *Limiter) Take(now time.Time, workspace string, limit Limit) (Verdict, time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -123,8 +124,8 @@
 	}
 }
 
-// retryAfter gives a refused caller its place among those that were refused before it: at
-// the pace at which tokens come, so that they don't all return at once.
+// retryAfter returns the wait of a refused caller. Retries are spaced at the pace of the tokens,
+// so that callers don't all return at once.
 func (a *account) retryAfter(now time.Time) time.Duration {
 	pace := a.share.Pace
 	if pace <= 0 {
@@ -140,7 +141,8 @@
 	return max(a.nextRetry.Sub(now), minRetryAfter)
 }
 
-// Refuse refuses a request for which the allocator had no token.
+// Refuse refuses a request for which the allocator had no token, and returns after how long
+// its caller may retry.
 func (l *Limiter) Refuse(now time.Time, workspace string) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -151,8 +153,8 @@
 	return a.retryAfter(now)
 }
 
-// Alone decides about a request for which no allocator could be asked; nodes is how many
-// nodes are known to share the limit, this one included.
+// Alone decides about a request while the node is isolated; nodes is how many nodes are known
+// to share the limit, including this one.
 func (l *Limiter) Alone(now time.Time, workspace string, limit Limit, nodes int) (Verdict, time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -177,8 +179,8 @@
 	return Admitted, 0
 }
 
-// Meeting reports whether this node has just begun and no allocator has told it of a
-// workspace: it may meet one soon.
+// Meeting reports whether this node started less than joinTime ago and no allocator has answered
+// for the workspace: it may reach one soon.
 func (l *Limiter) Meeting(now time.Time, workspace string) bool {
 	if now.Sub(l.started) >= joinTime {
 		return false
@@ -196,7 +198,7 @@
 	}
 }
 
-// trimReserve gives back what is held beyond some tokens.
+// trimReserve returns the tokens held beyond most to the allocator.
 func (a *account) trimReserve(most int) {
 	if spare := a.held - most; spare > 0 {
 		a.held -= spare
@@ -204,13 +206,13 @@
 	}
 }
 
-// interval returns how often a workspace is reported.
+// interval returns the time between reports of a workspace.
 func (l *Limiter) interval() time.Duration {
 	return max(reportInterval, time.Duration(len(l.accounts))*time.Second/reportsPerSecond)
 }
 
-// Due returns the workspaces that should be reported now, and forgets those that are out
-// of use.
+// Due returns the workspaces that should be reported now, and drops those without a request
+// for accountLifetime.
 func (l *Limiter) Due(now time.Time) []string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -230,8 +232,8 @@
 	return out
 }
 
-// Report returns what the allocator should know of a workspace, for which some requests
-// wait, and its limit. It returns false for a workspace out of use.
+// Report returns the report of a workspace, for which some requests wait, and its limit. It
+// returns false for a workspace without an account.
 func (l *Limiter) Report(now time.Time, workspace string, waiting int) (Report, Limit, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -270,7 +272,7 @@
 	return r, a.limit, true
 }
 
-// Answer takes an allocator's answer to a report for which some requests wait, and returns
+// Answer applies an allocator's answer to a report for which some requests wait, and returns
 // how many of them are admitted.
 func (l *Limiter) Answer(now time.Time, workspace string, s Share, waiting int) int {
 	l.mu.Lock()
@@ -290,7 +292,7 @@
 }
 
 // pauseFor returns for how long no token can be expected: until the bucket has one, or
-// where many nodes wait for it the time between two of this one's.
+// where the demand exceeds the node's pace the time between two of its tokens.
 func (a *account) pauseFor(now time.Time) time.Duration {
 	pause := a.share.Wait
 	if a.share.Pace > 0 && a.demand.rate(now) > a.share.Pace {
@@ -299,8 +301,8 @@
 	return min(pause, maxPause)
 }
 
-// Told returns what the allocator of a workspace last answered, and when; the zero time
-// means never.
+// Told returns the last answer of the allocator of a workspace and the time of its arrival;
+// the zero time means none.
 func (l *Limiter) Told(workspace string) (Share, time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -310,19 +312,19 @@
 	return Share{}, time.Time{}
 }
 
-// Standing is what a node has of the limit of one workspace.
+// Standing is the state of one workspace's limit on a node.
 type Standing struct {
 	Workspace string
 	Limit     Limit
-	// Demand is how many requests a second come to the node, Held its tokens in reserve.
+	// Demand is how many requests a second arrive at the node, Held its tokens in reserve.
 	Demand float64
 	Held   int
-	// Told is what the allocator last answered, At when; the zero time means never.
+	// Told is the allocator's last answer, At the time of its arrival; the zero time means none.
 	Told Share
 	At   time.Time
 }
 
-// Standings returns what the node has of the limits of all workspaces, by name.
+// Standings returns the state of the limits of all workspaces, sorted by name.
 func (l *Limiter) Standings(now time.Time) []Standing {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -341,7 +343,7 @@
 	return out
 }
 
-// Len returns the number of workspaces that are known.
+// Len returns the number of workspaces with an account.
 func (l *Limiter) Len() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
