--- a/internal/ratelimit/allocator_test.go
+++ b/internal/ratelimit/allocator_test.go
@@ -9,7 +9,7 @@
 	"ploverjunction.example/ploverjunction/internal/ratelimit"
 )
 
-// report is that of a node with some requests that wait.
+// report returns the report of a node with some waiting requests.
 func report(waiting int) ratelimit.Report {
 	return ratelimit.Report{
 		Waiting: waiting,
@@ -22,7 +22,7 @@
 	return ratelimit.NewAllocator(life, start.Add(-time.Minute), tolerance)
 }
 
-// The role takes the level of the bucket along.
+// When the role moves, the level of the bucket moves with it.
 func TestNewAllocatorKeepsBucketLevel(t *testing.T) {
 	one, two := newAllocator(1), newAllocator(2)
 	s := one.Report(start, "w", ten, "n", 1, report(100))
@@ -36,19 +36,19 @@
 	}
 }
 
-// What a node admitted alone for a moment is taken out of the bucket.
+// Requests that a node admitted while isolated for a moment are taken out of the bucket.
 func TestIsolatedRequestsAreCharged(t *testing.T) {
 	a := newAllocator(1)
 	a.Report(start, "w", ten, "n", 1, report(0))
 	r := report(100)
 	r.Alone = 8
 	if s := a.Report(start.Add(100*time.Millisecond), "w", ten, "n", 1, r); s.Admitted > 2 {
-		t.Errorf("%d admitted of a burst of 10, 8 of which the node used alone", s.Admitted)
+		t.Errorf("%d admitted of a burst of 10, 8 of which the node used while isolated", s.Admitted)
 	}
 }
 
-// An allocator that takes the role over takes out what nodes admitted since they heard the
-// one before it, beyond what came in meanwhile.
+// A new allocator takes the requests out of the bucket that nodes admitted since the last answer
+// of the former one, beyond the refill since then.
 func TestNewAllocatorChargesIsolatedRequests(t *testing.T) {
 	one, two := newAllocator(1), newAllocator(2)
 	s := one.Report(start, "w", ten, "n", 1, report(0))
@@ -57,26 +57,26 @@
 	r.Lately = 8
 	r.Level, r.Rate, r.Total, r.By, r.Age = s.Level, 1, s.Total, s.By, time.Second
 	if s := two.Report(start.Add(time.Second), "w", ten, "n", 1, r); s.Admitted > 3 {
-		t.Errorf("%d admitted of a burst of 10, 8 of which the node used alone and 1 of which came in", s.Admitted)
+		t.Errorf("%d admitted of a burst of 10, 8 of which the node used while isolated and 1 of which was refilled", s.Admitted)
 	}
 }
 
-// An allocator that has just begun tells the first node that comes a part only of what it
-// may admit alone: others may come to another one.
+// An allocator that has just started sends the first node only a share of its isolated rate, as
+// other nodes may use another allocator.
 func TestNewAllocatorReducesIsolatedRate(t *testing.T) {
 	r := report(0)
 	r.Demand = 20
 	a := ratelimit.NewAllocator(1, start.Add(-time.Second), tolerance)
 	if s := a.Report(start, "w", ten, "n", 1, r); s.Rate > 3 {
-		t.Errorf("%.1f of 10 requests a second alone", s.Rate)
+		t.Errorf("%.1f of 10 requests a second while isolated", s.Rate)
 	}
 	if s := a.Report(start.Add(2*time.Second), "w", ten, "n", 1, r); s.Rate < 9 {
-		t.Errorf("%.1f of 10 requests a second alone, 2 s later", s.Rate)
+		t.Errorf("%.1f of 10 requests a second while isolated, 2 s later", s.Rate)
 	}
 }
 
-// While the allocator before it may still answer nodes that have not come, a new one gives
-// those that have their part only, however often they report before they are answered.
+// While the former allocator may still answer nodes that have not reported to the new one, the
+// new one grants the others only their share, however often they report before an answer.
 func TestTwoAllocatorsShareTheBurst(t *testing.T) {
 	one, two := newAllocator(1), newAllocator(2)
 	one.Report(start, "w", ten, "stays", 1, report(0))
@@ -95,7 +95,7 @@
 	}
 }
 
-// A node that is silent gets its part kept back, until it has begun anew.
+// The rate of a silent node is withheld until the node has restarted.
 func TestRateOfSilentNodesIsWithheld(t *testing.T) {
 	a := newAllocator(1)
 	r := report(0)
@@ -104,10 +104,10 @@
 	a.Report(start, "w", ten, "n", 1, r)
 	later := start.Add(3 * time.Second)
 	if s := a.Report(later, "w", ten, "n", 1, r); s.Kept < 3 {
-		t.Errorf("%.1f of 10 requests a second kept back for a silent node that had half", s.Kept)
+		t.Errorf("%.1f of 10 requests a second withheld for a silent node that had half", s.Kept)
 	}
 	a.Began("silent", 2)
 	if s := a.Report(later, "w", ten, "n", 1, r); s.Kept > 0 {
-		t.Errorf("%.1f kept back for a node that has begun anew", s.Kept)
+		t.Errorf("%.1f withheld for a node that has restarted", s.Kept)
 	}
 }
--- a/internal/ratelimit/fleet_test.go
+++ b/internal/ratelimit/fleet_test.go
@@ -13,26 +13,26 @@
 	"ploverjunction.example/ploverjunction/internal/ratelimit"
 )
 
-// This file plays a fleet of nodes in front of which a workspace has callers, without
-// a network: messages take some milliseconds and get lost, nodes are cut off, killed and
-// restarted, and the role of the allocator moves, with what it knew.
+// This file simulates a fleet of nodes that receive the requests of one workspace, without a
+// network: messages take some milliseconds and get lost, nodes are cut off, killed and
+// restarted, and the role of the allocator moves together with its state.
 
 var start = time.Unix(1_000_000, 0)
 
-// tolerance is that of the users' sheets.
+// tolerance is the tolerance that users specified.
 var tolerance = ratelimit.Tolerance{
 	Window: 5 * time.Second,
 	Excess: 0.25,
 	Slack:  20,
 }
 
-// method is how the nodes keep a limit.
+// method is how the nodes enforce a limit.
 type method int
 
 const (
-	// equal gives each node the same part of the limit.
+	// equal gives each node the same share of the limit.
 	equal method = iota
-	// asking asks the allocator for each request.
+	// asking asks the allocator about each request.
 	asking
 	// reserving holds tokens in reserve.
 	reserving
@@ -45,19 +45,19 @@
 	giveUp          = 60 * time.Millisecond
 	unreachableTime = 500 * time.Millisecond
 	tick            = 200 * time.Millisecond
-	// detection is after how long a node is taken for dead, agreement how long it takes until
-	// all know that.
+	// detection is after how long a node is declared dead, agreement how long it takes until
+	// all nodes have received that.
 	detection = 1200 * time.Millisecond
 	agreement = 300 * time.Millisecond
-	// joinTime is how long a node that starts reaches no other.
+	// joinTime is how long a node reaches no other after its start.
 	joinTime = 600 * time.Millisecond
-	// maxWait is how long a request waits for the allocator of a node that starts, and
-	// meetAgain how often it asks.
+	// maxWait is how long a request waits for an allocator on a node that joins, and joinRetry
+	// the time between its attempts.
 	maxWait   = 500 * time.Millisecond
 	joinRetry = 50 * time.Millisecond
 )
 
-// event is something that happens at a time.
+// event is a function to be called at a time.
 type event struct {
 	at time.Time
 	do func(now time.Time)
@@ -82,19 +82,20 @@
 	incarnation uint64
 	limiter     *ratelimit.Limiter
 	equal       *admission.Limiter
-	// allocator is this node's, for when it has the role.
+	// allocator is used while this node has the role.
 	allocator *ratelimit.Allocator
 	down      bool
 	begun     time.Time
-	// cut is set while the node reaches no other one, away since when it is cut or down.
+	// cut is set while the node reaches no other one, unreachableSince is when it was last cut
+	// off or killed.
 	cut              bool
 	unreachableSince time.Time
 	unreachableUntil time.Time
-	// allocatorNode is the node that it takes for the allocator.
+	// allocatorNode is the node that it uses as the allocator.
 	allocatorNode int
 }
 
-// model is the fleet.
+// model simulates the fleet.
 type model struct {
 	method method
 	limit  ratelimit.Limit
@@ -105,20 +106,20 @@
 	loss   float64
 	// role is the node that has the allocator's role.
 	role int
-	// messages counts what is sent.
+	// messages counts the messages sent.
 	messages int
 	result   result
 	ideal    idealBucket
 }
 
-// result is what callers got.
+// result counts the requests by their results.
 type result struct {
 	requests, admitted, refused int
-	// refusedByBucket counts what one bucket for all would have refused.
+	// refusedByBucket counts the requests that a single ideal bucket would have refused.
 	refusedByBucket int
 	// waited counts the requests that waited for the allocator.
 	waited int
-	// ran are the times of the requests that went on.
+	// ran holds the times of the admitted requests.
 	ran []time.Time
 }
 
@@ -167,7 +168,7 @@
 	return m
 }
 
-// startNode gives a node a new life.
+// startNode starts a new incarnation of a node.
 func (m *model) startNode(n *modelNode, at time.Time) {
 	n.incarnation++
 	n.down = false
@@ -194,7 +195,7 @@
 	m.at(m.now.Add(d), again)
 }
 
-// run plays until a time after the start.
+// run runs the simulation for a time after the start.
 func (m *model) run(until time.Duration) {
 	end := start.Add(until)
 	for len(m.queue) > 0 && !m.queue[0].at.After(end) {
@@ -205,21 +206,21 @@
 	m.now = end
 }
 
-// reach reports whether a message from one node comes to another.
+// reach reports whether a message from one node arrives at another.
 func (m *model) reach(from, to int) bool {
 	a, b := m.nodes[from], m.nodes[to]
 	if a.down || b.down || m.now.Sub(a.begun) < joinTime || m.now.Sub(b.begun) < joinTime {
 		return false
 	}
 	if from == to {
-		// A node that lost all others is no allocator.
+		// An isolated node is not its own allocator.
 		return !a.cut
 	}
 	return !a.cut && !b.cut && m.random.Float64() >= m.loss
 }
 
-// sendReport sends a report with some waiting requests to the allocator, and done what came of
-// it; ok is false if no answer came.
+// sendReport sends a report with some waiting requests to the allocator and calls done with the
+// result; ok is false if no answer arrived.
 func (m *model) sendReport(now time.Time, i, waiting int, done func(now time.Time, admitted int, ok bool)) {
 	n := m.nodes[i]
 	life := n.incarnation
@@ -250,8 +251,8 @@
 	})
 }
 
-// sent plays a message and its answer, which are sent again when one of them gets lost,
-// and returns when that went well.
+// sent simulates a message and its answer, resent when one of them is lost, and returns
+// when both arrive.
 func (m *model) sent(now time.Time, from, to int) (time.Time, bool) {
 	for end := now.Add(giveUp); now.Before(end); now = now.Add(resend) {
 		m.messages += 2
@@ -262,7 +263,7 @@
 	return now, false
 }
 
-// report does what a node does at each tick.
+// report sends the reports of a node that are due at a tick.
 func (m *model) report(now time.Time, i int) {
 	n := m.nodes[i]
 	if n.down || m.method == equal {
@@ -277,7 +278,7 @@
 	}
 }
 
-// request plays a request that comes to a node.
+// request simulates a request that arrives at a node.
 func (m *model) request(now time.Time, i int) {
 	n := m.nodes[i]
 	m.result.requests++
@@ -285,7 +286,7 @@
 		m.result.refusedByBucket++
 	}
 	if n.down {
-		// Its caller finds another node.
+		// The caller retries at another node.
 		m.at(now.Add(10*time.Millisecond), func(now time.Time) { m.decide(now, m.random.IntN(len(m.nodes))) })
 		return
 	}
@@ -313,7 +314,7 @@
 	}
 }
 
-// requestToken asks for a request that waits until a time at most while the node meets others.
+// requestToken asks the allocator for a token, until a time at most while the node joins.
 func (m *model) requestToken(now time.Time, i int, until time.Time) {
 	n := m.nodes[i]
 	m.sendReport(now, i, 1, func(now time.Time, admitted int, ok bool) {
@@ -347,9 +348,8 @@
 	m.result.refused++
 }
 
-// callers has a number of callers send rate requests a second together, by a Poisson
-// process each, from one time to another. Each keeps to a node; spread is over how many
-// nodes they are.
+// callers adds a number of callers that together send rate requests a second, each by a
+// Poisson process, from one time to another. Each uses one node, out of the first spread.
 func (m *model) callers(number, spread int, rate float64, from, to time.Duration) {
 	for range number {
 		node := m.random.IntN(spread)
@@ -366,7 +366,7 @@
 	}
 }
 
-// fail takes a node away from one time to another: killed, or cut off from the others.
+// fail kills a node, or cuts it off from the others, from one time to another.
 func (m *model) fail(i int, kill bool, from, to time.Duration) {
 	n := m.nodes[i]
 	m.at(start.Add(from), func(now time.Time) {
@@ -391,7 +391,7 @@
 	})
 }
 
-// announceStart tells all nodes of a node's new life.
+// announceStart announces a new incarnation of a node to all nodes.
 func (m *model) announceStart(n *modelNode) {
 	for _, other := range m.nodes {
 		if !other.down && !other.cut {
@@ -400,7 +400,7 @@
 	}
 }
 
-// lost returns the part of the nodes that are known to be out of reach.
+// lost returns the fraction of nodes that are detected as unreachable.
 func (m *model) lost(now time.Time) float64 {
 	n := 0
 	for _, node := range m.nodes {
@@ -411,7 +411,7 @@
 	return float64(n) / float64(len(m.nodes))
 }
 
-// alive returns a node that others reach, or -1.
+// alive returns a random node that others reach, or -1.
 func (m *model) alive() int {
 	for range 10 * len(m.nodes) {
 		if i := m.random.IntN(len(m.nodes)); !m.nodes[i].down && !m.nodes[i].cut {
@@ -421,8 +421,8 @@
 	return -1
 }
 
-// move has the nodes take another one for the allocator, each at some moment within a
-// time that disagreement lasts, or the one to which the role has moved on by then.
+// move gives the allocator's role to another node. Each node uses the one that has the role
+// at a random moment within the time disagree.
 func (m *model) move(to int, from, disagree time.Duration) {
 	m.at(start.Add(from-1), func(time.Time) { m.role = to })
 	for _, n := range m.nodes {
@@ -430,8 +430,7 @@
 	}
 }
 
-// most returns the greatest number of requests that ran in any window, over what is
-// allowed.
+// most returns the greatest number of requests that ran in any window, and the allowed number.
 func (m *model) most() (ran int, allowed float64) {
 	return mostIn(m.result.ran), bound(m.limit)
 }
@@ -447,7 +446,7 @@
 	return most
 }
 
-// bound is what may run in a window.
+// bound is how many requests may run in a window.
 func bound(l ratelimit.Limit) float64 {
 	return math.Floor((l.Rate*tolerance.Window.Seconds()+l.Burst)*(1+tolerance.Excess) + tolerance.Slack)
 }
--- a/internal/ratelimit/limiter_test.go
+++ b/internal/ratelimit/limiter_test.go
@@ -29,7 +29,7 @@
 	}
 }
 
-// take takes a request, and asks the allocator if need be.
+// take decides about a request, and asks the allocator if needed.
 func (p *pair) take(now time.Time, workspace string, l ratelimit.Limit) (bool, time.Duration) {
 	v, wait := p.limiter.Take(now, workspace, l)
 	if v != ratelimit.Ask {
@@ -46,7 +46,7 @@
 func Example() {
 	p := newPair()
 	admitted := 0
-	// Twice the limit, evenly over ten seconds: the burst and the rate go through.
+	// Twice the limit, evenly over ten seconds: the burst and the rate are admitted.
 	for i := range 200 {
 		if ok, _ := p.take(start.Add(time.Duration(i)*50*time.Millisecond), "brokers", ten); ok {
 			admitted++
@@ -56,7 +56,7 @@
 	// Output: admitted: 109
 }
 
-// Of the requests that were admitted alone a report tells which came since the last answer.
+// A report counts the requests admitted while isolated since the last answer.
 func TestReportCountsRecentIsolatedRequests(t *testing.T) {
 	p := newPair()
 	alone := func(at time.Duration) {
@@ -70,11 +70,11 @@
 	p.limiter.Answer(start, "w", p.allocator.Report(start, "w", l, "n", 1, r), 0)
 	alone(time.Second)
 	if r, _, _ := p.limiter.Report(start.Add(time.Second), "w", 0); r.Alone != 2 || r.Lately != 1 {
-		t.Errorf("of 2 requests admitted alone, one of them since the last answer, %d and %d are told", r.Alone, r.Lately)
+		t.Errorf("of 2 requests admitted while isolated, one of them since the last answer, %d and %d are reported", r.Alone, r.Lately)
 	}
 }
 
-// A node that reaches no allocator for long admits less than is kept back for it.
+// A node that is isolated for long admits less than the rate withheld for it.
 func TestIsolatedRateExpires(t *testing.T) {
 	for _, c := range []struct {
 		after    time.Duration
@@ -98,7 +98,7 @@
 	}
 }
 
-// What didn't run is given back: the next request can have it.
+// The token of a request that did not run is available to the next one.
 func TestReturnedTokenIsReused(t *testing.T) {
 	p := newPair()
 	for i := range 1000 {
@@ -109,7 +109,7 @@
 	}
 }
 
-// Refused callers are told different times to come back, at the pace of the limit.
+// Refused callers get different retry times, spaced at the rate of the limit.
 func TestRetryTimesAreSpreadAtTheLimit(t *testing.T) {
 	p := newPair()
 	var waits []time.Duration
@@ -123,12 +123,12 @@
 	}
 	for i := 1; i < len(waits); i++ {
 		if step := waits[i] - waits[i-1]; step < 90*time.Millisecond || step > 110*time.Millisecond {
-			t.Fatalf("callers %d and %d come back %v after each other, at 10 requests a second", i-1, i, step)
+			t.Fatalf("callers %d and %d retry %v after each other, at 10 requests a second", i-1, i, step)
 		}
 	}
 }
 
-// A caller that comes back when it was told is admitted, if no one else came meanwhile.
+// A caller that retries at its time is admitted if there was no other request meanwhile.
 func TestRequestAfterRetryTimeIsAdmitted(t *testing.T) {
 	p := newPair()
 	now := start
@@ -144,7 +144,7 @@
 	}
 }
 
-// A busy workspace leaves the others their limits.
+// A workspace above its limit does not affect the limits of others.
 func TestWorkspacesAreIndependent(t *testing.T) {
 	p := newPair()
 	for i := range 10000 {
@@ -180,7 +180,7 @@
 	}
 	l.Due(start.Add(2 * time.Minute))
 	if n := l.Len(); n > 0 {
-		t.Errorf("%d workspaces known after two minutes without a request", n)
+		t.Errorf("%d workspaces kept after two minutes without a request", n)
 	}
 }
 
@@ -191,8 +191,8 @@
 	return int64(m.HeapAlloc)
 }
 
-// BenchmarkTake is the way of a request that finds a token in reserve: 90 ns without
-// allocations; equal shares took 45 ns.
+// BenchmarkTake measures a request that finds a token in reserve: 90 ns without allocations;
+// equal shares took 45 ns.
 func BenchmarkTake(b *testing.B) {
 	l := ratelimit.NewLimiter(start.Add(-time.Minute))
 	now := start
--- a/internal/ratelimit/model_test.go
+++ b/internal/ratelimit/model_test.go
@@ -17,22 +17,23 @@
 	"ploverjunction.example/ploverjunction/internal/ratelimit"
 )
 
-var rounds = flag.Int("rounds", 1, "how often each case of the model is played, with a seed each")
+var rounds = flag.Int("rounds", 1, "how many runs each scenario of the model gets, each with its own seed")
 
-// scenario is one case: a workspace, its callers and what happens to the nodes.
+// scenario is a workspace, its callers and the faults of the nodes.
 type scenario struct {
 	name    string
 	limit   ratelimit.Limit
 	nodes   int
 	callers int
 	spread  int
-	// load is what the callers send as a part of the limit, hot what comes on top of it.
+	// load is what the callers send as a share of the limit, peakLoad the same from 15 s to
+	// 25 s; 0 means no peak.
 	load, peakLoad float64
 	loss           float64
-	// faults plays what happens.
+	// faults schedules the faults.
 	faults func(m *model)
-	// maxFalseRefusals is the greatest share of requests that may be refused though the workspace
-	// kept to its limit.
+	// maxFalseRefusals is the greatest share of requests that may be refused although the
+	// workspace kept to its limit.
 	maxFalseRefusals float64
 }
 
@@ -279,12 +280,12 @@
 	return m
 }
 
-// total adds up the rounds of a case.
+// total sums the rounds of a scenario.
 type total struct {
 	result
 	messages int
-	// most is the greatest number of requests that ran in a window, as a part of what is
-	// allowed.
+	// most is the greatest number of requests that ran in a window, as a share of the allowed
+	// number.
 	most float64
 }
 
@@ -304,8 +305,8 @@
 	return sum
 }
 
-// falseRefusals is the share of requests that were refused beyond what one bucket for all would
-// have refused.
+// falseRefusals is the share of requests that were refused beyond those that a single ideal
+// bucket would have refused.
 func (t total) falseRefusals() float64 {
 	return float64(max(t.refused-t.refusedByBucket, 0)) / float64(max(t.requests, 1))
 }
@@ -316,15 +317,15 @@
 		t.requests, float64(t.refused)/n, t.falseRefusals(), t.most, float64(t.waited)/n, float64(t.messages)/n)
 }
 
-// The limit of the fleet is kept in every window, and a workspace that keeps to it isn't
-// refused, whatever happens to the nodes.
+// The fleet admits no more than the limit in every window, and a workspace that keeps to its
+// limit is not refused, under all faults of nodes.
 func TestFleetKeepsLimits(t *testing.T) {
 	for _, p := range scenarios() {
 		t.Run(p.name, func(t *testing.T) {
 			got := p.total(reserving)
 			t.Log(got)
 			if got.most > 1 {
-				t.Errorf("%.2f times what may run in a window", got.most)
+				t.Errorf("%.2f times the allowed requests ran in a window", got.most)
 			}
 			if p.peakLoad == 0 && got.falseRefusals() > p.maxFalseRefusals {
 				t.Errorf("%.6f of the requests refused falsely, at most %.6f", got.falseRefusals(), p.maxFalseRefusals)
@@ -333,8 +334,8 @@
 	}
 }
 
-// The ways that were weighed, side by side; go test -v -run TestWays -rounds 20 prints
-// the table of docs/design.
+// TestCompareMethods logs the results of all methods; go test -v -run TestCompareMethods
+// -rounds 20 prints the table of docs/design.
 func TestCompareMethods(t *testing.T) {
 	for _, p := range scenarios() {
 		for _, w := range []method{equal, asking, reserving} {
@@ -343,7 +344,7 @@
 	}
 }
 
-// randomScenario returns a case with a load and faults drawn from a seed.
+// randomScenario returns a scenario with a load and faults drawn from a seed.
 func randomScenario(seed uint64) scenario {
 	r := rand.New(rand.NewPCG(seed, 2))
 	limit := ratelimit.Limit{
@@ -392,7 +393,7 @@
 	}
 }
 
-// No schedule of cuts, kills, restarts and moves of the allocator breaks the bound.
+// No random schedule of cuts, kills, restarts and moves of the allocator exceeds the bound.
 func TestRandomSchedulesKeepLimits(t *testing.T) {
 	p := gopter.DefaultTestParametersWithSeed(1)
 	p.MinSuccessfulTests = 40 * *rounds
@@ -412,7 +413,7 @@
 	t.Logf("%d requests, at most %.2f of the bound", sum.requests, sum.most)
 }
 
-// Schedules that once broke the bound, each with its cause.
+// Schedules that exceeded the bound in earlier versions, each with its cause.
 func TestRegressionSchedulesKeepLimits(t *testing.T) {
 	cases := []struct {
 		seed  uint64
@@ -420,27 +421,27 @@
 	}{
 		{
 			seed:  13851397076599963006,
-			cause: "what nodes admitted alone for a moment was not counted",
+			cause: "requests that nodes admitted while isolated for a moment were not counted",
 		},
 		{
 			seed:  10898030621105848525,
-			cause: "the same, on a single node whose messages got lost",
+			cause: "the same, on a single node whose messages were lost",
 		},
 		{
 			seed:  2072232561873951862,
-			cause: "two allocators while nodes are cut off: the new one kept nothing back for nodes that had not come",
+			cause: "two allocators while nodes are cut off: the new one withheld nothing for nodes that had not reported",
 		},
 		{
 			seed:  3078590772652911192,
-			cause: "the role came back to a node whose bucket was full again",
+			cause: "the role returned to a node whose bucket was full again",
 		},
 		{
 			seed:  14226080656114097079,
-			cause: "the role moved while nodes were cut off of which the new allocator had not heard",
+			cause: "the role moved while nodes were cut off that had not reported to the new allocator",
 		},
 		{
 			seed:  14062110097941572667,
-			cause: "the role moved twice while nodes were cut off: the third allocator was told nothing of them",
+			cause: "the role moved twice while nodes were cut off: the third allocator received nothing about them",
 		},
 		{
 			seed:  8617675912744631306,
@@ -452,38 +453,38 @@
 		},
 		{
 			seed:  11264488150609043883,
-			cause: "nobody reached the allocator for 0.8 s while the load grew; the next one charged nothing of that, and two seconds later half of the nodes were cut off",
+			cause: "no node reached the allocator for 0.8 s while the load grew; the next one charged nothing for that, and two seconds later half of the nodes were cut off",
 		},
 		{
 			seed:  16808133188926828126,
-			cause: "two allocators had the role for a second, and each gave the whole burst",
+			cause: "two allocators had the role for a second, and each granted the whole burst",
 		},
 		{
 			seed:  10351649816035511048,
-			cause: "all nodes were killed, and each admitted two requests before it met the others",
+			cause: "all nodes were killed, and each admitted two requests before it joined the others",
 		},
 		{
 			seed:  14458407777275000294,
-			cause: "a node that came counted several times, so that nothing was kept back for those that had not",
+			cause: "a node that reported was counted several times, so that nothing was withheld for those that had not",
 		},
 		{
 			seed:  14695942328729045481,
-			cause: "three nodes took the role within a second of the start of all, and told the first node that came the whole limit",
+			cause: "three nodes took the role within a second of the start of all, and sent the whole limit to the first node that reported",
 		},
 		{
 			seed:  16476342405244761277,
-			cause: "nodes were cut off for longer than was kept back for them after a move of the role",
+			cause: "nodes were cut off for longer than their rate was withheld after a move of the role",
 		},
 	}
 	for _, c := range cases {
 		m := randomScenario(c.seed).run(reserving, c.seed)
 		if ran, allowed := m.most(); float64(ran) > allowed {
-			t.Errorf("seed %d: %d ran in a window, allowed %v; it once was: %s", c.seed, ran, allowed, c.cause)
+			t.Errorf("seed %d: %d ran in a window, allowed %v; cause of the earlier fault: %s", c.seed, ran, allowed, c.cause)
 		}
 	}
 }
 
-// A lower limit holds one window after it is known, a higher one at once.
+// A lower limit holds one window after nodes have received it, a higher one at once.
 func TestLimitChanges(t *testing.T) {
 	const change = 20 * time.Second
 	for _, factor := range []float64{0.25, 3} {
--- a/internal/ratelimit/pacer_test.go
+++ b/internal/ratelimit/pacer_test.go
@@ -21,7 +21,7 @@
 	// 400ms
 }
 
-// However long nothing comes, no more than the depth is saved up.
+// However long no token is taken, no more than the depth accumulates.
 func TestPacerSavesNoMoreThanItsDepth(t *testing.T) {
 	tests := []struct {
 		name  string
@@ -60,7 +60,7 @@
 	}
 }
 
-// Tokens that lie unused lapse, so that one is there for a part of the time only.
+// Unused tokens expire, so that one is available only for a fraction of the time.
 func TestUnusedTokensLapse(t *testing.T) {
 	const rate, keep, depth = 0.5, 0.2, 100
 	p := ratelimit.NewPacer(start, 0)
