--- a/internal/ratelimit/fleet_test.go
+++ b/internal/ratelimit/fleet_test.go
@@ -41,7 +41,7 @@
 // Times of messages in the model.
 const (
 	oneWay          = time.Millisecond
-	resend          = 25 * time.Millisecond
+	resendInterval  = 25 * time.Millisecond
 	giveUp          = 60 * time.Millisecond
 	unreachableTime = 500 * time.Millisecond
 	tick            = 200 * time.Millisecond
@@ -254,7 +254,7 @@
 // sent simulates a message and its answer, resent when one of them is lost, and returns
 // when both arrive.
 func (m *model) sent(now time.Time, from, to int) (time.Time, bool) {
-	for end := now.Add(giveUp); now.Before(end); now = now.Add(resend) {
+	for end := now.Add(giveUp); now.Before(end); now = now.Add(resendInterval) {
 		m.messages += 2
 		if m.reach(from, to) && m.reach(to, from) {
 			return now, true
