--- a/internal/ratelimit/fleet_test.go
+++ b/internal/ratelimit/fleet_test.go
@@ -42,7 +42,7 @@
 const (
 	oneWay          = time.Millisecond
 	resendInterval  = 25 * time.Millisecond
-	giveUp          = 60 * time.Millisecond
+	callTimeout     = 60 * time.Millisecond
 	unreachableTime = 500 * time.Millisecond
 	tick            = 200 * time.Millisecond
 	// detection is after how long a node is declared dead, agreement how long it takes until
@@ -234,7 +234,7 @@
 	to := n.allocatorNode
 	now, ok := m.sent(now, i, to)
 	if !ok {
-		m.at(now.Add(giveUp), func(now time.Time) {
+		m.at(now.Add(callTimeout), func(now time.Time) {
 			if n.incarnation == life {
 				done(now, 0, false)
 			}
@@ -254,7 +254,7 @@
 // sent simulates a message and its answer, resent when one of them is lost, and returns
 // when both arrive.
 func (m *model) sent(now time.Time, from, to int) (time.Time, bool) {
-	for end := now.Add(giveUp); now.Before(end); now = now.Add(resendInterval) {
+	for end := now.Add(callTimeout); now.Before(end); now = now.Add(resendInterval) {
 		m.messages += 2
 		if m.reach(from, to) && m.reach(to, from) {
 			return now, true
