--- a/internal/ratelimit/fleet_test.go
+++ b/internal/ratelimit/fleet_test.go
@@ -47,8 +47,8 @@
 	tick            = 200 * time.Millisecond
 	// detection is after how long a node is declared dead, agreement how long it takes until
 	// all nodes have received that.
-	detection = 1200 * time.Millisecond
-	agreement = 300 * time.Millisecond
+	detection   = 1200 * time.Millisecond
+	propagation = 300 * time.Millisecond
 	// joinTime is how long a node reaches no other after its start.
 	joinTime = 600 * time.Millisecond
 	// maxWait is how long a request waits for an allocator on a node that joins, and joinRetry
@@ -379,13 +379,13 @@
 	})
 	m.at(start.Add(from+detection), func(now time.Time) {
 		if next := m.alive(); m.role == i && (n.down || n.cut) && next >= 0 {
-			m.move(next, now.Sub(start)+1, agreement)
+			m.move(next, now.Sub(start)+1, propagation)
 		}
 	})
 	m.at(start.Add(to), func(now time.Time) {
 		if kill {
 			m.startNode(n, now)
-			m.at(now.Add(agreement), func(time.Time) { m.announceStart(n) })
+			m.at(now.Add(propagation), func(time.Time) { m.announceStart(n) })
 		}
 		n.cut = false
 	})
--- a/internal/ratelimit/model_test.go
+++ b/internal/ratelimit/model_test.go
@@ -230,7 +230,7 @@
 				for i := 1; i < len(m.nodes); i += 5 {
 					m.fail(i, true, 11*time.Second, 14*time.Second)
 				}
-				m.move(0, 16*time.Second, agreement)
+				m.move(0, 16*time.Second, propagation)
 			},
 			maxFalseRefusals: 4e-2,
 		},
