--- a/internal/ratelimit/fleet_test.go
+++ b/internal/ratelimit/fleet_test.go
@@ -85,7 +85,7 @@
 	// allocator is used while this node has the role.
 	allocator *ratelimit.Allocator
 	down      bool
-	begun     time.Time
+	started   time.Time
 	// cut is set while the node reaches no other one, unreachableSince is when it was last cut
 	// off or killed.
 	cut              bool
@@ -173,7 +173,7 @@
 	n.incarnation++
 	n.down = false
 	n.limiter = ratelimit.NewLimiter(at)
-	n.begun = at
+	n.started = at
 	n.equal = admission.NewLimiter()
 	n.allocator = ratelimit.NewAllocator(m.random.Uint64(), at, tolerance)
 	n.unreachableUntil = time.Time{}
@@ -209,7 +209,7 @@
 // reach reports whether a message from one node arrives at another.
 func (m *model) reach(from, to int) bool {
 	a, b := m.nodes[from], m.nodes[to]
-	if a.down || b.down || m.now.Sub(a.begun) < joinTime || m.now.Sub(b.begun) < joinTime {
+	if a.down || b.down || m.now.Sub(a.started) < joinTime || m.now.Sub(b.started) < joinTime {
 		return false
 	}
 	if from == to {
