--- a/internal/ratelimit/limiter.go
+++ b/internal/ratelimit/limiter.go
@@ -80,8 +80,8 @@
 	// isolatedBefore counts those of them before the allocator's last answer.
 	isolatedBefore int64
 	demand         meter
-	// reported is the time of the last report to an allocator.
-	reported time.Time
+	// reportedAt is the time of the last report to an allocator.
+	reportedAt time.Time
 	// share is the allocator's last answer, shareAt the time of its arrival, the zero time for none.
 	share   Share
 	shareAt time.Time
@@ -223,8 +223,8 @@
 		switch {
 		case idle > accountLifetime:
 			delete(l.accounts, workspace)
-		case a.reported.Sub(a.demand.last) > quietAfter:
-		case now.Sub(a.reported) >= every:
+		case a.reportedAt.Sub(a.demand.last) > quietAfter:
+		case now.Sub(a.reportedAt) >= every:
 			out = append(out, workspace)
 		}
 	}
@@ -242,7 +242,7 @@
 		return Report{}, Limit{}, false
 	}
 	every := l.interval()
-	a.reported = now
+	a.reportedAt = now
 	demand := a.demand.rate(now)
 	want := int(math.Ceil(demand * every.Seconds()))
 	switch idle := now.Sub(a.demand.last); {
