--- a/internal/ratelimit/fleet_test.go
+++ b/internal/ratelimit/fleet_test.go
@@ -45,7 +45,7 @@
 	callTimeout     = 60 * time.Millisecond
 	unreachableTime = 500 * time.Millisecond
 	tick            = 200 * time.Millisecond
-	// detection is after how long a node is declared dead, agreement how long it takes until
+	// detection is after how long a node is declared dead, propagation how long it takes until
 	// all nodes have received that.
 	detection   = 1200 * time.Millisecond
 	propagation = 300 * time.Millisecond
