--- a/internal/ratelimit/allocator.go
+++ b/internal/ratelimit/allocator.go
@@ -41,11 +41,11 @@
 
 // Times of allocators.
 const (
-	// silentIntervals is after how many of its own report intervals without a report a node
+	// silentTicks is after how many of its own report intervals without a report a node
 	// counts as unreachable. forgetAfter is how long after its last report a node is dropped, and
 	// after a change of allocators the state of the former one. isolatedRateLifetime is how
 	// long a node uses the last rate that it received, less than forgetAfter by one tick.
-	silentIntervals      = 1.5
+	silentTicks          = 1.5
 	forgetAfter          = 15 * time.Second
 	isolatedRateLifetime = 14 * time.Second
 	// handoverTime is how long after the first report of a former allocator's node its others are
