--- a/internal/ratelimit/bucket.go
+++ b/internal/ratelimit/bucket.go
@@ -62,9 +62,7 @@
 }
 
 // grace returns how long a node may be silent before its rate is withheld.
-func (m *nodeState) grace() time.Duration {
-	return time.Duration(silentTicks * float64(m.interval))
-}
+func (m *nodeState) grace() time.Duration { return time.Duration(silentTicks * float64(m.interval)) }
 
 // uncovered returns how many requests a node admitted while isolated for which no rate was
 // withheld: it may have been isolated for less than the grace time.
