--- a/internal/quarantine/record.go
+++ b/internal/quarantine/record.go
@@ -12,9 +12,9 @@
 
 // Times and counts of records.
 const (
-	// sharedFrom is from how many ends on all nodes know of a request: any of them may have
+	// sharedThreshold is from how many ends on all nodes know of a request: any of them may have
 	// seen it answered.
-	sharedFrom = 2
+	sharedThreshold = 2
 	// mostEnds bounds the ends that a record keeps: more than come before all nodes know of a
 	// request that comes twenty times a second (TestWays).
 	mostEnds = 12
@@ -74,7 +74,7 @@
 }
 
 // Shared reports whether all nodes should know the record.
-func (r *Record) Shared() bool { return len(r.Ends) >= sharedFrom }
+func (r *Record) Shared() bool { return len(r.Ends) >= sharedThreshold }
 
 // last returns when the last target ended under the request.
 func (r *Record) last() time.Time { return r.Ends[len(r.Ends)-1].At }
