--- a/internal/quarantine/record.go
+++ b/internal/quarantine/record.go
@@ -15,9 +15,9 @@
 	// sharedThreshold is from how many ends on all nodes know of a request: any of them may have
 	// seen it answered.
 	sharedThreshold = 2
-	// mostEnds bounds the ends that a record keeps: more than come before all nodes know of a
+	// maxCrashes bounds the ends that a record keeps: more than come before all nodes know of a
 	// request that comes twenty times a second (TestWays).
-	mostEnds = 12
+	maxCrashes = 12
 	// mostHolds is up to how many ends a further one makes the request be refused for longer.
 	mostHolds = 6
 	// sameEnd is within which two reports of the same target are of one end: nodes notice it
@@ -127,12 +127,12 @@
 
 // add adds an end, and reports false if it is older than all that are kept.
 func (r *Record) add(e End) bool {
-	if len(r.Ends) == mostEnds && e.At.Before(r.Ends[0].At) {
+	if len(r.Ends) == maxCrashes && e.At.Before(r.Ends[0].At) {
 		return false
 	}
 	at, _ := slices.BinarySearchFunc(r.Ends, e, func(a, b End) int { return a.At.Compare(b.At) })
 	r.Ends = slices.Insert(r.Ends, at, e)
-	if len(r.Ends) > mostEnds {
+	if len(r.Ends) > maxCrashes {
 		r.Ends = slices.Delete(r.Ends, 0, 1)
 	}
 	return true
@@ -151,7 +151,7 @@
 // digest returns a hash of what the record says; times, which differ by the ways that news
 // take, don't count.
 func (r *Record) digest() uint64 {
-	ends := make([]uint64, 0, mostEnds)
+	ends := make([]uint64, 0, maxCrashes)
 	for _, e := range r.Ends {
 		n := uint64(e.Target) << 1
 		if e.Answered {
@@ -160,7 +160,7 @@
 		ends = append(ends, n)
 	}
 	slices.Sort(ends)
-	b := append(make([]byte, 0, printSize+8*mostEnds), r.Print[:]...)
+	b := append(make([]byte, 0, printSize+8*maxCrashes), r.Print[:]...)
 	for _, n := range ends {
 		b = binary.BigEndian.AppendUint64(b, n)
 	}
