--- a/internal/quarantine/record.go
+++ b/internal/quarantine/record.go
@@ -18,8 +18,8 @@
 	// maxCrashes bounds the ends that a record keeps: more than come before all nodes know of a
 	// request that comes twenty times a second (TestWays).
 	maxCrashes = 12
-	// mostHolds is up to how many ends a further one makes the request be refused for longer.
-	mostHolds = 6
+	// maxHoldCrashes is up to how many ends a further one makes the request be refused for longer.
+	maxHoldCrashes = 6
 	// sameEnd is within which two reports of the same target are of one end: nodes notice it
 	// within some tens of milliseconds, and a process takes longer to come back.
 	sameEnd = 500 * time.Millisecond
@@ -31,7 +31,7 @@
 // holds are how long a request is refused after its last end, by the number of ends; it isn't
 // where that is 0. After each it may run once more: that costs a target and what that works
 // on, and frees those that were harmless. No request has more than three such runs in a day.
-type holds [mostHolds + 1]time.Duration
+type holds [maxHoldCrashes + 1]time.Duration
 
 // usualHolds refuse from three ends on. Two come to four in a thousand harmless requests
 // while two targets a second crash for other reasons, three to none in five thousand; the
@@ -80,7 +80,7 @@
 func (r *Record) last() time.Time { return r.Ends[len(r.Ends)-1].At }
 
 // hold returns for how long the request is refused after its last end.
-func (r *Record) hold(h *holds) time.Duration { return h[min(r.Count(), mostHolds)] }
+func (r *Record) hold(h *holds) time.Duration { return h[min(r.Count(), maxHoldCrashes)] }
 
 // until returns until when the request is refused; late is from 0 to 1.
 func (r *Record) until(h *holds, late float64) time.Time {
