--- a/internal/quarantine/record.go
+++ b/internal/quarantine/record.go
@@ -20,9 +20,9 @@
 	maxCrashes = 12
 	// maxHoldCrashes is up to how many ends a further one makes the request be refused for longer.
 	maxHoldCrashes = 6
-	// sameEnd is within which two reports of the same target are of one end: nodes notice it
+	// sameCrashTime is within which two reports of the same target are of one end: nodes notice it
 	// within some tens of milliseconds, and a process takes longer to come back.
-	sameEnd = 500 * time.Millisecond
+	sameCrashTime = 500 * time.Millisecond
 	// endMemory is how long an end counts: requests that come again each few minutes are
 	// found too.
 	endMemory = 10 * time.Minute
@@ -118,7 +118,7 @@
 	for i := range r.Ends {
 		known := &r.Ends[i]
 		other := slices.ContainsFunc(taken, func(t End) bool { return t.Target == known.Target && t.At.Equal(known.At) })
-		if !other && known.Target == e.Target && e.At.Sub(known.At).Abs() < sameEnd {
+		if !other && known.Target == e.Target && e.At.Sub(known.At).Abs() < sameCrashTime {
 			return known
 		}
 	}
