--- a/internal/quarantine/record.go
+++ b/internal/quarantine/record.go
@@ -23,9 +23,9 @@
 	// sameCrashTime is within which two reports of the same target are of one end: nodes notice it
 	// within some tens of milliseconds, and a process takes longer to come back.
 	sameCrashTime = 500 * time.Millisecond
-	// endMemory is how long an end counts: requests that come again each few minutes are
+	// crashRetention is how long an end counts: requests that come again each few minutes are
 	// found too.
-	endMemory = 10 * time.Minute
+	crashRetention = 10 * time.Minute
 )
 
 // holds are how long a request is refused after its last end, by the number of ends; it isn't
@@ -89,7 +89,7 @@
 }
 
 // forget returns when the record is of no use any more.
-func (r *Record) forget(h *holds) time.Time { return r.until(h, 1).Add(endMemory) }
+func (r *Record) forget(h *holds) time.Time { return r.until(h, 1).Add(crashRetention) }
 
 // merge adds the ends of another record, and reports whether they say anything new. Two
 // of them are never one: else nodes whose times differ by a few milliseconds would not come
