--- a/internal/quarantine/ledger.go
+++ b/internal/quarantine/ledger.go
@@ -24,7 +24,7 @@
 type Ledger struct {
 	// salt is this node's own: nodes let a request run again at different moments.
 	salt    uint64
-	holds   *holds
+	holds   *holdTimes
 	records map[Print]*Record
 	digest  uint64
 }
--- a/internal/quarantine/record.go
+++ b/internal/quarantine/record.go
@@ -28,15 +28,15 @@
 	crashRetention = 10 * time.Minute
 )
 
-// holds are how long a request is refused after its last end, by the number of ends; it isn't
+// holdTimes are how long a request is refused after its last end, by the number of ends; it isn't
 // where that is 0. After each it may run once more: that costs a target and what that works
 // on, and frees those that were harmless. No request has more than three such runs in a day.
-type holds [maxHoldCrashes + 1]time.Duration
+type holdTimes [maxHoldCrashes + 1]time.Duration
 
 // usualHolds refuse from three ends on. Two come to four in a thousand harmless requests
 // while two targets a second crash for other reasons, three to none in five thousand; the
 // third end costs a target more (TestWays).
-var usualHolds = holds{
+var usualHolds = holdTimes{
 	3: time.Minute,
 	4: 10 * time.Minute,
 	5: time.Hour,
@@ -80,16 +80,16 @@
 func (r *Record) last() time.Time { return r.Ends[len(r.Ends)-1].At }
 
 // hold returns for how long the request is refused after its last end.
-func (r *Record) hold(h *holds) time.Duration { return h[min(r.Count(), maxHoldCrashes)] }
+func (r *Record) hold(h *holdTimes) time.Duration { return h[min(r.Count(), maxHoldCrashes)] }
 
 // until returns until when the request is refused; late is from 0 to 1.
-func (r *Record) until(h *holds, late float64) time.Time {
+func (r *Record) until(h *holdTimes, late float64) time.Time {
 	hold := r.hold(h)
 	return r.last().Add(hold + time.Duration(late*float64(hold)))
 }
 
 // forget returns when the record is of no use any more.
-func (r *Record) forget(h *holds) time.Time { return r.until(h, 1).Add(crashRetention) }
+func (r *Record) forget(h *holdTimes) time.Time { return r.until(h, 1).Add(crashRetention) }
 
 // merge adds the ends of another record, and reports whether they say anything new. Two
 // of them are never one: else nodes whose times differ by a few milliseconds would not come
