--- a/internal/quarantine/export_test.go
+++ b/internal/quarantine/export_test.go
@@ -6,7 +6,7 @@
 
 // RefuseFrom has the ledger refuse requests from another number of ends on.
 func (l *Ledger) RefuseFrom(ends int) {
-	h := usualHolds
+	h := defaultHolds
 	for n := range h {
 		switch {
 		case n < ends:
--- a/internal/quarantine/ledger.go
+++ b/internal/quarantine/ledger.go
@@ -33,7 +33,7 @@
 func NewLedger(salt uint64) *Ledger {
 	return &Ledger{
 		salt:    salt,
-		holds:   &usualHolds,
+		holds:   &defaultHolds,
 		records: map[Print]*Record{},
 	}
 }
--- a/internal/quarantine/record.go
+++ b/internal/quarantine/record.go
@@ -33,10 +33,10 @@
 // on, and frees those that were harmless. No request has more than three such runs in a day.
 type holdTimes [maxHoldCrashes + 1]time.Duration
 
-// usualHolds refuse from three ends on. Two come to four in a thousand harmless requests
+// defaultHolds refuse from three ends on. Two come to four in a thousand harmless requests
 // while two targets a second crash for other reasons, three to none in five thousand; the
 // third end costs a target more (TestWays).
-var usualHolds = holdTimes{
+var defaultHolds = holdTimes{
 	3: time.Minute,
 	4: 10 * time.Minute,
 	5: time.Hour,
