--- a/internal/quarantine/ledger.go
+++ b/internal/quarantine/ledger.go
@@ -86,7 +86,7 @@
 		return s
 	}
 	s.Ends = r.Count()
-	s.Last = r.last()
+	s.Last = r.lastCrash()
 	if r.hold(l.holds) > 0 {
 		s.Wait = max(r.until(l.holds, l.late(s.Ends)).Sub(now), 0)
 	}
@@ -178,7 +178,7 @@
 			out = append(out, r.clone())
 		}
 	}
-	slices.SortFunc(out, func(a, b Record) int { return b.last().Compare(a.last()) })
+	slices.SortFunc(out, func(a, b Record) int { return b.lastCrash().Compare(a.lastCrash()) })
 	return out
 }
 
@@ -208,7 +208,7 @@
 	if len(of) <= most {
 		return
 	}
-	slices.SortFunc(of, func(a, b *Record) int { return a.last().Compare(b.last()) })
+	slices.SortFunc(of, func(a, b *Record) int { return a.lastCrash().Compare(b.lastCrash()) })
 	for _, r := range of[:len(of)-most] {
 		l.drop(r)
 	}
--- a/internal/quarantine/record.go
+++ b/internal/quarantine/record.go
@@ -76,8 +76,8 @@
 // Shared reports whether all nodes should know the record.
 func (r *Record) Shared() bool { return len(r.Ends) >= sharedThreshold }
 
-// last returns when the last target ended under the request.
-func (r *Record) last() time.Time { return r.Ends[len(r.Ends)-1].At }
+// lastCrash returns when the last target ended under the request.
+func (r *Record) lastCrash() time.Time { return r.Ends[len(r.Ends)-1].At }
 
 // hold returns for how long the request is refused after its last end.
 func (r *Record) hold(h *holdTimes) time.Duration { return h[min(r.Count(), maxHoldCrashes)] }
@@ -85,7 +85,7 @@
 // until returns until when the request is refused; late is from 0 to 1.
 func (r *Record) until(h *holdTimes, late float64) time.Time {
 	hold := r.hold(h)
-	return r.last().Add(hold + time.Duration(late*float64(hold)))
+	return r.lastCrash().Add(hold + time.Duration(late*float64(hold)))
 }
 
 // forget returns when the record is of no use any more.
