--- a/internal/quarantine/record.go
+++ b/internal/quarantine/record.go
@@ -79,12 +79,12 @@
 // lastCrash returns when the last target ended under the request.
 func (r *Record) lastCrash() time.Time { return r.Ends[len(r.Ends)-1].At }
 
-// hold returns for how long the request is refused after its last end.
-func (r *Record) hold(h *holdTimes) time.Duration { return h[min(r.Count(), maxHoldCrashes)] }
+// holdTime returns for how long the request is refused after its last end.
+func (r *Record) holdTime(h *holdTimes) time.Duration { return h[min(r.Count(), maxHoldCrashes)] }
 
 // until returns until when the request is refused; late is from 0 to 1.
 func (r *Record) until(h *holdTimes, late float64) time.Time {
-	hold := r.hold(h)
+	hold := r.holdTime(h)
 	return r.lastCrash().Add(hold + time.Duration(late*float64(hold)))
 }
 
