--- a/internal/quarantine/ledger.go
+++ b/internal/quarantine/ledger.go
@@ -88,7 +88,7 @@
 	s.Ends = r.Count()
 	s.Last = r.lastCrash()
 	if r.holdTime(l.holds) > 0 {
-		s.Wait = max(r.until(l.holds, l.late(s.Ends)).Sub(now), 0)
+		s.Wait = max(r.heldUntil(l.holds, l.late(s.Ends)).Sub(now), 0)
 	}
 	return s
 }
--- a/internal/quarantine/record.go
+++ b/internal/quarantine/record.go
@@ -82,14 +82,14 @@
 // holdTime returns for how long the request is refused after its last end.
 func (r *Record) holdTime(h *holdTimes) time.Duration { return h[min(r.Count(), maxHoldCrashes)] }
 
-// until returns until when the request is refused; late is from 0 to 1.
-func (r *Record) until(h *holdTimes, late float64) time.Time {
+// heldUntil returns until when the request is refused; late is from 0 to 1.
+func (r *Record) heldUntil(h *holdTimes, late float64) time.Time {
 	hold := r.holdTime(h)
 	return r.lastCrash().Add(hold + time.Duration(late*float64(hold)))
 }
 
 // forget returns when the record is of no use any more.
-func (r *Record) forget(h *holdTimes) time.Time { return r.until(h, 1).Add(crashRetention) }
+func (r *Record) forget(h *holdTimes) time.Time { return r.heldUntil(h, 1).Add(crashRetention) }
 
 // merge adds the ends of another record, and reports whether they say anything new. Two
 // of them are never one: else nodes whose times differ by a few milliseconds would not come
