--- a/internal/quarantine/ledger.go
+++ b/internal/quarantine/ledger.go
@@ -131,7 +131,7 @@
 func (l *Ledger) Learn(now time.Time, of Record) []Record {
 	r := l.records[of.Print]
 	if r == nil {
-		if len(of.Ends) == 0 || !now.Before(of.forget(l.holds)) {
+		if len(of.Ends) == 0 || !now.Before(of.expiry(l.holds)) {
 			return nil
 		}
 		r = &Record{
@@ -185,7 +185,7 @@
 // Forget drops the records that are of no use any more.
 func (l *Ledger) Forget(now time.Time) {
 	for _, r := range l.records {
-		if !now.Before(r.forget(l.holds)) {
+		if !now.Before(r.expiry(l.holds)) {
 			l.drop(r)
 		}
 	}
--- a/internal/quarantine/record.go
+++ b/internal/quarantine/record.go
@@ -88,8 +88,8 @@
 	return r.lastCrash().Add(hold + time.Duration(late*float64(hold)))
 }
 
-// forget returns when the record is of no use any more.
-func (r *Record) forget(h *holdTimes) time.Time { return r.heldUntil(h, 1).Add(crashRetention) }
+// expiry returns when the record is of no use any more.
+func (r *Record) expiry(h *holdTimes) time.Time { return r.heldUntil(h, 1).Add(crashRetention) }
 
 // merge adds the ends of another record, and reports whether they say anything new. Two
 // of them are never one: else nodes whose times differ by a few milliseconds would not come
