--- a/internal/quarantine/record.go
+++ b/internal/quarantine/record.go
@@ -98,7 +98,7 @@
 	news := false
 	var taken []End
 	for _, e := range ends {
-		if known := r.same(e, taken); known != nil {
+		if known := r.matching(e, taken); known != nil {
 			news = news || e.Answered && !known.Answered
 			known.Answered = known.Answered || e.Answered
 			taken = append(taken, *known)
@@ -112,9 +112,9 @@
 	return news
 }
 
-// same returns the known end that e is a report of, or nil; taken are those that others are
+// matching returns the known end that e is a report of, or nil; taken are those that others are
 // reports of.
-func (r *Record) same(e End, taken []End) *End {
+func (r *Record) matching(e End, taken []End) *End {
 	for i := range r.Ends {
 		known := &r.Ends[i]
 		other := slices.ContainsFunc(taken, func(t End) bool { return t.Target == known.Target && t.At.Equal(known.At) })
