--- a/internal/quarantine/ledger.go
+++ b/internal/quarantine/ledger.go
@@ -123,7 +123,7 @@
 	if r == nil {
 		return nil
 	}
-	return l.change(r, r.answered)
+	return l.change(r, r.markAnswered)
 }
 
 // Learn merges the record of a peer. It returns it with all that is known if that was
--- a/internal/quarantine/record.go
+++ b/internal/quarantine/record.go
@@ -138,8 +138,8 @@
 	return true
 }
 
-// answered notes that a target answered the request, and reports whether that is new.
-func (r *Record) answered() bool {
+// markAnswered notes that a target answered the request, and reports whether that is new.
+func (r *Record) markAnswered() bool {
 	news := false
 	for i := range r.Ends {
 		news = news || !r.Ends[i].Answered
