--- a/internal/quarantine/ledger.go
+++ b/internal/quarantine/ledger.go
@@ -12,8 +12,8 @@
 
 // Bounds of a ledger.
 const (
-	// mostShared bounds the records that all nodes know, of some 120 bytes each.
-	mostShared = 64
+	// maxShared bounds the records that all nodes know, of some 120 bytes each.
+	maxShared = 64
 	// mostSingle bounds those of one end. A machine that is lost takes some targets with it,
 	// each with as many requests as it has slots.
 	mostSingle = 512
@@ -194,7 +194,7 @@
 // bound drops the records with the oldest ends until there are no more than may be.
 func (l *Ledger) bound(now time.Time) {
 	l.Forget(now)
-	l.boundOf(mostShared, func(r *Record) bool { return r.Shared() })
+	l.boundOf(maxShared, func(r *Record) bool { return r.Shared() })
 	l.boundOf(mostSingle, func(r *Record) bool { return !r.Shared() })
 }
 
