--- a/internal/quarantine/ledger.go
+++ b/internal/quarantine/ledger.go
@@ -14,9 +14,9 @@
 const (
 	// maxShared bounds the records that all nodes know, of some 120 bytes each.
 	maxShared = 64
-	// mostSingle bounds those of one end. A machine that is lost takes some targets with it,
+	// maxSingle bounds those of one end. A machine that is lost takes some targets with it,
 	// each with as many requests as it has slots.
-	mostSingle = 512
+	maxSingle = 512
 )
 
 // Ledger is what one node knows of requests under which targets ended. It isn't safe for
@@ -195,7 +195,7 @@
 func (l *Ledger) bound(now time.Time) {
 	l.Forget(now)
 	l.boundOf(maxShared, func(r *Record) bool { return r.Shared() })
-	l.boundOf(mostSingle, func(r *Record) bool { return !r.Shared() })
+	l.boundOf(maxSingle, func(r *Record) bool { return !r.Shared() })
 }
 
 func (l *Ledger) boundOf(most int, kind func(r *Record) bool) {
