--- a/internal/quarantine/ledger.go
+++ b/internal/quarantine/ledger.go
@@ -88,14 +88,14 @@
 	s.Ends = r.Count()
 	s.Last = r.lastCrash()
 	if r.holdTime(l.holds) > 0 {
-		s.Wait = max(r.heldUntil(l.holds, l.late(s.Ends)).Sub(now), 0)
+		s.Wait = max(r.heldUntil(l.holds, l.releaseDelay(s.Ends)).Sub(now), 0)
 	}
 	return s
 }
 
-// late returns how late among all nodes this one lets a request run again, from 0 to 1: the
+// releaseDelay returns how late among all nodes this one lets a request run again, from 0 to 1: the
 // others learn from the first one that does.
-func (l *Ledger) late(ends int) float64 {
+func (l *Ledger) releaseDelay(ends int) float64 {
 	b := binary.BigEndian.AppendUint64(make([]byte, 0, 16), l.salt)
 	b = binary.BigEndian.AppendUint64(b, uint64(ends))
 	const span = 1 << 53
