--- a/internal/quarantine/ledger.go
+++ b/internal/quarantine/ledger.go
@@ -148,17 +148,17 @@
 
 // change applies fn to a record and returns the record if fn reports news.
 func (l *Ledger) change(r *Record, fn func() bool) []Record {
-	before := l.shareOf(r)
+	before := l.digestOf(r)
 	news := fn()
-	l.digest ^= before ^ l.shareOf(r)
+	l.digest ^= before ^ l.digestOf(r)
 	if !news {
 		return nil
 	}
 	return []Record{r.clone()}
 }
 
-// shareOf returns what a record adds to the digest.
-func (l *Ledger) shareOf(r *Record) uint64 {
+// digestOf returns what a record adds to the digest.
+func (l *Ledger) digestOf(r *Record) uint64 {
 	if !r.Shared() {
 		return 0
 	}
@@ -166,7 +166,7 @@
 }
 
 func (l *Ledger) drop(r *Record) {
-	l.digest ^= l.shareOf(r)
+	l.digest ^= l.digestOf(r)
 	delete(l.records, r.Print)
 }
 
