--- a/internal/quarantine/ledger.go
+++ b/internal/quarantine/ledger.go
@@ -141,7 +141,7 @@
 	}
 	out := l.change(r, func() bool { return r.merge(of.Ends) })
 	if len(out) > 0 {
-		l.bound(now)
+		l.enforceBounds(now)
 	}
 	return out
 }
@@ -191,8 +191,8 @@
 	}
 }
 
-// bound drops the records with the oldest ends until there are no more than may be.
-func (l *Ledger) bound(now time.Time) {
+// enforceBounds drops the records with the oldest ends until there are no more than may be.
+func (l *Ledger) enforceBounds(now time.Time) {
 	l.Forget(now)
 	l.boundOf(maxShared, func(r *Record) bool { return r.Shared() })
 	l.boundOf(maxSingle, func(r *Record) bool { return !r.Shared() })
