--- a/internal/quarantine/answers.go
+++ b/internal/quarantine/answers.go
@@ -26,14 +26,14 @@
 // flight where a target ends, and is no worse for it. A request that is answered later
 // may take the place of another one. Answers may be used concurrently.
 type Answers struct {
-	begun time.Time
-	slots [answerSlots]atomic.Uint64
+	started time.Time
+	slots   [answerSlots]atomic.Uint64
 }
 
 // NewAnswers returns an empty memory.
 func NewAnswers(now time.Time) *Answers {
 	return &Answers{
-		begun: now,
+		started: now,
 	}
 }
 
@@ -65,5 +65,5 @@
 // tick returns the time since the memory began, from 1 on.
 func (a *Answers) tick(now time.Time) uint64 {
 	const mask = 1<<tickBits - 1
-	return uint64(now.Sub(a.begun)/answerTick+1) & mask
+	return uint64(now.Sub(a.started)/answerTick+1) & mask
 }
--- a/internal/quarantine/ledger.go
+++ b/internal/quarantine/ledger.go
@@ -194,11 +194,11 @@
 // enforceBounds drops the records with the oldest ends until there are no more than may be.
 func (l *Ledger) enforceBounds(now time.Time) {
 	l.Forget(now)
-	l.boundOf(maxShared, func(r *Record) bool { return r.Shared() })
-	l.boundOf(maxSingle, func(r *Record) bool { return !r.Shared() })
+	l.enforceBound(maxShared, func(r *Record) bool { return r.Shared() })
+	l.enforceBound(maxSingle, func(r *Record) bool { return !r.Shared() })
 }
 
-func (l *Ledger) boundOf(most int, kind func(r *Record) bool) {
+func (l *Ledger) enforceBound(most int, kind func(r *Record) bool) {
 	var of []*Record
 	for _, r := range l.records {
 		if kind(r) {
