--- a/internal/quarantine/answers.go
+++ b/internal/quarantine/answers.go
@@ -40,14 +40,14 @@
 // Note notes that a request was answered.
 func (a *Answers) Note(now time.Time, prints Prints) {
 	for _, p := range prints.All() {
-		slot, tag := a.place(p)
+		slot, tag := a.slot(p)
 		slot.Store(tag<<tickBits | a.tick(now))
 	}
 }
 
 // Lately reports whether a request with a Print was answered within AnswerMemory.
 func (a *Answers) Lately(now time.Time, p Print) bool {
-	slot, tag := a.place(p)
+	slot, tag := a.slot(p)
 	v := slot.Load()
 	if v>>tickBits != tag {
 		return false
@@ -56,8 +56,8 @@
 	return (a.tick(now)-v)&mask <= uint64(AnswerMemory/answerTick)
 }
 
-// place returns the slot of a Print and what tells it from others in the slot.
-func (a *Answers) place(p Print) (*atomic.Uint64, uint64) {
+// slot returns the slot of a Print and what tells it from others in the slot.
+func (a *Answers) slot(p Print) (*atomic.Uint64, uint64) {
 	n := binary.BigEndian.Uint64(p[:])
 	return &a.slots[n%answerSlots], n >> tickBits
 }
