--- a/internal/quarantine/print.go
+++ b/internal/quarantine/print.go
@@ -50,7 +50,7 @@
 func NewPrints(r Request) Prints {
 	h := sha256.New()
 	for _, s := range [...]string{r.Method, r.Host, r.URI} {
-		part(h, s)
+		writeString(h, s)
 	}
 	number(h, r.Length)
 	h.Write(r.Body[:min(len(r.Body), PrintBody)])
@@ -59,7 +59,7 @@
 	}
 	h.Reset()
 	h.Write(p.content[:])
-	part(h, r.Caller)
+	writeString(h, r.Caller)
 	p.caller = sum(h)
 	return p
 }
@@ -73,8 +73,8 @@
 // All returns both.
 func (p Prints) All() [2]Print { return [...]Print{p.content, p.caller} }
 
-// part writes a text that doesn't run into the next one.
-func part(h hash.Hash, s string) {
+// writeString writes a text that doesn't run into the next one.
+func writeString(h hash.Hash, s string) {
 	number(h, int64(len(s)))
 	h.Write([]byte(s))
 }
