--- a/internal/quarantine/print.go
+++ b/internal/quarantine/print.go
@@ -52,7 +52,7 @@
 	for _, s := range [...]string{r.Method, r.Host, r.URI} {
 		writeString(h, s)
 	}
-	number(h, r.Length)
+	writeInt(h, r.Length)
 	h.Write(r.Body[:min(len(r.Body), PrintBody)])
 	p := Prints{
 		content: sum(h),
@@ -75,11 +75,11 @@
 
 // writeString writes a text that doesn't run into the next one.
 func writeString(h hash.Hash, s string) {
-	number(h, int64(len(s)))
+	writeInt(h, int64(len(s)))
 	h.Write([]byte(s))
 }
 
-func number(h hash.Hash, n int64) {
+func writeInt(h hash.Hash, n int64) {
 	var b [8]byte
 	binary.BigEndian.PutUint64(b[:], uint64(n))
 	h.Write(b[:])
