--- a/internal/quarantine/print.go
+++ b/internal/quarantine/print.go
@@ -55,12 +55,12 @@
 	writeInt(h, r.Length)
 	h.Write(r.Body[:min(len(r.Body), PrintBody)])
 	p := Prints{
-		content: sum(h),
+		content: truncatedSum(h),
 	}
 	h.Reset()
 	h.Write(p.content[:])
 	writeString(h, r.Caller)
-	p.caller = sum(h)
+	p.caller = truncatedSum(h)
 	return p
 }
 
@@ -85,7 +85,7 @@
 	h.Write(b[:])
 }
 
-func sum(h hash.Hash) Print {
+func truncatedSum(h hash.Hash) Print {
 	var b [sha256.Size]byte
 	return Print(h.Sum(b[:0])[:printSize])
 }
