--- a/internal/quarantine/print.go
+++ b/internal/quarantine/print.go
@@ -9,20 +9,20 @@
 	"hash"
 )
 
-// printSize is the size of a Print in bytes: no two requests share one by chance, and
+// fingerprintSize is the size of a Print in bytes: no two requests share one by chance, and
 // nobody can make one that has the Print of another.
-const printSize = 16
+const fingerprintSize = 16
 
 // PrintBody is how many bytes of a body count for a Print: more than most have, and hashed
 // in some ten microseconds.
 const PrintBody = 16 << 10
 
 // Print names what a request asks for: two requests with the same Print ask for the same.
-type Print [printSize]byte
+type Print [fingerprintSize]byte
 
 // String returns the first half of the Print in hexadecimal digits, enough to find it in
 // the logs of a fleet.
-func (p Print) String() string { return hex.EncodeToString(p[:printSize/2]) }
+func (p Print) String() string { return hex.EncodeToString(p[:fingerprintSize/2]) }
 
 // Prints are those of one request: of what it asks for, whoever asks, and of the same asked
 // by its caller. A request that harms for one caller only is known by the second; one that
@@ -87,5 +87,5 @@
 
 func truncatedSum(h hash.Hash) Print {
 	var b [sha256.Size]byte
-	return Print(h.Sum(b[:0])[:printSize])
+	return Print(h.Sum(b[:0])[:fingerprintSize])
 }
--- a/internal/quarantine/record.go
+++ b/internal/quarantine/record.go
@@ -160,7 +160,7 @@
 		ends = append(ends, n)
 	}
 	slices.Sort(ends)
-	b := append(make([]byte, 0, printSize+8*maxCrashes), r.Print[:]...)
+	b := append(make([]byte, 0, fingerprintSize+8*maxCrashes), r.Print[:]...)
 	for _, n := range ends {
 		b = binary.BigEndian.AppendUint64(b, n)
 	}
