--- a/internal/quarantine/model_test.go
+++ b/internal/quarantine/model_test.go
@@ -12,8 +12,8 @@
 	"ploverjunction.example/ploverjunction/internal/quarantine"
 )
 
-// way is one way to deal with requests under which targets end.
-type way struct {
+// strategy is one way to deal with requests under which targets end.
+type strategy struct {
 	name string
 	// remembers is set where nodes keep what ended, tells where they tell each other.
 	remembers bool
@@ -140,7 +140,7 @@
 
 // model plays one way under one load.
 type model struct {
-	way  way
+	way  strategy
 	load load
 	// random is drawn from by what the way does, chance by what happens to the service: that
 	// is the same for all ways.
@@ -158,7 +158,7 @@
 }
 
 // play plays a way under a load.
-func play(w way, l load, seed uint64) outcome {
+func play(w strategy, l load, seed uint64) outcome {
 	m := &model{
 		way:    w,
 		load:   l,
--- a/internal/quarantine/ways_test.go
+++ b/internal/quarantine/ways_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-var ways = []way{
+var ways = []strategy{
 	{
 		name: "nothing is remembered",
 	},
