--- a/internal/quarantine/model_test.go
+++ b/internal/quarantine/model_test.go
@@ -15,9 +15,9 @@
 // strategy is one way to deal with requests under which targets end.
 type strategy struct {
 	name string
-	// remembers is set where nodes keep what ended, tells where they tell each other.
-	remembers bool
-	tells     bool
+	// keepsRecords is set where nodes keep what ended, tells where they tell each other.
+	keepsRecords bool
+	tells        bool
 	// from is from how many ends on a request is refused.
 	from int
 	// answers is set where what was answered lately is kept in mind, looks where a target
@@ -274,7 +274,7 @@
 		of:   r,
 		node: m.random.IntN(len(m.nodes)),
 	}
-	if m.way.remembers && m.nodes[t.node].ledger.Check(m.now, r.prints).Held() {
+	if m.way.keepsRecords && m.nodes[t.node].ledger.Check(m.now, r.prints).Held() {
 		if !r.harmful {
 			m.out.refused++
 			m.out.lost++
@@ -349,13 +349,13 @@
 // broke is an attempt whose connection broke.
 func (m *model) broke(t *modelTry, target *modelTarget, ended bool) {
 	suspect := false
-	if m.way.remembers {
+	if m.way.keepsRecords {
 		suspect = m.nodes[t.node].ledger.Check(m.now, t.of.prints).Suspect()
 	}
 	life := fmt.Sprintf("%s/%d", target.name, target.life)
 	look := 2 * wayTime
 	m.after(look, func() {
-		if m.way.remembers && (ended || !m.way.looks) {
+		if m.way.keepsRecords && (ended || !m.way.looks) {
 			m.note(t, life)
 		}
 		if suspect {
@@ -369,7 +369,7 @@
 
 // again sends a request to a second target.
 func (m *model) again(t *modelTry) {
-	held := m.way.remembers && m.nodes[t.node].ledger.Check(m.now, t.of.prints).Held()
+	held := m.way.keepsRecords && m.nodes[t.node].ledger.Check(m.now, t.of.prints).Held()
 	if t.tries >= tries || held {
 		m.failed(t)
 		return
