--- a/internal/quarantine/model_nodes_test.go
+++ b/internal/quarantine/model_nodes_test.go
@@ -33,7 +33,7 @@
 // tell takes records that changed to whom they concern: to all nodes if they are shared,
 // else to the two that add up what is known of the request.
 func (m *model) tell(records []quarantine.Record) {
-	if !m.way.tells {
+	if !m.way.sharesRecords {
 		return
 	}
 	for _, r := range records {
--- a/internal/quarantine/model_test.go
+++ b/internal/quarantine/model_test.go
@@ -16,8 +16,8 @@
 type strategy struct {
 	name string
 	// keepsRecords is set where nodes keep what ended, tells where they tell each other.
-	keepsRecords bool
-	tells        bool
+	keepsRecords  bool
+	sharesRecords bool
 	// from is from how many ends on a request is refused.
 	from int
 	// answers is set where what was answered lately is kept in mind, looks where a target
