--- a/internal/quarantine/model_test.go
+++ b/internal/quarantine/model_test.go
@@ -18,8 +18,8 @@
 	// keepsRecords is set where nodes keep what ended, tells where they tell each other.
 	keepsRecords  bool
 	sharesRecords bool
-	// from is from how many ends on a request is refused.
-	from int
+	// threshold is from how many ends on a request is refused.
+	threshold int
 	// answers is set where what was answered lately is kept in mind, looks where a target
 	// whose connection broke is asked whether it has ended.
 	answers bool
@@ -196,7 +196,7 @@
 			ledger:  quarantine.NewLedger(m.random.Uint64()),
 			answers: quarantine.NewAnswers(m.now),
 		}
-		m.nodes[i].ledger.RefuseFrom(m.way.from)
+		m.nodes[i].ledger.RefuseFrom(m.way.threshold)
 	}
 }
 
