--- a/internal/quarantine/model_nodes_test.go
+++ b/internal/quarantine/model_nodes_test.go
@@ -14,7 +14,7 @@
 func (m *model) note(t *modelTry, life string) {
 	n := m.nodes[t.node]
 	for _, p := range t.of.prints.All() {
-		if m.way.answers && n.answers.Lately(m.now, p) {
+		if m.way.keepsAnswers && n.answers.Lately(m.now, p) {
 			continue
 		}
 		m.tell(n.ledger.Ended(m.now, p, life))
@@ -58,7 +58,7 @@
 	m.after(way, func() {
 		n := m.nodes[to]
 		news := n.ledger.Learn(m.now, r)
-		if m.way.answers && len(news) > 0 && n.answers.Lately(m.now, r.Print) {
+		if m.way.keepsAnswers && len(news) > 0 && n.answers.Lately(m.now, r.Print) {
 			m.tell(n.ledger.Answered(r.Print))
 			return
 		}
--- a/internal/quarantine/model_test.go
+++ b/internal/quarantine/model_test.go
@@ -20,10 +20,10 @@
 	sharesRecords bool
 	// threshold is from how many ends on a request is refused.
 	threshold int
-	// answers is set where what was answered lately is kept in mind, looks where a target
+	// keepsAnswers is set where what was answered lately is kept in mind, looks where a target
 	// whose connection broke is asked whether it has ended.
-	answers bool
-	looks   bool
+	keepsAnswers bool
+	looks        bool
 	// built is set on the way that the fleet goes.
 	built bool
 }
