--- a/internal/quarantine/model_test.go
+++ b/internal/quarantine/model_test.go
@@ -23,7 +23,7 @@
 	// keepsAnswers is set where what was answered lately is kept in mind, looks where a target
 	// whose connection broke is asked whether it has ended.
 	keepsAnswers bool
-	looks        bool
+	checksTarget bool
 	// built is set on the way that the fleet goes.
 	built bool
 }
@@ -355,7 +355,7 @@
 	life := fmt.Sprintf("%s/%d", target.name, target.life)
 	look := 2 * wayTime
 	m.after(look, func() {
-		if m.way.keepsRecords && (ended || !m.way.looks) {
+		if m.way.keepsRecords && (ended || !m.way.checksTarget) {
 			m.note(t, life)
 		}
 		if suspect {
--- a/internal/quarantine/ways_test.go
+++ b/internal/quarantine/ways_test.go
@@ -17,21 +17,21 @@
 		keepsRecords: true,
 		threshold:    2,
 		keepsAnswers: true,
-		looks:        true,
+		checksTarget: true,
 	},
 	{
 		name:          "all nodes, from 3 ends, answers not kept in mind",
 		keepsRecords:  true,
 		sharesRecords: true,
 		threshold:     3,
-		looks:         true,
+		checksTarget:  true,
 	},
 	{
 		name:          "all nodes, from 2 ends, answers not kept in mind",
 		keepsRecords:  true,
 		sharesRecords: true,
 		threshold:     2,
-		looks:         true,
+		checksTarget:  true,
 	},
 	{
 		name:          "all nodes, from 2 ends, by any connection that breaks",
@@ -46,7 +46,7 @@
 		sharesRecords: true,
 		threshold:     2,
 		keepsAnswers:  true,
-		looks:         true,
+		checksTarget:  true,
 	},
 	{
 		name:          "all nodes, from 3 ends",
@@ -54,7 +54,7 @@
 		sharesRecords: true,
 		threshold:     3,
 		keepsAnswers:  true,
-		looks:         true,
+		checksTarget:  true,
 		built:         true,
 	},
 }
