--- a/internal/quarantine/model_test.go
+++ b/internal/quarantine/model_test.go
@@ -24,8 +24,8 @@
 	// whose connection broke is asked whether it has ended.
 	keepsAnswers bool
 	checksTarget bool
-	// built is set on the way that the fleet goes.
-	built bool
+	// implemented is set on the way that the fleet goes.
+	implemented bool
 }
 
 // load is what happens to a service.
--- a/internal/quarantine/ways_test.go
+++ b/internal/quarantine/ways_test.go
@@ -55,7 +55,7 @@
 		threshold:     3,
 		keepsAnswers:  true,
 		checksTarget:  true,
-		built:         true,
+		implemented:   true,
 	},
 }
 
@@ -151,7 +151,7 @@
 			t.Logf("  %-58s ends %.1f, late %.1f, at most %d; refused %d of %d, lost %.4f", w.name,
 				float64(sum.ends)/float64(seeds), float64(sum.late)/float64(seeds), worst,
 				sum.refused, sum.harmless, float64(sum.lost)/float64(sum.harmless))
-			if w.built {
+			if w.implemented {
 				sum.judge(t, l, worst, seeds)
 			}
 		}
