--- a/internal/quarantine/model_test.go
+++ b/internal/quarantine/model_test.go
@@ -32,8 +32,8 @@
 type load struct {
 	name string
 	// harmful is how many requests a second end each target that runs them, for harmFor.
-	harmful float64
-	harmFor time.Duration
+	harmful      float64
+	harmDuration time.Duration
 	// crashes is how many targets a second end for other reasons, losses the moments at which
 	// a part of all ends at once.
 	crashes float64
@@ -230,7 +230,7 @@
 		prints:  m.prints("harm"),
 		harmful: true,
 	}
-	m.every(l.harmful, modelBegin, modelBegin+l.harmFor, func() { m.arrive(harm) })
+	m.every(l.harmful, modelBegin, modelBegin+l.harmDuration, func() { m.arrive(harm) })
 	for _, at := range l.amnesia {
 		m.after(at, m.start)
 	}
