--- a/internal/quarantine/model_test.go
+++ b/internal/quarantine/model_test.go
@@ -36,9 +36,9 @@
 	harmDuration time.Duration
 	// crashes is how many targets a second end for other reasons, losses the moments at which
 	// a part of all ends at once.
-	crashes float64
-	losses  []time.Duration
-	part    float64
+	crashes     float64
+	massCrashes []time.Duration
+	part        float64
 	// amnesia are the moments at which all nodes forget what they know.
 	amnesia []time.Duration
 	// broken is the share of requests whose connection breaks though the target lives.
@@ -235,7 +235,7 @@
 		m.after(at, m.start)
 	}
 	m.every(l.crashes, modelBegin, modelTime, func() { m.end(m.targets[m.chance.IntN(l.targets)]) })
-	for _, at := range l.losses {
+	for _, at := range l.massCrashes {
 		m.after(at, func() {
 			for _, t := range m.targets {
 				if m.chance.Float64() < l.part {
--- a/internal/quarantine/ways_test.go
+++ b/internal/quarantine/ways_test.go
@@ -89,9 +89,9 @@
 		crashes: 2,
 	}),
 	small(load{
-		name:   "half of the targets crash at once, four times",
-		losses: []time.Duration{10 * time.Second, 15 * time.Second, 20 * time.Second, 25 * time.Second},
-		part:   0.5,
+		name:        "half of the targets crash at once, four times",
+		massCrashes: []time.Duration{10 * time.Second, 15 * time.Second, 20 * time.Second, 25 * time.Second},
+		part:        0.5,
 	}),
 	small(load{
 		name:   "three in ten connections break, targets live",
