--- a/internal/quarantine/model_test.go
+++ b/internal/quarantine/model_test.go
@@ -38,7 +38,7 @@
 	// a part of all ends at once.
 	crashes     float64
 	massCrashes []time.Duration
-	part        float64
+	crashShare  float64
 	// amnesia are the moments at which all nodes forget what they know.
 	amnesia []time.Duration
 	// broken is the share of requests whose connection breaks though the target lives.
@@ -238,7 +238,7 @@
 	for _, at := range l.massCrashes {
 		m.after(at, func() {
 			for _, t := range m.targets {
-				if m.chance.Float64() < l.part {
+				if m.chance.Float64() < l.crashShare {
 					m.end(t)
 				}
 			}
--- a/internal/quarantine/ways_test.go
+++ b/internal/quarantine/ways_test.go
@@ -91,7 +91,7 @@
 	small(load{
 		name:        "half of the targets crash at once, four times",
 		massCrashes: []time.Duration{10 * time.Second, 15 * time.Second, 20 * time.Second, 25 * time.Second},
-		part:        0.5,
+		crashShare:  0.5,
 	}),
 	small(load{
 		name:   "three in ten connections break, targets live",
