--- a/internal/quarantine/model_test.go
+++ b/internal/quarantine/model_test.go
@@ -39,8 +39,8 @@
 	crashes     float64
 	massCrashes []time.Duration
 	crashShare  float64
-	// amnesia are the moments at which all nodes forget what they know.
-	amnesia []time.Duration
+	// restarts are the moments at which all nodes forget what they know.
+	restarts []time.Duration
 	// broken is the share of requests whose connection breaks though the target lives.
 	broken float64
 	// targets, slots and rate are the size of the service: requests a second that harm nobody.
@@ -231,7 +231,7 @@
 		harmful: true,
 	}
 	m.every(l.harmful, modelBegin, modelBegin+l.harmDuration, func() { m.arrive(harm) })
-	for _, at := range l.amnesia {
+	for _, at := range l.restarts {
 		m.after(at, m.start)
 	}
 	m.every(l.crashes, modelBegin, modelTime, func() { m.end(m.targets[m.chance.IntN(l.targets)]) })
--- a/internal/quarantine/ways_test.go
+++ b/internal/quarantine/ways_test.go
@@ -107,13 +107,13 @@
 		name:         "a harmful request, all nodes forget all after 10 s",
 		harmful:      3,
 		harmDuration: 30 * time.Second,
-		amnesia:      []time.Duration{15 * time.Second},
+		restarts:     []time.Duration{15 * time.Second},
 	}),
 	small(load{
 		name:         "the same, one in two seconds",
 		harmful:      0.5,
 		harmDuration: 30 * time.Second,
-		amnesia:      []time.Duration{15 * time.Second},
+		restarts:     []time.Duration{15 * time.Second},
 	}),
 	{
 		name:         "large: 200 targets, 5 a second crash, a harmful one",
@@ -175,7 +175,7 @@
 	if o.refused*mostRefused > o.harmless {
 		t.Errorf("%s: %d of %d harmless requests were refused", l.name, o.refused, o.harmless)
 	}
-	if series := 1 + len(l.amnesia); o.ends > mostEnds*series*seeds {
+	if series := 1 + len(l.restarts); o.ends > mostEnds*series*seeds {
 		t.Errorf("%s: %d targets ended in %d plays", l.name, o.ends, seeds)
 	}
 }
