--- a/internal/quarantine/model_test.go
+++ b/internal/quarantine/model_test.go
@@ -41,8 +41,8 @@
 	crashShare  float64
 	// restarts are the moments at which all nodes forget what they know.
 	restarts []time.Duration
-	// broken is the share of requests whose connection breaks though the target lives.
-	broken float64
+	// brokenShare is the share of requests whose connection breaks though the target lives.
+	brokenShare float64
 	// targets, slots and rate are the size of the service: requests a second that harm nobody.
 	targets int
 	slots   int
@@ -311,7 +311,7 @@
 			return
 		}
 		delete(target.flights, t)
-		if m.random.Float64() < m.load.broken {
+		if m.random.Float64() < m.load.brokenShare {
 			m.broke(t, target, false)
 			return
 		}
--- a/internal/quarantine/ways_test.go
+++ b/internal/quarantine/ways_test.go
@@ -94,8 +94,8 @@
 		crashShare:  0.5,
 	}),
 	small(load{
-		name:   "three in ten connections break, targets live",
-		broken: 0.3,
+		name:        "three in ten connections break, targets live",
+		brokenShare: 0.3,
 	}),
 	small(load{
 		name:         "harmful ones while targets crash, one a second",
