--- a/internal/quarantine/model_test.go
+++ b/internal/quarantine/model_test.go
@@ -52,8 +52,8 @@
 
 // Times and shares of the model, those of the smaller deployments.
 const (
-	modelTime  = 60 * time.Second
-	modelBegin = 5 * time.Second
+	modelTime   = 60 * time.Second
+	faultsStart = 5 * time.Second
 	// contact is how long after the third end nobody may blame a node for not knowing.
 	contact  = 3 * time.Second
 	workTime = 400 * time.Millisecond
@@ -230,11 +230,11 @@
 		prints:  m.prints("harm"),
 		harmful: true,
 	}
-	m.every(l.harmful, modelBegin, modelBegin+l.harmDuration, func() { m.arrive(harm) })
+	m.every(l.harmful, faultsStart, faultsStart+l.harmDuration, func() { m.arrive(harm) })
 	for _, at := range l.restarts {
 		m.after(at, m.start)
 	}
-	m.every(l.crashes, modelBegin, modelTime, func() { m.end(m.targets[m.chance.IntN(l.targets)]) })
+	m.every(l.crashes, faultsStart, modelTime, func() { m.end(m.targets[m.chance.IntN(l.targets)]) })
 	for _, at := range l.massCrashes {
 		m.after(at, func() {
 			for _, t := range m.targets {
