--- a/internal/quarantine/model_test.go
+++ b/internal/quarantine/model_test.go
@@ -54,11 +54,11 @@
 const (
 	modelTime   = 60 * time.Second
 	faultsStart = 5 * time.Second
-	// contact is how long after the third end nobody may blame a node for not knowing.
-	contact  = 3 * time.Second
-	workTime = 400 * time.Millisecond
-	harmTime = 130 * time.Millisecond
-	backTime = 3 * time.Second
+	// contactTime is how long after the third end nobody may blame a node for not knowing.
+	contactTime = 3 * time.Second
+	workTime    = 400 * time.Millisecond
+	harmTime    = 130 * time.Millisecond
+	backTime    = 3 * time.Second
 	// wayTime is one way between two nodes, lateTime until what was lost is told again.
 	wayTime  = 3 * time.Millisecond
 	lateTime = 300 * time.Millisecond
@@ -300,7 +300,7 @@
 	target := free[m.random.IntN(len(free))]
 	target.flights[t] = true
 	if t.of.harmful {
-		if !m.third.IsZero() && m.now.Sub(m.third) > contact && m.now.Sub(m.started) > contact {
+		if !m.third.IsZero() && m.now.Sub(m.third) > contactTime && m.now.Sub(m.started) > contactTime {
 			m.out.late++
 		}
 		m.after(m.spread(harmTime), func() { m.harm(target, t) })
