--- a/internal/quarantine/model_test.go
+++ b/internal/quarantine/model_test.go
@@ -58,7 +58,7 @@
 	contactTime = 3 * time.Second
 	workTime    = 400 * time.Millisecond
 	harmTime    = 130 * time.Millisecond
-	backTime    = 3 * time.Second
+	restartTime = 3 * time.Second
 	// wayTime is one way between two nodes, lateTime until what was lost is told again.
 	wayTime  = 3 * time.Millisecond
 	lateTime = 300 * time.Millisecond
@@ -343,7 +343,7 @@
 		m.broke(t, target, true)
 	}
 	target.life++
-	m.after(backTime, func() { target.up = true })
+	m.after(restartTime, func() { target.up = true })
 }
 
 // broke is an attempt whose connection broke.
