--- a/internal/quarantine/model_nodes_test.go
+++ b/internal/quarantine/model_nodes_test.go
@@ -51,7 +51,7 @@
 
 // carry takes a record to a node.
 func (m *model) carry(to int, r quarantine.Record) {
-	way := m.spread(2 * wayTime)
+	way := m.spread(2 * oneWay)
 	if m.random.Float64() < lostWay {
 		way += time.Duration(m.random.Float64() * float64(lateTime))
 	}
--- a/internal/quarantine/model_test.go
+++ b/internal/quarantine/model_test.go
@@ -59,8 +59,8 @@
 	workTime    = 400 * time.Millisecond
 	harmTime    = 130 * time.Millisecond
 	restartTime = 3 * time.Second
-	// wayTime is one way between two nodes, lateTime until what was lost is told again.
-	wayTime  = 3 * time.Millisecond
+	// oneWay is one way between two nodes, lateTime until what was lost is told again.
+	oneWay   = 3 * time.Millisecond
 	lateTime = 300 * time.Millisecond
 	lostWay  = 0.03
 	// popular is the share of requests that ask for one of popularOnes.
@@ -353,7 +353,7 @@
 		suspect = m.nodes[t.node].ledger.Check(m.now, t.of.prints).Suspect()
 	}
 	life := fmt.Sprintf("%s/%d", target.name, target.life)
-	look := 2 * wayTime
+	look := 2 * oneWay
 	m.after(look, func() {
 		if m.way.keepsRecords && (ended || !m.way.checksTarget) {
 			m.note(t, life)
