--- a/internal/quarantine/model_nodes_test.go
+++ b/internal/quarantine/model_nodes_test.go
@@ -53,7 +53,7 @@
 func (m *model) carry(to int, r quarantine.Record) {
 	way := m.spread(2 * oneWay)
 	if m.random.Float64() < lostWay {
-		way += time.Duration(m.random.Float64() * float64(lateTime))
+		way += time.Duration(m.random.Float64() * float64(resendDelay))
 	}
 	m.after(way, func() {
 		n := m.nodes[to]
