--- a/internal/quarantine/model_nodes_test.go
+++ b/internal/quarantine/model_nodes_test.go
@@ -52,7 +52,7 @@
 // carry takes a record to a node.
 func (m *model) carry(to int, r quarantine.Record) {
 	way := m.spread(2 * oneWay)
-	if m.random.Float64() < lostWay {
+	if m.random.Float64() < lossRate {
 		way += time.Duration(m.random.Float64() * float64(resendDelay))
 	}
 	m.after(way, func() {
--- a/internal/quarantine/model_test.go
+++ b/internal/quarantine/model_test.go
@@ -62,7 +62,7 @@
 	// oneWay is one way between two nodes, lateTime until what was lost is told again.
 	oneWay      = 3 * time.Millisecond
 	resendDelay = 300 * time.Millisecond
-	lostWay     = 0.03
+	lossRate    = 0.03
 	// popular is the share of requests that ask for one of popularOnes.
 	popular     = 0.3
 	popularOnes = 20
