--- a/internal/quarantine/model_test.go
+++ b/internal/quarantine/model_test.go
@@ -64,11 +64,11 @@
 	resendDelay = 300 * time.Millisecond
 	lossRate    = 0.03
 	// popular is the share of requests that ask for one of popularOnes.
-	popular     = 0.3
-	popularOnes = 20
-	tries       = 2
-	comeBack    = 300 * time.Millisecond
-	comebacks   = 2
+	popular         = 0.3
+	popularRequests = 20
+	tries           = 2
+	comeBack        = 300 * time.Millisecond
+	comebacks       = 2
 )
 
 // outcome counts what came of a play.
@@ -261,7 +261,7 @@
 	m.unique++
 	uri := fmt.Sprintf("unique-%d", m.unique)
 	if m.chance.Float64() < popular {
-		uri = fmt.Sprintf("popular-%d", m.chance.IntN(popularOnes))
+		uri = fmt.Sprintf("popular-%d", m.chance.IntN(popularRequests))
 	}
 	m.arrive(&modelRequest{
 		prints: m.prints(uri),
