--- a/internal/quarantine/model_test.go
+++ b/internal/quarantine/model_test.go
@@ -66,7 +66,7 @@
 	// popular is the share of requests that ask for one of popularOnes.
 	popular         = 0.3
 	popularRequests = 20
-	tries           = 2
+	maxAttempts     = 2
 	comeBack        = 300 * time.Millisecond
 	comebacks       = 2
 )
@@ -370,7 +370,7 @@
 // again sends a request to a second target.
 func (m *model) again(t *modelTry) {
 	held := m.way.keepsRecords && m.nodes[t.node].ledger.Check(m.now, t.of.prints).Held()
-	if t.tries >= tries || held {
+	if t.tries >= maxAttempts || held {
 		m.failed(t)
 		return
 	}
