--- a/internal/quarantine/model_test.go
+++ b/internal/quarantine/model_test.go
@@ -67,7 +67,7 @@
 	popular         = 0.3
 	popularRequests = 20
 	maxAttempts     = 2
-	comeBack        = 300 * time.Millisecond
+	retryDelay      = 300 * time.Millisecond
 	comebacks       = 2
 )
 
@@ -387,5 +387,5 @@
 		return
 	}
 	t.of.came++
-	m.after(comeBack, func() { m.arrive(t.of) })
+	m.after(retryDelay, func() { m.arrive(t.of) })
 }
