--- a/internal/quarantine/model_test.go
+++ b/internal/quarantine/model_test.go
@@ -68,7 +68,7 @@
 	popularRequests = 20
 	maxAttempts     = 2
 	retryDelay      = 300 * time.Millisecond
-	comebacks       = 2
+	maxRetries      = 2
 )
 
 // outcome counts what came of a play.
@@ -382,7 +382,7 @@
 	if t.of.harmful {
 		return
 	}
-	if t.of.came >= comebacks {
+	if t.of.came >= maxRetries {
 		m.out.lost++
 		return
 	}
