--- a/internal/quarantine/model_test.go
+++ b/internal/quarantine/model_test.go
@@ -78,17 +78,17 @@
 	// reason.
 	refused int
 	lost    int
-	// ends counts targets that ended under harmful requests, late how often one was sent on
+	// crashes counts targets that ended under harmful requests, late how often one was sent on
 	// more than contact after the third, and after the nodes began.
-	ends int
-	late int
+	crashes int
+	late    int
 }
 
 func (o *outcome) add(p outcome) {
 	o.harmless += p.harmless
 	o.refused += p.refused
 	o.lost += p.lost
-	o.ends += p.ends
+	o.crashes += p.crashes
 	o.late += p.late
 }
 
@@ -324,8 +324,8 @@
 	if !target.flights[t] {
 		return
 	}
-	m.out.ends++
-	if m.out.ends == 3 {
+	m.out.crashes++
+	if m.out.crashes == 3 {
 		m.third = m.now
 	}
 	m.end(target)
--- a/internal/quarantine/ways_test.go
+++ b/internal/quarantine/ways_test.go
@@ -149,7 +149,7 @@
 				worst = max(worst, o.late)
 			}
 			t.Logf("  %-58s ends %.1f, late %.1f, at most %d; refused %d of %d, lost %.4f", w.name,
-				float64(sum.ends)/float64(seeds), float64(sum.late)/float64(seeds), worst,
+				float64(sum.crashes)/float64(seeds), float64(sum.late)/float64(seeds), worst,
 				sum.refused, sum.harmless, float64(sum.lost)/float64(sum.harmless))
 			if w.implemented {
 				sum.judge(t, l, worst, seeds)
@@ -175,7 +175,7 @@
 	if o.refused*mostRefused > o.harmless {
 		t.Errorf("%s: %d of %d harmless requests were refused", l.name, o.refused, o.harmless)
 	}
-	if series := 1 + len(l.restarts); o.ends > mostEnds*series*seeds {
-		t.Errorf("%s: %d targets ended in %d plays", l.name, o.ends, seeds)
+	if series := 1 + len(l.restarts); o.crashes > mostEnds*series*seeds {
+		t.Errorf("%s: %d targets ended in %d plays", l.name, o.crashes, seeds)
 	}
 }
