--- a/internal/quarantine/model_test.go
+++ b/internal/quarantine/model_test.go
@@ -118,10 +118,10 @@
 
 // modelTarget is a target, with the attempts at it.
 type modelTarget struct {
-	name    string
-	life    int
-	up      bool
-	flights map[*modelTry]bool
+	name        string
+	incarnation int
+	up          bool
+	flights     map[*modelTry]bool
 }
 
 // modelTry is an attempt of a request.
@@ -342,7 +342,7 @@
 	for t := range flights {
 		m.broke(t, target, true)
 	}
-	target.life++
+	target.incarnation++
 	m.after(restartTime, func() { target.up = true })
 }
 
@@ -352,7 +352,7 @@
 	if m.way.keepsRecords {
 		suspect = m.nodes[t.node].ledger.Check(m.now, t.of.prints).Suspect()
 	}
-	life := fmt.Sprintf("%s/%d", target.name, target.life)
+	life := fmt.Sprintf("%s/%d", target.name, target.incarnation)
 	look := 2 * oneWay
 	m.after(look, func() {
 		if m.way.keepsRecords && (ended || !m.way.checksTarget) {
