--- a/internal/quarantine/model_test.go
+++ b/internal/quarantine/model_test.go
@@ -121,7 +121,7 @@
 	name        string
 	incarnation int
 	up          bool
-	flights     map[*modelTry]bool
+	inFlight    map[*modelTry]bool
 }
 
 // modelTry is an attempt of a request.
@@ -171,9 +171,9 @@
 	m.start()
 	for i := range l.targets {
 		m.targets = append(m.targets, &modelTarget{
-			name:    fmt.Sprintf("target-%d", i),
-			up:      true,
-			flights: map[*modelTry]bool{},
+			name:     fmt.Sprintf("target-%d", i),
+			up:       true,
+			inFlight: map[*modelTry]bool{},
 		})
 	}
 	m.schedule()
@@ -288,7 +288,7 @@
 func (m *model) send(t *modelTry) {
 	var free []*modelTarget
 	for _, target := range m.targets {
-		if target.up && len(target.flights) < m.load.slots {
+		if target.up && len(target.inFlight) < m.load.slots {
 			free = append(free, target)
 		}
 	}
@@ -298,7 +298,7 @@
 	}
 	t.tries++
 	target := free[m.random.IntN(len(free))]
-	target.flights[t] = true
+	target.inFlight[t] = true
 	if t.of.harmful {
 		if !m.third.IsZero() && m.now.Sub(m.third) > contactTime && m.now.Sub(m.started) > contactTime {
 			m.out.late++
@@ -307,10 +307,10 @@
 		return
 	}
 	m.after(m.spread(workTime), func() {
-		if !target.flights[t] {
+		if !target.inFlight[t] {
 			return
 		}
-		delete(target.flights, t)
+		delete(target.inFlight, t)
 		if m.random.Float64() < m.load.brokenShare {
 			m.broke(t, target, false)
 			return
@@ -321,7 +321,7 @@
 
 // harm ends a target that still works on a harmful request.
 func (m *model) harm(target *modelTarget, t *modelTry) {
-	if !target.flights[t] {
+	if !target.inFlight[t] {
 		return
 	}
 	m.out.crashes++
@@ -337,8 +337,8 @@
 		return
 	}
 	target.up = false
-	flights := target.flights
-	target.flights = map[*modelTry]bool{}
+	flights := target.inFlight
+	target.inFlight = map[*modelTry]bool{}
 	for t := range flights {
 		m.broke(t, target, true)
 	}
