--- a/internal/quarantine/model_nodes_test.go
+++ b/internal/quarantine/model_nodes_test.go
@@ -11,7 +11,7 @@
 // This file is what the nodes of the model tell each other.
 
 // note has a node note that a target ended under a request.
-func (m *model) note(t *modelTry, life string) {
+func (m *model) note(t *modelAttempt, life string) {
 	n := m.nodes[t.node]
 	for _, p := range t.of.prints.All() {
 		if m.way.keepsAnswers && n.answers.Lately(m.now, p) {
@@ -22,7 +22,7 @@
 }
 
 // answered is a request that was answered.
-func (m *model) answered(t *modelTry) {
+func (m *model) answered(t *modelAttempt) {
 	n := m.nodes[t.node]
 	n.answers.Note(m.now, t.of.prints)
 	for _, p := range t.of.prints.All() {
--- a/internal/quarantine/model_test.go
+++ b/internal/quarantine/model_test.go
@@ -121,11 +121,11 @@
 	name        string
 	incarnation int
 	up          bool
-	inFlight    map[*modelTry]bool
+	inFlight    map[*modelAttempt]bool
 }
 
-// modelTry is an attempt of a request.
-type modelTry struct {
+// modelAttempt is an attempt of a request.
+type modelAttempt struct {
 	of    *modelRequest
 	node  int
 	tries int
@@ -173,7 +173,7 @@
 		m.targets = append(m.targets, &modelTarget{
 			name:     fmt.Sprintf("target-%d", i),
 			up:       true,
-			inFlight: map[*modelTry]bool{},
+			inFlight: map[*modelAttempt]bool{},
 		})
 	}
 	m.schedule()
@@ -270,7 +270,7 @@
 
 // arrive brings a request to a node.
 func (m *model) arrive(r *modelRequest) {
-	t := &modelTry{
+	t := &modelAttempt{
 		of:   r,
 		node: m.random.IntN(len(m.nodes)),
 	}
@@ -285,7 +285,7 @@
 }
 
 // send sends an attempt to a target with a free slot.
-func (m *model) send(t *modelTry) {
+func (m *model) send(t *modelAttempt) {
 	var free []*modelTarget
 	for _, target := range m.targets {
 		if target.up && len(target.inFlight) < m.load.slots {
@@ -320,7 +320,7 @@
 }
 
 // harm ends a target that still works on a harmful request.
-func (m *model) harm(target *modelTarget, t *modelTry) {
+func (m *model) harm(target *modelTarget, t *modelAttempt) {
 	if !target.inFlight[t] {
 		return
 	}
@@ -338,7 +338,7 @@
 	}
 	target.up = false
 	flights := target.inFlight
-	target.inFlight = map[*modelTry]bool{}
+	target.inFlight = map[*modelAttempt]bool{}
 	for t := range flights {
 		m.broke(t, target, true)
 	}
@@ -347,7 +347,7 @@
 }
 
 // broke is an attempt whose connection broke.
-func (m *model) broke(t *modelTry, target *modelTarget, ended bool) {
+func (m *model) broke(t *modelAttempt, target *modelTarget, ended bool) {
 	suspect := false
 	if m.way.keepsRecords {
 		suspect = m.nodes[t.node].ledger.Check(m.now, t.of.prints).Suspect()
@@ -368,7 +368,7 @@
 }
 
 // again sends a request to a second target.
-func (m *model) again(t *modelTry) {
+func (m *model) again(t *modelAttempt) {
 	held := m.way.keepsRecords && m.nodes[t.node].ledger.Check(m.now, t.of.prints).Held()
 	if t.tries >= maxAttempts || held {
 		m.failed(t)
@@ -378,7 +378,7 @@
 }
 
 // failed is a request that was not served: its caller comes again.
-func (m *model) failed(t *modelTry) {
+func (m *model) failed(t *modelAttempt) {
 	if t.of.harmful {
 		return
 	}
