--- a/internal/quarantine/model_nodes_test.go
+++ b/internal/quarantine/model_nodes_test.go
@@ -13,7 +13,7 @@
 // note has a node note that a target ended under a request.
 func (m *model) note(t *modelAttempt, life string) {
 	n := m.nodes[t.node]
-	for _, p := range t.of.prints.All() {
+	for _, p := range t.request.prints.All() {
 		if m.way.keepsAnswers && n.answers.Lately(m.now, p) {
 			continue
 		}
@@ -24,8 +24,8 @@
 // answered is a request that was answered.
 func (m *model) answered(t *modelAttempt) {
 	n := m.nodes[t.node]
-	n.answers.Note(m.now, t.of.prints)
-	for _, p := range t.of.prints.All() {
+	n.answers.Note(m.now, t.request.prints)
+	for _, p := range t.request.prints.All() {
 		m.tell(n.ledger.Answered(p))
 	}
 }
--- a/internal/quarantine/model_test.go
+++ b/internal/quarantine/model_test.go
@@ -126,9 +126,9 @@
 
 // modelAttempt is an attempt of a request.
 type modelAttempt struct {
-	of    *modelRequest
-	node  int
-	tries int
+	request *modelRequest
+	node    int
+	tries   int
 }
 
 // modelRequest is what a caller asks for.
@@ -271,8 +271,8 @@
 // arrive brings a request to a node.
 func (m *model) arrive(r *modelRequest) {
 	t := &modelAttempt{
-		of:   r,
-		node: m.random.IntN(len(m.nodes)),
+		request: r,
+		node:    m.random.IntN(len(m.nodes)),
 	}
 	if m.way.keepsRecords && m.nodes[t.node].ledger.Check(m.now, r.prints).Held() {
 		if !r.harmful {
@@ -299,7 +299,7 @@
 	t.tries++
 	target := free[m.random.IntN(len(free))]
 	target.inFlight[t] = true
-	if t.of.harmful {
+	if t.request.harmful {
 		if !m.third.IsZero() && m.now.Sub(m.third) > contactTime && m.now.Sub(m.started) > contactTime {
 			m.out.late++
 		}
@@ -350,7 +350,7 @@
 func (m *model) broke(t *modelAttempt, target *modelTarget, ended bool) {
 	suspect := false
 	if m.way.keepsRecords {
-		suspect = m.nodes[t.node].ledger.Check(m.now, t.of.prints).Suspect()
+		suspect = m.nodes[t.node].ledger.Check(m.now, t.request.prints).Suspect()
 	}
 	life := fmt.Sprintf("%s/%d", target.name, target.incarnation)
 	look := 2 * oneWay
@@ -369,7 +369,7 @@
 
 // again sends a request to a second target.
 func (m *model) again(t *modelAttempt) {
-	held := m.way.keepsRecords && m.nodes[t.node].ledger.Check(m.now, t.of.prints).Held()
+	held := m.way.keepsRecords && m.nodes[t.node].ledger.Check(m.now, t.request.prints).Held()
 	if t.tries >= maxAttempts || held {
 		m.failed(t)
 		return
@@ -379,13 +379,13 @@
 
 // failed is a request that was not served: its caller comes again.
 func (m *model) failed(t *modelAttempt) {
-	if t.of.harmful {
+	if t.request.harmful {
 		return
 	}
-	if t.of.came >= maxRetries {
+	if t.request.came >= maxRetries {
 		m.out.lost++
 		return
 	}
-	t.of.came++
-	m.after(retryDelay, func() { m.arrive(t.of) })
+	t.request.came++
+	m.after(retryDelay, func() { m.arrive(t.request) })
 }
