--- a/internal/quarantine/model_test.go
+++ b/internal/quarantine/model_test.go
@@ -126,9 +126,9 @@
 
 // modelAttempt is an attempt of a request.
 type modelAttempt struct {
-	request *modelRequest
-	node    int
-	tries   int
+	request  *modelRequest
+	node     int
+	attempts int
 }
 
 // modelRequest is what a caller asks for.
@@ -296,7 +296,7 @@
 		m.failed(t)
 		return
 	}
-	t.tries++
+	t.attempts++
 	target := free[m.random.IntN(len(free))]
 	target.inFlight[t] = true
 	if t.request.harmful {
@@ -370,7 +370,7 @@
 // again sends a request to a second target.
 func (m *model) again(t *modelAttempt) {
 	held := m.way.keepsRecords && m.nodes[t.node].ledger.Check(m.now, t.request.prints).Held()
-	if t.tries >= maxAttempts || held {
+	if t.attempts >= maxAttempts || held {
 		m.failed(t)
 		return
 	}
