--- a/internal/quarantine/model_test.go
+++ b/internal/quarantine/model_test.go
@@ -135,7 +135,7 @@
 type modelRequest struct {
 	prints  quarantine.Prints
 	harmful bool
-	came    int
+	retries int
 }
 
 // model plays one way under one load.
@@ -382,10 +382,10 @@
 	if t.request.harmful {
 		return
 	}
-	if t.request.came >= maxRetries {
+	if t.request.retries >= maxRetries {
 		m.out.lost++
 		return
 	}
-	t.request.came++
+	t.request.retries++
 	m.after(retryDelay, func() { m.arrive(t.request) })
 }
