--- a/internal/quarantine/model_nodes_test.go
+++ b/internal/quarantine/model_nodes_test.go
@@ -14,7 +14,7 @@
 func (m *model) note(t *modelAttempt, life string) {
 	n := m.nodes[t.node]
 	for _, p := range t.request.prints.All() {
-		if m.way.keepsAnswers && n.answers.Lately(m.now, p) {
+		if m.strategy.keepsAnswers && n.answers.Lately(m.now, p) {
 			continue
 		}
 		m.tell(n.ledger.Ended(m.now, p, life))
@@ -33,7 +33,7 @@
 // tell takes records that changed to whom they concern: to all nodes if they are shared,
 // else to the two that add up what is known of the request.
 func (m *model) tell(records []quarantine.Record) {
-	if !m.way.sharesRecords {
+	if !m.strategy.sharesRecords {
 		return
 	}
 	for _, r := range records {
@@ -58,7 +58,7 @@
 	m.after(way, func() {
 		n := m.nodes[to]
 		news := n.ledger.Learn(m.now, r)
-		if m.way.keepsAnswers && len(news) > 0 && n.answers.Lately(m.now, r.Print) {
+		if m.strategy.keepsAnswers && len(news) > 0 && n.answers.Lately(m.now, r.Print) {
 			m.tell(n.ledger.Answered(r.Print))
 			return
 		}
--- a/internal/quarantine/model_test.go
+++ b/internal/quarantine/model_test.go
@@ -140,8 +140,8 @@
 
 // model plays one way under one load.
 type model struct {
-	way  strategy
-	load load
+	strategy strategy
+	load     load
 	// random is drawn from by what the way does, chance by what happens to the service: that
 	// is the same for all ways.
 	random  *rand.Rand
@@ -160,11 +160,11 @@
 // play plays a way under a load.
 func play(w strategy, l load, seed uint64) outcome {
 	m := &model{
-		way:    w,
-		load:   l,
-		random: rand.New(rand.NewPCG(seed, 7)),
-		chance: rand.New(rand.NewPCG(seed, 8)),
-		begun:  time.Unix(1_000_000, 0),
+		strategy: w,
+		load:     l,
+		random:   rand.New(rand.NewPCG(seed, 7)),
+		chance:   rand.New(rand.NewPCG(seed, 8)),
+		begun:    time.Unix(1_000_000, 0),
 	}
 	m.now = m.begun
 	m.nodes = make([]modelNode, l.nodes)
@@ -196,7 +196,7 @@
 			ledger:  quarantine.NewLedger(m.random.Uint64()),
 			answers: quarantine.NewAnswers(m.now),
 		}
-		m.nodes[i].ledger.RefuseFrom(m.way.threshold)
+		m.nodes[i].ledger.RefuseFrom(m.strategy.threshold)
 	}
 }
 
@@ -274,7 +274,7 @@
 		request: r,
 		node:    m.random.IntN(len(m.nodes)),
 	}
-	if m.way.keepsRecords && m.nodes[t.node].ledger.Check(m.now, r.prints).Held() {
+	if m.strategy.keepsRecords && m.nodes[t.node].ledger.Check(m.now, r.prints).Held() {
 		if !r.harmful {
 			m.out.refused++
 			m.out.lost++
@@ -349,13 +349,13 @@
 // broke is an attempt whose connection broke.
 func (m *model) broke(t *modelAttempt, target *modelTarget, ended bool) {
 	suspect := false
-	if m.way.keepsRecords {
+	if m.strategy.keepsRecords {
 		suspect = m.nodes[t.node].ledger.Check(m.now, t.request.prints).Suspect()
 	}
 	life := fmt.Sprintf("%s/%d", target.name, target.incarnation)
 	look := 2 * oneWay
 	m.after(look, func() {
-		if m.way.keepsRecords && (ended || !m.way.checksTarget) {
+		if m.strategy.keepsRecords && (ended || !m.strategy.checksTarget) {
 			m.note(t, life)
 		}
 		if suspect {
@@ -369,7 +369,7 @@
 
 // again sends a request to a second target.
 func (m *model) again(t *modelAttempt) {
-	held := m.way.keepsRecords && m.nodes[t.node].ledger.Check(m.now, t.request.prints).Held()
+	held := m.strategy.keepsRecords && m.nodes[t.node].ledger.Check(m.now, t.request.prints).Held()
 	if t.attempts >= maxAttempts || held {
 		m.failed(t)
 		return
