--- a/internal/quarantine/model_test.go
+++ b/internal/quarantine/model_test.go
@@ -147,7 +147,7 @@
 	random  *rand.Rand
 	chance  *rand.Rand
 	now     time.Time
-	begun   time.Time
+	epoch   time.Time
 	queue   events
 	nodes   []modelNode
 	targets []*modelTarget
@@ -164,9 +164,9 @@
 		load:     l,
 		random:   rand.New(rand.NewPCG(seed, 7)),
 		chance:   rand.New(rand.NewPCG(seed, 8)),
-		begun:    time.Unix(1_000_000, 0),
+		epoch:    time.Unix(1_000_000, 0),
 	}
-	m.now = m.begun
+	m.now = m.epoch
 	m.nodes = make([]modelNode, l.nodes)
 	m.start()
 	for i := range l.targets {
@@ -180,7 +180,7 @@
 	for len(m.queue) > 0 {
 		e := heap.Pop(&m.queue).(event)
 		m.now = e.at
-		if m.now.Sub(m.begun) > modelTime {
+		if m.now.Sub(m.epoch) > modelTime {
 			break
 		}
 		e.do()
