--- a/internal/quarantine/model_test.go
+++ b/internal/quarantine/model_test.go
@@ -144,17 +144,17 @@
 	load     load
 	// random is drawn from by what the way does, chance by what happens to the service: that
 	// is the same for all ways.
-	random  *rand.Rand
-	chance  *rand.Rand
-	now     time.Time
-	epoch   time.Time
-	queue   events
-	nodes   []modelNode
-	targets []*modelTarget
-	third   time.Time
-	started time.Time
-	out     outcome
-	unique  int
+	random     *rand.Rand
+	chance     *rand.Rand
+	now        time.Time
+	epoch      time.Time
+	queue      events
+	nodes      []modelNode
+	targets    []*modelTarget
+	thirdCrash time.Time
+	started    time.Time
+	out        outcome
+	unique     int
 }
 
 // play plays a way under a load.
@@ -300,7 +300,7 @@
 	target := free[m.random.IntN(len(free))]
 	target.inFlight[t] = true
 	if t.request.harmful {
-		if !m.third.IsZero() && m.now.Sub(m.third) > contactTime && m.now.Sub(m.started) > contactTime {
+		if !m.thirdCrash.IsZero() && m.now.Sub(m.thirdCrash) > contactTime && m.now.Sub(m.started) > contactTime {
 			m.out.late++
 		}
 		m.after(m.spread(harmTime), func() { m.harm(target, t) })
@@ -326,7 +326,7 @@
 	}
 	m.out.crashes++
 	if m.out.crashes == 3 {
-		m.third = m.now
+		m.thirdCrash = m.now
 	}
 	m.end(target)
 }
