--- a/internal/quarantine/model_test.go
+++ b/internal/quarantine/model_test.go
@@ -153,7 +153,7 @@
 	targets    []*modelTarget
 	thirdCrash time.Time
 	started    time.Time
-	out        outcome
+	result     outcome
 	unique     int
 }
 
@@ -185,7 +185,7 @@
 		}
 		e.do()
 	}
-	return m.out
+	return m.result
 }
 
 // start has all nodes begin, without any memory.
@@ -257,7 +257,7 @@
 
 // harmless is a request that ends nothing: of its own, or one that many ask for.
 func (m *model) harmless() {
-	m.out.harmless++
+	m.result.harmless++
 	m.unique++
 	uri := fmt.Sprintf("unique-%d", m.unique)
 	if m.chance.Float64() < popular {
@@ -276,8 +276,8 @@
 	}
 	if m.strategy.keepsRecords && m.nodes[t.node].ledger.Check(m.now, r.prints).Held() {
 		if !r.harmful {
-			m.out.refused++
-			m.out.lost++
+			m.result.refused++
+			m.result.lost++
 		}
 		return
 	}
@@ -301,7 +301,7 @@
 	target.inFlight[t] = true
 	if t.request.harmful {
 		if !m.thirdCrash.IsZero() && m.now.Sub(m.thirdCrash) > contactTime && m.now.Sub(m.started) > contactTime {
-			m.out.late++
+			m.result.late++
 		}
 		m.after(m.spread(harmTime), func() { m.harm(target, t) })
 		return
@@ -324,8 +324,8 @@
 	if !target.inFlight[t] {
 		return
 	}
-	m.out.crashes++
-	if m.out.crashes == 3 {
+	m.result.crashes++
+	if m.result.crashes == 3 {
 		m.thirdCrash = m.now
 	}
 	m.end(target)
@@ -383,7 +383,7 @@
 		return
 	}
 	if t.request.retries >= maxRetries {
-		m.out.lost++
+		m.result.lost++
 		return
 	}
 	t.request.retries++
