--- a/internal/quarantine/model_test.go
+++ b/internal/quarantine/model_test.go
@@ -71,8 +71,8 @@
 	maxRetries      = 2
 )
 
-// outcome counts what came of a play.
-type outcome struct {
+// result counts what came of a play.
+type result struct {
 	harmless int
 	// refused counts harmless requests that were refused, lost those not served for whatever
 	// reason.
@@ -84,7 +84,7 @@
 	late    int
 }
 
-func (o *outcome) add(p outcome) {
+func (o *result) add(p result) {
 	o.harmless += p.harmless
 	o.refused += p.refused
 	o.lost += p.lost
@@ -153,12 +153,12 @@
 	targets    []*modelTarget
 	thirdCrash time.Time
 	started    time.Time
-	result     outcome
+	result     result
 	unique     int
 }
 
 // play plays a way under a load.
-func play(w strategy, l load, seed uint64) outcome {
+func play(w strategy, l load, seed uint64) result {
 	m := &model{
 		strategy: w,
 		load:     l,
--- a/internal/quarantine/ways_test.go
+++ b/internal/quarantine/ways_test.go
@@ -141,7 +141,7 @@
 	for _, l := range loads {
 		t.Log(l.name)
 		for _, w := range played {
-			var sum outcome
+			var sum result
 			worst := 0
 			for seed := range seeds {
 				o := play(w, l, uint64(seed))
@@ -159,7 +159,7 @@
 }
 
 // judge checks what is promised of the way that is built.
-func (o *outcome) judge(t *testing.T, l load, worst, seeds int) {
+func (o *result) judge(t *testing.T, l load, worst, seeds int) {
 	t.Helper()
 	const (
 		// mostLate is how often a harmful request may be sent on once it is known.
