--- a/internal/quarantine/model_nodes_test.go
+++ b/internal/quarantine/model_nodes_test.go
@@ -10,8 +10,8 @@
 
 // This file is what the nodes of the model tell each other.
 
-// note has a node note that a target ended under a request.
-func (m *model) note(t *modelAttempt, life string) {
+// recordCrash has a node note that a target ended under a request.
+func (m *model) recordCrash(t *modelAttempt, life string) {
 	n := m.nodes[t.node]
 	for _, p := range t.request.prints.All() {
 		if m.strategy.keepsAnswers && n.answers.Lately(m.now, p) {
--- a/internal/quarantine/model_test.go
+++ b/internal/quarantine/model_test.go
@@ -356,7 +356,7 @@
 	look := 2 * oneWay
 	m.after(look, func() {
 		if m.strategy.keepsRecords && (ended || !m.strategy.checksTarget) {
-			m.note(t, life)
+			m.recordCrash(t, life)
 		}
 		if suspect {
 			m.again(t)
