--- a/internal/quarantine/model_nodes_test.go
+++ b/internal/quarantine/model_nodes_test.go
@@ -21,8 +21,8 @@
 	}
 }
 
-// answered is a request that was answered.
-func (m *model) answered(t *modelAttempt) {
+// recordAnswer is a request that was answered.
+func (m *model) recordAnswer(t *modelAttempt) {
 	n := m.nodes[t.node]
 	n.answers.Note(m.now, t.request.prints)
 	for _, p := range t.request.prints.All() {
--- a/internal/quarantine/model_test.go
+++ b/internal/quarantine/model_test.go
@@ -315,7 +315,7 @@
 			m.broke(t, target, false)
 			return
 		}
-		m.answered(t)
+		m.recordAnswer(t)
 	})
 }
 
