--- a/internal/quarantine/model_nodes_test.go
+++ b/internal/quarantine/model_nodes_test.go
@@ -17,7 +17,7 @@
 		if m.strategy.keepsAnswers && n.answers.Lately(m.now, p) {
 			continue
 		}
-		m.tell(n.ledger.Ended(m.now, p, life))
+		m.share(n.ledger.Ended(m.now, p, life))
 	}
 }
 
@@ -26,13 +26,13 @@
 	n := m.nodes[t.node]
 	n.answers.Note(m.now, t.request.prints)
 	for _, p := range t.request.prints.All() {
-		m.tell(n.ledger.Answered(p))
+		m.share(n.ledger.Answered(p))
 	}
 }
 
-// tell takes records that changed to whom they concern: to all nodes if they are shared,
+// share takes records that changed to whom they concern: to all nodes if they are shared,
 // else to the two that add up what is known of the request.
-func (m *model) tell(records []quarantine.Record) {
+func (m *model) share(records []quarantine.Record) {
 	if !m.strategy.sharesRecords {
 		return
 	}
@@ -59,13 +59,13 @@
 		n := m.nodes[to]
 		news := n.ledger.Learn(m.now, r)
 		if m.strategy.keepsAnswers && len(news) > 0 && n.answers.Lately(m.now, r.Print) {
-			m.tell(n.ledger.Answered(r.Print))
+			m.share(n.ledger.Answered(r.Print))
 			return
 		}
 		// Who adds up tells all when that makes a record one for all.
 		for _, changed := range news {
 			if changed.Shared() && !r.Shared() {
-				m.tell([]quarantine.Record{changed})
+				m.share([]quarantine.Record{changed})
 			}
 		}
 	})
