--- a/internal/quarantine/model_nodes_test.go
+++ b/internal/quarantine/model_nodes_test.go
@@ -39,18 +39,18 @@
 	for _, r := range records {
 		if r.Shared() {
 			for i := range m.nodes {
-				m.carry(i, r)
+				m.deliver(i, r)
 			}
 			continue
 		}
 		first := int(r.Print[0]) % len(m.nodes)
-		m.carry(first, r)
-		m.carry((first+1)%len(m.nodes), r)
+		m.deliver(first, r)
+		m.deliver((first+1)%len(m.nodes), r)
 	}
 }
 
-// carry takes a record to a node.
-func (m *model) carry(to int, r quarantine.Record) {
+// deliver takes a record to a node.
+func (m *model) deliver(to int, r quarantine.Record) {
 	way := m.spread(2 * oneWay)
 	if m.random.Float64() < lossRate {
 		way += time.Duration(m.random.Float64() * float64(resendDelay))
