--- a/internal/quarantine/model_test.go
+++ b/internal/quarantine/model_test.go
@@ -303,7 +303,7 @@
 		if !m.thirdCrash.IsZero() && m.now.Sub(m.thirdCrash) > contactTime && m.now.Sub(m.started) > contactTime {
 			m.result.late++
 		}
-		m.after(m.spread(harmTime), func() { m.harm(target, t) })
+		m.after(m.spread(harmTime), func() { m.crashUnder(target, t) })
 		return
 	}
 	m.after(m.spread(workTime), func() {
@@ -319,8 +319,8 @@
 	})
 }
 
-// harm ends a target that still works on a harmful request.
-func (m *model) harm(target *modelTarget, t *modelAttempt) {
+// crashUnder ends a target that still works on a harmful request.
+func (m *model) crashUnder(target *modelTarget, t *modelAttempt) {
 	if !target.inFlight[t] {
 		return
 	}
