--- a/internal/quarantine/model_test.go
+++ b/internal/quarantine/model_test.go
@@ -234,12 +234,12 @@
 	for _, at := range l.restarts {
 		m.after(at, m.start)
 	}
-	m.every(l.crashes, faultsStart, modelTime, func() { m.end(m.targets[m.chance.IntN(l.targets)]) })
+	m.every(l.crashes, faultsStart, modelTime, func() { m.crash(m.targets[m.chance.IntN(l.targets)]) })
 	for _, at := range l.massCrashes {
 		m.after(at, func() {
 			for _, t := range m.targets {
 				if m.chance.Float64() < l.crashShare {
-					m.end(t)
+					m.crash(t)
 				}
 			}
 		})
@@ -328,11 +328,11 @@
 	if m.result.crashes == 3 {
 		m.thirdCrash = m.now
 	}
-	m.end(target)
+	m.crash(target)
 }
 
-// end ends a target; it comes back.
-func (m *model) end(target *modelTarget) {
+// crash ends a target; it comes back.
+func (m *model) crash(target *modelTarget) {
 	if !target.up {
 		return
 	}
