--- a/internal/quarantine/model_test.go
+++ b/internal/quarantine/model_test.go
@@ -312,7 +312,7 @@
 		}
 		delete(target.inFlight, t)
 		if m.random.Float64() < m.load.brokenShare {
-			m.broke(t, target, false)
+			m.connectionBroken(t, target, false)
 			return
 		}
 		m.recordAnswer(t)
@@ -340,14 +340,14 @@
 	flights := target.inFlight
 	target.inFlight = map[*modelAttempt]bool{}
 	for t := range flights {
-		m.broke(t, target, true)
+		m.connectionBroken(t, target, true)
 	}
 	target.incarnation++
 	m.after(restartTime, func() { target.up = true })
 }
 
-// broke is an attempt whose connection broke.
-func (m *model) broke(t *modelAttempt, target *modelTarget, ended bool) {
+// connectionBroken is an attempt whose connection broke.
+func (m *model) connectionBroken(t *modelAttempt, target *modelTarget, ended bool) {
 	suspect := false
 	if m.strategy.keepsRecords {
 		suspect = m.nodes[t.node].ledger.Check(m.now, t.request.prints).Suspect()
