--- a/internal/quarantine/model_test.go
+++ b/internal/quarantine/model_test.go
@@ -359,16 +359,16 @@
 			m.recordCrash(t, life)
 		}
 		if suspect {
-			m.again(t)
+			m.retry(t)
 		}
 	})
 	if !suspect {
-		m.again(t)
+		m.retry(t)
 	}
 }
 
-// again sends a request to a second target.
-func (m *model) again(t *modelAttempt) {
+// retry sends a request to a second target.
+func (m *model) retry(t *modelAttempt) {
 	held := m.strategy.keepsRecords && m.nodes[t.node].ledger.Check(m.now, t.request.prints).Held()
 	if t.attempts >= maxAttempts || held {
 		m.failed(t)
