--- a/internal/quarantine/model_test.go
+++ b/internal/quarantine/model_test.go
@@ -157,8 +157,8 @@
 	unique     int
 }
 
-// play plays a way under a load.
-func play(w strategy, l load, seed uint64) result {
+// simulate plays a way under a load.
+func simulate(w strategy, l load, seed uint64) result {
 	m := &model{
 		strategy: w,
 		load:     l,
--- a/internal/quarantine/ways_test.go
+++ b/internal/quarantine/ways_test.go
@@ -144,7 +144,7 @@
 			var sum result
 			worst := 0
 			for seed := range seeds {
-				o := play(w, l, uint64(seed))
+				o := simulate(w, l, uint64(seed))
 				sum.add(o)
 				worst = max(worst, o.late)
 			}
