--- a/internal/quarantine/ways_test.go
+++ b/internal/quarantine/ways_test.go
@@ -127,16 +127,16 @@
 	},
 }
 
-// allWays plays all ways, with as many seeds as are asked for, for comparison.
-var allWays = flag.Int("ways", 0, "seeds with which TestWays plays all ways")
+// allStrategies plays all ways, with as many seeds as are asked for, for comparison.
+var allStrategies = flag.Int("ways", 0, "seeds with which TestWays plays all ways")
 
 // Compared with nothing, with each node by itself and with other thresholds, the way that is
 // built ends few targets, keeps away at last what ends them, and refuses hardly any harmless
 // request, whatever else the targets crash of.
 func TestWays(t *testing.T) {
 	seeds, played := 4, ways[len(ways)-1:]
-	if *allWays > 0 {
-		seeds, played = *allWays, ways
+	if *allStrategies > 0 {
+		seeds, played = *allStrategies, ways
 	}
 	for _, l := range loads {
 		t.Log(l.name)
