--- a/internal/quarantine/ways_test.go
+++ b/internal/quarantine/ways_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-var ways = []strategy{
+var strategies = []strategy{
 	{
 		name: "nothing is remembered",
 	},
@@ -134,9 +134,9 @@
 // built ends few targets, keeps away at last what ends them, and refuses hardly any harmless
 // request, whatever else the targets crash of.
 func TestWays(t *testing.T) {
-	seeds, played := 4, ways[len(ways)-1:]
+	seeds, played := 4, strategies[len(strategies)-1:]
 	if *allStrategies > 0 {
-		seeds, played = *allStrategies, ways
+		seeds, played = *allStrategies, strategies
 	}
 	for _, l := range loads {
 		t.Log(l.name)
