--- a/internal/quarantine/ways_test.go
+++ b/internal/quarantine/ways_test.go
@@ -152,14 +152,14 @@
 				float64(sum.crashes)/float64(seeds), float64(sum.late)/float64(seeds), worst,
 				sum.refused, sum.harmless, float64(sum.lost)/float64(sum.harmless))
 			if w.implemented {
-				sum.judge(t, l, worst, seeds)
+				sum.check(t, l, worst, seeds)
 			}
 		}
 	}
 }
 
-// judge checks what is promised of the way that is built.
-func (o *result) judge(t *testing.T, l load, worst, seeds int) {
+// check checks what is promised of the way that is built.
+func (o *result) check(t *testing.T, l load, worst, seeds int) {
 	t.Helper()
 	const (
 		// mostLate is how often a harmful request may be sent on once it is known.
