--- a/internal/quarantine/answers_test.go
+++ b/internal/quarantine/answers_test.go
@@ -12,8 +12,8 @@
 
 // An answer speaks for a request for AnswerMemory, and for no other request.
 func TestAnswers(t *testing.T) {
-	a := quarantine.NewAnswers(begun)
-	at := begun.Add(time.Hour)
+	a := quarantine.NewAnswers(start)
+	at := start.Add(time.Hour)
 	p := printsOf("/7")
 	a.Note(at, p)
 	tests := []struct {
@@ -60,9 +60,9 @@
 // At the load of the target size seven in ten of what was answered within the time are kept.
 func TestAnswersLast(t *testing.T) {
 	const perSecond = 210
-	a := quarantine.NewAnswers(begun)
+	a := quarantine.NewAnswers(start)
 	n := int(quarantine.AnswerMemory/time.Second) * perSecond
-	at := func(i int) time.Time { return begun.Add(time.Duration(i) * time.Second / perSecond) }
+	at := func(i int) time.Time { return start.Add(time.Duration(i) * time.Second / perSecond) }
 	for i := range n {
 		a.Note(at(i), printsOf(fmt.Sprint(i)))
 	}
--- a/internal/quarantine/ledger_test.go
+++ b/internal/quarantine/ledger_test.go
@@ -15,7 +15,7 @@
 	"ploverjunction.example/ploverjunction/internal/quarantine"
 )
 
-var begun = time.Unix(1_000_000, 0)
+var start = time.Unix(1_000_000, 0)
 
 func printsOf(uri string) quarantine.Prints {
 	return quarantine.NewPrints(quarantine.Request{
@@ -90,9 +90,9 @@
 		t.Run(tt.name, func(t *testing.T) {
 			l := quarantine.NewLedger(7)
 			p := printsOf("/7")
-			now := begun
+			now := start
 			for i := range tt.ends {
-				now = begun.Add(time.Duration(i) * time.Second)
+				now = start.Add(time.Duration(i) * time.Second)
 				ended(l, now, p, fmt.Sprint(i))
 			}
 			s := l.Check(now, p)
@@ -123,44 +123,44 @@
 		{
 			name: "nodes that saw the same end",
 			do: func(l *quarantine.Ledger) {
-				ended(l, begun, p, "a")
-				ended(l, begun.Add(300*time.Millisecond), p, "a")
+				ended(l, start, p, "a")
+				ended(l, start.Add(300*time.Millisecond), p, "a")
 			},
 			want: 1,
 		},
 		{
 			name: "a target that came back and ended again",
 			do: func(l *quarantine.Ledger) {
-				ended(l, begun, p, "a")
-				ended(l, begun.Add(4*time.Second), p, "a")
+				ended(l, start, p, "a")
+				ended(l, start.Add(4*time.Second), p, "a")
 			},
 			want: 2,
 		},
 		{
 			name: "an answer between",
 			do: func(l *quarantine.Ledger) {
-				ended(l, begun, p, "a")
-				ended(l, begun.Add(time.Second), p, "b")
+				ended(l, start, p, "a")
+				ended(l, start.Add(time.Second), p, "b")
 				answered(l, p)
-				ended(l, begun.Add(2*time.Second), p, "c")
+				ended(l, start.Add(2*time.Second), p, "c")
 			},
 			want: 1,
 		},
 		{
 			name: "a late word of an end before the answer",
 			do: func(l *quarantine.Ledger) {
-				ended(l, begun, p, "a")
+				ended(l, start, p, "a")
 				answered(l, p)
-				ended(l, begun.Add(50*time.Millisecond), p, "a")
+				ended(l, start.Add(50*time.Millisecond), p, "a")
 			},
 			want: 0,
 		},
 		{
 			name: "an end of long ago",
 			do: func(l *quarantine.Ledger) {
-				ended(l, begun.Add(-11*time.Minute), p, "a")
-				l.Forget(begun)
-				ended(l, begun, p, "b")
+				ended(l, start.Add(-11*time.Minute), p, "a")
+				l.Forget(start)
+				ended(l, start, p, "b")
 			},
 			want: 1,
 		},
@@ -169,7 +169,7 @@
 		t.Run(tt.name, func(t *testing.T) {
 			l := quarantine.NewLedger(7)
 			tt.do(l)
-			if got := l.Check(begun.Add(4*time.Second), p).Ends; got != tt.want {
+			if got := l.Check(start.Add(4*time.Second), p).Ends; got != tt.want {
 				t.Errorf("%d ends, want %d", got, tt.want)
 			}
 		})
@@ -187,16 +187,16 @@
 		for _, o := range offsets {
 			r.Ends = append(r.Ends, quarantine.End{
 				Target: 1,
-				At:     begun.Add(shift + o),
+				At:     start.Add(shift + o),
 			})
 		}
 		return r
 	}
 	a, b := quarantine.NewLedger(1), quarantine.NewLedger(2)
-	a.Learn(begun, record(0, 0))
-	a.Learn(begun, record(0, 10*time.Second))
-	b.Learn(begun, record(0, 0, 501*time.Millisecond, 10*time.Second))
-	a.Learn(begun, record(-3*time.Millisecond, 0, 501*time.Millisecond, 10*time.Second))
+	a.Learn(start, record(0, 0))
+	a.Learn(start, record(0, 10*time.Second))
+	b.Learn(start, record(0, 0, 501*time.Millisecond, 10*time.Second))
+	a.Learn(start, record(-3*time.Millisecond, 0, 501*time.Millisecond, 10*time.Second))
 	if a.Digest() != b.Digest() {
 		t.Errorf("digests %x and %x", a.Digest(), b.Digest())
 	}
@@ -210,12 +210,12 @@
 	for i := range 40 {
 		r.Ends = append(r.Ends, quarantine.End{
 			Target: uint32(i),
-			At:     begun.Add(time.Duration(i) * time.Millisecond),
+			At:     start.Add(time.Duration(i) * time.Millisecond),
 		})
 	}
 	l := quarantine.NewLedger(1)
-	l.Learn(begun, r)
-	if s := l.Standing(begun.Add(time.Second), r.Print); !s.Held() || s.Ends > 12 {
+	l.Learn(start, r)
+	if s := l.Standing(start.Add(time.Second), r.Print); !s.Held() || s.Ends > 12 {
 		t.Errorf("%d ends, refused for %v", s.Ends, s.Wait)
 	}
 }
@@ -232,11 +232,11 @@
 	}
 	harmful, harmless := ask("192.0.2.7"), ask("192.0.2.8")
 	for i := range 3 {
-		now := begun.Add(time.Duration(i) * time.Second)
+		now := start.Add(time.Duration(i) * time.Second)
 		ended(l, now, harmful, fmt.Sprint(i))
 		answered(l, harmless)
 	}
-	now := begun.Add(3 * time.Second)
+	now := start.Add(3 * time.Second)
 	if !l.Check(now, harmful).Held() {
 		t.Error("the harmful request is not refused")
 	}
@@ -253,9 +253,9 @@
 	for salt := range uint64(nodes) {
 		l := quarantine.NewLedger(salt)
 		for i := range 3 {
-			ended(l, begun, p, fmt.Sprint(i))
+			ended(l, start, p, fmt.Sprint(i))
 		}
-		if !l.Check(begun.Add(66*time.Second), p).Held() {
+		if !l.Check(start.Add(66*time.Second), p).Held() {
 			soon++
 		}
 	}
@@ -271,7 +271,7 @@
 	l := quarantine.NewLedger(7)
 	for i := range 5000 {
 		p := printsOf(fmt.Sprint(i))
-		now := begun.Add(time.Duration(i) * time.Millisecond)
+		now := start.Add(time.Duration(i) * time.Millisecond)
 		ended(l, now, p, "a")
 		if i%3 == 0 {
 			ended(l, now, p, "b")
@@ -280,10 +280,10 @@
 	if l.Len() > most {
 		t.Errorf("%d records, want at most %d", l.Len(), most)
 	}
-	if got := l.Check(begun.Add(5*time.Second), printsOf("4999")).Ends; got != 1 {
+	if got := l.Check(start.Add(5*time.Second), printsOf("4999")).Ends; got != 1 {
 		t.Errorf("%d ends of the last request, want 1", got)
 	}
-	l.Forget(begun.Add(time.Hour))
+	l.Forget(start.Add(time.Hour))
 	if l.Len() != 0 || l.Digest() != 0 {
 		t.Errorf("after an hour: %d records, digest %x", l.Len(), l.Digest())
 	}
@@ -299,7 +299,7 @@
 			Ends: []quarantine.End{
 				{
 					Target:   uint32(n % 5),
-					At:       begun.Add(time.Duration(n/5%6) * 2 * time.Second),
+					At:       start.Add(time.Duration(n/5%6) * 2 * time.Second),
 					Answered: n%7 == 0,
 				},
 			},
@@ -308,7 +308,7 @@
 	learn := func(ns []int64, order []int) *quarantine.Ledger {
 		l := quarantine.NewLedger(1)
 		for _, i := range order {
-			l.Learn(begun.Add(time.Minute), record(ns[i]))
+			l.Learn(start.Add(time.Minute), record(ns[i]))
 		}
 		return l
 	}
