--- a/internal/quarantine/ledger_test.go
+++ b/internal/quarantine/ledger_test.go
@@ -25,8 +25,8 @@
 	})
 }
 
-// ended notes an end under all that names a request.
-func ended(l *quarantine.Ledger, at time.Time, p quarantine.Prints, target string) {
+// recordCrash notes an end under all that names a request.
+func recordCrash(l *quarantine.Ledger, at time.Time, p quarantine.Prints, target string) {
 	for _, one := range p.All() {
 		l.Ended(at, one, target)
 	}
@@ -93,7 +93,7 @@
 			now := start
 			for i := range tt.ends {
 				now = start.Add(time.Duration(i) * time.Second)
-				ended(l, now, p, fmt.Sprint(i))
+				recordCrash(l, now, p, fmt.Sprint(i))
 			}
 			s := l.Check(now, p)
 			if !s.Suspect() {
@@ -123,44 +123,44 @@
 		{
 			name: "nodes that saw the same end",
 			do: func(l *quarantine.Ledger) {
-				ended(l, start, p, "a")
-				ended(l, start.Add(300*time.Millisecond), p, "a")
+				recordCrash(l, start, p, "a")
+				recordCrash(l, start.Add(300*time.Millisecond), p, "a")
 			},
 			want: 1,
 		},
 		{
 			name: "a target that came back and ended again",
 			do: func(l *quarantine.Ledger) {
-				ended(l, start, p, "a")
-				ended(l, start.Add(4*time.Second), p, "a")
+				recordCrash(l, start, p, "a")
+				recordCrash(l, start.Add(4*time.Second), p, "a")
 			},
 			want: 2,
 		},
 		{
 			name: "an answer between",
 			do: func(l *quarantine.Ledger) {
-				ended(l, start, p, "a")
-				ended(l, start.Add(time.Second), p, "b")
+				recordCrash(l, start, p, "a")
+				recordCrash(l, start.Add(time.Second), p, "b")
 				answered(l, p)
-				ended(l, start.Add(2*time.Second), p, "c")
+				recordCrash(l, start.Add(2*time.Second), p, "c")
 			},
 			want: 1,
 		},
 		{
 			name: "a late word of an end before the answer",
 			do: func(l *quarantine.Ledger) {
-				ended(l, start, p, "a")
+				recordCrash(l, start, p, "a")
 				answered(l, p)
-				ended(l, start.Add(50*time.Millisecond), p, "a")
+				recordCrash(l, start.Add(50*time.Millisecond), p, "a")
 			},
 			want: 0,
 		},
 		{
 			name: "an end of long ago",
 			do: func(l *quarantine.Ledger) {
-				ended(l, start.Add(-11*time.Minute), p, "a")
+				recordCrash(l, start.Add(-11*time.Minute), p, "a")
 				l.Forget(start)
-				ended(l, start, p, "b")
+				recordCrash(l, start, p, "b")
 			},
 			want: 1,
 		},
@@ -233,7 +233,7 @@
 	harmful, harmless := ask("192.0.2.7"), ask("192.0.2.8")
 	for i := range 3 {
 		now := start.Add(time.Duration(i) * time.Second)
-		ended(l, now, harmful, fmt.Sprint(i))
+		recordCrash(l, now, harmful, fmt.Sprint(i))
 		answered(l, harmless)
 	}
 	now := start.Add(3 * time.Second)
@@ -253,7 +253,7 @@
 	for salt := range uint64(nodes) {
 		l := quarantine.NewLedger(salt)
 		for i := range 3 {
-			ended(l, start, p, fmt.Sprint(i))
+			recordCrash(l, start, p, fmt.Sprint(i))
 		}
 		if !l.Check(start.Add(66*time.Second), p).Held() {
 			soon++
@@ -272,9 +272,9 @@
 	for i := range 5000 {
 		p := printsOf(fmt.Sprint(i))
 		now := start.Add(time.Duration(i) * time.Millisecond)
-		ended(l, now, p, "a")
+		recordCrash(l, now, p, "a")
 		if i%3 == 0 {
-			ended(l, now, p, "b")
+			recordCrash(l, now, p, "b")
 		}
 	}
 	if l.Len() > most {
