--- a/internal/quarantine/ledger_test.go
+++ b/internal/quarantine/ledger_test.go
@@ -32,7 +32,7 @@
 	}
 }
 
-func answered(l *quarantine.Ledger, p quarantine.Prints) {
+func recordAnswer(l *quarantine.Ledger, p quarantine.Prints) {
 	for _, one := range p.All() {
 		l.Answered(one)
 	}
@@ -141,7 +141,7 @@
 			do: func(l *quarantine.Ledger) {
 				recordCrash(l, start, p, "a")
 				recordCrash(l, start.Add(time.Second), p, "b")
-				answered(l, p)
+				recordAnswer(l, p)
 				recordCrash(l, start.Add(2*time.Second), p, "c")
 			},
 			want: 1,
@@ -150,7 +150,7 @@
 			name: "a late word of an end before the answer",
 			do: func(l *quarantine.Ledger) {
 				recordCrash(l, start, p, "a")
-				answered(l, p)
+				recordAnswer(l, p)
 				recordCrash(l, start.Add(50*time.Millisecond), p, "a")
 			},
 			want: 0,
@@ -234,7 +234,7 @@
 	for i := range 3 {
 		now := start.Add(time.Duration(i) * time.Second)
 		recordCrash(l, now, harmful, fmt.Sprint(i))
-		answered(l, harmless)
+		recordAnswer(l, harmless)
 	}
 	now := start.Add(3 * time.Second)
 	if !l.Check(now, harmful).Held() {
