--- a/internal/quarantine/answers_test.go
+++ b/internal/quarantine/answers_test.go
@@ -14,7 +14,7 @@
 func TestAnswers(t *testing.T) {
 	a := quarantine.NewAnswers(start)
 	at := start.Add(time.Hour)
-	p := printsOf("/7")
+	p := fingerprintsOf("/7")
 	a.Note(at, p)
 	tests := []struct {
 		name  string
@@ -45,7 +45,7 @@
 		},
 		{
 			name:  "another request",
-			print: printsOf("/8").Content(),
+			print: fingerprintsOf("/8").Content(),
 		},
 	}
 	for _, tt := range tests {
@@ -64,11 +64,11 @@
 	n := int(quarantine.AnswerMemory/time.Second) * perSecond
 	at := func(i int) time.Time { return start.Add(time.Duration(i) * time.Second / perSecond) }
 	for i := range n {
-		a.Note(at(i), printsOf(fmt.Sprint(i)))
+		a.Note(at(i), fingerprintsOf(fmt.Sprint(i)))
 	}
 	kept := 0
 	for i := range n {
-		if a.Lately(at(n), printsOf(fmt.Sprint(i)).Content()) {
+		if a.Lately(at(n), fingerprintsOf(fmt.Sprint(i)).Content()) {
 			kept++
 		}
 	}
--- a/internal/quarantine/ledger_test.go
+++ b/internal/quarantine/ledger_test.go
@@ -17,7 +17,7 @@
 
 var start = time.Unix(1_000_000, 0)
 
-func printsOf(uri string) quarantine.Prints {
+func fingerprintsOf(uri string) quarantine.Prints {
 	return quarantine.NewPrints(quarantine.Request{
 		Method: "GET",
 		URI:    uri,
@@ -89,7 +89,7 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			l := quarantine.NewLedger(7)
-			p := printsOf("/7")
+			p := fingerprintsOf("/7")
 			now := start
 			for i := range tt.ends {
 				now = start.Add(time.Duration(i) * time.Second)
@@ -105,7 +105,7 @@
 			if after := l.Check(now.Add(tt.most), p); after.Held() {
 				t.Errorf("still refused after %v", tt.most)
 			}
-			if other := l.Check(now, printsOf("/8")); other.Suspect() {
+			if other := l.Check(now, fingerprintsOf("/8")); other.Suspect() {
 				t.Error("another request is suspected")
 			}
 		})
@@ -114,7 +114,7 @@
 
 // What counts as another end, and what speaks for a request.
 func TestWhatCounts(t *testing.T) {
-	p := printsOf("/7")
+	p := fingerprintsOf("/7")
 	tests := []struct {
 		name string
 		do   func(l *quarantine.Ledger)
@@ -179,7 +179,7 @@
 // Nodes whose times of two ends of one target differ a little come to know the same: what
 // one of them tells apart is two for all.
 func TestEndsCloseTogether(t *testing.T) {
-	p := printsOf("/7").Content()
+	p := fingerprintsOf("/7").Content()
 	record := func(shift time.Duration, offsets ...time.Duration) quarantine.Record {
 		r := quarantine.Record{
 			Print: p,
@@ -205,7 +205,7 @@
 // A peer may send more ends than are kept.
 func TestManyEnds(t *testing.T) {
 	r := quarantine.Record{
-		Print: printsOf("/7").Content(),
+		Print: fingerprintsOf("/7").Content(),
 	}
 	for i := range 40 {
 		r.Ends = append(r.Ends, quarantine.End{
@@ -248,7 +248,7 @@
 // Nodes let a request run again one after another, so that all others learn from the first.
 func TestNodesTryAgainOneAfterAnother(t *testing.T) {
 	const nodes = 200
-	p := printsOf("/7")
+	p := fingerprintsOf("/7")
 	soon := 0
 	for salt := range uint64(nodes) {
 		l := quarantine.NewLedger(salt)
@@ -270,7 +270,7 @@
 	const most = 64 + 512
 	l := quarantine.NewLedger(7)
 	for i := range 5000 {
-		p := printsOf(fmt.Sprint(i))
+		p := fingerprintsOf(fmt.Sprint(i))
 		now := start.Add(time.Duration(i) * time.Millisecond)
 		recordCrash(l, now, p, "a")
 		if i%3 == 0 {
@@ -280,7 +280,7 @@
 	if l.Len() > most {
 		t.Errorf("%d records, want at most %d", l.Len(), most)
 	}
-	if got := l.Check(start.Add(5*time.Second), printsOf("4999")).Ends; got != 1 {
+	if got := l.Check(start.Add(5*time.Second), fingerprintsOf("4999")).Ends; got != 1 {
 		t.Errorf("%d ends of the last request, want 1", got)
 	}
 	l.Forget(start.Add(time.Hour))
@@ -292,7 +292,7 @@
 // Whatever the order in which nodes hear of ends and answers, and how often, they come to
 // know the same.
 func TestRecordsAddUpInAnyOrder(t *testing.T) {
-	p := printsOf("/7").Content()
+	p := fingerprintsOf("/7").Content()
 	record := func(n int64) quarantine.Record {
 		return quarantine.Record{
 			Print: p,
