--- a/internal/quarantine/answers.go
+++ b/internal/quarantine/answers.go
@@ -10,11 +10,11 @@
 
 // Bounds of Answers.
 const (
-	// answerSlots is how many answered requests are kept in mind, 8 bytes each. At 210
-	// requests a second, with two Prints each, seven in ten last for AnswerMemory; the
-	// others give way to later ones.
+	// answerSlots is the number of slots, of 8 bytes each. At 210 requests a second, with two
+	// fingerprints each, seven in ten are kept for AnswerMemory; the others are overwritten by
+	// later ones.
 	answerSlots = 1 << 14
-	// AnswerMemory is how long an answer speaks for a request.
+	// AnswerMemory is how long an answer counts in favor of a request.
 	AnswerMemory = 30 * time.Second
 	// answerTick is the unit in which the age of an answer is kept.
 	answerTick = time.Second
@@ -22,22 +22,22 @@
 	tickBits = 24
 )
 
-// Answers are the requests that targets answered lately: what many ask for is often in
-// flight where a target ends, and is no worse for it. A request that is answered later
-// may take the place of another one. Answers may be used concurrently.
+// Answers keeps the requests that targets answered recently: a popular request is often in flight
+// when a target crashes, without being the cause. A later answer may overwrite an earlier one
+// of another request. Answers may be used concurrently.
 type Answers struct {
 	started time.Time
 	slots   [answerSlots]atomic.Uint64
 }
 
-// NewAnswers returns an empty memory.
+// NewAnswers returns empty Answers.
 func NewAnswers(now time.Time) *Answers {
 	return &Answers{
 		started: now,
 	}
 }
 
-// Note notes that a request was answered.
+// Note records that a request was answered.
 func (a *Answers) Note(now time.Time, prints Prints) {
 	for _, p := range prints.All() {
 		slot, tag := a.slot(p)
@@ -45,7 +45,7 @@
 	}
 }
 
-// Lately reports whether a request with a Print was answered within AnswerMemory.
+// Lately reports whether a request with a fingerprint was answered within AnswerMemory.
 func (a *Answers) Lately(now time.Time, p Print) bool {
 	slot, tag := a.slot(p)
 	v := slot.Load()
@@ -56,13 +56,13 @@
 	return (a.tick(now)-v)&mask <= uint64(AnswerMemory/answerTick)
 }
 
-// slot returns the slot of a Print and what tells it from others in the slot.
+// slot returns the slot of a fingerprint and the tag that distinguishes it from others in the slot.
 func (a *Answers) slot(p Print) (*atomic.Uint64, uint64) {
 	n := binary.BigEndian.Uint64(p[:])
 	return &a.slots[n%answerSlots], n >> tickBits
 }
 
-// tick returns the time since the memory began, from 1 on.
+// tick returns the time since the start in units of answerTick, from 1 on.
 func (a *Answers) tick(now time.Time) uint64 {
 	const mask = 1<<tickBits - 1
 	return uint64(now.Sub(a.started)/answerTick+1) & mask
--- a/internal/quarantine/doc.go
+++ b/internal/quarantine/doc.go
@@ -1,13 +1,12 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package quarantine keeps requests away from targets that end when they run them.
+// Package quarantine refuses requests that crash the targets that run them.
 //
-// A target that ends tells nothing of its cause: every request that it was working on may
-// have ended it. What tells them apart is that one of them comes again, and targets end
-// under it again, while the others are answered. So nodes note under which requests targets
-// have ended, and which requests were answered; a request under which two targets ended,
-// with no answer since, is refused by all nodes for a while that grows with each further
-// end.
+// The crash of a target doesn't show its cause: any request that the target was working on may
+// have caused it. The harmful one differs in that it is repeated and crashes targets again,
+// while the others are answered. So nodes record under which requests targets crashed, and
+// which requests were answered; a request under which three targets crashed, with no answer
+// since, is refused by all nodes for a time that grows with each further crash.
 //
 // The package is pure: it starts no goroutine, opens nothing, logs nothing and takes the
 // time as an argument.
--- a/internal/quarantine/export_test.go
+++ b/internal/quarantine/export_test.go
@@ -4,7 +4,7 @@
 
 import "time"
 
-// RefuseFrom has the ledger refuse requests from another number of ends on.
+// RefuseFrom makes the ledger refuse requests from another number of crashes on.
 func (l *Ledger) RefuseFrom(ends int) {
 	h := defaultHolds
 	for n := range h {
--- a/internal/quarantine/ledger.go
+++ b/internal/quarantine/ledger.go
@@ -12,17 +12,17 @@
 
 // Bounds of a ledger.
 const (
-	// maxShared bounds the records that all nodes know, of some 120 bytes each.
+	// maxShared bounds the shared records, of some 120 bytes each.
 	maxShared = 64
-	// maxSingle bounds those of one end. A machine that is lost takes some targets with it,
+	// maxSingle bounds the records of one crash. The loss of a machine crashes several targets,
 	// each with as many requests as it has slots.
 	maxSingle = 512
 )
 
-// Ledger is what one node knows of requests under which targets ended. It isn't safe for
+// Ledger holds a node's records of requests under which targets crashed. It isn't safe for
 // concurrent use.
 type Ledger struct {
-	// salt is this node's own: nodes let a request run again at different moments.
+	// salt differs between nodes, so that they release a request at different times.
 	salt    uint64
 	holds   *holdTimes
 	records map[Print]*Record
@@ -42,29 +42,28 @@
 func (l *Ledger) Len() int { return len(l.records) }
 
 // Digest returns a hash of the shared records, 0 without any: ledgers with equal digests
-// know the same.
+// hold the same shared records.
 func (l *Ledger) Digest() uint64 { return l.digest }
 
-// Standing is what a ledger says of a request.
+// Standing is the state of a request in a ledger.
 type Standing struct {
-	// Print is the one of the request's Prints that this is about.
+	// Print is the fingerprint of the request to which the state belongs.
 	Print Print
-	// Ends is how many targets ended under the request since it was last answered, Last
-	// when that happened last.
+	// Ends is how many targets crashed under the request since it was last answered, Last the
+	// time of the last crash.
 	Ends int
 	Last time.Time
 	// Wait is for how long the request is refused, 0 if it may run.
 	Wait time.Duration
 }
 
-// Suspect reports whether a target ended under the request.
+// Suspect reports whether a target crashed under the request since it was last answered.
 func (s Standing) Suspect() bool { return s.Ends > 0 }
 
 // Held reports whether the request is refused.
 func (s Standing) Held() bool { return s.Wait > 0 }
 
-// Check returns what is known of a request: of its Prints the one that speaks most against
-// it.
+// Check returns the worst state of a request among its fingerprints.
 func (l *Ledger) Check(now time.Time, prints Prints) Standing {
 	var worst Standing
 	for _, p := range prints.All() {
@@ -76,7 +75,7 @@
 	return worst
 }
 
-// Standing returns what is known of the requests with a Print.
+// Standing returns the state of the requests with a fingerprint.
 func (l *Ledger) Standing(now time.Time, p Print) Standing {
 	s := Standing{
 		Print: p,
@@ -93,8 +92,8 @@
 	return s
 }
 
-// releaseDelay returns how late among all nodes this one lets a request run again, from 0 to 1: the
-// others learn from the first one that does.
+// releaseDelay returns how late this node releases a request, from 0 to 1, so that the other nodes
+// learn from the first one that does.
 func (l *Ledger) releaseDelay(ends int) float64 {
 	b := binary.BigEndian.AppendUint64(make([]byte, 0, 16), l.salt)
 	b = binary.BigEndian.AppendUint64(b, uint64(ends))
@@ -102,8 +101,8 @@
 	return float64(xxhash.Sum64(b)%span) / span
 }
 
-// Ended notes that a target ended under a request with a Print. It returns the record if that
-// was news, else nothing.
+// Ended records that a target crashed under a request with a fingerprint. It returns the record if
+// it changed, else nothing.
 func (l *Ledger) Ended(now time.Time, p Print, target string) []Record {
 	return l.Learn(now, Record{
 		Print: p,
@@ -116,8 +115,8 @@
 	})
 }
 
-// Answered notes that a target answered a request with a Print. It returns the record if
-// that was news, else nothing.
+// Answered records that a target answered a request with a fingerprint. It returns the record if
+// it changed, else nothing.
 func (l *Ledger) Answered(p Print) []Record {
 	r := l.records[p]
 	if r == nil {
@@ -126,8 +125,7 @@
 	return l.change(r, r.markAnswered)
 }
 
-// Learn merges the record of a peer. It returns it with all that is known if that was
-// news, else nothing.
+// Learn merges the record of a peer. It returns the merged record if it changed, else nothing.
 func (l *Ledger) Learn(now time.Time, of Record) []Record {
 	r := l.records[of.Print]
 	if r == nil {
@@ -146,7 +144,7 @@
 	return out
 }
 
-// change applies fn to a record and returns the record if fn reports news.
+// change applies fn to a record and returns the record if fn reports a change.
 func (l *Ledger) change(r *Record, fn func() bool) []Record {
 	before := l.digestOf(r)
 	news := fn()
@@ -157,7 +155,7 @@
 	return []Record{r.clone()}
 }
 
-// digestOf returns what a record adds to the digest.
+// digestOf returns a record's contribution to the digest.
 func (l *Ledger) digestOf(r *Record) uint64 {
 	if !r.Shared() {
 		return 0
@@ -170,7 +168,7 @@
 	delete(l.records, r.Print)
 }
 
-// Shared returns the records that all nodes should know, those of the latest ends first.
+// Shared returns the records for all nodes, those with the latest crashes first.
 func (l *Ledger) Shared() []Record {
 	var out []Record
 	for _, r := range l.records {
@@ -182,7 +180,7 @@
 	return out
 }
 
-// Forget drops the records that are of no use any more.
+// Forget drops expired records.
 func (l *Ledger) Forget(now time.Time) {
 	for _, r := range l.records {
 		if !now.Before(r.expiry(l.holds)) {
@@ -191,7 +189,7 @@
 	}
 }
 
-// enforceBounds drops the records with the oldest ends until there are no more than may be.
+// enforceBounds drops the records with the oldest crashes until the bounds are kept.
 func (l *Ledger) enforceBounds(now time.Time) {
 	l.Forget(now)
 	l.enforceBound(maxShared, func(r *Record) bool { return r.Shared() })
--- a/internal/quarantine/print.go
+++ b/internal/quarantine/print.go
@@ -9,44 +9,44 @@
 	"hash"
 )
 
-// fingerprintSize is the size of a Print in bytes: no two requests share one by chance, and
-// nobody can make one that has the Print of another.
+// fingerprintSize is the size of a Print in bytes: large enough that fingerprints neither collide
+// by chance nor can be forged.
 const fingerprintSize = 16
 
-// PrintBody is how many bytes of a body count for a Print: more than most have, and hashed
+// PrintBody is how many bytes of a body count for a Print: more than most bodies have, and hashed
 // in some ten microseconds.
 const PrintBody = 16 << 10
 
-// Print names what a request asks for: two requests with the same Print ask for the same.
+// Print is the fingerprint of a request: requests with the same one have the same content.
 type Print [fingerprintSize]byte
 
-// String returns the first half of the Print in hexadecimal digits, enough to find it in
+// String returns the first half of the fingerprint in hexadecimal digits, enough to find it in
 // the logs of a fleet.
 func (p Print) String() string { return hex.EncodeToString(p[:fingerprintSize/2]) }
 
-// Prints are those of one request: of what it asks for, whoever asks, and of the same asked
-// by its caller. A request that harms for one caller only is known by the second; one that
-// harms for all, or whose caller comes by many addresses, by the first.
+// Prints are the fingerprints of one request: of its content, and of its content and caller. The
+// second one identifies a request that is harmful for one caller only; the first one that is
+// harmful for all, or whose caller uses many addresses.
 type Prints struct {
 	content Print
 	caller  Print
 }
 
-// Request is what tells requests apart.
+// Request holds what distinguishes requests.
 type Request struct {
 	Method string
 	Host   string
 	// URI is the path with the query.
 	URI string
-	// Caller is the workspace of the caller, or its address where there is none.
+	// Caller is the workspace of the caller, or its address without a workspace.
 	Caller string
-	// Body is the body, or the beginning of one of Length bytes. At most PrintBody bytes
-	// of it count.
+	// Body is the body, or the beginning of one, and Length the length of the whole body. At
+	// most PrintBody bytes count.
 	Body   []byte
 	Length int64
 }
 
-// NewPrints returns the Prints of a request.
+// NewPrints returns the fingerprints of a request.
 func NewPrints(r Request) Prints {
 	h := sha256.New()
 	for _, s := range [...]string{r.Method, r.Host, r.URI} {
@@ -64,16 +64,16 @@
 	return p
 }
 
-// Content returns the Print of what is asked for, whoever asks.
+// Content returns the fingerprint of the content, for any caller.
 func (p Prints) Content() Print { return p.content }
 
-// Caller returns the Print of what is asked for by the caller.
+// Caller returns the fingerprint of the content and the caller.
 func (p Prints) Caller() Print { return p.caller }
 
-// All returns both.
+// All returns both fingerprints.
 func (p Prints) All() [2]Print { return [...]Print{p.content, p.caller} }
 
-// writeString writes a text that doesn't run into the next one.
+// writeString writes a string with its length, so that adjacent strings can't be confused.
 func writeString(h hash.Hash, s string) {
 	writeInt(h, int64(len(s)))
 	h.Write([]byte(s))
--- a/internal/quarantine/record.go
+++ b/internal/quarantine/record.go
@@ -12,30 +12,31 @@
 
 // Times and counts of records.
 const (
-	// sharedThreshold is from how many ends on all nodes know of a request: any of them may have
-	// seen it answered.
+	// sharedThreshold is the number of crashes from which on a record is sent to all nodes: any
+	// of them may have received an answer to the request.
 	sharedThreshold = 2
-	// maxCrashes bounds the ends that a record keeps: more than come before all nodes know of a
-	// request that comes twenty times a second (TestWays).
+	// maxCrashes bounds the crashes in a record: more than happen before all nodes have the record
+	// of a request that arrives twenty times a second (TestStrategies).
 	maxCrashes = 12
-	// maxHoldCrashes is up to how many ends a further one makes the request be refused for longer.
+	// maxHoldCrashes is the number of crashes up to which each one extends the hold time.
 	maxHoldCrashes = 6
-	// sameCrashTime is within which two reports of the same target are of one end: nodes notice it
-	// within some tens of milliseconds, and a process takes longer to come back.
+	// sameCrashTime is the time within which two reports about a target are of one crash: nodes
+	// detect it within some tens of milliseconds, and a process takes longer to restart.
 	sameCrashTime = 500 * time.Millisecond
-	// crashRetention is how long an end counts: requests that come again each few minutes are
-	// found too.
+	// crashRetention is how long a crash counts: long enough for requests that are repeated every
+	// few minutes.
 	crashRetention = 10 * time.Minute
 )
 
-// holdTimes are how long a request is refused after its last end, by the number of ends; it isn't
-// where that is 0. After each it may run once more: that costs a target and what that works
-// on, and frees those that were harmless. No request has more than three such runs in a day.
+// holdTimes is how long a request is refused after its last crash, by the number of crashes; 0
+// means not at all. After each hold the request may run once more: if it is harmful, that costs
+// a target and its other requests; if not, it is released. No request has more than three such
+// runs in a day.
 type holdTimes [maxHoldCrashes + 1]time.Duration
 
-// defaultHolds refuse from three ends on. Two come to four in a thousand harmless requests
-// while two targets a second crash for other reasons, three to none in five thousand; the
-// third end costs a target more (TestWays).
+// defaultHolds refuse a request from three crashes on. While two targets a second crash for other
+// reasons, four in a thousand harmless requests get two crashes, and none in five thousand get
+// three; waiting for the third crash costs one more target (TestStrategies).
 var defaultHolds = holdTimes{
 	3: time.Minute,
 	4: 10 * time.Minute,
@@ -43,26 +44,26 @@
 	6: 24 * time.Hour,
 }
 
-// End is the end of a target under a request.
+// End is the crash of a target under a request.
 type End struct {
 	// Target is a hash of the target's key.
 	Target uint32
 	At     time.Time
-	// Answered is set where a target answered the request since.
+	// Answered is set where a target has answered the request since.
 	Answered bool
 }
 
-// TargetHash returns what names a target in an End.
+// TargetHash returns the hash that identifies a target in an End.
 func TargetHash(key string) uint32 { return uint32(xxhash.Sum64String(key)) }
 
-// Record is what is known of one request. Records of one request add up in any order.
+// Record holds the crashes under one request. Records of one request can be merged in any order.
 type Record struct {
 	Print Print
-	// Ends are in the order of time.
+	// Ends are the crashes in order of time.
 	Ends []End
 }
 
-// Count returns how many targets ended under the request since it was last answered.
+// Count returns how many targets crashed under the request since it was last answered.
 func (r *Record) Count() int {
 	n := 0
 	for _, e := range r.Ends {
@@ -73,27 +74,28 @@
 	return n
 }
 
-// Shared reports whether all nodes should know the record.
+// Shared reports whether the record is to be sent to all nodes.
 func (r *Record) Shared() bool { return len(r.Ends) >= sharedThreshold }
 
-// lastCrash returns when the last target ended under the request.
+// lastCrash returns the time of the last crash.
 func (r *Record) lastCrash() time.Time { return r.Ends[len(r.Ends)-1].At }
 
-// holdTime returns for how long the request is refused after its last end.
+// holdTime returns for how long the request is refused after its last crash.
 func (r *Record) holdTime(h *holdTimes) time.Duration { return h[min(r.Count(), maxHoldCrashes)] }
 
-// heldUntil returns until when the request is refused; late is from 0 to 1.
+// heldUntil returns until when the request is refused. delay, from 0 to 1, is the part of the hold
+// time by which the release is delayed.
 func (r *Record) heldUntil(h *holdTimes, late float64) time.Time {
 	hold := r.holdTime(h)
 	return r.lastCrash().Add(hold + time.Duration(late*float64(hold)))
 }
 
-// expiry returns when the record is of no use any more.
+// expiry returns when the record can be dropped.
 func (r *Record) expiry(h *holdTimes) time.Time { return r.heldUntil(h, 1).Add(crashRetention) }
 
-// merge adds the ends of another record, and reports whether they say anything new. Two
-// of them are never one: else nodes whose times differ by a few milliseconds would not come
-// to know the same, and tell each other for as long as they remember.
+// merge adds the crashes of another record, and reports whether that changed anything. Two of
+// these crashes are never merged into one: else the records of nodes whose times differ by a few
+// milliseconds would not converge, and be exchanged until they expire.
 func (r *Record) merge(ends []End) bool {
 	news := false
 	var taken []End
@@ -112,8 +114,8 @@
 	return news
 }
 
-// matching returns the known end that e is a report of, or nil; taken are those that others are
-// reports of.
+// matching returns the recorded crash that e reports, or nil; taken are those that are matched
+// already.
 func (r *Record) matching(e End, taken []End) *End {
 	for i := range r.Ends {
 		known := &r.Ends[i]
@@ -125,7 +127,7 @@
 	return nil
 }
 
-// add adds an end, and reports false if it is older than all that are kept.
+// add inserts a crash, and reports false if the record is full and e is older than all in it.
 func (r *Record) add(e End) bool {
 	if len(r.Ends) == maxCrashes && e.At.Before(r.Ends[0].At) {
 		return false
@@ -138,7 +140,7 @@
 	return true
 }
 
-// markAnswered notes that a target answered the request, and reports whether that is new.
+// markAnswered marks all crashes as followed by an answer, and reports whether that changed any.
 func (r *Record) markAnswered() bool {
 	news := false
 	for i := range r.Ends {
@@ -148,8 +150,7 @@
 	return news
 }
 
-// digest returns a hash of what the record says; times, which differ by the ways that news
-// take, don't count.
+// digest returns a hash of the record without its times, which differ by the delays of updates.
 func (r *Record) digest() uint64 {
 	ends := make([]uint64, 0, maxCrashes)
 	for _, e := range r.Ends {
@@ -167,7 +168,7 @@
 	return xxhash.Sum64(b)
 }
 
-// clone returns a copy that shares nothing with the record.
+// clone returns a deep copy of the record.
 func (r *Record) clone() Record {
 	return Record{
 		Print: r.Print,
