--- a/internal/quarantine/record.go
+++ b/internal/quarantine/record.go
@@ -85,9 +85,9 @@
 
 // heldUntil returns until when the request is refused. delay, from 0 to 1, is the part of the hold
 // time by which the release is delayed.
-func (r *Record) heldUntil(h *holdTimes, late float64) time.Time {
+func (r *Record) heldUntil(h *holdTimes, delay float64) time.Time {
 	hold := r.holdTime(h)
-	return r.lastCrash().Add(hold + time.Duration(late*float64(hold)))
+	return r.lastCrash().Add(hold + time.Duration(delay*float64(hold)))
 }
 
 // expiry returns when the record can be dropped.
