--- a/internal/quarantine/record.go
+++ b/internal/quarantine/record.go
@@ -97,21 +97,21 @@
 // these crashes are never merged into one: else the records of nodes whose times differ by a few
 // milliseconds would not converge, and be exchanged until they expire.
 func (r *Record) merge(ends []End) bool {
-	news := false
+	changed := false
 	var taken []End
 	for _, e := range ends {
 		if known := r.matching(e, taken); known != nil {
-			news = news || e.Answered && !known.Answered
+			changed = changed || e.Answered && !known.Answered
 			known.Answered = known.Answered || e.Answered
 			taken = append(taken, *known)
 			continue
 		}
 		if r.add(e) {
-			news = true
+			changed = true
 			taken = append(taken, e)
 		}
 	}
-	return news
+	return changed
 }
 
 // matching returns the recorded crash that e reports, or nil; taken are those that are matched
