--- a/internal/quarantine/record.go
+++ b/internal/quarantine/record.go
@@ -98,17 +98,17 @@
 // milliseconds would not converge, and be exchanged until they expire.
 func (r *Record) merge(ends []End) bool {
 	changed := false
-	var taken []End
+	var matched []End
 	for _, e := range ends {
-		if known := r.matching(e, taken); known != nil {
+		if known := r.matching(e, matched); known != nil {
 			changed = changed || e.Answered && !known.Answered
 			known.Answered = known.Answered || e.Answered
-			taken = append(taken, *known)
+			matched = append(matched, *known)
 			continue
 		}
 		if r.add(e) {
 			changed = true
-			taken = append(taken, e)
+			matched = append(matched, e)
 		}
 	}
 	return changed
