--- a/internal/quarantine/record.go
+++ b/internal/quarantine/record.go
@@ -116,10 +116,10 @@
 
 // matching returns the recorded crash that e reports, or nil; taken are those that are matched
 // already.
-func (r *Record) matching(e End, taken []End) *End {
+func (r *Record) matching(e End, matched []End) *End {
 	for i := range r.Ends {
 		known := &r.Ends[i]
-		other := slices.ContainsFunc(taken, func(t End) bool { return t.Target == known.Target && t.At.Equal(known.At) })
+		other := slices.ContainsFunc(matched, func(t End) bool { return t.Target == known.Target && t.At.Equal(known.At) })
 		if !other && known.Target == e.Target && e.At.Sub(known.At).Abs() < sameCrashTime {
 			return known
 		}
