--- a/internal/quarantine/record.go
+++ b/internal/quarantine/record.go
@@ -142,12 +142,12 @@
 
 // markAnswered marks all crashes as followed by an answer, and reports whether that changed any.
 func (r *Record) markAnswered() bool {
-	news := false
+	changed := false
 	for i := range r.Ends {
-		news = news || !r.Ends[i].Answered
+		changed = changed || !r.Ends[i].Answered
 		r.Ends[i].Answered = true
 	}
-	return news
+	return changed
 }
 
 // digest returns a hash of the record without its times, which differ by the delays of updates.
