--- a/internal/quarantine/ledger.go
+++ b/internal/quarantine/ledger.go
@@ -126,18 +126,18 @@
 }
 
 // Learn merges the record of a peer. It returns the merged record if it changed, else nothing.
-func (l *Ledger) Learn(now time.Time, of Record) []Record {
-	r := l.records[of.Print]
+func (l *Ledger) Learn(now time.Time, received Record) []Record {
+	r := l.records[received.Print]
 	if r == nil {
-		if len(of.Ends) == 0 || !now.Before(of.expiry(l.holds)) {
+		if len(received.Ends) == 0 || !now.Before(received.expiry(l.holds)) {
 			return nil
 		}
 		r = &Record{
-			Print: of.Print,
+			Print: received.Print,
 		}
-		l.records[of.Print] = r
+		l.records[received.Print] = r
 	}
-	out := l.change(r, func() bool { return r.merge(of.Ends) })
+	out := l.change(r, func() bool { return r.merge(received.Ends) })
 	if len(out) > 0 {
 		l.enforceBounds(now)
 	}
