--- a/internal/quarantine/ledger.go
+++ b/internal/quarantine/ledger.go
@@ -147,9 +147,9 @@
 // change applies fn to a record and returns the record if fn reports a change.
 func (l *Ledger) change(r *Record, fn func() bool) []Record {
 	before := l.digestOf(r)
-	news := fn()
+	changed := fn()
 	l.digest ^= before ^ l.digestOf(r)
-	if !news {
+	if !changed {
 		return nil
 	}
 	return []Record{r.clone()}
