--- a/internal/quarantine/ledger.go
+++ b/internal/quarantine/ledger.go
@@ -197,17 +197,17 @@
 }
 
 func (l *Ledger) enforceBound(most int, kind func(r *Record) bool) {
-	var of []*Record
+	var records []*Record
 	for _, r := range l.records {
 		if kind(r) {
-			of = append(of, r)
+			records = append(records, r)
 		}
 	}
-	if len(of) <= most {
+	if len(records) <= most {
 		return
 	}
-	slices.SortFunc(of, func(a, b *Record) int { return a.lastCrash().Compare(b.lastCrash()) })
-	for _, r := range of[:len(of)-most] {
+	slices.SortFunc(records, func(a, b *Record) int { return a.lastCrash().Compare(b.lastCrash()) })
+	for _, r := range records[:len(records)-most] {
 		l.drop(r)
 	}
 }
