--- a/internal/quarantine/answers_test.go
+++ b/internal/quarantine/answers_test.go
@@ -11,7 +11,7 @@
 )
 
 // An answer speaks for a request for AnswerMemory, and for no other request.
-func TestAnswers(t *testing.T) {
+func TestAnswersExpire(t *testing.T) {
 	a := quarantine.NewAnswers(start)
 	at := start.Add(time.Hour)
 	p := fingerprintsOf("/7")
@@ -58,7 +58,7 @@
 }
 
 // At the load of the target size seven in ten of what was answered within the time are kept.
-func TestAnswersLast(t *testing.T) {
+func TestAnswersAreRetained(t *testing.T) {
 	const perSecond = 210
 	a := quarantine.NewAnswers(start)
 	n := int(quarantine.AnswerMemory/time.Second) * perSecond
--- a/internal/quarantine/print_test.go
+++ b/internal/quarantine/fingerprint_test.go
@@ -30,7 +30,7 @@
 }
 
 // Each part counts, and none runs into the next one.
-func TestPrintsTellRequestsApart(t *testing.T) {
+func TestFingerprintsDistinguishRequests(t *testing.T) {
 	long := bytes.Repeat([]byte("a"), quarantine.PrintBody)
 	requests := []quarantine.Request{
 		{
--- a/internal/quarantine/ledger_test.go
+++ b/internal/quarantine/ledger_test.go
@@ -39,7 +39,7 @@
 }
 
 // Each further end keeps a request away for longer; after that it may run once more.
-func TestEndsHoldRequest(t *testing.T) {
+func TestCrashesHoldRequest(t *testing.T) {
 	tests := []struct {
 		name string
 		ends int
@@ -113,7 +113,7 @@
 }
 
 // What counts as another end, and what speaks for a request.
-func TestWhatCounts(t *testing.T) {
+func TestCrashesAndAnswersAreCounted(t *testing.T) {
 	p := fingerprintsOf("/7")
 	tests := []struct {
 		name string
@@ -178,7 +178,7 @@
 
 // Nodes whose times of two ends of one target differ a little come to know the same: what
 // one of them tells apart is two for all.
-func TestEndsCloseTogether(t *testing.T) {
+func TestCrashesCloseTogether(t *testing.T) {
 	p := fingerprintsOf("/7").Content()
 	record := func(shift time.Duration, offsets ...time.Duration) quarantine.Record {
 		r := quarantine.Record{
@@ -203,7 +203,7 @@
 }
 
 // A peer may send more ends than are kept.
-func TestManyEnds(t *testing.T) {
+func TestRecordWithManyCrashes(t *testing.T) {
 	r := quarantine.Record{
 		Print: fingerprintsOf("/7").Content(),
 	}
@@ -221,7 +221,7 @@
 }
 
 // One caller's request can be held while others who ask for the same are answered.
-func TestRequestThatHarmsForOneCaller(t *testing.T) {
+func TestRequestHarmfulForOneCaller(t *testing.T) {
 	l := quarantine.NewLedger(7)
 	ask := func(caller string) quarantine.Prints {
 		return quarantine.NewPrints(quarantine.Request{
@@ -246,7 +246,7 @@
 }
 
 // Nodes let a request run again one after another, so that all others learn from the first.
-func TestNodesTryAgainOneAfterAnother(t *testing.T) {
+func TestNodesReleaseRequestInTurn(t *testing.T) {
 	const nodes = 200
 	p := fingerprintsOf("/7")
 	soon := 0
@@ -291,7 +291,7 @@
 
 // Whatever the order in which nodes hear of ends and answers, and how often, they come to
 // know the same.
-func TestRecordsAddUpInAnyOrder(t *testing.T) {
+func TestMergeIsIndependentOfOrder(t *testing.T) {
 	p := fingerprintsOf("/7").Content()
 	record := func(n int64) quarantine.Record {
 		return quarantine.Record{
--- a/internal/quarantine/record.go
+++ b/internal/quarantine/record.go
@@ -114,7 +114,7 @@
 	return changed
 }
 
-// matching returns the recorded crash that e reports, or nil; taken are those that are matched
+// matching returns the recorded crash that e reports, or nil; matched are those that are matched
 // already.
 func (r *Record) matching(e End, matched []End) *End {
 	for i := range r.Ends {
--- a/internal/quarantine/ways_test.go
+++ b/internal/quarantine/strategies_test.go
@@ -128,12 +128,12 @@
 }
 
 // allStrategies plays all ways, with as many seeds as are asked for, for comparison.
-var allStrategies = flag.Int("ways", 0, "seeds with which TestWays plays all ways")
+var allStrategies = flag.Int("ways", 0, "seeds with which TestStrategies plays all ways")
 
 // Compared with nothing, with each node by itself and with other thresholds, the way that is
 // built ends few targets, keeps away at last what ends them, and refuses hardly any harmless
 // request, whatever else the targets crash of.
-func TestWays(t *testing.T) {
+func TestStrategies(t *testing.T) {
 	seeds, played := 4, strategies[len(strategies)-1:]
 	if *allStrategies > 0 {
 		seeds, played = *allStrategies, strategies
