--- a/internal/quarantine/answers_test.go
+++ b/internal/quarantine/answers_test.go
@@ -10,7 +10,7 @@
 	"ploverjunction.example/ploverjunction/internal/quarantine"
 )
 
-// An answer speaks for a request for AnswerMemory, and for no other request.
+// An answer counts for its request for AnswerMemory, and for no other request.
 func TestAnswersExpire(t *testing.T) {
 	a := quarantine.NewAnswers(start)
 	at := start.Add(time.Hour)
@@ -57,7 +57,7 @@
 	}
 }
 
-// At the load of the target size seven in ten of what was answered within the time are kept.
+// At the intended load seven in ten of the answers within AnswerMemory are kept.
 func TestAnswersAreRetained(t *testing.T) {
 	const perSecond = 210
 	a := quarantine.NewAnswers(start)
@@ -73,6 +73,6 @@
 		}
 	}
 	if share := float64(kept) / float64(n); share < 0.6 {
-		t.Errorf("%.2f of what was answered is kept, want 0.6 or more", share)
+		t.Errorf("%.2f of the answers kept, want 0.6 or more", share)
 	}
 }
--- a/internal/quarantine/fingerprint_test.go
+++ b/internal/quarantine/fingerprint_test.go
@@ -11,7 +11,7 @@
 	"ploverjunction.example/ploverjunction/internal/quarantine"
 )
 
-// Two callers who ask for the same share the Print of what they ask for.
+// The requests of two callers with the same content share one of their fingerprints.
 func ExampleNewPrints() {
 	r := quarantine.Request{
 		Method: "GET",
@@ -29,7 +29,7 @@
 	// false
 }
 
-// Each part counts, and none runs into the next one.
+// Each field of a request counts, and adjacent fields are not confused.
 func TestFingerprintsDistinguishRequests(t *testing.T) {
 	long := bytes.Repeat([]byte("a"), quarantine.PrintBody)
 	requests := []quarantine.Request{
@@ -79,15 +79,15 @@
 	for i, r := range requests {
 		for _, p := range quarantine.NewPrints(r).All() {
 			if other, known := seen[p]; known {
-				t.Errorf("requests %d and %d share a Print", other, i)
+				t.Errorf("requests %d and %d share a fingerprint", other, i)
 			}
 			seen[p] = i
 		}
 	}
 }
 
-// BenchmarkAnswered is what each request that a target answers costs a node: 0.8 us and 216
-// bytes, where it was nothing before. At 210 requests a second that is 0.02% of a core.
+// BenchmarkAnswered measures what each answered request costs a node: 0.8 us and 216 bytes. At
+// 210 requests a second that is 0.02% of a core.
 func BenchmarkAnswered(b *testing.B) {
 	begun := time.Unix(0, 0)
 	answers := quarantine.NewAnswers(begun)
--- a/internal/quarantine/ledger_test.go
+++ b/internal/quarantine/ledger_test.go
@@ -25,7 +25,7 @@
 	})
 }
 
-// recordCrash notes an end under all that names a request.
+// recordCrash records a crash under all fingerprints of a request.
 func recordCrash(l *quarantine.Ledger, at time.Time, p quarantine.Prints, target string) {
 	for _, one := range p.All() {
 		l.Ended(at, one, target)
@@ -38,21 +38,21 @@
 	}
 }
 
-// Each further end keeps a request away for longer; after that it may run once more.
+// Each further crash extends the hold of a request; after the hold it may run once more.
 func TestCrashesHoldRequest(t *testing.T) {
 	tests := []struct {
 		name string
 		ends int
-		// least and most are when the request may run again, after the last end.
+		// least and most bound the time from the last crash until the request may run again.
 		least time.Duration
 		most  time.Duration
 	}{
 		{
-			name: "one: each request beside it has it too",
+			name: "one: all requests in flight at the target have one",
 			ends: 1,
 		},
 		{
-			name: "two: some have both",
+			name: "two: some harmless requests have two",
 			ends: 2,
 		},
 		{
@@ -62,25 +62,25 @@
 			most:  2 * time.Minute,
 		},
 		{
-			name:  "it ended one after a minute",
+			name:  "four, the last one after the first hold",
 			ends:  4,
 			least: 10 * time.Minute,
 			most:  20 * time.Minute,
 		},
 		{
-			name:  "and another one",
+			name:  "five",
 			ends:  5,
 			least: time.Hour,
 			most:  2 * time.Hour,
 		},
 		{
-			name:  "three more in a day at most",
+			name:  "six, after which it runs once a day",
 			ends:  6,
 			least: 24 * time.Hour,
 			most:  48 * time.Hour,
 		},
 		{
-			name:  "as many as are counted",
+			name:  "more than extend the hold",
 			ends:  9,
 			least: 24 * time.Hour,
 			most:  48 * time.Hour,
@@ -112,7 +112,7 @@
 	}
 }
 
-// What counts as another end, and what speaks for a request.
+// Reports of one crash count once, and answers reset the count.
 func TestCrashesAndAnswersAreCounted(t *testing.T) {
 	p := fingerprintsOf("/7")
 	tests := []struct {
@@ -121,7 +121,7 @@
 		want int
 	}{
 		{
-			name: "nodes that saw the same end",
+			name: "two nodes report the same crash",
 			do: func(l *quarantine.Ledger) {
 				recordCrash(l, start, p, "a")
 				recordCrash(l, start.Add(300*time.Millisecond), p, "a")
@@ -129,7 +129,7 @@
 			want: 1,
 		},
 		{
-			name: "a target that came back and ended again",
+			name: "a target that restarted and crashed again",
 			do: func(l *quarantine.Ledger) {
 				recordCrash(l, start, p, "a")
 				recordCrash(l, start.Add(4*time.Second), p, "a")
@@ -137,7 +137,7 @@
 			want: 2,
 		},
 		{
-			name: "an answer between",
+			name: "an answer in between",
 			do: func(l *quarantine.Ledger) {
 				recordCrash(l, start, p, "a")
 				recordCrash(l, start.Add(time.Second), p, "b")
@@ -147,7 +147,7 @@
 			want: 1,
 		},
 		{
-			name: "a late word of an end before the answer",
+			name: "a late report of a crash before the answer",
 			do: func(l *quarantine.Ledger) {
 				recordCrash(l, start, p, "a")
 				recordAnswer(l, p)
@@ -156,7 +156,7 @@
 			want: 0,
 		},
 		{
-			name: "an end of long ago",
+			name: "an expired crash",
 			do: func(l *quarantine.Ledger) {
 				recordCrash(l, start.Add(-11*time.Minute), p, "a")
 				l.Forget(start)
@@ -170,14 +170,14 @@
 			l := quarantine.NewLedger(7)
 			tt.do(l)
 			if got := l.Check(start.Add(4*time.Second), p).Ends; got != tt.want {
-				t.Errorf("%d ends, want %d", got, tt.want)
+				t.Errorf("%d crashes, want %d", got, tt.want)
 			}
 		})
 	}
 }
 
-// Nodes whose times of two ends of one target differ a little come to know the same: what
-// one of them tells apart is two for all.
+// The records of nodes whose times of two crashes of one target differ a little converge: crashes
+// that one node distinguishes are two for all nodes.
 func TestCrashesCloseTogether(t *testing.T) {
 	p := fingerprintsOf("/7").Content()
 	record := func(shift time.Duration, offsets ...time.Duration) quarantine.Record {
@@ -202,7 +202,7 @@
 	}
 }
 
-// A peer may send more ends than are kept.
+// A peer may send more crashes than a record keeps.
 func TestRecordWithManyCrashes(t *testing.T) {
 	r := quarantine.Record{
 		Print: fingerprintsOf("/7").Content(),
@@ -216,11 +216,11 @@
 	l := quarantine.NewLedger(1)
 	l.Learn(start, r)
 	if s := l.Standing(start.Add(time.Second), r.Print); !s.Held() || s.Ends > 12 {
-		t.Errorf("%d ends, refused for %v", s.Ends, s.Wait)
+		t.Errorf("%d crashes, refused for %v", s.Ends, s.Wait)
 	}
 }
 
-// One caller's request can be held while others who ask for the same are answered.
+// The request of one caller can be held while the same request of others is answered.
 func TestRequestHarmfulForOneCaller(t *testing.T) {
 	l := quarantine.NewLedger(7)
 	ask := func(caller string) quarantine.Prints {
@@ -245,7 +245,7 @@
 	}
 }
 
-// Nodes let a request run again one after another, so that all others learn from the first.
+// Nodes release a request at different times, so that the others learn from the first one.
 func TestNodesReleaseRequestInTurn(t *testing.T) {
 	const nodes = 200
 	p := fingerprintsOf("/7")
@@ -259,13 +259,13 @@
 			soon++
 		}
 	}
-	// A tenth of the second minute.
+	// 66 s is a tenth into the second minute.
 	if soon < nodes/20 || soon > nodes/5 {
-		t.Errorf("%d of %d nodes let it run after 66 s, want about %d", soon, nodes, nodes/10)
+		t.Errorf("%d of %d nodes released it after 66 s, want about %d", soon, nodes, nodes/10)
 	}
 }
 
-// A ledger stays within its bounds, and keeps what ended targets last.
+// A ledger stays within its bounds, and keeps the latest crashes.
 func TestLedgerIsBounded(t *testing.T) {
 	const most = 64 + 512
 	l := quarantine.NewLedger(7)
@@ -281,7 +281,7 @@
 		t.Errorf("%d records, want at most %d", l.Len(), most)
 	}
 	if got := l.Check(start.Add(5*time.Second), fingerprintsOf("4999")).Ends; got != 1 {
-		t.Errorf("%d ends of the last request, want 1", got)
+		t.Errorf("%d crashes under the last request, want 1", got)
 	}
 	l.Forget(start.Add(time.Hour))
 	if l.Len() != 0 || l.Digest() != 0 {
@@ -289,8 +289,8 @@
 	}
 }
 
-// Whatever the order in which nodes hear of ends and answers, and how often, they come to
-// know the same.
+// The records of nodes converge, whatever the order in which they receive crashes and answers, and
+// how often.
 func TestMergeIsIndependentOfOrder(t *testing.T) {
 	p := fingerprintsOf("/7").Content()
 	record := func(n int64) quarantine.Record {
--- a/internal/quarantine/model_exchange_test.go
+++ b/internal/quarantine/model_exchange_test.go
@@ -8,9 +8,9 @@
 	"ploverjunction.example/ploverjunction/internal/quarantine"
 )
 
-// This file is what the nodes of the model tell each other.
+// This file simulates the exchange of records between the nodes of the model.
 
-// recordCrash has a node note that a target ended under a request.
+// recordCrash records on the attempt's node that a target crashed under its request.
 func (m *model) recordCrash(t *modelAttempt, life string) {
 	n := m.nodes[t.node]
 	for _, p := range t.request.prints.All() {
@@ -21,7 +21,7 @@
 	}
 }
 
-// recordAnswer is a request that was answered.
+// recordAnswer records on the attempt's node that its request was answered.
 func (m *model) recordAnswer(t *modelAttempt) {
 	n := m.nodes[t.node]
 	n.answers.Note(m.now, t.request.prints)
@@ -30,8 +30,8 @@
 	}
 }
 
-// share takes records that changed to whom they concern: to all nodes if they are shared,
-// else to the two that add up what is known of the request.
+// share sends changed records to all nodes if they are shared, else to the two nodes that merge
+// the records of the request.
 func (m *model) share(records []quarantine.Record) {
 	if !m.strategy.sharesRecords {
 		return
@@ -49,7 +49,7 @@
 	}
 }
 
-// deliver takes a record to a node.
+// deliver sends a record to a node.
 func (m *model) deliver(to int, r quarantine.Record) {
 	way := m.spread(2 * oneWay)
 	if m.random.Float64() < lossRate {
@@ -62,7 +62,7 @@
 			m.share(n.ledger.Answered(r.Print))
 			return
 		}
-		// Who adds up tells all when that makes a record one for all.
+		// A node that merges records sends them to all once they are shared.
 		for _, changed := range news {
 			if changed.Shared() && !r.Shared() {
 				m.share([]quarantine.Record{changed})
--- a/internal/quarantine/model_test.go
+++ b/internal/quarantine/model_test.go
@@ -12,58 +12,59 @@
 	"ploverjunction.example/ploverjunction/internal/quarantine"
 )
 
-// strategy is one way to deal with requests under which targets end.
+// strategy is a strategy for requests under which targets crash.
 type strategy struct {
 	name string
-	// keepsRecords is set where nodes keep what ended, tells where they tell each other.
+	// keepsRecords is set where nodes record crashes, sharesRecords where they exchange the records.
 	keepsRecords  bool
 	sharesRecords bool
-	// threshold is from how many ends on a request is refused.
+	// threshold is the number of crashes from which on a request is refused.
 	threshold int
-	// keepsAnswers is set where what was answered lately is kept in mind, looks where a target
-	// whose connection broke is asked whether it has ended.
+	// keepsAnswers is set where nodes keep recent answers, checksTarget where a target whose
+	// connection broke is checked for a crash.
 	keepsAnswers bool
 	checksTarget bool
-	// implemented is set on the way that the fleet goes.
+	// implemented is set on the strategy of the fleet.
 	implemented bool
 }
 
-// load is what happens to a service.
+// load holds the requests and crashes of a service.
 type load struct {
 	name string
-	// harmful is how many requests a second end each target that runs them, for harmFor.
+	// harmful is how many requests a second crash the target that runs them, for harmDuration.
 	harmful      float64
 	harmDuration time.Duration
-	// crashes is how many targets a second end for other reasons, losses the moments at which
-	// a part of all ends at once.
+	// crashes is how many targets a second crash for other reasons, massCrashes the times at which
+	// crashShare of all targets crash at once.
 	crashes     float64
 	massCrashes []time.Duration
 	crashShare  float64
-	// restarts are the moments at which all nodes forget what they know.
+	// restarts are the times at which all nodes lose their records.
 	restarts []time.Duration
-	// brokenShare is the share of requests whose connection breaks though the target lives.
+	// brokenShare is the share of requests whose connection breaks without a crash.
 	brokenShare float64
-	// targets, slots and rate are the size of the service: requests a second that harm nobody.
+	// targets, slots and rate are the size of the service, rate in harmless requests a second.
 	targets int
 	slots   int
 	rate    float64
 	nodes   int
 }
 
-// Times and shares of the model, those of the smaller deployments.
+// Times and shares of the model, as in the smaller deployments.
 const (
 	modelTime   = 60 * time.Second
 	faultsStart = 5 * time.Second
-	// contactTime is how long after the third end nobody may blame a node for not knowing.
+	// contactTime is how long after the third crash a node may still lack the record.
 	contactTime = 3 * time.Second
 	workTime    = 400 * time.Millisecond
 	harmTime    = 130 * time.Millisecond
 	restartTime = 3 * time.Second
-	// oneWay is one way between two nodes, lateTime until what was lost is told again.
+	// oneWay is the delay of a message between two nodes, resendDelay the additional delay of a
+	// lost one.
 	oneWay      = 3 * time.Millisecond
 	resendDelay = 300 * time.Millisecond
 	lossRate    = 0.03
-	// popular is the share of requests that ask for one of popularOnes.
+	// popular is the share of requests that are one of popularRequests.
 	popular         = 0.3
 	popularRequests = 20
 	maxAttempts     = 2
@@ -71,15 +72,14 @@
 	maxRetries      = 2
 )
 
-// result counts what came of a play.
+// result counts the results of a run.
 type result struct {
 	harmless int
-	// refused counts harmless requests that were refused, lost those not served for whatever
-	// reason.
+	// refused counts harmless requests that were refused, lost those not served for any reason.
 	refused int
 	lost    int
-	// crashes counts targets that ended under harmful requests, late how often one was sent on
-	// more than contact after the third, and after the nodes began.
+	// crashes counts targets that crashed under harmful requests, late how often such a request
+	// was forwarded more than contactTime after the third crash and after the start of the nodes.
 	crashes int
 	late    int
 }
@@ -92,7 +92,7 @@
 	o.late += p.late
 }
 
-// event is something that happens at a time.
+// event is a function to be called at a time.
 type event struct {
 	at time.Time
 	do func()
@@ -116,7 +116,7 @@
 	answers *quarantine.Answers
 }
 
-// modelTarget is a target, with the attempts at it.
+// modelTarget is a target with the attempts in flight.
 type modelTarget struct {
 	name        string
 	incarnation int
@@ -131,19 +131,19 @@
 	attempts int
 }
 
-// modelRequest is what a caller asks for.
+// modelRequest is a caller's request.
 type modelRequest struct {
 	prints  quarantine.Prints
 	harmful bool
 	retries int
 }
 
-// model plays one way under one load.
+// model simulates one strategy under one load.
 type model struct {
 	strategy strategy
 	load     load
-	// random is drawn from by what the way does, chance by what happens to the service: that
-	// is the same for all ways.
+	// random is the source of the strategy's random numbers, chance that of the load's, so that
+	// the load is the same for all strategies.
 	random     *rand.Rand
 	chance     *rand.Rand
 	now        time.Time
@@ -157,7 +157,7 @@
 	unique     int
 }
 
-// simulate plays a way under a load.
+// simulate runs a strategy under a load.
 func simulate(w strategy, l load, seed uint64) result {
 	m := &model{
 		strategy: w,
@@ -188,7 +188,7 @@
 	return m.result
 }
 
-// start has all nodes begin, without any memory.
+// start starts all nodes without records.
 func (m *model) start() {
 	m.started = m.now
 	for i := range m.nodes {
@@ -207,12 +207,12 @@
 	})
 }
 
-// spread returns a time that is d in the mean.
+// spread returns a random time with mean d.
 func (m *model) spread(d time.Duration) time.Duration {
 	return time.Duration(float64(d) * math.Exp(0.4*m.random.NormFloat64()-0.08))
 }
 
-// every does something rate times a second, at random, between two moments.
+// every schedules do at random times between from and to, rate times a second on average.
 func (m *model) every(rate float64, from, to time.Duration, do func()) {
 	for at := from; rate > 0; {
 		at += time.Duration(m.chance.ExpFloat64() / rate * float64(time.Second))
@@ -250,12 +250,12 @@
 	return quarantine.NewPrints(quarantine.Request{
 		Method: "GET",
 		URI:    uri,
-		// Callers come by some addresses.
+		// Callers use four addresses.
 		Caller: fmt.Sprint(m.chance.IntN(4)),
 	})
 }
 
-// harmless is a request that ends nothing: of its own, or one that many ask for.
+// harmless simulates a request that crashes nothing: a unique or a popular one.
 func (m *model) harmless() {
 	m.result.harmless++
 	m.unique++
@@ -268,7 +268,7 @@
 	})
 }
 
-// arrive brings a request to a node.
+// arrive simulates the arrival of a request at a random node.
 func (m *model) arrive(r *modelRequest) {
 	t := &modelAttempt{
 		request: r,
@@ -319,7 +319,7 @@
 	})
 }
 
-// crashUnder ends a target that still works on a harmful request.
+// crashUnder crashes a target if it still runs a harmful request.
 func (m *model) crashUnder(target *modelTarget, t *modelAttempt) {
 	if !target.inFlight[t] {
 		return
@@ -331,7 +331,7 @@
 	m.crash(target)
 }
 
-// crash ends a target; it comes back.
+// crash crashes a target, which restarts after restartTime.
 func (m *model) crash(target *modelTarget) {
 	if !target.up {
 		return
@@ -346,7 +346,7 @@
 	m.after(restartTime, func() { target.up = true })
 }
 
-// connectionBroken is an attempt whose connection broke.
+// connectionBroken simulates the end of an attempt whose connection broke.
 func (m *model) connectionBroken(t *modelAttempt, target *modelTarget, ended bool) {
 	suspect := false
 	if m.strategy.keepsRecords {
@@ -367,7 +367,7 @@
 	}
 }
 
-// retry sends a request to a second target.
+// retry sends a request to another target, if it has attempts left and isn't held.
 func (m *model) retry(t *modelAttempt) {
 	held := m.strategy.keepsRecords && m.nodes[t.node].ledger.Check(m.now, t.request.prints).Held()
 	if t.attempts >= maxAttempts || held {
@@ -377,7 +377,7 @@
 	m.send(t)
 }
 
-// failed is a request that was not served: its caller comes again.
+// failed simulates the end of a request that was not served: its caller retries.
 func (m *model) failed(t *modelAttempt) {
 	if t.request.harmful {
 		return
--- a/internal/quarantine/strategies_test.go
+++ b/internal/quarantine/strategies_test.go
@@ -10,38 +10,38 @@
 
 var strategies = []strategy{
 	{
-		name: "nothing is remembered",
+		name: "no records",
 	},
 	{
-		name:         "each node by itself, from 2 ends",
+		name:         "each node for itself, from 2 crashes",
 		keepsRecords: true,
 		threshold:    2,
 		keepsAnswers: true,
 		checksTarget: true,
 	},
 	{
-		name:          "all nodes, from 3 ends, answers not kept in mind",
+		name:          "all nodes, from 3 crashes, answers not kept",
 		keepsRecords:  true,
 		sharesRecords: true,
 		threshold:     3,
 		checksTarget:  true,
 	},
 	{
-		name:          "all nodes, from 2 ends, answers not kept in mind",
+		name:          "all nodes, from 2 crashes, answers not kept",
 		keepsRecords:  true,
 		sharesRecords: true,
 		threshold:     2,
 		checksTarget:  true,
 	},
 	{
-		name:          "all nodes, from 2 ends, by any connection that breaks",
+		name:          "all nodes, from 2 crashes, counting any broken connection",
 		keepsRecords:  true,
 		sharesRecords: true,
 		threshold:     2,
 		keepsAnswers:  true,
 	},
 	{
-		name:          "all nodes, from 2 ends",
+		name:          "all nodes, from 2 crashes",
 		keepsRecords:  true,
 		sharesRecords: true,
 		threshold:     2,
@@ -49,7 +49,7 @@
 		checksTarget:  true,
 	},
 	{
-		name:          "all nodes, from 3 ends",
+		name:          "all nodes, from 3 crashes",
 		keepsRecords:  true,
 		sharesRecords: true,
 		threshold:     3,
@@ -76,7 +76,7 @@
 		harmDuration: 15 * time.Second,
 	}),
 	small(load{
-		name:         "one in five seconds, to the end",
+		name:         "a harmful request, one in five seconds throughout",
 		harmful:      0.2,
 		harmDuration: time.Minute,
 	}),
@@ -94,17 +94,17 @@
 		crashShare:  0.5,
 	}),
 	small(load{
-		name:        "three in ten connections break, targets live",
+		name:        "three in ten connections break without a crash",
 		brokenShare: 0.3,
 	}),
 	small(load{
-		name:         "harmful ones while targets crash, one a second",
+		name:         "a harmful request while targets crash, one a second",
 		harmful:      3,
 		harmDuration: 15 * time.Second,
 		crashes:      1,
 	}),
 	small(load{
-		name:         "a harmful request, all nodes forget all after 10 s",
+		name:         "a harmful request, all nodes restart after 10 s",
 		harmful:      3,
 		harmDuration: 30 * time.Second,
 		restarts:     []time.Duration{15 * time.Second},
@@ -116,7 +116,7 @@
 		restarts:     []time.Duration{15 * time.Second},
 	}),
 	{
-		name:         "large: 200 targets, 5 a second crash, a harmful one",
+		name:         "large: 200 targets, 5 crashes a second, a harmful request",
 		harmful:      3,
 		harmDuration: 15 * time.Second,
 		crashes:      5,
@@ -127,12 +127,12 @@
 	},
 }
 
-// allStrategies plays all ways, with as many seeds as are asked for, for comparison.
-var allStrategies = flag.Int("ways", 0, "seeds with which TestStrategies plays all ways")
+// allStrategies is the number of seeds for a comparison of all strategies, 0 for none.
+var allStrategies = flag.Int("ways", 0, "number of seeds with which TestStrategies runs all strategies")
 
-// Compared with nothing, with each node by itself and with other thresholds, the way that is
-// built ends few targets, keeps away at last what ends them, and refuses hardly any harmless
-// request, whatever else the targets crash of.
+// Compared with no records, with each node for itself and with other thresholds, the implemented
+// strategy lets few targets crash, refuses the harmful request in the end, and refuses hardly any
+// harmless ones, whatever other reasons the targets crash for.
 func TestStrategies(t *testing.T) {
 	seeds, played := 4, strategies[len(strategies)-1:]
 	if *allStrategies > 0 {
@@ -148,7 +148,7 @@
 				sum.add(o)
 				worst = max(worst, o.late)
 			}
-			t.Logf("  %-58s ends %.1f, late %.1f, at most %d; refused %d of %d, lost %.4f", w.name,
+			t.Logf("  %-58s crashes %.1f, late %.1f, at most %d; refused %d of %d, lost %.4f", w.name,
 				float64(sum.crashes)/float64(seeds), float64(sum.late)/float64(seeds), worst,
 				sum.refused, sum.harmless, float64(sum.lost)/float64(sum.harmless))
 			if w.implemented {
@@ -158,24 +158,24 @@
 	}
 }
 
-// check checks what is promised of the way that is built.
+// check checks the bounds of the implemented strategy.
 func (o *result) check(t *testing.T, l load, worst, seeds int) {
 	t.Helper()
 	const (
-		// mostLate is how often a harmful request may be sent on once it is known.
+		// mostLate is how often a harmful request may be forwarded once its record is shared.
 		mostLate = 3
-		// mostRefused is the part of harmless requests that may be refused for it.
+		// mostRefused is how many harmless requests there must be for each refused one.
 		mostRefused = 1000
-		// mostEnds is how many targets may end in a series of harmful requests.
+		// mostEnds is how many targets may crash in a series of harmful requests.
 		mostEnds = 8
 	)
 	if worst > mostLate {
-		t.Errorf("%s: a harmful request was sent on %d times after it was known", l.name, worst)
+		t.Errorf("%s: a harmful request was forwarded %d times after its record was shared", l.name, worst)
 	}
 	if o.refused*mostRefused > o.harmless {
 		t.Errorf("%s: %d of %d harmless requests were refused", l.name, o.refused, o.harmless)
 	}
 	if series := 1 + len(l.restarts); o.crashes > mostEnds*series*seeds {
-		t.Errorf("%s: %d targets ended in %d plays", l.name, o.crashes, seeds)
+		t.Errorf("%s: %d targets crashed in %d runs", l.name, o.crashes, seeds)
 	}
 }
