--- a/internal/quarantine/strategies_test.go
+++ b/internal/quarantine/strategies_test.go
@@ -134,13 +134,13 @@
 // strategy lets few targets crash, refuses the harmful request in the end, and refuses hardly any
 // harmless ones, whatever other reasons the targets crash for.
 func TestStrategies(t *testing.T) {
-	seeds, played := 4, strategies[len(strategies)-1:]
+	seeds, selected := 4, strategies[len(strategies)-1:]
 	if *allStrategies > 0 {
-		seeds, played = *allStrategies, strategies
+		seeds, selected = *allStrategies, strategies
 	}
 	for _, l := range loads {
 		t.Log(l.name)
-		for _, w := range played {
+		for _, w := range selected {
 			var sum result
 			worst := 0
 			for seed := range seeds {
