--- a/internal/quarantine/model_exchange_test.go
+++ b/internal/quarantine/model_exchange_test.go
@@ -11,13 +11,13 @@
 // This file simulates the exchange of records between the nodes of the model.
 
 // recordCrash records on the attempt's node that a target crashed under its request.
-func (m *model) recordCrash(t *modelAttempt, life string) {
+func (m *model) recordCrash(t *modelAttempt, incarnation string) {
 	n := m.nodes[t.node]
 	for _, p := range t.request.prints.All() {
 		if m.strategy.keepsAnswers && n.answers.Lately(m.now, p) {
 			continue
 		}
-		m.share(n.ledger.Ended(m.now, p, life))
+		m.share(n.ledger.Ended(m.now, p, incarnation))
 	}
 }
 
