--- a/internal/quarantine/model_exchange_test.go
+++ b/internal/quarantine/model_exchange_test.go
@@ -51,11 +51,11 @@
 
 // deliver sends a record to a node.
 func (m *model) deliver(to int, r quarantine.Record) {
-	way := m.spread(2 * oneWay)
+	delay := m.spread(2 * oneWay)
 	if m.random.Float64() < lossRate {
-		way += time.Duration(m.random.Float64() * float64(resendDelay))
+		delay += time.Duration(m.random.Float64() * float64(resendDelay))
 	}
-	m.after(way, func() {
+	m.after(delay, func() {
 		n := m.nodes[to]
 		news := n.ledger.Learn(m.now, r)
 		if m.strategy.keepsAnswers && len(news) > 0 && n.answers.Lately(m.now, r.Print) {
