--- a/internal/quarantine/model_exchange_test.go
+++ b/internal/quarantine/model_exchange_test.go
@@ -57,13 +57,13 @@
 	}
 	m.after(delay, func() {
 		n := m.nodes[to]
-		news := n.ledger.Learn(m.now, r)
-		if m.strategy.keepsAnswers && len(news) > 0 && n.answers.Lately(m.now, r.Print) {
+		records := n.ledger.Learn(m.now, r)
+		if m.strategy.keepsAnswers && len(records) > 0 && n.answers.Lately(m.now, r.Print) {
 			m.share(n.ledger.Answered(r.Print))
 			return
 		}
 		// A node that merges records sends them to all once they are shared.
-		for _, changed := range news {
+		for _, changed := range records {
 			if changed.Shared() && !r.Shared() {
 				m.share([]quarantine.Record{changed})
 			}
