--- a/internal/quarantine/model_test.go
+++ b/internal/quarantine/model_test.go
@@ -347,7 +347,7 @@
 }
 
 // connectionBroken simulates the end of an attempt whose connection broke.
-func (m *model) connectionBroken(t *modelAttempt, target *modelTarget, ended bool) {
+func (m *model) connectionBroken(t *modelAttempt, target *modelTarget, crashed bool) {
 	suspect := false
 	if m.strategy.keepsRecords {
 		suspect = m.nodes[t.node].ledger.Check(m.now, t.request.prints).Suspect()
@@ -355,7 +355,7 @@
 	life := fmt.Sprintf("%s/%d", target.name, target.incarnation)
 	look := 2 * oneWay
 	m.after(look, func() {
-		if m.strategy.keepsRecords && (ended || !m.strategy.checksTarget) {
+		if m.strategy.keepsRecords && (crashed || !m.strategy.checksTarget) {
 			m.recordCrash(t, life)
 		}
 		if suspect {
