--- a/internal/quarantine/model_test.go
+++ b/internal/quarantine/model_test.go
@@ -352,11 +352,11 @@
 	if m.strategy.keepsRecords {
 		suspect = m.nodes[t.node].ledger.Check(m.now, t.request.prints).Suspect()
 	}
-	life := fmt.Sprintf("%s/%d", target.name, target.incarnation)
+	incarnation := fmt.Sprintf("%s/%d", target.name, target.incarnation)
 	look := 2 * oneWay
 	m.after(look, func() {
 		if m.strategy.keepsRecords && (crashed || !m.strategy.checksTarget) {
-			m.recordCrash(t, life)
+			m.recordCrash(t, incarnation)
 		}
 		if suspect {
 			m.retry(t)
