--- a/internal/quarantine/model_test.go
+++ b/internal/quarantine/model_test.go
@@ -353,8 +353,8 @@
 		suspect = m.nodes[t.node].ledger.Check(m.now, t.request.prints).Suspect()
 	}
 	incarnation := fmt.Sprintf("%s/%d", target.name, target.incarnation)
-	look := 2 * oneWay
-	m.after(look, func() {
+	delay := 2 * oneWay
+	m.after(delay, func() {
 		if m.strategy.keepsRecords && (crashed || !m.strategy.checksTarget) {
 			m.recordCrash(t, incarnation)
 		}
