--- a/internal/quarantine/ledger_test.go
+++ b/internal/quarantine/ledger_test.go
@@ -68,7 +68,7 @@
 			most:  20 * time.Minute,
 		},
 		{
-			name:  "five",
+			name:  "five crashes",
 			ends:  5,
 			least: time.Hour,
 			most:  2 * time.Hour,
