--- a/internal/signal/ledger.go
+++ b/internal/signal/ledger.go
@@ -81,7 +81,7 @@
 	mu sync.Mutex
 	// records holds a record by its place; known is how many there are.
 	records sync.Map
-	known   atomic.Int64
+	count   atomic.Int64
 }
 
 // record returns the record of an incarnation.
@@ -181,7 +181,7 @@
 
 // store replaces the record of a target. l.mu is held.
 func (l *Ledger) store(r record) {
-	if _, old := l.records.Swap(r.incarnation.place(), r); !old && l.known.Add(1) > maxRecords {
+	if _, old := l.records.Swap(r.incarnation.place(), r); !old && l.count.Add(1) > maxRecords {
 		l.dropOldest()
 	}
 }
@@ -201,14 +201,14 @@
 // drop removes the record of a target. l.mu is held.
 func (l *Ledger) drop(p place) {
 	l.records.Delete(p)
-	l.known.Add(-1)
+	l.count.Add(-1)
 }
 
 // Standing returns what holds for a target at now.
 func (l *Ledger) Standing(now time.Time, i Incarnation) Standing { return l.record(i).standing(now) }
 
 // Empty reports whether there is no record.
-func (l *Ledger) Empty() bool { return l.known.Load() == 0 }
+func (l *Ledger) Empty() bool { return l.count.Load() == 0 }
 
 // Prune removes records without effect, and those of targets that have not been published for
 // unlistedRetention.
