--- a/internal/signal/ledger_test.go
+++ b/internal/signal/ledger_test.go
@@ -13,7 +13,7 @@
 
 var start = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-func life(key string) signal.Incarnation {
+func incarnation(key string) signal.Incarnation {
 	return signal.Incarnation{
 		Service: "quotes",
 		Key:     key,
@@ -62,7 +62,7 @@
 	leaving := signal.Signal{
 		Draining: true,
 	}
-	if !l.Observe(start, life("id/1"), leaving) || l.Observe(start.Add(time.Second), life("id/1"), leaving) {
+	if !l.Observe(start, incarnation("id/1"), leaving) || l.Observe(start.Add(time.Second), incarnation("id/1"), leaving) {
 		t.Error("the same word is news twice, or not once")
 	}
 	l.Observe(start, unnamed, leaving)
@@ -74,19 +74,19 @@
 	}{
 		{
 			name:  "at once",
-			life:  life("id/1"),
+			life:  incarnation("id/1"),
 			after: 0,
 			want:  true,
 		},
 		{
 			name:  "an hour later",
-			life:  life("id/1"),
+			life:  incarnation("id/1"),
 			after: time.Hour,
 			want:  true,
 		},
 		{
 			name:  "the next life under the same ID",
-			life:  life("id/2"),
+			life:  incarnation("id/2"),
 			after: time.Second,
 		},
 		{
@@ -277,11 +277,11 @@
 		t.Run(tt.name, func(t *testing.T) {
 			var l signal.Ledger
 			for _, d := range tt.rests {
-				l.Observe(start, life("id/1"), signal.Signal{
+				l.Observe(start, incarnation("id/1"), signal.Signal{
 					Backoff: d,
 				})
 			}
-			if got := l.Standing(start, life("id/1")); got.Backoff != tt.want || got.BackoffTotal != tt.want || got.Draining {
+			if got := l.Standing(start, incarnation("id/1")); got.Backoff != tt.want || got.BackoffTotal != tt.want || got.Draining {
 				t.Errorf("%+v, want %v", got, tt.want)
 			}
 		})
@@ -294,9 +294,9 @@
 	leaving := signal.Signal{
 		Draining: true,
 	}
-	l.Observe(start, life("published"), leaving)
-	l.Observe(start, life("gone"), leaving)
-	l.Observe(start, life("rested"), signal.Signal{
+	l.Observe(start, incarnation("published"), leaving)
+	l.Observe(start, incarnation("gone"), leaving)
+	l.Observe(start, incarnation("rested"), signal.Signal{
 		Backoff: time.Second,
 	})
 	published := func(l signal.Incarnation) bool { return l.Key != "gone" }
@@ -319,7 +319,7 @@
 	var l signal.Ledger
 	const many = 25_000
 	for i := range many {
-		l.Observe(start.Add(time.Duration(i)), life(fmt.Sprint(i)), signal.Signal{
+		l.Observe(start.Add(time.Duration(i)), incarnation(fmt.Sprint(i)), signal.Signal{
 			Draining: true,
 		})
 	}
@@ -327,7 +327,7 @@
 		t.Errorf("%d targets are remembered", leaving)
 	}
 	for i := many - 9_000; i < many; i++ {
-		if !l.Standing(start.Add(many), life(fmt.Sprint(i))).Draining {
+		if !l.Standing(start.Add(many), incarnation(fmt.Sprint(i))).Draining {
 			t.Fatalf("word %d of %d is lost", i, many)
 		}
 	}
@@ -340,10 +340,10 @@
 	const many = 100
 	for i := range many {
 		all.Go(func() {
-			l.Observe(start, life(fmt.Sprint(i)), signal.Signal{
+			l.Observe(start, incarnation(fmt.Sprint(i)), signal.Signal{
 				Draining: true,
 			})
-			l.Standing(start, life("0"))
+			l.Standing(start, incarnation("0"))
 		})
 	}
 	all.Wait()
@@ -359,11 +359,11 @@
 		b.Run(fmt.Sprint(known), func(b *testing.B) {
 			var l signal.Ledger
 			for i := range known {
-				l.Observe(start, life(fmt.Sprint(i)), signal.Signal{
+				l.Observe(start, incarnation(fmt.Sprint(i)), signal.Signal{
 					Draining: true,
 				})
 			}
-			asked := life("7")
+			asked := incarnation("7")
 			b.ReportAllocs()
 			for b.Loop() {
 				l.Standing(start, asked)
--- a/internal/signal/limit_test.go
+++ b/internal/signal/limit_test.go
@@ -140,8 +140,8 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			var l signal.Ledger
-			l.Observe(start, life("t"), tt.notice)
-			if got := l.Standing(start, life("t")).Permits(start, tt.permit); got != tt.want {
+			l.Observe(start, incarnation("t"), tt.notice)
+			if got := l.Standing(start, incarnation("t")).Permits(start, tt.permit); got != tt.want {
 				t.Errorf("permits %v", got)
 			}
 		})
@@ -152,13 +152,13 @@
 func TestLimitsOfPeersAreLearned(t *testing.T) {
 	var l signal.Ledger
 	at := func(s int) time.Time { return start.Add(time.Duration(s) * time.Second) }
-	l.Learn(at(1), life("t"), limitOf(2).Limit)
-	if got := l.Standing(at(5), life("t")).Limit; got != limitOf(2).Limit {
+	l.Learn(at(1), incarnation("t"), limitOf(2).Limit)
+	if got := l.Standing(at(5), incarnation("t")).Limit; got != limitOf(2).Limit {
 		t.Errorf("learned %+v", got)
 	}
-	l.Observe(at(6), life("t"), signal.Signal{})
-	l.Learn(at(5), life("t"), limitOf(2).Limit)
-	if got := l.Standing(at(7), life("t")).Limit; got.Set {
+	l.Observe(at(6), incarnation("t"), signal.Signal{})
+	l.Learn(at(5), incarnation("t"), limitOf(2).Limit)
+	if got := l.Standing(at(7), incarnation("t")).Limit; got.Set {
 		t.Errorf("a lifted limit came back: %+v", got)
 	}
 }
--- a/internal/signal/retryafter_test.go
+++ b/internal/signal/retryafter_test.go
@@ -40,14 +40,14 @@
 		t.Run(tt.name, func(t *testing.T) {
 			rng := rand.New(rand.NewPCG(1, 2))
 			var l signal.Ledger
-			l.Observe(start, life("id/1"), signal.Signal{
+			l.Observe(start, incarnation("id/1"), signal.Signal{
 				Backoff: rest,
 			})
 			// come are the requests of each tick from the end of the rest on: those that
 			// come for the first time, and those that return.
 			come := map[time.Duration]float64{}
 			for at := time.Duration(0); at < 2*rest; at += time.Second / second {
-				s := l.Standing(start.Add(at), life("id/1"))
+				s := l.Standing(start.Add(at), incarnation("id/1"))
 				back := at
 				if s.Barred() {
 					back = at + s.RetryAfter(tt.random(rng))
