--- a/internal/signal/ledger_test.go
+++ b/internal/signal/ledger_test.go
@@ -52,7 +52,7 @@
 }
 
 // A word of leaving holds for the target's life and for no other one.
-func TestLeavingHoldsForOneLife(t *testing.T) {
+func TestDrainingHoldsForOneIncarnation(t *testing.T) {
 	var l signal.Ledger
 	unnamed := signal.Incarnation{
 		Service: "quotes",
