--- a/internal/signal/ledger_test.go
+++ b/internal/signal/ledger_test.go
@@ -224,7 +224,7 @@
 }
 
 // What comes of an attempt at a life that is known to be over was said by the one after it.
-func TestWordsOfALifeThatIsOver(t *testing.T) {
+func TestSignalsOfFormerIncarnation(t *testing.T) {
 	var l signal.Ledger
 	l.Observe(start, born(time.Second), signal.Signal{
 		Draining: true,
