--- a/internal/signal/ledger_test.go
+++ b/internal/signal/ledger_test.go
@@ -289,7 +289,7 @@
 }
 
 // What is known of targets that are gone is dropped, but not while their entries may come back.
-func TestForget(t *testing.T) {
+func TestPrune(t *testing.T) {
 	var l signal.Ledger
 	leaving := signal.Signal{
 		Draining: true,
