--- a/internal/signal/ledger_test.go
+++ b/internal/signal/ledger_test.go
@@ -334,7 +334,7 @@
 }
 
 // Words that come at the same time are all kept.
-func TestLedgerAtTheSameTime(t *testing.T) {
+func TestConcurrentObserve(t *testing.T) {
 	var l signal.Ledger
 	var all sync.WaitGroup
 	const many = 100
