--- a/internal/attempt/attempt.go
+++ b/internal/attempt/attempt.go
@@ -70,10 +70,10 @@
 	repeatable bool
 	deadline   time.Time
 	attempts   int
-	// ran is set once an attempt ended that is not proved to have not run; runs
+	// mayHaveRun is set once an attempt ended that is not proved to have not run; runs
 	// counts those attempts.
-	ran  bool
-	runs int
+	mayHaveRun bool
+	runs       int
 }
 
 // NewLife returns a request without attempts.
@@ -104,19 +104,19 @@
 func (l *Life) Ended(o Outcome) {
 	l.attempts++
 	if o != OutcomeNotRun {
-		l.ran = true
+		l.mayHaveRun = true
 		l.runs++
 	}
 }
 
 // Copied notes a copy of the request whose end nobody waits for: from then on it
 // can't be said that the request has not run.
-func (l *Life) Copied() { l.ran = true }
+func (l *Life) Copied() { l.mayHaveRun = true }
 
 // Outcome returns what is known about all attempts together: not run only if
 // that is proved for each one.
 func (l *Life) Outcome() Outcome {
-	if l.ran {
+	if l.mayHaveRun {
 		return OutcomeUnknown
 	}
 	return OutcomeNotRun
@@ -133,7 +133,7 @@
 		return ReasonDeadline
 	case l.attempts == 0:
 		return ReasonNone
-	case l.ran && !l.repeatable:
+	case l.mayHaveRun && !l.repeatable:
 		return ReasonUnproved
 	case !policy():
 		return ReasonPolicy
