--- a/internal/order/order.go
+++ b/internal/order/order.go
@@ -127,10 +127,10 @@
 // that of n. A removal comes after the value that it removed. Values with equal stamps are ordered
 // by where the store held them.
 func (m Mark) CompareValues(n Mark) int {
-	return cmp.Or(m.stamp.Compare(n.stamp), cmp.Compare(rank(m.gone), rank(n.gone)), m.written.Compare(n.written))
+	return cmp.Or(m.stamp.Compare(n.stamp), cmp.Compare(removalRank(m.gone), removalRank(n.gone)), m.written.Compare(n.written))
 }
 
-func rank(gone bool) int {
+func removalRank(gone bool) int {
 	if gone {
 		return 1
 	}
