--- a/internal/contract/backoff.go
+++ b/internal/contract/backoff.go
@@ -12,9 +12,9 @@
 // HeaderRetryAfter tells when to come back (RFC 9110, section 10.2.3).
 const HeaderRetryAfter = "Retry-After"
 
-// maxWait bounds what a header can ask for, so that no number overflows. Whoever obeys
+// maxBackoff bounds what a header can ask for, so that no number overflows. Whoever obeys
 // it has a bound of its own.
-const maxWait = 24 * time.Hour
+const maxBackoff = 24 * time.Hour
 
 // Backoff returns for how long a target wants no request from this node, by an answer: a 503
 // with Retry-After, or a 429 where the target has not run the request. Any other 429 is
@@ -63,7 +63,7 @@
 		if err != nil {
 			return 0, false
 		}
-		return min(max(until.Sub(from), 0), maxWait), true
+		return min(max(until.Sub(from), 0), maxBackoff), true
 	}
 	if strings.Trim(text, "0123456789.") != "" {
 		// ParseFloat takes signs, exponents and names of numbers too.
@@ -73,5 +73,5 @@
 	if err != nil {
 		return 0, false
 	}
-	return time.Duration(min(seconds, maxWait.Seconds()) * float64(time.Second)), true
+	return time.Duration(min(seconds, maxBackoff.Seconds()) * float64(time.Second)), true
 }
