--- a/internal/contract/backoff.go
+++ b/internal/contract/backoff.go
@@ -27,7 +27,7 @@
 	var longest time.Duration
 	var err error
 	for _, text := range values(h[HeaderRetryAfter]) {
-		d, ok := wait(text, h.Get("Date"))
+		d, ok := parseRetryAfter(text, h.Get("Date"))
 		if !ok {
 			err = NewTimeError(HeaderRetryAfter, text)
 		}
@@ -55,9 +55,9 @@
 	return out
 }
 
-// wait reads one value: seconds, with a fraction where the target writes one, or a date. A
+// parseRetryAfter reads one value: seconds, with a fraction where the target writes one, or a date. A
 // date is taken by the answer's own Date, for clocks of machines differ by seconds.
-func wait(text, sent string) (time.Duration, bool) {
+func parseRetryAfter(text, sent string) (time.Duration, bool) {
 	if until, err := http.ParseTime(text); err == nil {
 		from, err := http.ParseTime(sent)
 		if err != nil {
