--- a/internal/contract/backoff.go
+++ b/internal/contract/backoff.go
@@ -26,7 +26,7 @@
 	}
 	var longest time.Duration
 	var err error
-	for _, text := range values(h[HeaderRetryAfter]) {
+	for _, text := range splitValues(h[HeaderRetryAfter]) {
 		d, ok := parseRetryAfter(text, h.Get("Date"))
 		if !ok {
 			err = NewTimeError(HeaderRetryAfter, text)
@@ -39,8 +39,8 @@
 	return 0, err
 }
 
-// values returns the values of header lines, each of which may hold several.
-func values(lines []string) []string {
+// splitValues returns the values of header lines, each of which may hold several.
+func splitValues(lines []string) []string {
 	var out []string
 	for _, line := range lines {
 		line = strings.TrimSpace(line)
