--- a/internal/contract/limit.go
+++ b/internal/contract/limit.go
@@ -31,7 +31,7 @@
 		for _, line := range h[header] {
 			for text := range strings.SplitSeq(line, ",") {
 				text = strings.TrimSpace(text)
-				rate, ok := decimal(text)
+				rate, ok := parseDecimal(text)
 				if !ok {
 					err = &RateError{
 						header: header,
@@ -49,9 +49,9 @@
 	}
 }
 
-// decimal reads a number of digits with at most one point. ParseFloat alone would accept
+// parseDecimal reads a number of digits with at most one point. ParseFloat alone would accept
 // signs, exponents and names of numbers.
-func decimal(text string) (float64, bool) {
+func parseDecimal(text string) (float64, bool) {
 	if strings.Trim(text, "0123456789.") != "" {
 		return 0, false
 	}
