--- a/internal/signal/doc.go
+++ b/internal/signal/doc.go
@@ -1,9 +1,9 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package signal keeps what targets say of themselves in responses: that they are draining, that
-// they want no request from this node for a time (backoff), or how many requests they accept from
+// Package signal keeps what targets report about themselves in responses: that they are draining,
+// that this node shall send no request for a time (backoff), or how many requests they accept from
 // the whole fleet (limit). A signal binds the node that received it, whichever node chooses its
-// targets. It says nothing of how well a target works.
+// targets. It says nothing about the health of a target.
 //
 // The package is pure: it starts no goroutine, opens nothing, logs nothing and takes the time
 // as an argument.
--- a/internal/signal/ledger.go
+++ b/internal/signal/ledger.go
@@ -25,26 +25,27 @@
 	maxRecords = 10_000
 )
 
-// record is what is known of a target, and the incarnation that it is known of.
+// record holds the signals of a target, and the incarnation that sent them.
 type record struct {
 	incarnation Incarnation
 	draining    bool
 	// drainingUntil ends the draining; the zero time means never.
 	drainingUntil time.Time
-	// unsure is set where the signals may be those of the incarnation before.
+	// unsure is set where the signals may be those of the previous incarnation.
 	unsure       bool
 	backoffFrom  time.Time
 	backoffUntil time.Time
 	limit        Limit
 	limitAt      time.Time
-	// limitUnread is set while the target names a limit that can't be read.
+	// limitUnread is set while the target sends a limit that can't be parsed.
 	limitUnread bool
 	observed    time.Time
 }
 
 // of returns the record as that of an incarnation, and false if it is of another one. A node that
-// learns late of a new one records its signals as those of the one before; signals received after
-// its start are its own. Within clockSkew of that they may be of either, and hold for a time.
+// receives a new incarnation late records its signals as those of the previous one; signals received
+// after its start are its own. Within clockSkew after its start they may be of either, and hold for
+// drainingUnsure.
 func (r record) of(i Incarnation) (record, bool) {
 	if r.incarnation.Key == i.Key {
 		return r, true
@@ -77,9 +78,9 @@
 // Ledger keeps the signals that this node received. Its zero value is empty. It may be used
 // concurrently; reads take no lock, as each attempt reads it before it sends.
 type Ledger struct {
-	// mu is held by those who write.
+	// mu is held for writes.
 	mu sync.Mutex
-	// records holds a record by its place; known is how many there are.
+	// records holds the records by place; count is their number.
 	records sync.Map
 	count   atomic.Int64
 }
@@ -97,7 +98,7 @@
 	return record{}
 }
 
-// newest returns the newest incarnation of a target that is known. l.mu is held.
+// newest returns the incarnation of the target's record if it is newer than i, else i. l.mu is held.
 func (l *Ledger) newest(i Incarnation) Incarnation {
 	if value, ok := l.records.Load(i.place()); ok && value.(record).incarnation.Born.After(i.Born) {
 		return value.(record).incarnation
@@ -111,14 +112,14 @@
 }
 
 // Observe records the signal of a response that was received at now, and reports whether it changed
-// the standing of its target. A backoff never shortens an earlier one.
+// the state of its target. A backoff never shortens an earlier one.
 func (l *Ledger) Observe(now time.Time, i Incarnation, s Signal) bool {
 	if !s.changes(l.record(i)) {
 		return false
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	// The attempt may have begun before the incarnation that answered was known.
+	// The attempt may have begun before this node received the incarnation that answered.
 	i = l.newest(i)
 	r := l.record(i)
 	before := r.standing(now)
@@ -143,8 +144,8 @@
 	return longer || limited || s.Draining && !before.Draining
 }
 
-// observeLimit records the limit of a response, or that it has none, and reports whether that
-// changed.
+// observeLimit records the limit of a response, or that it has none, and reports whether the
+// limit changed.
 func (r *record) observeLimit(now time.Time, s Signal) bool {
 	changed := r.limitUnread != s.LimitUnread
 	r.limitUnread = s.LimitUnread
@@ -159,7 +160,7 @@
 	return changed
 }
 
-// Learn records a limit that a peer reported, which the target named at at. Later responses to this
+// Learn records a limit that a peer reported, which the target sent at at. Later responses to this
 // node take precedence.
 func (l *Ledger) Learn(at time.Time, i Incarnation, limit Limit) {
 	if before := l.record(i); !at.After(before.limitAt) || before.limit == limit {
@@ -204,7 +205,7 @@
 	l.count.Add(-1)
 }
 
-// Standing returns what holds for a target at now.
+// Standing returns the state of a target at now.
 func (l *Ledger) Standing(now time.Time, i Incarnation) Standing { return l.record(i).standing(now) }
 
 // Empty reports whether there is no record.
--- a/internal/signal/ledger_test.go
+++ b/internal/signal/ledger_test.go
@@ -22,7 +22,7 @@
 	}
 }
 
-// born returns a life of the target id that began some time after start.
+// born returns an incarnation of the target id that started some time after start.
 func born(after time.Duration) signal.Incarnation {
 	return signal.Incarnation{
 		Service: "quotes",
@@ -51,7 +51,7 @@
 	// 0s
 }
 
-// A word of leaving holds for the target's life and for no other one.
+// A draining signal holds for the target's incarnation and for no other one.
 func TestDrainingHoldsForOneIncarnation(t *testing.T) {
 	var l signal.Ledger
 	unnamed := signal.Incarnation{
@@ -63,7 +63,7 @@
 		Draining: true,
 	}
 	if !l.Observe(start, incarnation("id/1"), leaving) || l.Observe(start.Add(time.Second), incarnation("id/1"), leaving) {
-		t.Error("the same word is news twice, or not once")
+		t.Error("the same signal is reported as a change twice, or never")
 	}
 	l.Observe(start, unnamed, leaving)
 	tests := []struct {
@@ -85,7 +85,7 @@
 			want:  true,
 		},
 		{
-			name:  "the next life under the same ID",
+			name:  "the next incarnation under the same ID",
 			life:  incarnation("id/2"),
 			after: time.Second,
 		},
@@ -106,7 +106,7 @@
 			want:  true,
 		},
 		{
-			name:  "an address that may have another process by now",
+			name:  "an address that may have another process meanwhile",
 			life:  unnamed,
 			after: time.Minute,
 		},
@@ -120,9 +120,9 @@
 	}
 }
 
-// A node that hears late of a new life takes its words for those of the one before. What was said
-// once the new one had begun is its own; what was said before, or nearly so, isn't.
-func TestWordsOfALifeNotYetKnown(t *testing.T) {
+// A node that receives a new incarnation late records its signals as those of the previous one.
+// Signals after the start of the new one are its own; those before, or shortly after, are not.
+func TestSignalsOfUnknownIncarnation(t *testing.T) {
 	const heard = time.Minute
 	tests := []struct {
 		name string
@@ -130,20 +130,20 @@
 		want bool
 	}{
 		{
-			name: "it had begun long before",
+			name: "it started long before",
 			next: 10 * time.Second,
 			want: true,
 		},
 		{
-			name: "it had begun a moment before, by clocks that may differ",
+			name: "it started a moment before, by clocks that may differ",
 			next: heard - 4*time.Second,
 		},
 		{
-			name: "it began later",
+			name: "it started later",
 			next: heard + time.Second,
 		},
 		{
-			name: "it is older than the one that was known",
+			name: "it is older than the recorded one",
 			next: -time.Second,
 		},
 	}
@@ -154,14 +154,14 @@
 				Draining: true,
 			})
 			if got := l.Standing(start.Add(2*heard), born(tt.next)).Draining; got != tt.want {
-				t.Errorf("leaving %v, want %v", got, tt.want)
+				t.Errorf("draining %v, want %v", got, tt.want)
 			}
 		})
 	}
 }
 
-// Guards against a target that drains from its start on and gets requests from a node that heard so before it
-// knew the new incarnation.
+// Guards against requests to a target that drains from its start on, from a node that received the
+// signal before it received the new incarnation.
 func TestDrainingNearTheStartOfAnIncarnation(t *testing.T) {
 	const heard = time.Minute
 	next := born(heard - 300*time.Millisecond)
@@ -178,16 +178,16 @@
 			want:  true,
 		},
 		{
-			name:  "as long as it may be draining",
+			name:  "before drainingUnsure is over",
 			after: 59 * time.Second,
 			want:  true,
 		},
 		{
-			name:  "longer than that",
+			name:  "after drainingUnsure",
 			after: 61 * time.Second,
 		},
 		{
-			name:  "it says so again",
+			name:  "it repeats the signal",
 			after: 10 * time.Minute,
 			again: true,
 			want:  true,
@@ -212,7 +212,7 @@
 	}
 }
 
-// Guards against an incarnation that is left out because the one before it drained just before its end.
+// Guards against an incarnation without requests because the previous one drained before it ended.
 func TestDrainingBeforeTheStartOfAnIncarnation(t *testing.T) {
 	var l signal.Ledger
 	l.Observe(start.Add(time.Minute), born(0), signal.Signal{
@@ -223,7 +223,7 @@
 	}
 }
 
-// What comes of an attempt at a life that is known to be over was said by the one after it.
+// The response of an attempt at an incarnation that has ended was sent by the next one.
 func TestSignalsOfFormerIncarnation(t *testing.T) {
 	var l signal.Ledger
 	l.Observe(start, born(time.Second), signal.Signal{
@@ -237,8 +237,8 @@
 	}
 }
 
-// Rests are bounded, and none shortens another.
-func TestRest(t *testing.T) {
+// Backoffs are bounded, and none shortens another.
+func TestBackoff(t *testing.T) {
 	tests := []struct {
 		name  string
 		rests []time.Duration
@@ -288,7 +288,7 @@
 	}
 }
 
-// What is known of targets that are gone is dropped, but not while their entries may come back.
+// The records of removed targets are dropped, but not while their entries may reappear.
 func TestPrune(t *testing.T) {
 	var l signal.Ledger
 	leaving := signal.Signal{
@@ -302,19 +302,19 @@
 	published := func(l signal.Incarnation) bool { return l.Key != "gone" }
 	l.Prune(start.Add(time.Minute), published)
 	if leaving, resting := l.Counts(start.Add(time.Minute)); leaving != 2 || resting != 0 {
-		t.Errorf("%d leave, %d rest", leaving, resting)
+		t.Errorf("%d targets draining, %d backing off", leaving, resting)
 	}
 	l.Prune(start.Add(time.Hour), published)
 	if leaving, _ := l.Counts(start.Add(time.Hour)); leaving != 1 {
-		t.Errorf("%d leave", leaving)
+		t.Errorf("%d targets draining", leaving)
 	}
 	l.Prune(start.Add(2*time.Hour), func(signal.Incarnation) bool { return false })
 	if !l.Empty() {
-		t.Error("something is known of targets that are gone for long")
+		t.Error("there are records of targets that were removed long ago")
 	}
 }
 
-// Whatever targets say, memory is bounded; the latest words stay.
+// The memory for signals is bounded; the latest ones stay.
 func TestLedgerIsBounded(t *testing.T) {
 	var l signal.Ledger
 	const many = 25_000
@@ -324,16 +324,16 @@
 		})
 	}
 	if leaving, _ := l.Counts(start.Add(many)); leaving < 9_000 || leaving > 10_000 {
-		t.Errorf("%d targets are remembered", leaving)
+		t.Errorf("%d targets are recorded", leaving)
 	}
 	for i := many - 9_000; i < many; i++ {
 		if !l.Standing(start.Add(many), incarnation(fmt.Sprint(i))).Draining {
-			t.Fatalf("word %d of %d is lost", i, many)
+			t.Fatalf("signal %d of %d is lost", i, many)
 		}
 	}
 }
 
-// Words that come at the same time are all kept.
+// Signals that are recorded concurrently are all kept.
 func TestConcurrentObserve(t *testing.T) {
 	var l signal.Ledger
 	var all sync.WaitGroup
@@ -348,12 +348,12 @@
 	}
 	all.Wait()
 	if leaving, _ := l.Counts(start); leaving != many {
-		t.Errorf("%d of %d words are kept", leaving, many)
+		t.Errorf("%d of %d signals are kept", leaving, many)
 	}
 }
 
-// What each attempt asks costs nothing on days on which no target says anything, and takes no
-// memory on others.
+// BenchmarkStanding measures the read of each attempt: it is free without signals, and allocates
+// nothing with them.
 func BenchmarkStanding(b *testing.B) {
 	for _, known := range []int{0, 720} {
 		b.Run(fmt.Sprint(known), func(b *testing.B) {
--- a/internal/signal/limit_test.go
+++ b/internal/signal/limit_test.go
@@ -18,8 +18,8 @@
 	}
 }
 
-// A limit holds until a later answer names another one or none. One that can't be read changes
-// nothing, and is told once.
+// A limit holds until a later response has another one or none. One that can't be parsed changes
+// nothing, and is reported once.
 func TestLimitHoldsUntilTheNextAnswer(t *testing.T) {
 	steps := []struct {
 		name    string
@@ -80,7 +80,7 @@
 	}
 }
 
-// A limit is of one incarnation: the next one has none until it names its own.
+// A limit belongs to one incarnation: the next one has none until it sends its own.
 func TestLimitIsOfOneIncarnation(t *testing.T) {
 	var l signal.Ledger
 	l.Observe(start, born(0), limitOf(1.6))
@@ -89,8 +89,8 @@
 	}
 }
 
-// A target with a limit gets only requests that the limit paid for, and none that were held up
-// since.
+// A target with a limit gets only requests that took a token of the limit, and none that were
+// delayed since.
 func TestPermit(t *testing.T) {
 	tests := []struct {
 		name   string
@@ -110,7 +110,7 @@
 			},
 		},
 		{
-			name:   "paid for",
+			name:   "with a token",
 			notice: limitOf(2),
 			permit: signal.Permit{
 				Paced: true,
@@ -119,7 +119,7 @@
 			want: true,
 		},
 		{
-			name:   "held up",
+			name:   "delayed after the grant",
 			notice: limitOf(2),
 			permit: signal.Permit{
 				Paced: true,
@@ -127,7 +127,7 @@
 			},
 		},
 		{
-			name: "paid for, and draining",
+			name: "with a token, and draining",
 			notice: signal.Signal{
 				Draining: true,
 			},
@@ -148,17 +148,17 @@
 	}
 }
 
-// What a peer tells of a limit counts unless this node heard the target later.
+// The limit that a peer reports holds unless this node received a later response of the target.
 func TestLimitsOfPeersAreLearned(t *testing.T) {
 	var l signal.Ledger
 	at := func(s int) time.Time { return start.Add(time.Duration(s) * time.Second) }
 	l.Learn(at(1), incarnation("t"), limitOf(2).Limit)
 	if got := l.Standing(at(5), incarnation("t")).Limit; got != limitOf(2).Limit {
-		t.Errorf("learned %+v", got)
+		t.Errorf("limit of a peer: got %+v", got)
 	}
 	l.Observe(at(6), incarnation("t"), signal.Signal{})
 	l.Learn(at(5), incarnation("t"), limitOf(2).Limit)
 	if got := l.Standing(at(7), incarnation("t")).Limit; got.Set {
-		t.Errorf("a lifted limit came back: %+v", got)
+		t.Errorf("a lifted limit was restored: %+v", got)
 	}
 }
--- a/internal/signal/retryafter_test.go
+++ b/internal/signal/retryafter_test.go
@@ -10,10 +10,10 @@
 	"ploverjunction.example/ploverjunction/internal/signal"
 )
 
-// Callers who come while a service rests are told when to return: none before the rest is over,
-// and not so many at once that the service is overloaded by them. Two ways on the same
-// callers: all at the end, and spread.
-func TestNoHerdWhenRestEnds(t *testing.T) {
+// Callers that arrive during the backoff of a service get a retry time: none before the backoff is
+// over, and not so many at once that they overload the service. Compares retries that are all at the
+// end with those that are spread, for the same callers.
+func TestNoHerdWhenBackoffEnds(t *testing.T) {
 	const (
 		rest   = 3 * time.Second
 		tick   = 100 * time.Millisecond
@@ -22,7 +22,7 @@
 	tests := []struct {
 		name   string
 		random func(rng *rand.Rand) float64
-		// most is the greatest load in a tick, in times the usual one.
+		// most is the greatest load in a tick, as a multiple of the usual one.
 		most float64
 	}{
 		{
@@ -43,8 +43,8 @@
 			l.Observe(start, incarnation("id/1"), signal.Signal{
 				Backoff: rest,
 			})
-			// come are the requests of each tick from the end of the rest on: those that
-			// come for the first time, and those that return.
+			// come counts the requests in each tick from the end of the backoff on, first
+			// requests and retries.
 			come := map[time.Duration]float64{}
 			for at := time.Duration(0); at < 2*rest; at += time.Second / second {
 				s := l.Standing(start.Add(at), incarnation("id/1"))
@@ -53,7 +53,7 @@
 					back = at + s.RetryAfter(tt.random(rng))
 				}
 				if back < rest {
-					t.Fatalf("a caller of %v returns after %v, before the rest is over", at, back)
+					t.Fatalf("a caller that arrived at %v retries at %v, before the backoff is over", at, back)
 				}
 				come[back.Truncate(tick)]++
 			}
--- a/internal/signal/signal.go
+++ b/internal/signal/signal.go
@@ -4,7 +4,7 @@
 
 import "time"
 
-// Incarnation names one start of a target as this node knows it.
+// Incarnation identifies one start of a target by the configuration of this node.
 type Incarnation struct {
 	Service string
 	// Key names the incarnation in the configuration; Name is the published ID, or the address
@@ -13,12 +13,12 @@
 	Name string
 	// Named is set where Name is an ID: the next incarnation then has another key.
 	Named bool
-	// Born is when the incarnation began by the target's clock, the zero time where it isn't
+	// Born is the start of the incarnation by the target's clock, the zero time where it isn't
 	// published.
 	Born time.Time
 }
 
-// place is what all incarnations of a target share.
+// place is the key that all incarnations of a target share.
 type place struct {
 	service string
 	name    string
@@ -40,30 +40,29 @@
 	Set bool
 }
 
-// Signal is what one response says of its target.
+// Signal is what one response reports about its target.
 type Signal struct {
-	// Draining is set where the target takes no new work.
+	// Draining is set where the target accepts no new requests.
 	Draining bool
-	// Backoff is for how long the target wants no request from this node.
+	// Backoff is for how long this node shall send no request to the target.
 	Backoff time.Duration
-	// Limit holds until a later response names another one, or none.
+	// Limit holds until a later response has another one, or none.
 	Limit Limit
-	// LimitUnread is set where a limit is named that can't be read: the one before it holds.
+	// LimitUnread is set where the limit can't be parsed: the one before it holds.
 	LimitUnread bool
 }
 
-// Standing is what holds for a target at one time.
+// Standing is the state of a target at one time, by its signals.
 type Standing struct {
 	Draining bool
-	// Unsure is set where it may have been the incarnation before that was draining: this node
+	// Unsure is set where the draining may be that of the previous incarnation: this node
 	// sends nothing, others may.
 	Unsure bool
-	// Backoff is how much longer the target wants no request from this node, 0 for no
-	// backoff, and BackoffTotal how long it is in all.
+	// Backoff is the rest of the target's backoff, 0 for none, and BackoffTotal its whole length.
 	Backoff      time.Duration
 	BackoffTotal time.Duration
-	// Limit is the target's limit, and LimitAt when it answered so; the zero time means that
-	// no response ever named one.
+	// Limit is the target's limit, and LimitAt the time of the response; the zero time means that
+	// no response had one.
 	Limit   Limit
 	LimitAt time.Time
 }
@@ -71,11 +70,11 @@
 // Barred reports whether no request may be sent to the target.
 func (s Standing) Barred() bool { return s.Draining || s.Backoff > 0 }
 
-// permitTime is how long a permit lasts: requests that were held up after their grant would
+// permitTime is how long a permit lasts: requests that are delayed after their grant would
 // reach a target with a limit all at once.
 const permitTime = 500 * time.Millisecond
 
-// Permit is the grant of a target. Paced is set where it was paid for from the target's limit.
+// Permit is the grant of a target. Paced is set where it took a token of the target's limit.
 type Permit struct {
 	Paced bool
 	At    time.Time
