--- a/internal/signal/ledger_test.go
+++ b/internal/signal/ledger_test.go
@@ -59,13 +59,13 @@
 		Key:     "192.0.2.1:80",
 		Name:    "192.0.2.1:80",
 	}
-	leaving := signal.Signal{
+	draining := signal.Signal{
 		Draining: true,
 	}
-	if !l.Observe(start, incarnation("id/1"), leaving) || l.Observe(start.Add(time.Second), incarnation("id/1"), leaving) {
+	if !l.Observe(start, incarnation("id/1"), draining) || l.Observe(start.Add(time.Second), incarnation("id/1"), draining) {
 		t.Error("the same signal is reported as a change twice, or never")
 	}
-	l.Observe(start, unnamed, leaving)
+	l.Observe(start, unnamed, draining)
 	tests := []struct {
 		name  string
 		life  signal.Incarnation
