--- a/internal/signal/ledger_test.go
+++ b/internal/signal/ledger_test.go
@@ -67,31 +67,31 @@
 	}
 	l.Observe(start, unnamed, draining)
 	tests := []struct {
-		name  string
-		life  signal.Incarnation
-		after time.Duration
-		want  bool
+		name   string
+		target signal.Incarnation
+		after  time.Duration
+		want   bool
 	}{
 		{
-			name:  "at once",
-			life:  incarnation("id/1"),
-			after: 0,
-			want:  true,
+			name:   "at once",
+			target: incarnation("id/1"),
+			after:  0,
+			want:   true,
 		},
 		{
-			name:  "an hour later",
-			life:  incarnation("id/1"),
-			after: time.Hour,
-			want:  true,
+			name:   "an hour later",
+			target: incarnation("id/1"),
+			after:  time.Hour,
+			want:   true,
 		},
 		{
-			name:  "the next incarnation under the same ID",
-			life:  incarnation("id/2"),
-			after: time.Second,
+			name:   "the next incarnation under the same ID",
+			target: incarnation("id/2"),
+			after:  time.Second,
 		},
 		{
 			name: "the same key in another service",
-			life: signal.Incarnation{
+			target: signal.Incarnation{
 				Service: "documents",
 				Key:     "id/1",
 				Name:    "id/1",
@@ -100,20 +100,20 @@
 			after: time.Second,
 		},
 		{
-			name:  "an address",
-			life:  unnamed,
-			after: 59 * time.Second,
-			want:  true,
+			name:   "an address",
+			target: unnamed,
+			after:  59 * time.Second,
+			want:   true,
 		},
 		{
-			name:  "an address that may have another process meanwhile",
-			life:  unnamed,
-			after: time.Minute,
+			name:   "an address that may have another process meanwhile",
+			target: unnamed,
+			after:  time.Minute,
 		},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			if got := l.Standing(start.Add(tt.after), tt.life); got.Draining != tt.want || got.Barred() != tt.want {
+			if got := l.Standing(start.Add(tt.after), tt.target); got.Draining != tt.want || got.Barred() != tt.want {
 				t.Errorf("%+v", got)
 			}
 		})
