--- a/internal/signal/ledger_test.go
+++ b/internal/signal/ledger_test.go
@@ -123,7 +123,7 @@
 // A node that receives a new incarnation late records its signals as those of the previous one.
 // Signals after the start of the new one are its own; those before, or shortly after, are not.
 func TestSignalsOfUnknownIncarnation(t *testing.T) {
-	const heard = time.Minute
+	const received = time.Minute
 	tests := []struct {
 		name string
 		next time.Duration
@@ -136,11 +136,11 @@
 		},
 		{
 			name: "it started a moment before, by clocks that may differ",
-			next: heard - 4*time.Second,
+			next: received - 4*time.Second,
 		},
 		{
 			name: "it started later",
-			next: heard + time.Second,
+			next: received + time.Second,
 		},
 		{
 			name: "it is older than the recorded one",
@@ -150,10 +150,10 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			var l signal.Ledger
-			l.Observe(start.Add(heard), born(0), signal.Signal{
+			l.Observe(start.Add(received), born(0), signal.Signal{
 				Draining: true,
 			})
-			if got := l.Standing(start.Add(2*heard), born(tt.next)).Draining; got != tt.want {
+			if got := l.Standing(start.Add(2*received), born(tt.next)).Draining; got != tt.want {
 				t.Errorf("draining %v, want %v", got, tt.want)
 			}
 		})
