--- a/internal/signal/ledger_test.go
+++ b/internal/signal/ledger_test.go
@@ -163,8 +163,8 @@
 // Guards against requests to a target that drains from its start on, from a node that received the
 // signal before it received the new incarnation.
 func TestDrainingNearTheStartOfAnIncarnation(t *testing.T) {
-	const heard = time.Minute
-	next := born(heard - 300*time.Millisecond)
+	const received = time.Minute
+	next := born(received - 300*time.Millisecond)
 	tests := []struct {
 		name  string
 		after time.Duration
@@ -200,11 +200,11 @@
 			draining := signal.Signal{
 				Draining: true,
 			}
-			l.Observe(start.Add(heard), born(0), draining)
+			l.Observe(start.Add(received), born(0), draining)
 			if tt.again {
-				l.Observe(start.Add(heard+time.Second), next, draining)
+				l.Observe(start.Add(received+time.Second), next, draining)
 			}
-			got := l.Standing(start.Add(heard+tt.after), next)
+			got := l.Standing(start.Add(received+tt.after), next)
 			if got.Draining != tt.want || got.Barred() != tt.want || got.Unsure != (tt.want && !tt.sure) {
 				t.Errorf("%+v", got)
 			}
