--- a/internal/signal/ledger_test.go
+++ b/internal/signal/ledger_test.go
@@ -166,11 +166,11 @@
 	const received = time.Minute
 	next := born(received - 300*time.Millisecond)
 	tests := []struct {
-		name  string
-		after time.Duration
-		again bool
-		want  bool
-		sure  bool
+		name     string
+		after    time.Duration
+		repeated bool
+		want     bool
+		sure     bool
 	}{
 		{
 			name:  "just now",
@@ -187,11 +187,11 @@
 			after: 61 * time.Second,
 		},
 		{
-			name:  "it repeats the signal",
-			after: 10 * time.Minute,
-			again: true,
-			want:  true,
-			sure:  true,
+			name:     "it repeats the signal",
+			after:    10 * time.Minute,
+			repeated: true,
+			want:     true,
+			sure:     true,
 		},
 	}
 	for _, tt := range tests {
@@ -201,7 +201,7 @@
 				Draining: true,
 			}
 			l.Observe(start.Add(received), born(0), draining)
-			if tt.again {
+			if tt.repeated {
 				l.Observe(start.Add(received+time.Second), next, draining)
 			}
 			got := l.Standing(start.Add(received+tt.after), next)
