--- a/internal/signal/ledger_test.go
+++ b/internal/signal/ledger_test.go
@@ -240,43 +240,43 @@
 // Backoffs are bounded, and none shortens another.
 func TestBackoff(t *testing.T) {
 	tests := []struct {
-		name  string
-		rests []time.Duration
-		want  time.Duration
+		name     string
+		backoffs []time.Duration
+		want     time.Duration
 	}{
 		{
-			name:  "none",
-			rests: []time.Duration{0},
+			name:     "none",
+			backoffs: []time.Duration{0},
 		},
 		{
-			name:  "negative",
-			rests: []time.Duration{-time.Second},
+			name:     "negative",
+			backoffs: []time.Duration{-time.Second},
 		},
 		{
-			name:  "one",
-			rests: []time.Duration{3 * time.Second},
-			want:  3 * time.Second,
+			name:     "one",
+			backoffs: []time.Duration{3 * time.Second},
+			want:     3 * time.Second,
 		},
 		{
-			name:  "a shorter one after it",
-			rests: []time.Duration{3 * time.Second, time.Second},
-			want:  3 * time.Second,
+			name:     "a shorter one after it",
+			backoffs: []time.Duration{3 * time.Second, time.Second},
+			want:     3 * time.Second,
 		},
 		{
-			name:  "a longer one after it",
-			rests: []time.Duration{time.Second, 3 * time.Second},
-			want:  3 * time.Second,
+			name:     "a longer one after it",
+			backoffs: []time.Duration{time.Second, 3 * time.Second},
+			want:     3 * time.Second,
 		},
 		{
-			name:  "huge",
-			rests: []time.Duration{1 << 62},
-			want:  signal.MaxBackoff,
+			name:     "huge",
+			backoffs: []time.Duration{1 << 62},
+			want:     signal.MaxBackoff,
 		},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			var l signal.Ledger
-			for _, d := range tt.rests {
+			for _, d := range tt.backoffs {
 				l.Observe(start, incarnation("id/1"), signal.Signal{
 					Backoff: d,
 				})
