--- a/internal/signal/ledger_test.go
+++ b/internal/signal/ledger_test.go
@@ -291,11 +291,11 @@
 // The records of removed targets are dropped, but not while their entries may reappear.
 func TestPrune(t *testing.T) {
 	var l signal.Ledger
-	leaving := signal.Signal{
+	draining := signal.Signal{
 		Draining: true,
 	}
-	l.Observe(start, incarnation("published"), leaving)
-	l.Observe(start, incarnation("gone"), leaving)
+	l.Observe(start, incarnation("published"), draining)
+	l.Observe(start, incarnation("gone"), draining)
 	l.Observe(start, incarnation("rested"), signal.Signal{
 		Backoff: time.Second,
 	})
