--- a/internal/signal/ledger_test.go
+++ b/internal/signal/ledger_test.go
@@ -301,8 +301,8 @@
 	})
 	published := func(l signal.Incarnation) bool { return l.Key != "gone" }
 	l.Prune(start.Add(time.Minute), published)
-	if leaving, resting := l.Counts(start.Add(time.Minute)); leaving != 2 || resting != 0 {
-		t.Errorf("%d targets draining, %d backing off", leaving, resting)
+	if draining, resting := l.Counts(start.Add(time.Minute)); draining != 2 || resting != 0 {
+		t.Errorf("%d targets draining, %d backing off", draining, resting)
 	}
 	l.Prune(start.Add(time.Hour), published)
 	if leaving, _ := l.Counts(start.Add(time.Hour)); leaving != 1 {
