--- a/internal/signal/ledger_test.go
+++ b/internal/signal/ledger_test.go
@@ -301,8 +301,8 @@
 	})
 	published := func(l signal.Incarnation) bool { return l.Key != "gone" }
 	l.Prune(start.Add(time.Minute), published)
-	if draining, resting := l.Counts(start.Add(time.Minute)); draining != 2 || resting != 0 {
-		t.Errorf("%d targets draining, %d backing off", draining, resting)
+	if draining, backingOff := l.Counts(start.Add(time.Minute)); draining != 2 || backingOff != 0 {
+		t.Errorf("%d targets draining, %d backing off", draining, backingOff)
 	}
 	l.Prune(start.Add(time.Hour), published)
 	if leaving, _ := l.Counts(start.Add(time.Hour)); leaving != 1 {
