--- a/internal/signal/ledger_test.go
+++ b/internal/signal/ledger_test.go
@@ -305,8 +305,8 @@
 		t.Errorf("%d targets draining, %d backing off", draining, backingOff)
 	}
 	l.Prune(start.Add(time.Hour), published)
-	if leaving, _ := l.Counts(start.Add(time.Hour)); leaving != 1 {
-		t.Errorf("%d targets draining", leaving)
+	if draining, _ := l.Counts(start.Add(time.Hour)); draining != 1 {
+		t.Errorf("%d targets draining", draining)
 	}
 	l.Prune(start.Add(2*time.Hour), func(signal.Incarnation) bool { return false })
 	if !l.Empty() {
