--- a/internal/signal/ledger_test.go
+++ b/internal/signal/ledger_test.go
@@ -323,8 +323,8 @@
 			Draining: true,
 		})
 	}
-	if leaving, _ := l.Counts(start.Add(many)); leaving < 9_000 || leaving > 10_000 {
-		t.Errorf("%d targets are recorded", leaving)
+	if draining, _ := l.Counts(start.Add(many)); draining < 9_000 || draining > 10_000 {
+		t.Errorf("%d targets are recorded", draining)
 	}
 	for i := many - 9_000; i < many; i++ {
 		if !l.Standing(start.Add(many), incarnation(fmt.Sprint(i))).Draining {
