--- a/internal/signal/ledger_test.go
+++ b/internal/signal/ledger_test.go
@@ -347,8 +347,8 @@
 		})
 	}
 	all.Wait()
-	if leaving, _ := l.Counts(start); leaving != many {
-		t.Errorf("%d of %d signals are kept", leaving, many)
+	if draining, _ := l.Counts(start); draining != many {
+		t.Errorf("%d of %d signals are kept", draining, many)
 	}
 }
 
