--- a/internal/signal/ledger_test.go
+++ b/internal/signal/ledger_test.go
@@ -363,10 +363,10 @@
 					Draining: true,
 				})
 			}
-			asked := incarnation("7")
+			target := incarnation("7")
 			b.ReportAllocs()
 			for b.Loop() {
-				l.Standing(start, asked)
+				l.Standing(start, target)
 			}
 		})
 	}
