--- a/internal/signal/limit_test.go
+++ b/internal/signal/limit_test.go
@@ -23,7 +23,7 @@
 func TestLimitHoldsUntilTheNextAnswer(t *testing.T) {
 	steps := []struct {
 		name    string
-		notice  signal.Signal
+		signal  signal.Signal
 		changed bool
 		want    signal.Limit
 	}{
@@ -32,18 +32,18 @@
 		},
 		{
 			name:    "named",
-			notice:  limitOf(1.6),
+			signal:  limitOf(1.6),
 			changed: true,
 			want:    limitOf(1.6).Limit,
 		},
 		{
 			name:   "named again",
-			notice: limitOf(1.6),
+			signal: limitOf(1.6),
 			want:   limitOf(1.6).Limit,
 		},
 		{
 			name: "unreadable",
-			notice: signal.Signal{
+			signal: signal.Signal{
 				LimitUnread: true,
 			},
 			changed: true,
@@ -51,14 +51,14 @@
 		},
 		{
 			name: "unreadable again",
-			notice: signal.Signal{
+			signal: signal.Signal{
 				LimitUnread: true,
 			},
 			want: limitOf(1.6).Limit,
 		},
 		{
 			name:    "nothing accepted",
-			notice:  limitOf(0),
+			signal:  limitOf(0),
 			changed: true,
 			want:    limitOf(0).Limit,
 		},
@@ -71,7 +71,7 @@
 	target := born(0)
 	for i, s := range steps {
 		now := start.Add(time.Duration(i) * time.Second)
-		if changed := l.Observe(now, target, s.notice); changed != s.changed {
+		if changed := l.Observe(now, target, s.signal); changed != s.changed {
 			t.Errorf("%s: changed %v", s.name, changed)
 		}
 		if got := l.Standing(now, target); got.Limit != s.want || got.Barred() {
