--- a/internal/signal/limit_test.go
+++ b/internal/signal/limit_test.go
@@ -94,7 +94,7 @@
 func TestPermit(t *testing.T) {
 	tests := []struct {
 		name   string
-		notice signal.Signal
+		signal signal.Signal
 		permit signal.Permit
 		want   bool
 	}{
@@ -104,14 +104,14 @@
 		},
 		{
 			name:   "granted without the limit",
-			notice: limitOf(2),
+			signal: limitOf(2),
 			permit: signal.Permit{
 				At: start,
 			},
 		},
 		{
 			name:   "with a token",
-			notice: limitOf(2),
+			signal: limitOf(2),
 			permit: signal.Permit{
 				Paced: true,
 				At:    start.Add(-400 * time.Millisecond),
@@ -120,7 +120,7 @@
 		},
 		{
 			name:   "delayed after the grant",
-			notice: limitOf(2),
+			signal: limitOf(2),
 			permit: signal.Permit{
 				Paced: true,
 				At:    start.Add(-600 * time.Millisecond),
@@ -128,7 +128,7 @@
 		},
 		{
 			name: "with a token, and draining",
-			notice: signal.Signal{
+			signal: signal.Signal{
 				Draining: true,
 			},
 			permit: signal.Permit{
@@ -140,7 +140,7 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			var l signal.Ledger
-			l.Observe(start, incarnation("t"), tt.notice)
+			l.Observe(start, incarnation("t"), tt.signal)
 			if got := l.Standing(start, incarnation("t")).Permits(start, tt.permit); got != tt.want {
 				t.Errorf("permits %v", got)
 			}
