--- a/internal/signal/retryafter_test.go
+++ b/internal/signal/retryafter_test.go
@@ -15,9 +15,9 @@
 // end with those that are spread, for the same callers.
 func TestNoHerdWhenBackoffEnds(t *testing.T) {
 	const (
-		rest   = 3 * time.Second
-		tick   = 100 * time.Millisecond
-		second = 200
+		backoff = 3 * time.Second
+		tick    = 100 * time.Millisecond
+		second  = 200
 	)
 	tests := []struct {
 		name   string
@@ -41,18 +41,18 @@
 			rng := rand.New(rand.NewPCG(1, 2))
 			var l signal.Ledger
 			l.Observe(start, incarnation("id/1"), signal.Signal{
-				Backoff: rest,
+				Backoff: backoff,
 			})
 			// come counts the requests in each tick from the end of the backoff on, first
 			// requests and retries.
 			come := map[time.Duration]float64{}
-			for at := time.Duration(0); at < 2*rest; at += time.Second / second {
+			for at := time.Duration(0); at < 2*backoff; at += time.Second / second {
 				s := l.Standing(start.Add(at), incarnation("id/1"))
 				back := at
 				if s.Barred() {
 					back = at + s.RetryAfter(tt.random(rng))
 				}
-				if back < rest {
+				if back < backoff {
 					t.Fatalf("a caller that arrived at %v retries at %v, before the backoff is over", at, back)
 				}
 				come[back.Truncate(tick)]++
