--- a/internal/signal/retryafter_test.go
+++ b/internal/signal/retryafter_test.go
@@ -45,7 +45,7 @@
 			})
 			// come counts the requests in each tick from the end of the backoff on, first
 			// requests and retries.
-			come := map[time.Duration]float64{}
+			requests := map[time.Duration]float64{}
 			for at := time.Duration(0); at < 2*backoff; at += time.Second / second {
 				s := l.Standing(start.Add(at), incarnation("id/1"))
 				back := at
@@ -55,10 +55,10 @@
 				if back < backoff {
 					t.Fatalf("a caller that arrived at %v retries at %v, before the backoff is over", at, back)
 				}
-				come[back.Truncate(tick)]++
+				requests[back.Truncate(tick)]++
 			}
 			most := 0.0
-			for _, n := range come {
+			for _, n := range requests {
 				most = max(most, n/second/tick.Seconds())
 			}
 			t.Logf("most in a tenth of a second: %.1f times the usual load", most)
