--- a/internal/signal/retryafter_test.go
+++ b/internal/signal/retryafter_test.go
@@ -48,14 +48,14 @@
 			requests := map[time.Duration]float64{}
 			for at := time.Duration(0); at < 2*backoff; at += time.Second / second {
 				s := l.Standing(start.Add(at), incarnation("id/1"))
-				back := at
+				retry := at
 				if s.Barred() {
-					back = at + s.RetryAfter(tt.random(rng))
+					retry = at + s.RetryAfter(tt.random(rng))
 				}
-				if back < backoff {
-					t.Fatalf("a caller that arrived at %v retries at %v, before the backoff is over", at, back)
+				if retry < backoff {
+					t.Fatalf("a caller that arrived at %v retries at %v, before the backoff is over", at, retry)
 				}
-				requests[back.Truncate(tick)]++
+				requests[retry.Truncate(tick)]++
 			}
 			most := 0.0
 			for _, n := range requests {
