--- a/internal/attempt/attempt.go
+++ b/internal/attempt/attempt.go
@@ -1,13 +1,13 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package attempt decides the life of one request: what each attempt proved and
-// whether another may follow. It is pure: it opens nothing, logs nothing and
-// takes the time as an argument.
+// Package attempt tracks the attempts of one request: what is proved about each, and whether
+// another may follow. It is pure: it opens nothing, logs nothing and takes the time as an
+// argument.
 package attempt
 
 import "time"
 
-// Outcome is what is known about a request's run on its target.
+// Outcome is what is known about the run of a request on its target.
 type Outcome uint8
 
 // Outcomes. They are part of the contract with callers.
@@ -32,34 +32,34 @@
 	}
 }
 
-// Reason says why the life of a request ended without an answer.
+// Reason is why a request ended without an answer.
 type Reason uint8
 
-// Reasons for giving up.
+// Reasons for ending a request.
 const (
 	ReasonNone Reason = iota
-	// ReasonDeadline means that the time of the request is over.
+	// ReasonDeadline means that the deadline of the request has passed.
 	ReasonDeadline
-	// ReasonUnproved means that a request that must not be repeated may have run.
+	// ReasonUnproved means that a non-repeatable request may have run.
 	ReasonUnproved
 	// ReasonPolicy means that the policy of the service allows no other attempt.
 	ReasonPolicy
 	// ReasonBudget means that the service's retry budget is spent.
 	ReasonBudget
-	// ReasonCaller means that the caller is gone.
+	// ReasonCaller means that the caller has disconnected.
 	ReasonCaller
-	// ReasonTargets means that no target can take the request.
+	// ReasonTargets means that no target can accept the request.
 	ReasonTargets
-	// ReasonQuarantine means that targets end under the request.
+	// ReasonQuarantine means that targets crash under the request.
 	ReasonQuarantine
-	// ReasonRest means that all targets that stay want no request from this node now.
+	// ReasonRest means that all targets that do not drain back off.
 	ReasonRest
-	// ReasonClosed means that all targets are in data halls that are evacuated, or in regions
-	// where the request may not be served.
+	// ReasonClosed means that all targets are in closed data halls: evacuated ones, or those
+	// outside the request's regions.
 	ReasonClosed
 )
 
-// String returns the reason in words.
+// String returns the reason for logs and answers.
 func (r Reason) String() string {
 	return [...]string{"none", "deadline", "may have run", "policy", "retry budget", "caller gone", "no target", "targets end under it", "all targets rest", "no open data hall"}[r]
 }
@@ -70,13 +70,13 @@
 	repeatable bool
 	deadline   time.Time
 	attempts   int
-	// mayHaveRun is set once an attempt ended that is not proved to have not run; runs
+	// mayHaveRun is set once an attempt ended without a proof that it did not run; runs
 	// counts those attempts.
 	mayHaveRun bool
 	runs       int
 }
 
-// NewLife returns a request without attempts.
+// NewLife returns a Life without attempts.
 func NewLife(repeatable bool, deadline time.Time) *Life {
 	return &Life{
 		repeatable: repeatable,
@@ -84,11 +84,11 @@
 	}
 }
 
-// Deadline returns the time after which no attempt may begin or go on.
+// Deadline returns the time after which no attempt may start or continue.
 func (l *Life) Deadline() time.Time { return l.deadline }
 
-// Continue gives the rest of an answer that broke off a deadline of its own: a
-// deadline is about the first byte, and a download may take longer.
+// Continue sets a new deadline for the rest of an interrupted answer: the first deadline
+// is that of the first byte, and a download may take longer.
 func (l *Life) Continue(deadline time.Time) { l.deadline = deadline }
 
 // Attempts returns the number of attempts that ended.
@@ -100,7 +100,7 @@
 // Repeatable reports whether the request may run more than once.
 func (l *Life) Repeatable() bool { return l.repeatable }
 
-// Ended records the end of an attempt.
+// Ended records the outcome of an attempt.
 func (l *Life) Ended(o Outcome) {
 	l.attempts++
 	if o != OutcomeNotRun {
@@ -109,12 +109,12 @@
 	}
 }
 
-// Copied notes a copy of the request whose end nobody waits for: from then on it
-// can't be said that the request has not run.
+// Copied records a copy of the request whose outcome is not awaited: the request may have
+// run from then on.
 func (l *Life) Copied() { l.mayHaveRun = true }
 
-// Outcome returns what is known about all attempts together: not run only if
-// that is proved for each one.
+// Outcome returns the outcome of all attempts together: OutcomeNotRun only if that is
+// proved for each one.
 func (l *Life) Outcome() Outcome {
 	if l.mayHaveRun {
 		return OutcomeUnknown
@@ -122,11 +122,10 @@
 	return OutcomeNotRun
 }
 
-// May returns ReasonNone if another attempt may begin at now, else the reason
-// against it. The seams ask only when they are needed: policy whether the
-// service's policy allows it, and budget whether the retry budget pays for it.
-// The rule that a request which must not be repeated never follows an unproved
-// attempt stands above any policy.
+// May returns ReasonNone if another attempt may start at now, else the reason against
+// it. policy reports whether the service's policy allows it, and budget whether the retry
+// budget does, which it takes from; each is called only when needed. No policy can allow
+// another attempt for a non-repeatable request that may have run.
 func (l *Life) May(now time.Time, policy, budget func() bool) Reason {
 	switch {
 	case !now.Before(l.deadline):
--- a/internal/attempt/attempt_test.go
+++ b/internal/attempt/attempt_test.go
@@ -33,17 +33,16 @@
 	// may have run unknown
 }
 
-// A copy whose end nobody waits for may run: the caller must not be told that its
-// request has not.
+// A copy whose outcome is not awaited may run: the caller must not get the outcome not-run.
 func TestCopyMayHaveRun(t *testing.T) {
 	l := attempt.NewLife(true, start.Add(time.Second))
 	l.Copied()
 	l.Ended(attempt.OutcomeNotRun)
 	if o := l.Outcome(); o != attempt.OutcomeUnknown {
-		t.Errorf("outcome %v with a copy under way", o)
+		t.Errorf("outcome %v with a copy in flight", o)
 	}
 	if r := l.May(start, yes, yes); r != attempt.ReasonNone {
-		t.Errorf("a copy keeps the request from another attempt: %v", r)
+		t.Errorf("a copy prevents another attempt: %v", r)
 	}
 }
 
@@ -152,8 +151,8 @@
 	}
 }
 
-// Whatever happens to attempts, a request that must not be repeated has at most
-// one that may have run, and "not run" is said only if none has.
+// For all outcomes, a non-repeatable request has at most one attempt that may have run, and
+// its outcome is not-run only if it has none.
 func TestAtMostOnceProperty(t *testing.T) {
 	p := gopter.NewProperties(nil)
 	p.Property("at most one attempt may have run", prop.ForAll(
