--- a/internal/order/order.go
+++ b/internal/order/order.go
@@ -1,9 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package order compares published values. There are two orders, and they are kept
-// apart: a Position says how far a store has come, a Stamp which of two values their writer
-// wrote later. A store that is restored from a copy gives out revisions again, in a new
-// era; what writers count survives that.
+// Package order compares published values. There are two separate orders: a Position is the
+// progress of a store, a Stamp orders the values of one writer. A store that is restored from
+// a backup reuses revisions, in a new era; the counts of writers continue.
 package order
 
 import (
@@ -11,7 +10,7 @@
 	"fmt"
 )
 
-// Position is a place in the history of a store. The zero value is before all others.
+// Position is a position in the history of a store. The zero value is before all others.
 type Position struct {
 	era      uint64
 	revision uint64
@@ -25,8 +24,8 @@
 	}
 }
 
-// Era returns the store's era, which grows each time that the store is restored; 0 is that of a
-// store that names none.
+// Era returns the store's era, which increases with each restore of the store; 0 is that of a
+// store without eras.
 func (p Position) Era() uint64 { return p.era }
 
 // Revision returns the revision within the era.
@@ -48,8 +47,8 @@
 	return p
 }
 
-// Stamp is a writer's own count of its values. The zero value is that of a writer that
-// counts nothing.
+// Stamp is a writer's own count of its values. The zero value is that of a writer without a
+// count.
 type Stamp struct {
 	incarnation uint64
 	sequence    uint64
@@ -78,8 +77,8 @@
 	return cmp.Or(cmp.Compare(s.incarnation, t.incarnation), cmp.Compare(s.sequence, t.sequence))
 }
 
-// Mark is what orders one value of a key: where the store told of the key last, and which
-// of its values the writer wrote last.
+// Mark is the version of a key's value: the store's last position for the key, and the
+// writer's last value of it.
 type Mark struct {
 	// position is where the store last held a value of the key, or removed it.
 	position Position
@@ -90,7 +89,8 @@
 	written Position
 }
 
-// MarkOf returns the mark of the writer's last value, which the store held at written, at a position.
+// MarkOf returns the version of a key whose last position in the store is position, and whose
+// writer's last value has a stamp and was held at written.
 func MarkOf(position Position, stamp Stamp, written Position) Mark {
 	return Mark{
 		position: position,
@@ -99,13 +99,13 @@
 	}
 }
 
-// At returns the mark where the store told of the key last at p.
+// At returns the version with the store's last position p for the key.
 func (m Mark) At(p Position) Mark {
 	m.position = p
 	return m
 }
 
-// Remove returns the mark of the removal of the value.
+// Remove returns the version of the removal of the value.
 func (m Mark) Remove() Mark {
 	m.gone = true
 	return m
@@ -114,7 +114,7 @@
 // Gone reports whether the writer's last value was removed.
 func (m Mark) Gone() bool { return m.gone }
 
-// Position returns where the store told of the key last.
+// Position returns the store's last position for the key.
 func (m Mark) Position() Position { return m.position }
 
 // Stamp returns the stamp of the writer's last value.
@@ -137,7 +137,7 @@
 	return 0
 }
 
-// Covers reports whether n tells nothing that m doesn't tell too.
+// Covers reports whether m is at least as recent as n in both orders.
 func (m Mark) Covers(n Mark) bool {
 	return m.position.Compare(n.position) >= 0 && m.CompareValues(n) >= 0
 }
--- a/internal/order/order_test.go
+++ b/internal/order/order_test.go
@@ -52,7 +52,7 @@
 			want: 1,
 		},
 		{
-			name: "later incarnation that counts anew",
+			name: "later incarnation with a new count",
 			got:  order.StampOf(6, 1).Compare(order.StampOf(5, 9)),
 			want: 1,
 		},
