--- a/internal/contract/backoff.go
+++ b/internal/contract/backoff.go
@@ -9,17 +9,17 @@
 	"time"
 )
 
-// HeaderRetryAfter tells when to come back (RFC 9110, section 10.2.3).
+// HeaderRetryAfter carries when to retry (RFC 9110, section 10.2.3).
 const HeaderRetryAfter = "Retry-After"
 
-// maxBackoff bounds what a header can ask for, so that no number overflows. Whoever obeys
-// it has a bound of its own.
+// maxBackoff bounds the time in a header, so that no number overflows. Callers apply a lower
+// bound of their own.
 const maxBackoff = 24 * time.Hour
 
-// Backoff returns for how long a target wants no request from this node, by an answer: a 503
-// with Retry-After, or a 429 where the target has not run the request. Any other 429 is
-// meant for the caller. It is 0 where the answer asks for nothing; a *TimeError comes with
-// it where what it asks for can't be read. Of several values the longest one counts.
+// Backoff returns for how long an answer requests that this node backs off from its target: a
+// 503 with Retry-After, or a 429 where the target has not run the request. Any other 429 is
+// meant for the caller. It is 0 for an answer without a backoff, with a *TimeError where the
+// header can't be parsed. Of several values the longest one counts.
 func Backoff(status int, turnedAway bool, h http.Header) (time.Duration, error) {
 	if status != http.StatusServiceUnavailable && !(status == http.StatusTooManyRequests && turnedAway) {
 		return 0, nil
@@ -39,7 +39,7 @@
 	return 0, err
 }
 
-// splitValues returns the values of header lines, each of which may hold several.
+// splitValues returns the values of header lines, each of which may have several.
 func splitValues(lines []string) []string {
 	var out []string
 	for _, line := range lines {
@@ -55,8 +55,8 @@
 	return out
 }
 
-// parseRetryAfter reads one value: seconds, with a fraction where the target writes one, or a date. A
-// date is taken by the answer's own Date, for clocks of machines differ by seconds.
+// parseRetryAfter parses one value: seconds, which may have a fraction, or a date. A date is
+// relative to the answer's own Date, as clocks of machines differ by seconds.
 func parseRetryAfter(text, sent string) (time.Duration, bool) {
 	if until, err := http.ParseTime(text); err == nil {
 		from, err := http.ParseTime(sent)
@@ -66,7 +66,7 @@
 		return min(max(until.Sub(from), 0), maxBackoff), true
 	}
 	if strings.Trim(text, "0123456789.") != "" {
-		// ParseFloat takes signs, exponents and names of numbers too.
+		// ParseFloat also accepts signs, exponents and names of numbers.
 		return 0, false
 	}
 	seconds, err := strconv.ParseFloat(text, 64)
--- a/internal/contract/backoff_test.go
+++ b/internal/contract/backoff_test.go
@@ -107,7 +107,7 @@
 			want:   4 * time.Second,
 		},
 		{
-			name:   "a date that is over",
+			name:   "a date in the past",
 			status: http.StatusServiceUnavailable,
 			lines:  []string{"Thu, 01 Jan 2026 09:00:04 GMT"},
 			date:   sent,
@@ -131,7 +131,7 @@
 			want:   5 * time.Second,
 		},
 		{
-			name:   "twice, one can't be read",
+			name:   "twice, one can't be parsed",
 			status: http.StatusServiceUnavailable,
 			lines:  []string{"-1", "2"},
 			want:   2 * time.Second,
@@ -164,13 +164,13 @@
 			got, err := contract.Backoff(tt.status, tt.turnedAway, h)
 			var bad *contract.TimeError
 			if got != tt.want || errors.As(err, &bad) != tt.unreadable {
-				t.Errorf("rest %v, error %v, want %v, unreadable %v", got, err, tt.want, tt.unreadable)
+				t.Errorf("backoff %v, error %v, want %v, unreadable %v", got, err, tt.want, tt.unreadable)
 			}
 		})
 	}
 }
 
-// Whatever an answer holds, the rest is between none and a day.
+// For any header, the backoff is between 0 and a day.
 func FuzzBackoff(f *testing.F) {
 	for _, seed := range []string{"", "3", "-3", "0.5", "1e400", "NaN", "999999999999999999999", "3,4", "Thu, 01 Jan 2026 10:00:04 GMT", ".", "1_0", "\x00"} {
 		f.Add(seed, "", "Thu, 01 Jan 2026 10:00:00 GMT")
@@ -183,7 +183,7 @@
 		}
 		got, err := contract.Backoff(http.StatusServiceUnavailable, true, h)
 		if got < 0 || got > 24*time.Hour || got > 0 && err != nil {
-			t.Errorf("%q, %q, %q: rest %v, error %v", first, second, date, got, err)
+			t.Errorf("%q, %q, %q: backoff %v, error %v", first, second, date, got, err)
 		}
 	})
 }
--- a/internal/contract/contract.go
+++ b/internal/contract/contract.go
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package contract says in which headers callers, the fleet and targets tell each
-// other what they need to know about one request. The project's own names are in
-// Plover; where the fleet runs on another platform, an adapter gives that one's.
+// Package contract defines the headers of requests and answers between callers, the fleet
+// and targets. Plover has the project's own names; where the fleet runs on another platform,
+// an adapter provides those of the platform.
 package contract
 
 import (
@@ -12,74 +12,74 @@
 	"ploverjunction.example/ploverjunction/internal/attempt"
 )
 
-// Refusal says why a target did not run a request.
+// Refusal is why a target did not run a request.
 type Refusal uint8
 
 // Refusals of targets.
 const (
 	// RefusalNone means that the target did not refuse.
 	RefusalNone Refusal = iota
-	// RefusalShed means that the target had no room or no time left.
+	// RefusalShed means that the target had no capacity or no time left.
 	RefusalShed
 	// RefusalOther means that another process answers at the target's address.
 	RefusalOther
 )
 
-// Contract names the headers and reads them. It must not be changed once it is in
-// use; all functions may be called concurrently.
+// Contract holds the names of the headers and the functions that read and write them. It
+// must not be changed once it is in use; all functions may be called concurrently.
 type Contract struct {
-	// RequestID is the header that names the request.
+	// RequestID is the header with the ID of the request.
 	RequestID string
-	// CallersID is set where callers name their requests: their name travels
-	// unchanged, and a target's success must carry it back.
+	// CallersID is set where callers choose the IDs: they are forwarded unchanged, and
+	// a target must echo them in successful answers.
 	CallersID bool
-	// Outcome is the header of the outcome in answers to callers, "" for none.
+	// Outcome is the header with the outcome in answers to callers, "" for none.
 	Outcome string
-	// ExpectTarget is the header that names the one life of a target's process
-	// that may run the request.
+	// ExpectTarget is the header with the incarnation of the target that may run the
+	// request.
 	ExpectTarget string
 	// Forwarded is set where requests to targets get Via and X-Forwarded headers.
 	Forwarded bool
 	// Reserved are the headers that only the fleet sets.
 	Reserved []string
-	// CallerWait returns how long the caller waits, 0 if it doesn't say.
+	// CallerWait returns how long the caller waits, 0 without the header.
 	CallerWait func(h http.Header) (time.Duration, error)
-	// Credential returns the key that a request shows of its caller's workspace.
-	// shown is set where it shows one, however malformed; a malformed key is "".
+	// Credential returns the key of the caller's workspace in a request. shown is set
+	// where there is one, even if it is malformed; a malformed key is "".
 	Credential func(h http.Header) (key string, shown bool)
-	// SetDeadline tells a target until when it may work.
+	// SetDeadline sets the header with the deadline for a target.
 	SetDeadline func(h http.Header, deadline, now time.Time)
 	// Refused reports whether an answer proves that the target has not run the
 	// request and never will.
 	Refused func(status int, h http.Header) Refusal
-	// Leaving reports whether an answer says that its target is leaving.
+	// Leaving reports whether an answer says that its target drains.
 	Leaving func(h http.Header) bool
-	// Backoff returns for how long an answer's target wants nothing from this node, as the
+	// Backoff returns for how long this node backs off from the target of an answer, as the
 	// function of that name does.
 	Backoff func(status int, h http.Header) (time.Duration, error)
 	// Limit returns the requests a second that an answer's target accepts from the whole
 	// fleet, as the function that Limit returns does.
 	Limit func(h http.Header) (rate float64, named bool, err error)
-	// RetryAfter formats when a refused caller should come back.
+	// RetryAfter formats after how long a refused caller should retry.
 	RetryAfter func(d time.Duration) string
 }
 
 // Headers of the project's own contract.
 const (
-	// HeaderRequestID names the request; a target may echo it.
+	// HeaderRequestID carries the ID of the request; a target may echo it.
 	HeaderRequestID = "Plover-Request-Id"
 	// HeaderOutcome carries "done", "not-run" or "unknown". A target that
-	// refuses a request before running it says "not-run" in it.
+	// refuses a request before running it sets it to "not-run".
 	HeaderOutcome = "Plover-Outcome"
-	// HeaderDeadline carries the absolute time limit in milliseconds since 1970.
+	// HeaderDeadline carries the deadline in milliseconds since 1970.
 	HeaderDeadline = "Plover-Deadline"
 	// HeaderState carries "leaving" in the answers of a target that drains.
 	HeaderState = "Plover-State"
-	// HeaderLimit carries, in the answers of a target in need, the requests a second that
-	// it accepts from the whole fleet, as a decimal number.
+	// HeaderLimit carries, in the answers of a target with a limit, the requests a second
+	// that it accepts from the whole fleet, as a decimal number.
 	HeaderLimit = "Plover-Limit"
 	// HeaderTimeout carries how long the caller waits, as a Go duration such as
-	// "1500ms". The route's deadline caps it.
+	// "1500ms", which is capped by the route's deadline.
 	HeaderTimeout = "Plover-Timeout"
 	// HeaderExpect carries the ID of the target that may run the request.
 	HeaderExpect = "Plover-Expect-Target"
--- a/internal/contract/credential.go
+++ b/internal/contract/credential.go
@@ -7,13 +7,12 @@
 	"strings"
 )
 
-// HeaderAuthorization is the header in which callers show their key (RFC 9110, section
-// 11.6.2).
+// HeaderAuthorization is the header with the key of the caller (RFC 9110, section 11.6.2).
 const HeaderAuthorization = "Authorization"
 
 // Credential returns a function that reads the key from Authorization headers of a
-// scheme, whose name may be written in any case. A header that holds more than one key,
-// or two headers, show a malformed key: which one counts would be a guess.
+// scheme, whose name is not case-sensitive. A header with more than one key, or two
+// headers, count as a malformed key, since it is ambiguous which one applies.
 func Credential(scheme string) func(h http.Header) (key string, shown bool) {
 	return func(h http.Header) (key string, shown bool) {
 		lines := h[HeaderAuthorization]
--- a/internal/contract/credential_test.go
+++ b/internal/contract/credential_test.go
@@ -60,7 +60,7 @@
 			shown: true,
 		},
 		{
-			name:  "scheme that begins alike",
+			name:  "scheme with the same prefix",
 			lines: []string{"Tokens abc"},
 		},
 	}
@@ -77,7 +77,7 @@
 	}
 }
 
-// No header makes a key of more than one word, or one that isn't in it.
+// For any header, the key is one word of it, or empty.
 func FuzzCredential(f *testing.F) {
 	for _, seed := range []string{"", "Token", "Token abc", "token\tabc", "Token abc def", "Token \x00", "Tokenabc", "Token\u00a0abc"} {
 		f.Add(seed, "")
--- a/internal/contract/limit.go
+++ b/internal/contract/limit.go
@@ -9,21 +9,21 @@
 	"strings"
 )
 
-// maxLimit caps a target's limit, in requests a second, so that no sum of limits overflows.
+// maxLimit caps the limit of a target, in requests a second, so that no sum of limits overflows.
 const maxLimit = 1e6
 
-// RateError is a rate in a header that can't be read.
+// RateError is the error for a rate in a header that can't be parsed.
 type RateError struct {
 	header string
 	text   string
 }
 
-// Error names the header and its text.
+// Error returns the header and its text.
 func (e *RateError) Error() string { return fmt.Sprintf("contract: %s: bad rate %q", e.header, e.text) }
 
-// Limit returns the function that reads from a header the requests a second that a target
-// accepts from the whole fleet. named reports whether the header is there. Of several values
-// the least one counts; a *RateError comes where none can be read.
+// Limit returns a function that reads from a header the requests a second that a target accepts
+// from the whole fleet. named reports whether the header is present. Of several values the
+// least one counts; the error is a *RateError where none can be parsed.
 func Limit(header string) func(h http.Header) (rate float64, named bool, err error) {
 	return func(h http.Header) (float64, bool, error) {
 		least, readable := float64(maxLimit), false
@@ -49,8 +49,8 @@
 	}
 }
 
-// parseDecimal reads a number of digits with at most one point. ParseFloat alone would accept
-// signs, exponents and names of numbers.
+// parseDecimal parses digits with at most one point. ParseFloat alone would accept signs,
+// exponents and names of numbers.
 func parseDecimal(text string) (float64, bool) {
 	if strings.Trim(text, "0123456789.") != "" {
 		return 0, false
--- a/internal/contract/limit_test.go
+++ b/internal/contract/limit_test.go
@@ -115,7 +115,7 @@
 	}
 }
 
-// Whatever an answer holds, a limit is a number between 0 and a million.
+// For any header, a limit is a number between 0 and a million.
 func FuzzLimit(f *testing.F) {
 	for _, seed := range []string{"", "1.6", "-3", "1e400", "NaN", "999999999999999999999", "3,4", ".", "1_0", "0x1p4", "\x00"} {
 		f.Add(seed, "2")
--- a/internal/contract/time.go
+++ b/internal/contract/time.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// TimeError is a time in a header that can't be read.
+// TimeError is the error for a time in a header that can't be parsed.
 type TimeError struct {
 	header string
 	text   string
@@ -24,7 +24,7 @@
 	}
 }
 
-// Error names the header and its text.
+// Error returns the header and its text.
 func (e *TimeError) Error() string { return fmt.Sprintf("contract: %s: bad time %q", e.header, e.text) }
 
 func callerWait(h http.Header) (time.Duration, error) {
@@ -43,7 +43,7 @@
 	h.Set(HeaderDeadline, strconv.FormatInt(deadline.UnixMilli(), 10))
 }
 
-// WholeSeconds formats a time for Retry-After as HTTP has it, rounded up.
+// WholeSeconds formats a time for Retry-After in seconds (RFC 9110), rounded up.
 func WholeSeconds(d time.Duration) string {
 	return strconv.FormatInt(int64(math.Ceil(d.Seconds())), 10)
 }
