--- a/internal/ratelimit/bucket.go
+++ b/internal/ratelimit/bucket.go
@@ -195,7 +195,7 @@
 }
 
 // inherit applies what another allocator last sent to a node. The level is lowered to the one
-// sent; isolated nodes have used the tokens gained since then.
+// sent: isolated nodes may have used the tokens gained since then.
 func (b *bucket) inherit(now time.Time, m *nodeState, r Report) {
 	b.level = min(b.level, r.Level)
 	f := b.former[r.By]
--- a/internal/signal/retryafter_test.go
+++ b/internal/signal/retryafter_test.go
@@ -43,7 +43,7 @@
 			l.Observe(start, incarnation("id/1"), signal.Signal{
 				Backoff: backoff,
 			})
-			// come counts the requests in each tick from the end of the backoff on, first
+			// requests counts the requests in each tick from the end of the backoff on, first
 			// requests and retries.
 			requests := map[time.Duration]float64{}
 			for at := time.Duration(0); at < 2*backoff; at += time.Second / second {
