--- a/internal/signal/ledger.go
+++ b/internal/signal/ledger.go
@@ -200,7 +200,7 @@
 }
 
 // drop removes the record of a target. l.mu is held.
-func (l *Ledger) drop(p place) {
+func (l *Ledger) drop(p targetKey) {
 	l.records.Delete(p)
 	l.count.Add(-1)
 }
--- a/internal/signal/signal.go
+++ b/internal/signal/signal.go
@@ -18,14 +18,14 @@
 	Born time.Time
 }
 
-// place is the key that all incarnations of a target share.
-type place struct {
+// targetKey is the key that all incarnations of a target share.
+type targetKey struct {
 	service string
 	name    string
 }
 
-func (i Incarnation) place() place {
-	return place{
+func (i Incarnation) place() targetKey {
+	return targetKey{
 		service: i.Service,
 		name:    i.Name,
 	}
