--- a/internal/signal/ledger.go
+++ b/internal/signal/ledger.go
@@ -90,7 +90,7 @@
 	if l.Empty() {
 		return record{}
 	}
-	if value, ok := l.records.Load(i.place()); ok {
+	if value, ok := l.records.Load(i.targetKey()); ok {
 		if r, ok := value.(record).of(i); ok {
 			return r
 		}
@@ -100,7 +100,7 @@
 
 // newest returns the incarnation of the target's record if it is newer than i, else i. l.mu is held.
 func (l *Ledger) newest(i Incarnation) Incarnation {
-	if value, ok := l.records.Load(i.place()); ok && value.(record).incarnation.Born.After(i.Born) {
+	if value, ok := l.records.Load(i.targetKey()); ok && value.(record).incarnation.Born.After(i.Born) {
 		return value.(record).incarnation
 	}
 	return i
@@ -182,7 +182,7 @@
 
 // store replaces the record of a target. l.mu is held.
 func (l *Ledger) store(r record) {
-	if _, old := l.records.Swap(r.incarnation.place(), r); !old && l.count.Add(1) > maxRecords {
+	if _, old := l.records.Swap(r.incarnation.targetKey(), r); !old && l.count.Add(1) > maxRecords {
 		l.dropOldest()
 	}
 }
@@ -195,7 +195,7 @@
 	}
 	slices.SortFunc(all, func(a, b record) int { return a.observed.Compare(b.observed) })
 	for _, r := range all[:maxRecords/10] {
-		l.drop(r.incarnation.place())
+		l.drop(r.incarnation.targetKey())
 	}
 }
 
@@ -219,7 +219,7 @@
 	for _, value := range l.records.Range {
 		r := value.(record)
 		if !r.standing(now).Barred() && !r.limit.Set || !published(r.incarnation) && now.Sub(r.observed) >= unlistedRetention {
-			l.drop(r.incarnation.place())
+			l.drop(r.incarnation.targetKey())
 		}
 	}
 }
--- a/internal/signal/signal.go
+++ b/internal/signal/signal.go
@@ -24,7 +24,7 @@
 	name    string
 }
 
-func (i Incarnation) place() targetKey {
+func (i Incarnation) targetKey() targetKey {
 	return targetKey{
 		service: i.Service,
 		name:    i.Name,
