--- a/internal/signal/ledger.go
+++ b/internal/signal/ledger.go
@@ -42,11 +42,11 @@
 	observed    time.Time
 }
 
-// of returns the record as that of an incarnation, and false if it is of another one. A node that
+// forIncarnation returns the record as that of an incarnation, and false if it is of another one. A node that
 // receives a new incarnation late records its signals as those of the previous one; signals received
 // after its start are its own. Within clockSkew after its start they may be of either, and hold for
 // drainingUnsure.
-func (r record) of(i Incarnation) (record, bool) {
+func (r record) forIncarnation(i Incarnation) (record, bool) {
 	if r.incarnation.Key == i.Key {
 		return r, true
 	}
@@ -91,7 +91,7 @@
 		return record{}
 	}
 	if value, ok := l.records.Load(i.targetKey()); ok {
-		if r, ok := value.(record).of(i); ok {
+		if r, ok := value.(record).forIncarnation(i); ok {
 			return r
 		}
 	}
