--- a/internal/ratelimit/allocator.go
+++ b/internal/ratelimit/allocator.go
@@ -116,9 +116,9 @@
 	incarnation uint64
 	started     time.Time
 	tolerance   Tolerance
-	// lost is the fraction of the fleet's nodes that are unreachable.
-	lost    float64
-	buckets map[string]*bucket
+	// unreachable is the fraction of the fleet's nodes that are unreachable.
+	unreachable float64
+	buckets     map[string]*bucket
 }
 
 // NewAllocator returns an allocator of a process that started at the given time; no other
@@ -135,7 +135,7 @@
 // Report applies the report of an incarnation of a node and returns the answer.
 func (a *Allocator) Report(now time.Time, workspace string, l Limit, node string, incarnation uint64, r Report) Share {
 	b := a.bucket(now, workspace, l)
-	b.review(now, l, a.lost)
+	b.review(now, l, a.unreachable)
 	b.refill(now, l)
 	m := b.node(node, incarnation, r)
 	switch {
@@ -196,7 +196,7 @@
 }
 
 // Lost sets the fraction of the fleet's nodes, from 0 to 1, that are unreachable.
-func (a *Allocator) Lost(fraction float64) { a.lost = fraction }
+func (a *Allocator) Lost(fraction float64) { a.unreachable = fraction }
 
 // Forget drops the buckets without a report for bucketLifetime.
 func (a *Allocator) Forget(now time.Time) {
