--- a/internal/ratelimit/bucket.go
+++ b/internal/ratelimit/bucket.go
@@ -87,7 +87,7 @@
 
 // review withholds the isolated rates of silent nodes, and removes nodes that have been silent
 // for longer than forgetAfter.
-func (b *bucket) review(now time.Time, l Limit, lost float64) {
+func (b *bucket) review(now time.Time, l Limit, fraction float64) {
 	if now.Sub(b.reviewedAt) < reviewInterval {
 		return
 	}
@@ -107,7 +107,7 @@
 			delete(b.former, incarnation)
 		}
 	}
-	b.missingRate = b.missingNodesRate(now, l, lost)
+	b.missingRate = b.missingNodesRate(now, l, fraction)
 	b.withheld += b.missingRate
 	if len(b.nodes) == 0 {
 		// Clear rounding errors.
