--- a/internal/ratelimit/bucket.go
+++ b/internal/ratelimit/bucket.go
@@ -118,10 +118,10 @@
 // missingNodesRate returns the rate that nodes of former allocators which have not reported here
 // may admit. A node may have had several of these allocators, so the largest rate counts, not
 // the sum.
-func (b *bucket) missingNodesRate(now time.Time, l Limit, lost float64) float64 {
+func (b *bucket) missingNodesRate(now time.Time, l Limit, fraction float64) float64 {
 	unreachable := 0.0
-	if lost > 0 {
-		unreachable = lostFactor*lost + lostFewNodesShare/math.Sqrt(float64(max(len(b.nodes), 1)))
+	if fraction > 0 {
+		unreachable = lostFactor*fraction + lostFewNodesShare/math.Sqrt(float64(max(len(b.nodes), 1)))
 	}
 	most := 0.0
 	for _, f := range b.former {
