--- a/internal/ratelimit/fleet_test.go
+++ b/internal/ratelimit/fleet_test.go
@@ -157,7 +157,7 @@
 		m.startNode(m.nodes[i], start.Add(-time.Minute))
 	}
 	m.every(tick, func(now time.Time) {
-		lost := m.lost(now)
+		lost := m.unreachable(now)
 		for _, n := range m.nodes {
 			n.allocator.Lost(lost)
 		}
@@ -400,8 +400,8 @@
 	}
 }
 
-// lost returns the fraction of nodes that are detected as unreachable.
-func (m *model) lost(now time.Time) float64 {
+// unreachable returns the fraction of nodes that are detected as unreachable.
+func (m *model) unreachable(now time.Time) float64 {
 	n := 0
 	for _, node := range m.nodes {
 		if (node.down || node.cut) && now.Sub(node.unreachableSince) > detection {
