--- a/internal/ratelimit/fleet_test.go
+++ b/internal/ratelimit/fleet_test.go
@@ -232,7 +232,7 @@
 		r.Want = 0
 	}
 	to := n.allocatorNode
-	now, ok := m.sent(now, i, to)
+	now, ok := m.exchange(now, i, to)
 	if !ok {
 		m.at(now.Add(callTimeout), func(now time.Time) {
 			if n.incarnation == life {
@@ -251,9 +251,9 @@
 	})
 }
 
-// sent simulates a message and its answer, resent when one of them is lost, and returns
+// exchange simulates a message and its answer, resent when one of them is lost, and returns
 // when both arrive.
-func (m *model) sent(now time.Time, from, to int) (time.Time, bool) {
+func (m *model) exchange(now time.Time, from, to int) (time.Time, bool) {
 	for end := now.Add(callTimeout); now.Before(end); now = now.Add(resendInterval) {
 		m.messages += 2
 		if m.reach(from, to) && m.reach(to, from) {
