--- a/internal/ratelimit/fleet_test.go
+++ b/internal/ratelimit/fleet_test.go
@@ -430,8 +430,8 @@
 	}
 }
 
-// most returns the greatest number of requests that ran in any window, and the allowed number.
-func (m *model) most() (ran int, allowed float64) {
+// maxInWindow returns the greatest number of requests that ran in any window, and the allowed number.
+func (m *model) maxInWindow() (ran int, allowed float64) {
 	return mostIn(m.result.ran), bound(m.limit)
 }
 
--- a/internal/ratelimit/model_test.go
+++ b/internal/ratelimit/model_test.go
@@ -299,7 +299,7 @@
 		sum.refusedByBucket += m.result.refusedByBucket
 		sum.waited += m.result.waited
 		sum.messages += m.messages
-		ran, allowed := m.most()
+		ran, allowed := m.maxInWindow()
 		sum.most = max(sum.most, float64(ran)/allowed)
 	}
 	return sum
@@ -403,7 +403,7 @@
 		func(seed uint64) bool {
 			m := randomScenario(seed).run(reserving, seed)
 			sum.requests += m.result.requests
-			ran, allowed := m.most()
+			ran, allowed := m.maxInWindow()
 			sum.most = max(sum.most, float64(ran)/allowed)
 			return float64(ran) <= allowed
 		},
@@ -478,7 +478,7 @@
 	}
 	for _, c := range cases {
 		m := randomScenario(c.seed).run(reserving, c.seed)
-		if ran, allowed := m.most(); float64(ran) > allowed {
+		if ran, allowed := m.maxInWindow(); float64(ran) > allowed {
 			t.Errorf("seed %d: %d ran in a window, allowed %v; cause of the earlier fault: %s", c.seed, ran, allowed, c.cause)
 		}
 	}
