--- a/internal/ratelimit/fleet_test.go
+++ b/internal/ratelimit/fleet_test.go
@@ -432,10 +432,10 @@
 
 // maxInWindow returns the greatest number of requests that ran in any window, and the allowed number.
 func (m *model) maxInWindow() (ran int, allowed float64) {
-	return mostIn(m.result.ran), bound(m.limit)
+	return maxIn(m.result.ran), bound(m.limit)
 }
 
-func mostIn(ran []time.Time) int {
+func maxIn(ran []time.Time) int {
 	most, first := 0, 0
 	for i, at := range ran {
 		for at.Sub(ran[first]) >= tolerance.Window {
--- a/internal/ratelimit/model_test.go
+++ b/internal/ratelimit/model_test.go
@@ -505,7 +505,7 @@
 				later = append(later, at)
 			}
 		}
-		if got := mostIn(later); float64(got) > bound(m.limit) {
+		if got := maxIn(later); float64(got) > bound(m.limit) {
 			t.Errorf("limit times %v: %d ran in a window, allowed %v", factor, got, bound(m.limit))
 		}
 		if goodput := float64(len(later)) / (duration - change - tolerance.Window).Seconds(); factor < 1 && goodput < 0.95*m.limit.Rate {
