--- a/internal/quarantine/export_test.go
+++ b/internal/quarantine/export_test.go
@@ -5,11 +5,11 @@
 import "time"
 
 // RefuseFrom makes the ledger refuse requests from another number of crashes on.
-func (l *Ledger) RefuseFrom(ends int) {
+func (l *Ledger) RefuseFrom(crashes int) {
 	h := defaultHolds
 	for n := range h {
 		switch {
-		case n < ends:
+		case n < crashes:
 			h[n] = 0
 		case h[n] == 0:
 			h[n] = time.Minute
