--- a/internal/quarantine/ledger_test.go
+++ b/internal/quarantine/ledger_test.go
@@ -41,49 +41,49 @@
 // Each further crash extends the hold of a request; after the hold it may run once more.
 func TestCrashesHoldRequest(t *testing.T) {
 	tests := []struct {
-		name string
-		ends int
+		name    string
+		crashes int
 		// least and most bound the time from the last crash until the request may run again.
 		least time.Duration
 		most  time.Duration
 	}{
 		{
-			name: "one: all requests in flight at the target have one",
-			ends: 1,
+			name:    "one: all requests in flight at the target have one",
+			crashes: 1,
 		},
 		{
-			name: "two: some harmless requests have two",
-			ends: 2,
+			name:    "two: some harmless requests have two",
+			crashes: 2,
 		},
 		{
-			name:  "three",
-			ends:  3,
-			least: time.Minute,
-			most:  2 * time.Minute,
+			name:    "three",
+			crashes: 3,
+			least:   time.Minute,
+			most:    2 * time.Minute,
 		},
 		{
-			name:  "four, the last one after the first hold",
-			ends:  4,
-			least: 10 * time.Minute,
-			most:  20 * time.Minute,
+			name:    "four, the last one after the first hold",
+			crashes: 4,
+			least:   10 * time.Minute,
+			most:    20 * time.Minute,
 		},
 		{
-			name:  "five crashes",
-			ends:  5,
-			least: time.Hour,
-			most:  2 * time.Hour,
+			name:    "five crashes",
+			crashes: 5,
+			least:   time.Hour,
+			most:    2 * time.Hour,
 		},
 		{
-			name:  "six, after which it runs once a day",
-			ends:  6,
-			least: 24 * time.Hour,
-			most:  48 * time.Hour,
+			name:    "six, after which it runs once a day",
+			crashes: 6,
+			least:   24 * time.Hour,
+			most:    48 * time.Hour,
 		},
 		{
-			name:  "more than extend the hold",
-			ends:  9,
-			least: 24 * time.Hour,
-			most:  48 * time.Hour,
+			name:    "more than extend the hold",
+			crashes: 9,
+			least:   24 * time.Hour,
+			most:    48 * time.Hour,
 		},
 	}
 	for _, tt := range tests {
@@ -91,7 +91,7 @@
 			l := quarantine.NewLedger(7)
 			p := fingerprintsOf("/7")
 			now := start
-			for i := range tt.ends {
+			for i := range tt.crashes {
 				now = start.Add(time.Duration(i) * time.Second)
 				recordCrash(l, now, p, fmt.Sprint(i))
 			}
