--- a/internal/quarantine/strategies_test.go
+++ b/internal/quarantine/strategies_test.go
@@ -162,14 +162,14 @@
 func (o *result) check(t *testing.T, l load, worst, seeds int) {
 	t.Helper()
 	const (
-		// mostLate is how often a harmful request may be forwarded once its record is shared.
-		mostLate = 3
+		// maxLate is how often a harmful request may be forwarded once its record is shared.
+		maxLate = 3
 		// mostRefused is how many harmless requests there must be for each refused one.
 		mostRefused = 1000
 		// mostEnds is how many targets may crash in a series of harmful requests.
 		mostEnds = 8
 	)
-	if worst > mostLate {
+	if worst > maxLate {
 		t.Errorf("%s: a harmful request was forwarded %d times after its record was shared", l.name, worst)
 	}
 	if o.refused*mostRefused > o.harmless {
