--- a/internal/quarantine/strategies_test.go
+++ b/internal/quarantine/strategies_test.go
@@ -164,15 +164,15 @@
 	const (
 		// maxLate is how often a harmful request may be forwarded once its record is shared.
 		maxLate = 3
-		// mostRefused is how many harmless requests there must be for each refused one.
-		mostRefused = 1000
+		// minPerRefused is how many harmless requests there must be for each refused one.
+		minPerRefused = 1000
 		// mostEnds is how many targets may crash in a series of harmful requests.
 		mostEnds = 8
 	)
 	if worst > maxLate {
 		t.Errorf("%s: a harmful request was forwarded %d times after its record was shared", l.name, worst)
 	}
-	if o.refused*mostRefused > o.harmless {
+	if o.refused*minPerRefused > o.harmless {
 		t.Errorf("%s: %d of %d harmless requests were refused", l.name, o.refused, o.harmless)
 	}
 	if series := 1 + len(l.restarts); o.crashes > mostEnds*series*seeds {
