--- a/internal/quarantine/strategies_test.go
+++ b/internal/quarantine/strategies_test.go
@@ -166,8 +166,8 @@
 		maxLate = 3
 		// minPerRefused is how many harmless requests there must be for each refused one.
 		minPerRefused = 1000
-		// mostEnds is how many targets may crash in a series of harmful requests.
-		mostEnds = 8
+		// maxCrashes is how many targets may crash in a series of harmful requests.
+		maxCrashes = 8
 	)
 	if worst > maxLate {
 		t.Errorf("%s: a harmful request was forwarded %d times after its record was shared", l.name, worst)
@@ -175,7 +175,7 @@
 	if o.refused*minPerRefused > o.harmless {
 		t.Errorf("%s: %d of %d harmless requests were refused", l.name, o.refused, o.harmless)
 	}
-	if series := 1 + len(l.restarts); o.crashes > mostEnds*series*seeds {
+	if series := 1 + len(l.restarts); o.crashes > maxCrashes*series*seeds {
 		t.Errorf("%s: %d targets crashed in %d runs", l.name, o.crashes, seeds)
 	}
 }
