--- a/internal/contract/backoff.go
+++ b/internal/contract/backoff.go
@@ -20,8 +20,8 @@
 // 503 with Retry-After, or a 429 where the target has not run the request. Any other 429 is
 // meant for the caller. It is 0 for an answer without a backoff, with a *TimeError where the
 // header can't be parsed. Of several values the longest one counts.
-func Backoff(status int, turnedAway bool, h http.Header) (time.Duration, error) {
-	if status != http.StatusServiceUnavailable && !(status == http.StatusTooManyRequests && turnedAway) {
+func Backoff(status int, notRun bool, h http.Header) (time.Duration, error) {
+	if status != http.StatusServiceUnavailable && !(status == http.StatusTooManyRequests && notRun) {
 		return 0, nil
 	}
 	var longest time.Duration
