--- a/internal/contract/backoff_test.go
+++ b/internal/contract/backoff_test.go
@@ -24,7 +24,7 @@
 	tests := []struct {
 		name       string
 		status     int
-		turnedAway bool
+		notRun     bool
 		lines      []string
 		date       string
 		want       time.Duration
@@ -142,11 +142,11 @@
 			lines:  []string{"3"},
 		},
 		{
-			name:       "429 for this node",
-			status:     http.StatusTooManyRequests,
-			turnedAway: true,
-			lines:      []string{"3"},
-			want:       3 * time.Second,
+			name:   "429 for this node",
+			status: http.StatusTooManyRequests,
+			notRun: true,
+			lines:  []string{"3"},
+			want:   3 * time.Second,
 		},
 		{
 			name:   "another status",
@@ -161,7 +161,7 @@
 			if tt.date != "" {
 				h.Set("Date", tt.date)
 			}
-			got, err := contract.Backoff(tt.status, tt.turnedAway, h)
+			got, err := contract.Backoff(tt.status, tt.notRun, h)
 			var bad *contract.TimeError
 			if got != tt.want || errors.As(err, &bad) != tt.unreadable {
 				t.Errorf("backoff %v, error %v, want %v, unreadable %v", got, err, tt.want, tt.unreadable)
