--- a/internal/ratelimit/fleet_test.go
+++ b/internal/ratelimit/fleet_test.go
@@ -195,7 +195,7 @@
 	m.at(m.now.Add(d), again)
 }
 
-// run runs the simulation for a time after the start.
+// run runs the simulation until a time after the start.
 func (m *model) run(until time.Duration) {
 	end := start.Add(until)
 	for len(m.queue) > 0 && !m.queue[0].at.After(end) {
@@ -430,7 +430,8 @@
 	}
 }
 
-// maxInWindow returns the greatest number of requests that ran in any window, and the allowed number.
+// maxInWindow returns the greatest number of requests that ran in any window, and the allowed
+// number.
 func (m *model) maxInWindow() (ran int, allowed float64) {
 	return maxIn(m.result.ran), bound(m.limit)
 }
--- a/internal/ratelimit/model_test.go
+++ b/internal/ratelimit/model_test.go
@@ -135,7 +135,7 @@
 			maxFalseRefusals: 1.5e-2,
 		},
 		{
-			name:     "a third of the nodes cut off, large and hot",
+			name:     "a third of the nodes cut off, large, at peak load",
 			limit:    large,
 			nodes:    113,
 			callers:  150,
@@ -145,7 +145,7 @@
 			faults:   cutThird(10*time.Second, 22*time.Second),
 		},
 		{
-			name:     "a third of the nodes cut off for long before it gets hot",
+			name:     "a third of the nodes cut off for long before the peak load",
 			limit:    middle,
 			nodes:    113,
 			callers:  40,
@@ -155,7 +155,7 @@
 			faults:   cutThird(time.Second, 30*time.Second),
 		},
 		{
-			name:     "a third of the nodes cut off as it gets hot",
+			name:     "a third of the nodes cut off at the start of the peak load",
 			limit:    middle,
 			nodes:    113,
 			callers:  19,
@@ -165,7 +165,7 @@
 			faults:   cutThird(15*time.Second, 27*time.Second),
 		},
 		{
-			name:             "the allocator dies",
+			name:             "the allocator is killed",
 			limit:            middle,
 			nodes:            113,
 			callers:          19,
@@ -175,7 +175,7 @@
 			maxFalseRefusals: 3e-3,
 		},
 		{
-			name:     "the allocator dies while it is hot",
+			name:     "the allocator is killed at peak load",
 			limit:    large,
 			nodes:    113,
 			callers:  150,
@@ -202,7 +202,7 @@
 			maxFalseRefusals: 1e-3,
 		},
 		{
-			name:     "all nodes are killed and restarted three times while it is hot",
+			name:     "all nodes are killed and restarted three times at peak load",
 			limit:    middle,
 			nodes:    113,
 			callers:  19,
@@ -317,8 +317,8 @@
 		t.requests, float64(t.refused)/n, t.falseRefusals(), t.most, float64(t.waited)/n, float64(t.messages)/n)
 }
 
-// The fleet admits no more than the limit in every window, and a workspace that keeps to its
-// limit is not refused, under all faults of nodes.
+// The fleet admits no more than the limit and its tolerance in any window, and a workspace that
+// keeps to its limit is not refused, under all faults of nodes.
 func TestFleetKeepsLimits(t *testing.T) {
 	for _, p := range scenarios() {
 		t.Run(p.name, func(t *testing.T) {
--- a/internal/signal/ledger.go
+++ b/internal/signal/ledger.go
@@ -80,7 +80,7 @@
 type Ledger struct {
 	// mu is held for writes.
 	mu sync.Mutex
-	// records holds the records by place; count is their number.
+	// records holds the records by targetKey; count is their number.
 	records sync.Map
 	count   atomic.Int64
 }
