--- a/internal/ratelimit/fleet_test.go
+++ b/internal/ratelimit/fleet_test.go
@@ -223,7 +223,7 @@
 // result; ok is false if no answer arrived.
 func (m *model) sendReport(now time.Time, i, waiting int, done func(now time.Time, admitted int, ok bool)) {
 	n := m.nodes[i]
-	life := n.incarnation
+	incarnation := n.incarnation
 	r, l, known := n.limiter.Report(now, "w", waiting)
 	if !known {
 		return
@@ -235,16 +235,16 @@
 	now, ok := m.exchange(now, i, to)
 	if !ok {
 		m.at(now.Add(callTimeout), func(now time.Time) {
-			if n.incarnation == life {
+			if n.incarnation == incarnation {
 				done(now, 0, false)
 			}
 		})
 		return
 	}
 	m.at(now.Add(oneWay), func(now time.Time) {
-		s := m.nodes[to].allocator.Report(now, "w", l, n.name, life, r)
+		s := m.nodes[to].allocator.Report(now, "w", l, n.name, incarnation, r)
 		m.at(now.Add(oneWay), func(now time.Time) {
-			if n.incarnation == life {
+			if n.incarnation == incarnation {
 				done(now, n.limiter.Answer(now, "w", s, waiting), true)
 			}
 		})
