--- a/internal/ratelimit/fleet_test.go
+++ b/internal/ratelimit/fleet_test.go
@@ -157,9 +157,9 @@
 		m.startNode(m.nodes[i], start.Add(-time.Minute))
 	}
 	m.every(tick, func(now time.Time) {
-		lost := m.unreachable(now)
+		unreachable := m.unreachable(now)
 		for _, n := range m.nodes {
-			n.allocator.Lost(lost)
+			n.allocator.Lost(unreachable)
 		}
 		for i := range m.nodes {
 			m.report(now, i)
