--- a/internal/signal/ledger.go
+++ b/internal/signal/ledger.go
@@ -200,8 +200,8 @@
 }
 
 // drop removes the record of a target. l.mu is held.
-func (l *Ledger) drop(p targetKey) {
-	l.records.Delete(p)
+func (l *Ledger) drop(key targetKey) {
+	l.records.Delete(key)
 	l.count.Add(-1)
 }
 
