--- a/internal/signal/ledger.go
+++ b/internal/signal/ledger.go
@@ -25,7 +25,7 @@
 	maxRecords = 10_000
 )
 
-// record holds the signals of a target, and the incarnation that sent them.
+// record holds the signals of a target and the incarnation that sent them.
 type record struct {
 	incarnation Incarnation
 	draining    bool
