--- a/internal/fleetconfig/digest.go
+++ b/internal/fleetconfig/digest.go
@@ -109,7 +109,7 @@
 		return out
 	}
 	for _, k := range s.parts[part].keys {
-		out = append(out, KeyRevision(k, s.records[k].newest.mark))
+		out = append(out, KeyRevision(k, s.records[k].newest.version))
 	}
 	return out
 }
--- a/internal/fleetconfig/history.go
+++ b/internal/fleetconfig/history.go
@@ -48,7 +48,7 @@
 
 // effective reports whether a place is the last one at which the source told of its key.
 func (s *Store) effective(at place) bool {
-	return s.records[at.key].newest.mark.Position() == at.position
+	return s.records[at.key].newest.version.Position() == at.position
 }
 
 // After returns the newest entries of the keys of which the source told behind a position, in the
--- a/internal/fleetconfig/link.go
+++ b/internal/fleetconfig/link.go
@@ -96,7 +96,7 @@
 // inOrder orders records by revisions.
 func inOrder(a, b *record) int {
 	return cmp.Or(
-		a.newest.mark.Position().Compare(b.newest.mark.Position()),
+		a.newest.version.Position().Compare(b.newest.version.Position()),
 		strings.Compare(a.newest.entry.GetKey(), b.newest.entry.GetKey()),
 	)
 }
--- a/internal/fleetconfig/settle.go
+++ b/internal/fleetconfig/settle.go
@@ -124,7 +124,7 @@
 	left := map[string]*record{}
 	for key, r := range s.unsettled {
 		if r.inForce != nil {
-			s.config.position = order.Max(s.config.position, r.inForce.mark.Position())
+			s.config.position = order.Max(s.config.position, r.inForce.version.Position())
 		}
 		if r.fallback != nil && !r.fallback.after(r.inForce) {
 			r.fallback = nil
@@ -145,7 +145,7 @@
 		r := s.unsettled[key]
 		s.refusals = append(s.refusals, Refusal{
 			key:      key,
-			position: r.newest.mark.Position(),
+			position: r.newest.version.Position(),
 			err:      r.refusal,
 		})
 	}
@@ -160,7 +160,7 @@
 func (s *Store) advancePosition(fresh []*wire.Entry) {
 	for _, e := range fresh {
 		if r := s.records[e.GetKey()]; r.inForce != nil {
-			s.config.position = order.Max(s.config.position, r.inForce.mark.Position())
+			s.config.position = order.Max(s.config.position, r.inForce.version.Position())
 		}
 	}
 }
--- a/internal/fleetconfig/store.go
+++ b/internal/fleetconfig/store.go
@@ -94,7 +94,7 @@
 		return e, true
 	}
 	old := r.newest
-	if old.mark.Covers(MarkOf(e)) {
+	if old.version.Covers(MarkOf(e)) {
 		if r.newest == r.inForce || !r.keep(parseVersion(e)) {
 			return nil, false
 		}
@@ -104,7 +104,7 @@
 	joined := join(old.entry, e)
 	s.note(old.entry, joined)
 	if old.shows(joined) {
-		old.entry, old.mark = joined, MarkOf(joined)
+		old.entry, old.version = joined, MarkOf(joined)
 		change := old != r.inForce && r.keep(parseVersion(e))
 		if change {
 			s.touch(e.GetKey(), r)
@@ -151,7 +151,7 @@
 // Mark returns the mark of the newest value of a key, the zero mark for an unknown key.
 func (s *Store) Mark(key string) order.Mark {
 	if r := s.records[key]; r != nil {
-		return r.newest.mark
+		return r.newest.version
 	}
 	return order.Mark{}
 }
@@ -179,7 +179,7 @@
 // Behind returns the keys whose values are known from earlier eras of the source only,
 // sorted.
 func (s *Store) Behind(era uint64) []string {
-	return s.where(func(v *version) bool { return !Removed(v.entry) && v.mark.Position().Era() < era })
+	return s.where(func(v *version) bool { return !Removed(v.entry) && v.version.Position().Era() < era })
 }
 
 // Withheld returns the keys that the source has though their values were removed before it was
@@ -193,7 +193,7 @@
 func (s *Store) Ahead() []string {
 	era := s.Era()
 	return s.where(func(v *version) bool {
-		return !Removed(v.entry) && (v.mark.Position().Era() < era || v.mark.Written() != v.mark.Position())
+		return !Removed(v.entry) && (v.version.Position().Era() < era || v.version.Written() != v.version.Position())
 	})
 }
 
@@ -202,7 +202,7 @@
 	out := map[string]order.Position{}
 	for k, r := range s.records {
 		if r.inForce != nil {
-			out[k] = r.inForce.mark.Position()
+			out[k] = r.inForce.version.Position()
 		}
 	}
 	return out
--- a/internal/fleetconfig/version.go
+++ b/internal/fleetconfig/version.go
@@ -10,11 +10,11 @@
 // version is one value of a key together with what it parsed to: nothing, a target that
 // registers itself, or another document.
 type version struct {
-	entry  *wire.Entry
-	mark   order.Mark
-	doc    *wire.Document
-	target *registration
-	err    error
+	entry   *wire.Entry
+	version order.Mark
+	doc     *wire.Document
+	target  *registration
+	err     error
 }
 
 // after reports whether v replaces w: by their writer's order where both are values, else
@@ -24,14 +24,14 @@
 		return true
 	}
 	if Removed(v.entry) || Removed(w.entry) {
-		return v.mark.Position().Compare(w.mark.Position()) > 0
+		return v.version.Position().Compare(w.version.Position()) > 0
 	}
-	return v.mark.CompareValues(w.mark) > 0
+	return v.version.CompareValues(w.version) > 0
 }
 
 // shows reports whether the entry says the same as v of the key, at another position.
 func (v *version) shows(e *wire.Entry) bool {
-	return v.entry.GetDeleted() == e.GetDeleted() && v.mark.CompareValues(MarkOf(e)) == 0
+	return v.entry.GetDeleted() == e.GetDeleted() && v.version.CompareValues(MarkOf(e)) == 0
 }
 
 // record is all that the store holds of one key. The newest version may be
@@ -67,8 +67,8 @@
 
 func parseVersion(e *wire.Entry) *version {
 	v := &version{
-		entry: e,
-		mark:  MarkOf(e),
+		entry:   e,
+		version: MarkOf(e),
 	}
 	if Removed(e) {
 		return v
