--- a/internal/fleetconfig/link.go
+++ b/internal/fleetconfig/link.go
@@ -13,8 +13,8 @@
 func registeredIn(records map[string]*record) []string {
 	var out []string
 	for _, r := range records {
-		if r.joint() && r.inForce != nil && r.inForce.target != nil {
-			out = append(out, r.inForce.target.service)
+		if r.joint() && r.inForce != nil && r.inForce.registration != nil {
+			out = append(out, r.inForce.registration.service)
 		}
 	}
 	return out
@@ -48,7 +48,7 @@
 func (s *Store) relink(services []string) {
 	var list []*record
 	for _, r := range s.records {
-		if r.inForce != nil && r.inForce.target != nil && slices.Contains(services, r.inForce.target.service) {
+		if r.inForce != nil && r.inForce.registration != nil && slices.Contains(services, r.inForce.registration.service) {
 			list = append(list, r)
 		}
 	}
@@ -126,11 +126,11 @@
 		return v.err
 	}
 	var old *Target
-	if r.inForce != nil && r.inForce.target != nil {
-		old = r.inForce.target.target
+	if r.inForce != nil && r.inForce.registration != nil {
+		old = r.inForce.registration.target
 	}
 	var t *Target
-	if reg := v.target; reg != nil && c.services[reg.service] != nil {
+	if reg := v.registration; reg != nil && c.services[reg.service] != nil {
 		svc, to := c.services[reg.service], e.of(reg.service)
 		var err error
 		if t, err = reg.of(svc); err != nil {
--- a/internal/fleetconfig/version.go
+++ b/internal/fleetconfig/version.go
@@ -10,11 +10,11 @@
 // version is one value of a key together with what it parsed to: nothing, a target that
 // registers itself, or another document.
 type version struct {
-	entry   *wire.Entry
-	version order.Mark
-	doc     *wire.Document
-	target  *registration
-	err     error
+	entry        *wire.Entry
+	version      order.Mark
+	doc          *wire.Document
+	registration *registration
+	err          error
 }
 
 // after reports whether v replaces w: by their writer's order where both are values, else
@@ -75,7 +75,7 @@
 	}
 	v.doc, v.err = Parse(e.GetValue())
 	if v.err == nil && registers(v.doc) {
-		v.target, v.err = newRegistration(v.doc.GetTargets()[0])
+		v.registration, v.err = newRegistration(v.doc.GetTargets()[0])
 		v.doc = nil
 	}
 	return v
