--- a/internal/fleetconfig/settle.go
+++ b/internal/fleetconfig/settle.go
@@ -110,7 +110,7 @@
 func (s *Store) inForceDocs() []*wire.Document {
 	docs := make([]*wire.Document, 0, len(s.documents))
 	for _, k := range slices.Sorted(maps.Keys(s.documents)) {
-		if v := s.documents[k].inForce; v.joint() {
+		if v := s.documents[k].inForce; v.isDocument() {
 			docs = append(docs, v.doc)
 		}
 	}
--- a/internal/fleetconfig/version.go
+++ b/internal/fleetconfig/version.go
@@ -81,9 +81,11 @@
 	return v
 }
 
-// joint reports whether the version must be valid together with the others.
-func (v *version) joint() bool { return v != nil && v.doc != nil }
+// isDocument reports whether the version must be valid together with the others.
+func (v *version) isDocument() bool { return v != nil && v.doc != nil }
 
 // joint reports whether any version of the key that can be in force must be valid together with
 // those of other keys.
-func (r *record) joint() bool { return r.newest.joint() || r.inForce.joint() || r.fallback.joint() }
+func (r *record) joint() bool {
+	return r.newest.isDocument() || r.inForce.isDocument() || r.fallback.isDocument()
+}
