--- a/internal/fleetconfig/link.go
+++ b/internal/fleetconfig/link.go
@@ -13,7 +13,7 @@
 func registeredIn(records map[string]*record) []string {
 	var out []string
 	for _, r := range records {
-		if r.joint() && r.inForce != nil && r.inForce.registration != nil {
+		if r.hasDocument() && r.inForce != nil && r.inForce.registration != nil {
 			out = append(out, r.inForce.registration.service)
 		}
 	}
--- a/internal/fleetconfig/settle.go
+++ b/internal/fleetconfig/settle.go
@@ -60,7 +60,7 @@
 func (s *Store) pending(joint bool) []*record {
 	var out []*record
 	for _, r := range s.unsettled {
-		if r.joint() == joint && r.newest != r.inForce {
+		if r.hasDocument() == joint && r.newest != r.inForce {
 			out = append(out, r)
 		}
 	}
@@ -134,7 +134,7 @@
 		} else {
 			left[key] = r
 		}
-		if !r.joint() {
+		if !r.hasDocument() {
 			delete(s.documents, key)
 		}
 	}
--- a/internal/fleetconfig/store.go
+++ b/internal/fleetconfig/store.go
@@ -122,7 +122,7 @@
 // touch notes that the newest version of a key is to be put in force.
 func (s *Store) touch(key string, r *record) {
 	s.unsettled[key] = r
-	if r.joint() {
+	if r.hasDocument() {
 		s.documents[key] = r
 	}
 }
--- a/internal/fleetconfig/version.go
+++ b/internal/fleetconfig/version.go
@@ -84,8 +84,8 @@
 // isDocument reports whether the version must be valid together with the others.
 func (v *version) isDocument() bool { return v != nil && v.doc != nil }
 
-// joint reports whether any version of the key that can be in force must be valid together with
+// hasDocument reports whether any version of the key that can be in force must be valid together with
 // those of other keys.
-func (r *record) joint() bool {
+func (r *record) hasDocument() bool {
 	return r.newest.isDocument() || r.inForce.isDocument() || r.fallback.isDocument()
 }
