--- a/internal/fleetconfig/store.go
+++ b/internal/fleetconfig/store.go
@@ -103,7 +103,7 @@
 	}
 	joined := join(old.entry, e)
 	s.note(old.entry, joined)
-	if old.shows(joined) {
+	if old.sameValue(joined) {
 		old.entry, old.version = joined, MarkOf(joined)
 		change := old != r.inForce && r.keep(parseVersion(e))
 		if change {
--- a/internal/fleetconfig/version.go
+++ b/internal/fleetconfig/version.go
@@ -29,8 +29,8 @@
 	return v.version.CompareValues(w.version) > 0
 }
 
-// shows reports whether the entry says the same as v of the key, at another position.
-func (v *version) shows(e *wire.Entry) bool {
+// sameValue reports whether the entry says the same as v of the key, at another position.
+func (v *version) sameValue(e *wire.Entry) bool {
 	return v.entry.GetDeleted() == e.GetDeleted() && v.version.CompareValues(MarkOf(e)) == 0
 }
 
