--- a/internal/fleetconfig/link.go
+++ b/internal/fleetconfig/link.go
@@ -121,7 +121,7 @@
 }
 
 // put puts a version of a record in force in place of the one that is.
-func (e edits) put(c *Config, r *record, v *version) error {
+func (e edits) put(c *Config, r *record, v *parsedValue) error {
 	if v.err != nil {
 		return v.err
 	}
--- a/internal/fleetconfig/settle.go
+++ b/internal/fleetconfig/settle.go
@@ -70,7 +70,7 @@
 
 // tryAll puts the newest values of all keys in force if they are valid together.
 func (s *Store) tryAll(pending []*record) bool {
-	old := make([]*version, len(pending))
+	old := make([]*parsedValue, len(pending))
 	for i, r := range pending {
 		if r.newest.err != nil {
 			return false
@@ -91,7 +91,7 @@
 }
 
 // try puts one version in force if it is valid with all else that is.
-func (s *Store) try(r *record, v *version) error {
+func (s *Store) try(r *record, v *parsedValue) error {
 	if v.err != nil {
 		return v.err
 	}
--- a/internal/fleetconfig/version.go
+++ b/internal/fleetconfig/version.go
@@ -7,9 +7,9 @@
 	"ploverjunction.example/ploverjunction/internal/wire"
 )
 
-// version is one value of a key together with what it parsed to: nothing, a target that
+// parsedValue is one value of a key together with what it parsed to: nothing, a target that
 // registers itself, or another document.
-type version struct {
+type parsedValue struct {
 	entry        *wire.Entry
 	version      order.Mark
 	doc          *wire.Document
@@ -19,7 +19,7 @@
 
 // after reports whether v replaces w: by their writer's order where both are values, else
 // by the store's.
-func (v *version) after(w *version) bool {
+func (v *parsedValue) after(w *parsedValue) bool {
 	if w == nil {
 		return true
 	}
@@ -30,7 +30,7 @@
 }
 
 // sameValue reports whether the entry says the same as v of the key, at another position.
-func (v *version) sameValue(e *wire.Entry) bool {
+func (v *parsedValue) sameValue(e *wire.Entry) bool {
 	return v.entry.GetDeleted() == e.GetDeleted() && v.version.CompareValues(MarkOf(e)) == 0
 }
 
@@ -39,15 +39,15 @@
 // between the two: a process that starts anew learns from its peers, in any
 // order, the one that they have in force and the one that they refuse.
 type record struct {
-	newest   *version
-	inForce  *version
-	fallback *version
+	newest   *parsedValue
+	inForce  *parsedValue
+	fallback *parsedValue
 	// refusal says why the newest version is not in force, nil if it is.
 	refusal error
 }
 
 // keep notes a version that isn't the newest.
-func (r *record) keep(v *version) bool {
+func (r *record) keep(v *parsedValue) bool {
 	if v.err != nil || !r.newest.after(v) || !v.after(r.inForce) || !v.after(r.fallback) {
 		return false
 	}
@@ -57,16 +57,16 @@
 
 // candidates returns the versions that could replace the one in force, the best
 // first.
-func (r *record) candidates() []*version {
-	out := []*version{r.newest}
+func (r *record) candidates() []*parsedValue {
+	out := []*parsedValue{r.newest}
 	if r.fallback != nil && r.fallback.after(r.inForce) {
 		out = append(out, r.fallback)
 	}
 	return out
 }
 
-func parseVersion(e *wire.Entry) *version {
-	v := &version{
+func parseVersion(e *wire.Entry) *parsedValue {
+	v := &parsedValue{
 		entry:   e,
 		version: MarkOf(e),
 	}
@@ -82,7 +82,7 @@
 }
 
 // isDocument reports whether the version must be valid together with the others.
-func (v *version) isDocument() bool { return v != nil && v.doc != nil }
+func (v *parsedValue) isDocument() bool { return v != nil && v.doc != nil }
 
 // hasDocument reports whether any version of the key that can be in force must be valid together with
 // those of other keys.
