--- a/internal/fleetconfig/store.go
+++ b/internal/fleetconfig/store.go
@@ -86,7 +86,7 @@
 	r := s.records[e.GetKey()]
 	if r == nil {
 		r = &record{
-			newest: parseVersion(e),
+			newest: parseValue(e),
 		}
 		s.records[e.GetKey()] = r
 		s.note(nil, e)
@@ -95,7 +95,7 @@
 	}
 	old := r.newest
 	if old.version.Covers(MarkOf(e)) {
-		if r.newest == r.inForce || !r.keep(parseVersion(e)) {
+		if r.newest == r.inForce || !r.keep(parseValue(e)) {
 			return nil, false
 		}
 		s.touch(e.GetKey(), r)
@@ -105,13 +105,13 @@
 	s.note(old.entry, joined)
 	if old.sameValue(joined) {
 		old.entry, old.version = joined, MarkOf(joined)
-		change := old != r.inForce && r.keep(parseVersion(e))
+		change := old != r.inForce && r.keep(parseValue(e))
 		if change {
 			s.touch(e.GetKey(), r)
 		}
 		return joined, change
 	}
-	r.newest = parseVersion(joined)
+	r.newest = parseValue(joined)
 	if old != r.inForce {
 		r.keep(old)
 	}
--- a/internal/fleetconfig/version.go
+++ b/internal/fleetconfig/version.go
@@ -65,7 +65,7 @@
 	return out
 }
 
-func parseVersion(e *wire.Entry) *parsedValue {
+func parseValue(e *wire.Entry) *parsedValue {
 	v := &parsedValue{
 		entry:   e,
 		version: MarkOf(e),
