--- a/internal/fleetconfig/store.go
+++ b/internal/fleetconfig/store.go
@@ -95,7 +95,7 @@
 	}
 	old := r.newest
 	if old.version.Covers(MarkOf(e)) {
-		if r.newest == r.inForce || !r.keep(parseValue(e)) {
+		if r.newest == r.inForce || !r.setFallback(parseValue(e)) {
 			return nil, false
 		}
 		s.touch(e.GetKey(), r)
@@ -105,7 +105,7 @@
 	s.note(old.entry, joined)
 	if old.sameValue(joined) {
 		old.entry, old.version = joined, MarkOf(joined)
-		change := old != r.inForce && r.keep(parseValue(e))
+		change := old != r.inForce && r.setFallback(parseValue(e))
 		if change {
 			s.touch(e.GetKey(), r)
 		}
@@ -113,7 +113,7 @@
 	}
 	r.newest = parseValue(joined)
 	if old != r.inForce {
-		r.keep(old)
+		r.setFallback(old)
 	}
 	s.touch(e.GetKey(), r)
 	return joined, true
--- a/internal/fleetconfig/version.go
+++ b/internal/fleetconfig/version.go
@@ -46,8 +46,8 @@
 	refusal error
 }
 
-// keep notes a version that isn't the newest.
-func (r *record) keep(v *parsedValue) bool {
+// setFallback notes a version that isn't the newest.
+func (r *record) setFallback(v *parsedValue) bool {
 	if v.err != nil || !r.newest.after(v) || !v.after(r.inForce) || !v.after(r.fallback) {
 		return false
 	}
