--- a/internal/fleetconfig/mark.go
+++ b/internal/fleetconfig/mark.go
@@ -24,8 +24,8 @@
 	}
 }
 
-// marked is a message that carries a mark.
-type marked interface {
+// versioned is a message that carries a mark.
+type versioned interface {
 	positioned
 	GetStamp() *wire.Stamp
 	GetWritten() *wire.Position
@@ -33,7 +33,7 @@
 }
 
 // MarkOf returns the mark that an Entry or a KeyRevision carries.
-func MarkOf(m marked) order.Mark {
+func MarkOf(m versioned) order.Mark {
 	position := PositionOf(m)
 	written := position
 	if w := m.GetWritten(); w != nil {
