--- a/internal/fleetconfig/digest.go
+++ b/internal/fleetconfig/digest.go
@@ -47,7 +47,7 @@
 
 // note takes a newer entry of a key into the digests; old is nil for a new key.
 func (s *Store) note(old, newest *wire.Entry) {
-	b := &s.parts[bucketOf(newest.GetKey())]
+	b := &s.buckets[bucketOf(newest.GetKey())]
 	if old != nil {
 		b.digest ^= hashOf(old)
 	} else {
@@ -64,8 +64,8 @@
 // with equal digests hold the same newest values.
 func (s *Store) Digest() uint64 {
 	sum := uint64(0)
-	for i := range s.parts {
-		sum ^= s.parts[i].digest
+	for i := range s.buckets {
+		sum ^= s.buckets[i].digest
 	}
 	return sum
 }
@@ -73,8 +73,8 @@
 // BucketDigests returns the digests of the parts. The slice is the caller's.
 func (s *Store) BucketDigests() []uint64 {
 	out := make([]uint64, Buckets)
-	for i := range s.parts {
-		out[i] = s.parts[i].digest
+	for i := range s.buckets {
+		out[i] = s.buckets[i].digest
 	}
 	return out
 }
@@ -86,8 +86,8 @@
 		return nil
 	}
 	var out []uint32
-	for i := range s.parts {
-		if digests[i] != s.parts[i].digest {
+	for i := range s.buckets {
+		if digests[i] != s.buckets[i].digest {
 			out = append(out, uint32(i))
 		}
 	}
@@ -108,7 +108,7 @@
 	if part >= Buckets {
 		return out
 	}
-	for _, k := range s.parts[part].keys {
+	for _, k := range s.buckets[part].keys {
 		out = append(out, KeyRevision(k, s.records[k].newest.version))
 	}
 	return out
--- a/internal/fleetconfig/store.go
+++ b/internal/fleetconfig/store.go
@@ -15,8 +15,8 @@
 // it.
 type Store struct {
 	records map[string]*record
-	// parts are the keys, divided for comparisons.
-	parts [Buckets]bucket
+	// buckets are the keys, divided for comparisons.
+	buckets [Buckets]bucket
 	// unsettled are the records whose newest version is not in force.
 	unsettled map[string]*record
 	// documents are the records with versions that must be valid together, base the
@@ -130,7 +130,7 @@
 // Revisions returns the mark of the newest value of each key, by key.
 func (s *Store) Revisions() []*wire.KeyRevision {
 	out := make([]*wire.KeyRevision, 0, len(s.records))
-	for i := range s.parts {
+	for i := range s.buckets {
 		out = s.revisions(out, uint32(i))
 	}
 	slices.SortFunc(out, func(a, b *wire.KeyRevision) int { return strings.Compare(a.GetKey(), b.GetKey()) })
