--- a/internal/fleetconfig/digest.go
+++ b/internal/fleetconfig/digest.go
@@ -45,8 +45,8 @@
 	keys []string
 }
 
-// note takes a newer entry of a key into the digests; old is nil for a new key.
-func (s *Store) note(old, newest *wire.Entry) {
+// index takes a newer entry of a key into the digests; old is nil for a new key.
+func (s *Store) index(old, newest *wire.Entry) {
 	b := &s.buckets[bucketOf(newest.GetKey())]
 	if old != nil {
 		b.digest ^= hashOf(old)
--- a/internal/fleetconfig/store.go
+++ b/internal/fleetconfig/store.go
@@ -89,7 +89,7 @@
 			newest: parseValue(e),
 		}
 		s.records[e.GetKey()] = r
-		s.note(nil, e)
+		s.index(nil, e)
 		s.touch(e.GetKey(), r)
 		return e, true
 	}
@@ -102,7 +102,7 @@
 		return e, true
 	}
 	joined := join(old.entry, e)
-	s.note(old.entry, joined)
+	s.index(old.entry, joined)
 	if old.sameValue(joined) {
 		old.entry, old.version = joined, MarkOf(joined)
 		change := old != r.inForce && r.setFallback(parseValue(e))
