--- a/internal/fleetconfig/link.go
+++ b/internal/fleetconfig/link.go
@@ -58,7 +58,7 @@
 		v := r.inForce
 		r.inForce = nil
 		if r.refusal = e.put(s.config, r, v); r.refusal != nil {
-			s.unsettled[r.newest.entry.GetKey()] = r
+			s.inactive[r.newest.entry.GetKey()] = r
 		}
 	}
 	e.apply(s.config)
--- a/internal/fleetconfig/settle.go
+++ b/internal/fleetconfig/settle.go
@@ -14,7 +14,7 @@
 // target that registers itself needs its service only.
 func (s *Store) settle() {
 	if pending := s.pending(true); pending != nil {
-		s.settleDocuments(pending, registeredIn(s.unsettled))
+		s.settleDocuments(pending, registeredIn(s.inactive))
 	}
 	s.settleRegistrations()
 	s.finish()
@@ -59,7 +59,7 @@
 // the order of revisions.
 func (s *Store) pending(joint bool) []*record {
 	var out []*record
-	for _, r := range s.unsettled {
+	for _, r := range s.inactive {
 		if r.hasDocument() == joint && r.newest != r.inForce {
 			out = append(out, r)
 		}
@@ -122,7 +122,7 @@
 func (s *Store) finish() {
 	s.config.position = order.Max(s.config.position, s.base.position)
 	left := map[string]*record{}
-	for key, r := range s.unsettled {
+	for key, r := range s.inactive {
 		if r.inForce != nil {
 			s.config.position = order.Max(s.config.position, r.inForce.version.Position())
 		}
@@ -139,10 +139,10 @@
 		}
 	}
 	// A new map: one that held many keys once stays as large.
-	s.unsettled = left
+	s.inactive = left
 	s.refusals = nil
-	for _, key := range slices.Sorted(maps.Keys(s.unsettled)) {
-		r := s.unsettled[key]
+	for _, key := range slices.Sorted(maps.Keys(s.inactive)) {
+		r := s.inactive[key]
 		s.refusals = append(s.refusals, Refusal{
 			key:      key,
 			position: r.newest.version.Position(),
--- a/internal/fleetconfig/store.go
+++ b/internal/fleetconfig/store.go
@@ -17,8 +17,8 @@
 	records map[string]*record
 	// buckets are the keys, divided for comparisons.
 	buckets [Buckets]bucket
-	// unsettled are the records whose newest version is not in force.
-	unsettled map[string]*record
+	// inactive are the records whose newest version is not in force.
+	inactive map[string]*record
 	// documents are the records with versions that must be valid together, base the
 	// configuration that they make without the targets that register themselves.
 	documents map[string]*record
@@ -39,7 +39,7 @@
 	}
 	return &Store{
 		records:   map[string]*record{},
-		unsettled: map[string]*record{},
+		inactive:  map[string]*record{},
 		documents: map[string]*record{},
 		policies:  policyCache{},
 		base:      c,
@@ -121,7 +121,7 @@
 
 // touch notes that the newest version of a key is to be put in force.
 func (s *Store) touch(key string, r *record) {
-	s.unsettled[key] = r
+	s.inactive[key] = r
 	if r.hasDocument() {
 		s.documents[key] = r
 	}
