--- a/internal/fleetconfig/store.go
+++ b/internal/fleetconfig/store.go
@@ -90,7 +90,7 @@
 		}
 		s.records[e.GetKey()] = r
 		s.index(nil, e)
-		s.touch(e.GetKey(), r)
+		s.markInactive(e.GetKey(), r)
 		return e, true
 	}
 	old := r.newest
@@ -98,7 +98,7 @@
 		if r.newest == r.inForce || !r.setFallback(parseValue(e)) {
 			return nil, false
 		}
-		s.touch(e.GetKey(), r)
+		s.markInactive(e.GetKey(), r)
 		return e, true
 	}
 	joined := join(old.entry, e)
@@ -107,7 +107,7 @@
 		old.entry, old.version = joined, MarkOf(joined)
 		change := old != r.inForce && r.setFallback(parseValue(e))
 		if change {
-			s.touch(e.GetKey(), r)
+			s.markInactive(e.GetKey(), r)
 		}
 		return joined, change
 	}
@@ -115,12 +115,12 @@
 	if old != r.inForce {
 		r.setFallback(old)
 	}
-	s.touch(e.GetKey(), r)
+	s.markInactive(e.GetKey(), r)
 	return joined, true
 }
 
-// touch notes that the newest version of a key is to be put in force.
-func (s *Store) touch(key string, r *record) {
+// markInactive notes that the newest version of a key is to be put in force.
+func (s *Store) markInactive(key string, r *record) {
 	s.inactive[key] = r
 	if r.hasDocument() {
 		s.documents[key] = r
