--- a/internal/fleetconfig/settle.go
+++ b/internal/fleetconfig/settle.go
@@ -10,9 +10,9 @@
 	"ploverjunction.example/ploverjunction/internal/wire"
 )
 
-// settle puts in force as many newest values as are valid. Documents must be valid together; a
+// activate puts in force as many newest values as are valid. Documents must be valid together; a
 // target that registers itself needs its service only.
-func (s *Store) settle() {
+func (s *Store) activate() {
 	if pending := s.pending(true); pending != nil {
 		s.settleDocuments(pending, registeredIn(s.inactive))
 	}
--- a/internal/fleetconfig/store.go
+++ b/internal/fleetconfig/store.go
@@ -67,7 +67,7 @@
 	}
 	switch {
 	case changed:
-		s.settle()
+		s.activate()
 	case len(fresh) > 0:
 		c := *s.config
 		s.config = &c
