--- a/internal/fleetconfig/settle.go
+++ b/internal/fleetconfig/settle.go
@@ -14,16 +14,16 @@
 // target that registers itself needs its service only.
 func (s *Store) activate() {
 	if pending := s.pending(true); pending != nil {
-		s.settleDocuments(pending, registeredIn(s.inactive))
+		s.activateDocuments(pending, registeredIn(s.inactive))
 	}
 	s.settleRegistrations()
 	s.finish()
 }
 
-// settleDocuments puts in force as many newest documents as are valid together: all of them
+// activateDocuments puts in force as many newest documents as are valid together: all of them
 // at once where that works, else one after another in the order of revisions
 // until no more can be added. changed are services whose registrations it may replace.
-func (s *Store) settleDocuments(pending []*record, changed []string) {
+func (s *Store) activateDocuments(pending []*record, changed []string) {
 	if s.tryAll(pending) {
 		pending = nil
 	}
