--- a/internal/fleetconfig/link.go
+++ b/internal/fleetconfig/link.go
@@ -64,9 +64,9 @@
 	e.apply(s.config)
 }
 
-// settleRegistrations puts in force what can be of the targets that register themselves. Each
+// activateRegistrations puts in force what can be of the targets that register themselves. Each
 // depends on its service and on the keys of that service's targets only.
-func (s *Store) settleRegistrations() {
+func (s *Store) activateRegistrations() {
 	pending := s.pending(false)
 	if len(pending) == 0 {
 		return
--- a/internal/fleetconfig/settle.go
+++ b/internal/fleetconfig/settle.go
@@ -16,7 +16,7 @@
 	if pending := s.pending(true); pending != nil {
 		s.activateDocuments(pending, registeredIn(s.inactive))
 	}
-	s.settleRegistrations()
+	s.activateRegistrations()
 	s.finish()
 }
 
