--- a/internal/fleetconfig/store.go
+++ b/internal/fleetconfig/store.go
@@ -59,7 +59,7 @@
 	var fresh []*wire.Entry
 	changed := false
 	for _, e := range entries {
-		news, change := s.take(e)
+		news, change := s.merge(e)
 		if news != nil {
 			fresh = append(fresh, news)
 		}
@@ -77,9 +77,9 @@
 	return fresh
 }
 
-// take returns what an entry tells that is new, nil for nothing, and reports whether that can
+// merge returns what an entry tells that is new, nil for nothing, and reports whether that can
 // change the configuration.
-func (s *Store) take(e *wire.Entry) (*wire.Entry, bool) {
+func (s *Store) merge(e *wire.Entry) (*wire.Entry, bool) {
 	if e.GetKey() == "" || e.GetRevision() == 0 {
 		return nil, false
 	}
