--- a/internal/fleetconfig/store.go
+++ b/internal/fleetconfig/store.go
@@ -159,8 +159,8 @@
 // Era returns the greatest era of the source that any value is from.
 func (s *Store) Era() uint64 { return s.era }
 
-// where returns the keys whose newest version fits a condition, sorted.
-func (s *Store) where(fits func(*parsedValue) bool) []string {
+// keysWhere returns the keys whose newest version fits a condition, sorted.
+func (s *Store) keysWhere(fits func(*parsedValue) bool) []string {
 	var out []string
 	for k, r := range s.records {
 		if fits(r.newest) {
@@ -173,26 +173,26 @@
 
 // Keys returns the keys that have values, sorted.
 func (s *Store) Keys() []string {
-	return s.where(func(v *parsedValue) bool { return !Removed(v.entry) })
+	return s.keysWhere(func(v *parsedValue) bool { return !Removed(v.entry) })
 }
 
 // Behind returns the keys whose values are known from earlier eras of the source only,
 // sorted.
 func (s *Store) Behind(era uint64) []string {
-	return s.where(func(v *parsedValue) bool { return !Removed(v.entry) && v.version.Position().Era() < era })
+	return s.keysWhere(func(v *parsedValue) bool { return !Removed(v.entry) && v.version.Position().Era() < era })
 }
 
 // Withheld returns the keys that the source has though their values were removed before it was
 // restored, sorted.
 func (s *Store) Withheld() []string {
-	return s.where(func(v *parsedValue) bool { return v.entry.GetGone() && !v.entry.GetDeleted() })
+	return s.keysWhere(func(v *parsedValue) bool { return v.entry.GetGone() && !v.entry.GetDeleted() })
 }
 
 // Ahead returns the keys whose values the source does not have, or has only in an older
 // version, since it was restored: sorted.
 func (s *Store) Ahead() []string {
 	era := s.Era()
-	return s.where(func(v *parsedValue) bool {
+	return s.keysWhere(func(v *parsedValue) bool {
 		return !Removed(v.entry) && (v.version.Position().Era() < era || v.version.Written() != v.version.Position())
 	})
 }
