--- a/internal/fleetconfig/link.go
+++ b/internal/fleetconfig/link.go
@@ -20,10 +20,10 @@
 	return out
 }
 
-// link makes the configuration in force of the documents and all registrations in force. A service
+// attachRegistrations makes the configuration in force of the documents and all registrations in force. A service
 // keeps its targets where neither it nor its documents say anything else of them; changed are
 // services where they may.
-func (s *Store) link(changed []string) {
+func (s *Store) attachRegistrations(changed []string) {
 	c := *s.base
 	c.position = s.config.position
 	c.services = make(map[string]*Service, len(s.base.services))
--- a/internal/fleetconfig/settle.go
+++ b/internal/fleetconfig/settle.go
@@ -39,7 +39,7 @@
 			r.refusal = s.try(r, r.newest)
 		}
 	}
-	s.link(changed)
+	s.attachRegistrations(changed)
 }
 
 // advance puts the best candidate of a key in force that is valid now.
