--- a/internal/fleetconfig/link.go
+++ b/internal/fleetconfig/link.go
@@ -40,12 +40,12 @@
 	}
 	s.config = &c
 	if len(anew) > 0 {
-		s.relink(anew)
+		s.attachTo(anew)
 	}
 }
 
-// relink gives some services the targets that are registered for them.
-func (s *Store) relink(services []string) {
+// attachTo gives some services the targets that are registered for them.
+func (s *Store) attachTo(services []string) {
 	var list []*record
 	for _, r := range s.records {
 		if r.inForce != nil && r.inForce.registration != nil && slices.Contains(services, r.inForce.registration.service) {
