--- a/internal/fleetconfig/link.go
+++ b/internal/fleetconfig/link.go
@@ -133,7 +133,7 @@
 	if reg := v.registration; reg != nil && c.services[reg.service] != nil {
 		svc, to := c.services[reg.service], e.of(reg.service)
 		var err error
-		if t, err = reg.of(svc); err != nil {
+		if t, err = reg.targetFor(svc); err != nil {
 			return err
 		}
 		holder := svc.Target(t.key)
--- a/internal/fleetconfig/registration.go
+++ b/internal/fleetconfig/registration.go
@@ -37,8 +37,8 @@
 	}, nil
 }
 
-// of returns the target as one of a service. It is the same as before while the service is.
-func (r *registration) of(s *Service) (*Target, error) {
+// targetFor returns the target as one of a service. It is the same as before while the service is.
+func (r *registration) targetFor(s *Service) (*Target, error) {
 	want := r.connections
 	if want == 0 {
 		want = s.connections
