--- a/internal/fleetconfig/link.go
+++ b/internal/fleetconfig/link.go
@@ -110,7 +110,7 @@
 // edits are the changes of services by their names.
 type edits map[string]*edit
 
-func (e edits) of(service string) *edit {
+func (e edits) forService(service string) *edit {
 	if e[service] == nil {
 		e[service] = &edit{
 			removed: map[*Target]bool{},
@@ -131,7 +131,7 @@
 	}
 	var t *Target
 	if reg := v.registration; reg != nil && c.services[reg.service] != nil {
-		svc, to := c.services[reg.service], e.of(reg.service)
+		svc, to := c.services[reg.service], e.forService(reg.service)
 		var err error
 		if t, err = reg.targetFor(svc); err != nil {
 			return err
@@ -149,7 +149,7 @@
 	}
 	e.remove(c, old)
 	if t != nil {
-		e.of(t.service).added[t.key] = t
+		e.forService(t.service).added[t.key] = t
 	}
 	r.inForce = v
 	return nil
@@ -159,7 +159,7 @@
 	if t == nil || c.services[t.service] == nil {
 		return
 	}
-	from := e.of(t.service)
+	from := e.forService(t.service)
 	if from.added[t.key] == t {
 		delete(from.added, t.key)
 	} else if c.services[t.service].Target(t.key) == t {
