--- a/internal/fleetconfig/registration.go
+++ b/internal/fleetconfig/registration.go
@@ -15,8 +15,8 @@
 	connections int
 }
 
-// registers reports whether a document is the registration of a target.
-func registers(d *wire.Document) bool {
+// isRegistration reports whether a document is the registration of a target.
+func isRegistration(d *wire.Document) bool {
 	return len(d.GetTargets()) == 1 && d.GetTargets()[0].GetId() != "" &&
 		len(d.GetServices())+len(d.GetRoutes())+len(d.GetWorkspaces())+len(d.GetInstances())+len(d.GetEvacuations()) == 0 &&
 		d.GetLimits() == nil
--- a/internal/fleetconfig/version.go
+++ b/internal/fleetconfig/version.go
@@ -74,7 +74,7 @@
 		return v
 	}
 	v.doc, v.err = Parse(e.GetValue())
-	if v.err == nil && registers(v.doc) {
+	if v.err == nil && isRegistration(v.doc) {
 		v.registration, v.err = newRegistration(v.doc.GetTargets()[0])
 		v.doc = nil
 	}
