--- a/internal/fleetconfig/link.go
+++ b/internal/fleetconfig/link.go
@@ -9,8 +9,8 @@
 	"strings"
 )
 
-// registeredIn returns the services of registrations in force that documents may replace.
-func registeredIn(records map[string]*record) []string {
+// replaceableServices returns the services of registrations in force that documents may replace.
+func replaceableServices(records map[string]*record) []string {
 	var out []string
 	for _, r := range records {
 		if r.hasDocument() && r.inForce != nil && r.inForce.registration != nil {
--- a/internal/fleetconfig/settle.go
+++ b/internal/fleetconfig/settle.go
@@ -14,7 +14,7 @@
 // target that registers itself needs its service only.
 func (s *Store) activate() {
 	if pending := s.pending(true); pending != nil {
-		s.activateDocuments(pending, registeredIn(s.inactive))
+		s.activateDocuments(pending, replaceableServices(s.inactive))
 	}
 	s.activateRegistrations()
 	s.finish()
