--- a/internal/fleetconfig/link.go
+++ b/internal/fleetconfig/link.go
@@ -53,7 +53,7 @@
 		}
 	}
 	e := edits{}
-	slices.SortFunc(list, inOrder)
+	slices.SortFunc(list, byPosition)
 	for _, r := range list {
 		v := r.inForce
 		r.inForce = nil
@@ -93,8 +93,8 @@
 	e.apply(s.config)
 }
 
-// inOrder orders records by revisions.
-func inOrder(a, b *record) int {
+// byPosition orders records by revisions.
+func byPosition(a, b *record) int {
 	return cmp.Or(
 		a.newest.version.Position().Compare(b.newest.version.Position()),
 		strings.Compare(a.newest.entry.GetKey(), b.newest.entry.GetKey()),
--- a/internal/fleetconfig/settle.go
+++ b/internal/fleetconfig/settle.go
@@ -64,7 +64,7 @@
 			out = append(out, r)
 		}
 	}
-	slices.SortFunc(out, inOrder)
+	slices.SortFunc(out, byPosition)
 	return out
 }
 
