--- a/internal/fleetconfig/link.go
+++ b/internal/fleetconfig/link.go
@@ -173,6 +173,6 @@
 		if len(change.removed)+len(change.added) == 0 {
 			continue
 		}
-		c.services[name] = c.services[name].with(slices.Collect(maps.Keys(change.removed)), slices.Collect(maps.Values(change.added)))
+		c.services[name] = c.services[name].withTargets(slices.Collect(maps.Keys(change.removed)), slices.Collect(maps.Values(change.added)))
 	}
 }
--- a/internal/fleetconfig/pool.go
+++ b/internal/fleetconfig/pool.go
@@ -74,9 +74,9 @@
 	}
 }
 
-// with returns a copy of the service without some of its targets and with others. Its cost in
+// withTargets returns a copy of the service without some of its targets and with others. Its cost in
 // comparisons goes by the targets that change.
-func (s *Service) with(removed, added []*Target) *Service {
+func (s *Service) withTargets(removed, added []*Target) *Service {
 	out := *s
 	out.targets = splice(s.targets, removed, added, byAddress)
 	out.keyed = splice(s.keyed, removed, added, byKey)
