--- a/internal/fleetconfig/pool.go
+++ b/internal/fleetconfig/pool.go
@@ -51,12 +51,12 @@
 	s.keyed = slices.SortedFunc(slices.Values(list), byKey)
 	s.halls, s.slots = nil, 0
 	for _, t := range list {
-		s.count(t, 1)
+		s.countTarget(t, 1)
 	}
 }
 
-// count adds n to the number of targets like t.
-func (s *Service) count(t *Target, n int) {
+// countTarget adds n to the number of targets like t.
+func (s *Service) countTarget(t *Target, n int) {
 	at, ok := slices.BinarySearchFunc(s.halls, t.dataHall, func(h hall, name string) int { return strings.Compare(h.name, name) })
 	if !ok {
 		s.halls = slices.Insert(s.halls, at, hall{
@@ -82,10 +82,10 @@
 	out.keyed = splice(s.keyed, removed, added, byKey)
 	out.halls = slices.Clone(s.halls)
 	for _, t := range removed {
-		out.count(t, -1)
+		out.countTarget(t, -1)
 	}
 	for _, t := range added {
-		out.count(t, 1)
+		out.countTarget(t, 1)
 	}
 	return &out
 }
