--- a/internal/fleetconfig/config.go
+++ b/internal/fleetconfig/config.go
@@ -77,8 +77,8 @@
 	// targets are in the order of their addresses, keyed in that of their keys.
 	targets []*Target
 	keyed   []*Target
-	// documented is how many targets the document of the service, or another one, lists.
-	documented int
+	// documentTargets is how many targets the document of the service, or another one, lists.
+	documentTargets int
 	// connections is what a target accepts that states no number itself.
 	connections int
 	// warmupRate bounds the requests a second to a target that warms up; 0 is no bound.
--- a/internal/fleetconfig/link.go
+++ b/internal/fleetconfig/link.go
@@ -31,7 +31,7 @@
 	for name, svc := range s.base.services {
 		out := *svc
 		old := s.config.services[name]
-		if old != nil && old.connections == svc.connections && old.documented+svc.documented == 0 && !slices.Contains(changed, name) {
+		if old != nil && old.connections == svc.connections && old.documentTargets+svc.documentTargets == 0 && !slices.Contains(changed, name) {
 			out.targets, out.keyed, out.halls, out.slots = old.targets, old.keyed, old.halls, old.slots
 		} else {
 			anew = append(anew, name)
--- a/internal/fleetconfig/validate.go
+++ b/internal/fleetconfig/validate.go
@@ -95,7 +95,7 @@
 	}
 	for _, s := range c.services {
 		s.setTargets(s.targets)
-		s.documented = len(s.targets)
+		s.documentTargets = len(s.targets)
 	}
 	return c, nil
 }
