--- a/internal/fleetconfig/pool.go
+++ b/internal/fleetconfig/pool.go
@@ -10,8 +10,8 @@
 
 // hall counts the targets of a service in one data hall.
 type hall struct {
-	name string
-	all  int
+	name  string
+	total int
 	// staying are those that are not leaving.
 	staying int
 }
@@ -34,7 +34,7 @@
 func (s *Service) HallSizes() map[string]int {
 	out := make(map[string]int, len(s.halls))
 	for _, h := range s.halls {
-		out[h.name] = h.all
+		out[h.name] = h.total
 	}
 	return out
 }
@@ -65,11 +65,11 @@
 	}
 	s.slots += n * t.slots
 	h := &s.halls[at]
-	h.all += n
+	h.total += n
 	if !t.leaving {
 		h.staying += n
 	}
-	if h.all == 0 {
+	if h.total == 0 {
 		s.halls = slices.Delete(s.halls, at, at+1)
 	}
 }
