--- a/internal/fleetconfig/pool.go
+++ b/internal/fleetconfig/pool.go
@@ -12,15 +12,15 @@
 type hall struct {
 	name  string
 	total int
-	// staying are those that are not leaving.
-	staying int
+	// notDraining are those that are not leaving.
+	notDraining int
 }
 
 // Halls returns the data halls with targets that are not leaving, sorted.
 func (s *Service) Halls() []string {
 	out := make([]string, 0, len(s.halls))
 	for _, h := range s.halls {
-		if h.staying > 0 {
+		if h.notDraining > 0 {
 			out = append(out, h.name)
 		}
 	}
@@ -67,7 +67,7 @@
 	h := &s.halls[at]
 	h.total += n
 	if !t.leaving {
-		h.staying += n
+		h.notDraining += n
 	}
 	if h.total == 0 {
 		s.halls = slices.Delete(s.halls, at, at+1)
