--- a/internal/fleetconfig/config.go
+++ b/internal/fleetconfig/config.go
@@ -160,8 +160,8 @@
 // part is one service of a route that splits its traffic.
 type part struct {
 	service *Service
-	// upTo is the sum of the weights up to this part's, its own included.
-	upTo uint64
+	// cumulativeWeight is the sum of the weights up to this part's, its own included.
+	cumulativeWeight uint64
 }
 
 // Name returns the name of the route.
@@ -180,9 +180,9 @@
 	if len(r.parts) == 0 {
 		return r.service
 	}
-	at := random % r.parts[len(r.parts)-1].upTo
+	at := random % r.parts[len(r.parts)-1].cumulativeWeight
 	for _, p := range r.parts {
-		if at < p.upTo {
+		if at < p.cumulativeWeight {
 			return p.service
 		}
 	}
--- a/internal/fleetconfig/validate_route.go
+++ b/internal/fleetconfig/validate_route.go
@@ -56,8 +56,8 @@
 		}
 		sum += uint64(p.GetWeight())
 		parts = append(parts, part{
-			service: s,
-			upTo:    sum,
+			service:          s,
+			cumulativeWeight: sum,
 		})
 	}
 	if sum == 0 {
