--- a/internal/fleetconfig/config.go
+++ b/internal/fleetconfig/config.go
@@ -154,7 +154,7 @@
 	bulk          bool
 	public        bool
 	regions       Regions
-	parts         []part
+	split         []part
 }
 
 // part is one service of a route that splits its traffic.
@@ -177,11 +177,11 @@
 // Choose returns the service of one request. random gives 64 random bits; the
 // parts of a split get requests in proportion to their weights.
 func (r *Route) Choose(random uint64) *Service {
-	if len(r.parts) == 0 {
+	if len(r.split) == 0 {
 		return r.service
 	}
-	at := random % r.parts[len(r.parts)-1].cumulativeWeight
-	for _, p := range r.parts {
+	at := random % r.split[len(r.split)-1].cumulativeWeight
+	for _, p := range r.split {
 		if at < p.cumulativeWeight {
 			return p.service
 		}
--- a/internal/fleetconfig/validate_route.go
+++ b/internal/fleetconfig/validate_route.go
@@ -108,7 +108,7 @@
 		regions:       w.GetRegions(),
 	}
 	if len(parts) > 1 {
-		r.parts = parts
+		r.split = parts
 	}
 	return r, nil
 }
