--- a/internal/fleetconfig/config.go
+++ b/internal/fleetconfig/config.go
@@ -154,11 +154,11 @@
 	bulk          bool
 	public        bool
 	regions       Regions
-	split         []part
+	split         []splitService
 }
 
-// part is one service of a route that splits its traffic.
-type part struct {
+// splitService is one service of a route that splits its traffic.
+type splitService struct {
 	service *Service
 	// cumulativeWeight is the sum of the weights up to this part's, its own included.
 	cumulativeWeight uint64
--- a/internal/fleetconfig/validate_route.go
+++ b/internal/fleetconfig/validate_route.go
@@ -31,7 +31,7 @@
 
 // routeParts returns the services of a route, one with weight 1 where the route
 // does not split its traffic.
-func (c *Config) routeParts(w *wire.Route) ([]part, error) {
+func (c *Config) routeParts(w *wire.Route) ([]splitService, error) {
 	split := w.GetSplit()
 	if len(split) > 0 && w.GetService() != "" {
 		return nil, fault(KindRange, "either service or split", "route %s", w.GetName())
@@ -44,7 +44,7 @@
 			},
 		}
 	}
-	var parts []part
+	var parts []splitService
 	sum := uint64(0)
 	for _, p := range split {
 		s := c.services[p.GetService()]
@@ -55,7 +55,7 @@
 			continue
 		}
 		sum += uint64(p.GetWeight())
-		parts = append(parts, part{
+		parts = append(parts, splitService{
 			service:          s,
 			cumulativeWeight: sum,
 		})
@@ -66,7 +66,7 @@
 	return parts, nil
 }
 
-func newRoute(w *wire.Route, parts []part) (*Route, error) {
+func newRoute(w *wire.Route, parts []splitService) (*Route, error) {
 	if !strings.HasPrefix(w.GetPathPrefix(), "/") {
 		return nil, fault(KindRange, "path_prefix begins with /", "route %s", w.GetName())
 	}
