--- a/internal/fleetconfig/validate_route.go
+++ b/internal/fleetconfig/validate_route.go
@@ -14,7 +14,7 @@
 		if err := checkName("route", w.GetName()); err != nil {
 			return err
 		}
-		parts, err := c.routeParts(w)
+		parts, err := c.splitServices(w)
 		if err != nil {
 			return err
 		}
@@ -29,9 +29,9 @@
 	return nil
 }
 
-// routeParts returns the services of a route, one with weight 1 where the route
+// splitServices returns the services of a route, one with weight 1 where the route
 // does not split its traffic.
-func (c *Config) routeParts(w *wire.Route) ([]splitService, error) {
+func (c *Config) splitServices(w *wire.Route) ([]splitService, error) {
 	split := w.GetSplit()
 	if len(split) > 0 && w.GetService() != "" {
 		return nil, fault(KindRange, "either service or split", "route %s", w.GetName())
