--- a/internal/fleetconfig/config.go
+++ b/internal/fleetconfig/config.go
@@ -28,7 +28,7 @@
 	slots       int
 	connections int
 	id          string
-	leaving     bool
+	draining    bool
 	warmup      time.Duration
 	key         string
 	born        time.Time
@@ -62,7 +62,7 @@
 func (t *Target) Born() time.Time { return t.born }
 
 // Leaving reports whether the target takes no new work.
-func (t *Target) Leaving() bool { return t.leaving }
+func (t *Target) Leaving() bool { return t.draining }
 
 // Warmup returns how long after its appearance the target works more slowly.
 func (t *Target) Warmup() time.Duration { return t.warmup }
@@ -124,7 +124,7 @@
 
 // Drained reports whether a target gets no new requests: it leaves, or its data hall is
 // evacuated.
-func (s *Service) Drained(t *Target) bool { return t.leaving || s.evacuated[t.dataHall] }
+func (s *Service) Drained(t *Target) bool { return t.draining || s.evacuated[t.dataHall] }
 
 // Target returns a target by its key, or nil.
 func (s *Service) Target(key string) *Target {
--- a/internal/fleetconfig/pool.go
+++ b/internal/fleetconfig/pool.go
@@ -66,7 +66,7 @@
 	s.slots += n * t.slots
 	h := &s.halls[at]
 	h.total += n
-	if !t.leaving {
+	if !t.draining {
 		h.notDraining += n
 	}
 	if h.total == 0 {
--- a/internal/fleetconfig/validate.go
+++ b/internal/fleetconfig/validate.go
@@ -242,7 +242,7 @@
 		slots:       int(w.GetSlots()),
 		connections: int(w.GetConnections()),
 		id:          w.GetId(),
-		leaving:     w.GetLeaving(),
+		draining:    w.GetLeaving(),
 		warmup:      w.GetWarmup().AsDuration(),
 		key:         targetKey(w),
 	}
