--- a/internal/fleetconfig/config.go
+++ b/internal/fleetconfig/config.go
@@ -227,7 +227,7 @@
 type Instance struct {
 	address  string
 	dataHall string
-	leaving  bool
+	draining bool
 	entry    bool
 }
 
@@ -238,7 +238,7 @@
 func (i *Instance) DataHall() string { return i.dataHall }
 
 // Leaving reports whether the platform has announced the instance's end.
-func (i *Instance) Leaving() bool { return i.leaving }
+func (i *Instance) Leaving() bool { return i.draining }
 
 // Entry reports whether the instance runs a process of the fleet, not a target.
 func (i *Instance) Entry() bool { return i.entry }
--- a/internal/fleetconfig/validate.go
+++ b/internal/fleetconfig/validate.go
@@ -272,7 +272,7 @@
 		c.instances[w.GetAddress()] = &Instance{
 			address:  w.GetAddress(),
 			dataHall: w.GetDataHall(),
-			leaving:  w.GetState() == wire.Instance_LEAVING,
+			draining: w.GetState() == wire.Instance_LEAVING,
 			entry:    w.GetRole() == wire.Instance_ENTRY,
 		}
 	}
