--- a/internal/fleetconfig/config.go
+++ b/internal/fleetconfig/config.go
@@ -31,7 +31,7 @@
 	draining    bool
 	warmup      time.Duration
 	key         string
-	born        time.Time
+	startedAt   time.Time
 }
 
 // Service returns the name of the service.
@@ -59,7 +59,7 @@
 
 // Born returns when this life of the target began by its own clock, the zero time where it
 // doesn't say.
-func (t *Target) Born() time.Time { return t.born }
+func (t *Target) Born() time.Time { return t.startedAt }
 
 // Leaving reports whether the target takes no new work.
 func (t *Target) Leaving() bool { return t.draining }
--- a/internal/fleetconfig/validate.go
+++ b/internal/fleetconfig/validate.go
@@ -247,7 +247,7 @@
 		key:         targetKey(w),
 	}
 	if born := w.GetBorn(); born != 0 {
-		t.born = time.UnixMilli(int64(min(born, math.MaxInt64)))
+		t.startedAt = time.UnixMilli(int64(min(born, math.MaxInt64)))
 	}
 	if t.slots < 1 || t.slots > maxSlots {
 		return nil, fault(KindRange, "slots from 1 to 100000", "target %s", t.address)
