--- a/internal/fleetconfig/export_test.go
+++ b/internal/fleetconfig/export_test.go
@@ -3,4 +3,4 @@
 package fleetconfig
 
 // HistoryLen returns how many places the history has.
-func (s *Store) HistoryLen() int { return len(s.history.places) }
+func (s *Store) HistoryLen() int { return len(s.history.changes) }
--- a/internal/fleetconfig/history.go
+++ b/internal/fleetconfig/history.go
@@ -18,7 +18,7 @@
 // history lists where the source told of keys, by position: what lies behind a position is found
 // without a look at all keys. A key may stand at earlier places too, without effect.
 type history struct {
-	places []place
+	changes []place
 }
 
 type place struct {
@@ -28,11 +28,11 @@
 
 // add notes that the source told of a key. Most places are later than all before them.
 func (h *history) add(p order.Position, key string) {
-	at := len(h.places)
-	for at > 0 && h.places[at-1].position.Compare(p) > 0 {
+	at := len(h.changes)
+	for at > 0 && h.changes[at-1].position.Compare(p) > 0 {
 		at--
 	}
-	h.places = slices.Insert(h.places, at, place{
+	h.changes = slices.Insert(h.changes, at, place{
 		position: p,
 		key:      key,
 	})
@@ -40,10 +40,10 @@
 
 // compact drops the places that have no effect once there are as many of them as keys.
 func (h *history) compact(keys int, effective func(place) bool) {
-	if len(h.places) <= keys*(1+historySlack)+historyLeast {
+	if len(h.changes) <= keys*(1+historySlack)+historyLeast {
 		return
 	}
-	h.places = slices.DeleteFunc(h.places, func(p place) bool { return !effective(p) })
+	h.changes = slices.DeleteFunc(h.changes, func(p place) bool { return !effective(p) })
 }
 
 // effective reports whether a place is the last one at which the source told of its key.
@@ -55,7 +55,7 @@
 // order of positions, until they take most bytes. upTo is up to where nothing is left out; more is set
 // where it isn't the last position.
 func (s *Store) After(p order.Position, most int) (out []*wire.Entry, upTo order.Position, more bool) {
-	places := s.history.places
+	places := s.history.changes
 	from, _ := slices.BinarySearchFunc(places, p, func(at place, p order.Position) int {
 		if at.position.Compare(p) <= 0 {
 			return -1
