--- a/internal/fleetconfig/history.go
+++ b/internal/fleetconfig/history.go
@@ -18,10 +18,10 @@
 // history lists where the source told of keys, by position: what lies behind a position is found
 // without a look at all keys. A key may stand at earlier places too, without effect.
 type history struct {
-	changes []place
+	changes []change
 }
 
-type place struct {
+type change struct {
 	position order.Position
 	key      string
 }
@@ -32,22 +32,22 @@
 	for at > 0 && h.changes[at-1].position.Compare(p) > 0 {
 		at--
 	}
-	h.changes = slices.Insert(h.changes, at, place{
+	h.changes = slices.Insert(h.changes, at, change{
 		position: p,
 		key:      key,
 	})
 }
 
 // compact drops the places that have no effect once there are as many of them as keys.
-func (h *history) compact(keys int, effective func(place) bool) {
+func (h *history) compact(keys int, effective func(change) bool) {
 	if len(h.changes) <= keys*(1+historySlack)+historyLeast {
 		return
 	}
-	h.changes = slices.DeleteFunc(h.changes, func(p place) bool { return !effective(p) })
+	h.changes = slices.DeleteFunc(h.changes, func(p change) bool { return !effective(p) })
 }
 
 // effective reports whether a place is the last one at which the source told of its key.
-func (s *Store) effective(at place) bool {
+func (s *Store) effective(at change) bool {
 	return s.records[at.key].newest.version.Position() == at.position
 }
 
@@ -56,7 +56,7 @@
 // where it isn't the last position.
 func (s *Store) After(p order.Position, most int) (out []*wire.Entry, upTo order.Position, more bool) {
 	places := s.history.changes
-	from, _ := slices.BinarySearchFunc(places, p, func(at place, p order.Position) int {
+	from, _ := slices.BinarySearchFunc(places, p, func(at change, p order.Position) int {
 		if at.position.Compare(p) <= 0 {
 			return -1
 		}
