--- a/internal/fleetconfig/history.go
+++ b/internal/fleetconfig/history.go
@@ -46,8 +46,8 @@
 	h.changes = slices.DeleteFunc(h.changes, func(p change) bool { return !effective(p) })
 }
 
-// effective reports whether a place is the last one at which the source told of its key.
-func (s *Store) effective(at change) bool {
+// isLatest reports whether a place is the last one at which the source told of its key.
+func (s *Store) isLatest(at change) bool {
 	return s.records[at.key].newest.version.Position() == at.position
 }
 
@@ -64,7 +64,7 @@
 	})
 	size := 0
 	for i := from; i < len(places); i++ {
-		if !s.effective(places[i]) || i > 0 && places[i-1] == places[i] {
+		if !s.isLatest(places[i]) || i > 0 && places[i-1] == places[i] {
 			continue
 		}
 		entries := s.Entries(places[i].key)
--- a/internal/fleetconfig/store.go
+++ b/internal/fleetconfig/store.go
@@ -73,7 +73,7 @@
 		s.config = &c
 	}
 	s.advancePosition(fresh)
-	s.history.compact(len(s.records), s.effective)
+	s.history.compact(len(s.records), s.isLatest)
 	return fresh
 }
 
