--- a/internal/fleetconfig/history.go
+++ b/internal/fleetconfig/history.go
@@ -12,7 +12,7 @@
 // historyStalePerKey is how many places without effect a history keeps for each key, and at the least.
 const (
 	historyStalePerKey = 1
-	historyLeast       = 64
+	historyMinStale    = 64
 )
 
 // history lists where the source told of keys, by position: what lies behind a position is found
@@ -40,7 +40,7 @@
 
 // compact drops the places that have no effect once there are as many of them as keys.
 func (h *history) compact(keys int, effective func(change) bool) {
-	if len(h.changes) <= keys*(1+historyStalePerKey)+historyLeast {
+	if len(h.changes) <= keys*(1+historyStalePerKey)+historyMinStale {
 		return
 	}
 	h.changes = slices.DeleteFunc(h.changes, func(p change) bool { return !effective(p) })
