--- a/internal/dissemination/age.go
+++ b/internal/dissemination/age.go
@@ -16,7 +16,7 @@
 
 // PlatformHeard notes that this node has just heard the platform.
 func (g *Gossip) PlatformHeard(now time.Time) {
-	g.heard(now, 0)
+	g.recordContact(now, 0)
 }
 
 // PlatformAge returns how long ago any node that this one knows of has heard the
@@ -42,12 +42,12 @@
 // LearnAge notes that a peer knows of a node that heard the platform age ago.
 func (g *Gossip) LearnAge(now time.Time, age time.Duration) {
 	if age <= maxAge {
-		g.heard(now, age+ageOfWay)
+		g.recordContact(now, age+ageOfWay)
 	}
 }
 
-// heard notes that the platform was heard age ago.
-func (g *Gossip) heard(now time.Time, age time.Duration) {
+// recordContact notes that the platform was heard age ago.
+func (g *Gossip) recordContact(now time.Time, age time.Duration) {
 	// A node that began later than that still knows that it was heard.
 	at := int64(g.since(now) - age)
 	if at == 0 {
