--- a/internal/dissemination/age.go
+++ b/internal/dissemination/age.go
@@ -9,8 +9,8 @@
 // after it would believe keys that were taken away meanwhile, and tell peers that the
 // platform was heard just now.
 
-// since returns the time since this node began.
-func (g *Gossip) since(now time.Time) time.Duration {
+// uptime returns the time since this node began.
+func (g *Gossip) uptime(now time.Time) time.Duration {
 	return now.Sub(g.begun) + g.cfg.Suspended(now)
 }
 
@@ -26,7 +26,7 @@
 	if at == 0 {
 		return never
 	}
-	return g.since(now) - time.Duration(at)
+	return g.uptime(now) - time.Duration(at)
 }
 
 // never is the age of what was not heard at all.
@@ -49,7 +49,7 @@
 // recordContact notes that the platform was heard age ago.
 func (g *Gossip) recordContact(now time.Time, age time.Duration) {
 	// A node that began later than that still knows that it was heard.
-	at := int64(g.since(now) - age)
+	at := int64(g.uptime(now) - age)
 	if at == 0 {
 		at = 1
 	}
@@ -71,7 +71,7 @@
 
 // Agrees notes that a peer has the same values as this node.
 func (g *Gossip) Agrees(now time.Time) {
-	g.agreed.Store(max(int64(g.since(now)), 1))
+	g.agreed.Store(max(int64(g.uptime(now)), 1))
 	g.progressed(now)
 }
 
@@ -81,5 +81,5 @@
 	if at == 0 {
 		return never
 	}
-	return g.since(now) - time.Duration(at)
+	return g.uptime(now) - time.Duration(at)
 }
