--- a/internal/dissemination/age.go
+++ b/internal/dissemination/age.go
@@ -11,7 +11,7 @@
 
 // uptime returns the time since this node began.
 func (g *Gossip) uptime(now time.Time) time.Duration {
-	return now.Sub(g.begun) + g.cfg.Suspended(now)
+	return now.Sub(g.startedAt) + g.cfg.Suspended(now)
 }
 
 // PlatformHeard notes that this node has just heard the platform.
--- a/internal/dissemination/gossip.go
+++ b/internal/dissemination/gossip.go
@@ -93,11 +93,11 @@
 
 // Gossip spreads the values of a replica. It may be used concurrently.
 type Gossip struct {
-	cfg      Config
-	replica  *Replica
-	fresh    chan learned
-	begun    time.Time
-	platform atomic.Int64
+	cfg       Config
+	replica   *Replica
+	fresh     chan learned
+	startedAt time.Time
+	platform  atomic.Int64
 	// agreed is when a peer last had the same values, as the time since begun.
 	agreed  atomic.Int64
 	differs chan string
@@ -126,13 +126,13 @@
 		cfg.Suspended = func(time.Time) time.Duration { return 0 }
 	}
 	return &Gossip{
-		cfg:      cfg,
-		replica:  replica,
-		fresh:    make(chan learned, 128),
-		compares: map[string]bool{},
-		begun:    time.Now(),
-		differs:  make(chan string, 1),
-		wanted:   make(chan struct{}, 1),
+		cfg:       cfg,
+		replica:   replica,
+		fresh:     make(chan learned, 128),
+		compares:  map[string]bool{},
+		startedAt: time.Now(),
+		differs:   make(chan string, 1),
+		wanted:    make(chan struct{}, 1),
 	}
 }
 
