--- a/internal/dissemination/age.go
+++ b/internal/dissemination/age.go
@@ -22,7 +22,7 @@
 // PlatformAge returns how long ago any node that this one knows of has heard the
 // platform.
 func (g *Gossip) PlatformAge(now time.Time) time.Duration {
-	at := g.platform.Load()
+	at := g.lastContact.Load()
 	if at == 0 {
 		return never
 	}
@@ -54,8 +54,8 @@
 		at = 1
 	}
 	for {
-		old := g.platform.Load()
-		if old != 0 && old >= at || g.platform.CompareAndSwap(old, at) {
+		old := g.lastContact.Load()
+		if old != 0 && old >= at || g.lastContact.CompareAndSwap(old, at) {
 			return
 		}
 	}
--- a/internal/dissemination/gossip.go
+++ b/internal/dissemination/gossip.go
@@ -93,11 +93,11 @@
 
 // Gossip spreads the values of a replica. It may be used concurrently.
 type Gossip struct {
-	cfg       Config
-	replica   *Replica
-	fresh     chan learned
-	startedAt time.Time
-	platform  atomic.Int64
+	cfg         Config
+	replica     *Replica
+	fresh       chan learned
+	startedAt   time.Time
+	lastContact atomic.Int64
 	// agreed is when a peer last had the same values, as the time since begun.
 	agreed  atomic.Int64
 	differs chan string
