--- a/internal/dissemination/age.go
+++ b/internal/dissemination/age.go
@@ -71,13 +71,13 @@
 
 // Agrees notes that a peer has the same values as this node.
 func (g *Gossip) Agrees(now time.Time) {
-	g.agreed.Store(max(int64(g.uptime(now)), 1))
+	g.lastAgreement.Store(max(int64(g.uptime(now)), 1))
 	g.progressed(now)
 }
 
 // AgreedAge returns how long ago a peer had the same values as this node.
 func (g *Gossip) AgreedAge(now time.Time) time.Duration {
-	at := g.agreed.Load()
+	at := g.lastAgreement.Load()
 	if at == 0 {
 		return never
 	}
--- a/internal/dissemination/gossip.go
+++ b/internal/dissemination/gossip.go
@@ -98,9 +98,9 @@
 	fresh       chan learned
 	startedAt   time.Time
 	lastContact atomic.Int64
-	// agreed is when a peer last had the same values, as the time since begun.
-	agreed  atomic.Int64
-	differs chan string
+	// lastAgreement is when a peer last had the same values, as the time since begun.
+	lastAgreement atomic.Int64
+	differs       chan string
 	// wanted holds a value when a request waits for news.
 	wanted   chan struct{}
 	mu       sync.Mutex
