--- a/internal/dissemination/age.go
+++ b/internal/dissemination/age.go
@@ -32,17 +32,17 @@
 // never is the age of what was not heard at all.
 const never = 1 << 62
 
-// ageOfWay is by how much an age grows on its way from one node to the next, at the least:
+// minHopAge is by how much an age grows on its way from one node to the next, at the least:
 // some ten times the way between data halls, for a message may also wait for a processor.
 // Each node passes on the least age it knows, so that busy nodes tell each other the same
 // age again and again; if it grew by less than the way takes, all of them together would
 // hold it still.
-const ageOfWay = 25 * time.Millisecond
+const minHopAge = 25 * time.Millisecond
 
 // LearnAge notes that a peer knows of a node that heard the platform age ago.
 func (g *Gossip) LearnAge(now time.Time, age time.Duration) {
 	if age <= maxAge {
-		g.recordContact(now, age+ageOfWay)
+		g.recordContact(now, age+minHopAge)
 	}
 }
 
