--- a/internal/dissemination/age.go
+++ b/internal/dissemination/age.go
@@ -64,8 +64,8 @@
 // maxAge bounds the ages that are passed on.
 const maxAge = 100 * 24 * time.Hour
 
-// learnAge takes the age that a message carries in milliseconds.
-func (g *Gossip) learnAge(ms uint64) {
+// observeAgeMillis takes the age that a message carries in milliseconds.
+func (g *Gossip) observeAgeMillis(ms uint64) {
 	g.LearnAge(time.Now(), time.Duration(min(ms, uint64(never/time.Millisecond)))*time.Millisecond)
 }
 
--- a/internal/dissemination/gossip.go
+++ b/internal/dissemination/gossip.go
@@ -282,7 +282,7 @@
 // Sync answers the message of a peer.
 func (g *Gossip) Sync(_ context.Context, in *wire.SyncRequest) (*wire.SyncReply, error) {
 	g.cfg.Heard(in.GetFrom())
-	g.learnAge(in.GetPlatformAgeMs())
+	g.observeAgeMillis(in.GetPlatformAgeMs())
 	g.learnReadTo(in.GetReadTo())
 	g.spread(learned{
 		entries: g.replica.Offer(in.GetEntries()),
--- a/internal/dissemination/talk.go
+++ b/internal/dissemination/talk.go
@@ -179,7 +179,7 @@
 }
 
 func (g *Gossip) learn(reply *wire.SyncReply) {
-	g.learnAge(reply.GetPlatformAgeMs())
+	g.observeAgeMillis(reply.GetPlatformAgeMs())
 	g.learnReadTo(reply.GetReadTo())
 	g.cfg.Heard(reply.GetFrom())
 	for _, n := range reply.GetNodes() {
