--- a/internal/dissemination/gossip.go
+++ b/internal/dissemination/gossip.go
@@ -106,7 +106,7 @@
 	mu       sync.Mutex
 	compares map[string]bool
 	// lately are the small values learned last, the oldest first.
-	lately []lately
+	lately []recentValue
 	// batches are those packed for peers.
 	batches batches
 	// positions is set once a peer knew up to where it has all that the source told.
--- a/internal/dissemination/lately.go
+++ b/internal/dissemination/lately.go
@@ -14,8 +14,8 @@
 // message of a comparison holds only a digest. So the peers that get no answer from it
 // tell it what they learned lately.
 
-// lately is a small value that this node learned, and when.
-type lately struct {
+// recentValue is a small value that this node learned, and when.
+type recentValue struct {
 	key string
 	at  time.Time
 }
@@ -28,7 +28,7 @@
 	defer g.mu.Unlock()
 	for _, e := range entries {
 		if len(e.GetValue()) <= pushWhole {
-			g.lately = append(g.lately, lately{
+			g.lately = append(g.lately, recentValue{
 				key: e.GetKey(),
 				at:  now,
 			})
