--- a/internal/dissemination/gossip.go
+++ b/internal/dissemination/gossip.go
@@ -105,8 +105,8 @@
 	wanted   chan struct{}
 	mu       sync.Mutex
 	compares map[string]bool
-	// lately are the small values learned last, the oldest first.
-	lately []recentValue
+	// recentValues are the small values learned last, the oldest first.
+	recentValues []recentValue
 	// batches are those packed for peers.
 	batches batches
 	// positions is set once a peer knew up to where it has all that the source told.
--- a/internal/dissemination/lately.go
+++ b/internal/dissemination/lately.go
@@ -28,17 +28,17 @@
 	defer g.mu.Unlock()
 	for _, e := range entries {
 		if len(e.GetValue()) <= pushWhole {
-			g.lately = append(g.lately, recentValue{
+			g.recentValues = append(g.recentValues, recentValue{
 				key: e.GetKey(),
 				at:  now,
 			})
 		}
 	}
-	first := max(len(g.lately)-lateMost, 0)
-	for first < len(g.lately) && now.Sub(g.lately[first].at) > latelyTime {
+	first := max(len(g.recentValues)-lateMost, 0)
+	for first < len(g.recentValues) && now.Sub(g.recentValues[first].at) > latelyTime {
 		first++
 	}
-	g.lately = slices.Clone(g.lately[first:])
+	g.recentValues = slices.Clone(g.recentValues[first:])
 }
 
 // learnedLately returns the keys of small values that this node learned lately.
@@ -47,7 +47,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	var keys []string
-	for _, l := range g.lately {
+	for _, l := range g.recentValues {
 		if now.Sub(l.at) <= latelyTime && !slices.Contains(keys, l.key) {
 			keys = append(keys, l.key)
 		}
