--- a/internal/dissemination/lately.go
+++ b/internal/dissemination/lately.go
@@ -41,8 +41,8 @@
 	g.recentValues = slices.Clone(g.recentValues[first:])
 }
 
-// learnedLately returns the keys of small values that this node learned lately.
-func (g *Gossip) learnedLately() []string {
+// recentKeys returns the keys of small values that this node learned lately.
+func (g *Gossip) recentKeys() []string {
 	now := time.Now()
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -58,7 +58,7 @@
 // tell sends what was learned lately to a peer that did not answer a comparison. Whether
 // it answers this time doesn't matter, so that a failure is not counted again.
 func (g *Gossip) tell(ctx context.Context, peer string) {
-	keys := g.learnedLately()
+	keys := g.recentKeys()
 	if len(keys) == 0 {
 		return
 	}
