--- a/internal/dissemination/gossip.go
+++ b/internal/dissemination/gossip.go
@@ -239,7 +239,7 @@
 	if len(l.entries) == 0 {
 		return
 	}
-	g.remember(l.entries)
+	g.recordRecent(l.entries)
 	select {
 	case g.fresh <- l:
 	default:
--- a/internal/dissemination/lately.go
+++ b/internal/dissemination/lately.go
@@ -20,9 +20,9 @@
 	at  time.Time
 }
 
-// remember notes when values were learned, and forgets those learned long ago, or before the
+// recordRecent notes when values were learned, and forgets those learned long ago, or before the
 // last lateMost.
-func (g *Gossip) remember(entries []*wire.Entry) {
+func (g *Gossip) recordRecent(entries []*wire.Entry) {
 	now := time.Now()
 	g.mu.Lock()
 	defer g.mu.Unlock()
