--- a/internal/dissemination/gossip.go
+++ b/internal/dissemination/gossip.go
@@ -48,10 +48,10 @@
 	startCompares = 3
 	// ownHallOdds is how many of ten comparisons stay in the data hall.
 	ownHallOdds = 6
-	// latelyTime is how long a value is sent to peers that don't answer comparisons: in
+	// recentRetention is how long a value is sent to peers that don't answer comparisons: in
 	// that time some twenty nodes compare with each peer. lateMost bounds such values.
-	latelyTime = 20 * time.Second
-	lateMost   = 32
+	recentRetention = 20 * time.Second
+	lateMost        = 32
 	// pushBatch is up to how many bytes of small values are pushed unasked; of more only the
 	// news is, and peers pull them.
 	pushBatch = 4 << 10
--- a/internal/dissemination/lately.go
+++ b/internal/dissemination/lately.go
@@ -35,7 +35,7 @@
 		}
 	}
 	first := max(len(g.recentValues)-lateMost, 0)
-	for first < len(g.recentValues) && now.Sub(g.recentValues[first].at) > latelyTime {
+	for first < len(g.recentValues) && now.Sub(g.recentValues[first].at) > recentRetention {
 		first++
 	}
 	g.recentValues = slices.Clone(g.recentValues[first:])
@@ -48,7 +48,7 @@
 	defer g.mu.Unlock()
 	var keys []string
 	for _, l := range g.recentValues {
-		if now.Sub(l.at) <= latelyTime && !slices.Contains(keys, l.key) {
+		if now.Sub(l.at) <= recentRetention && !slices.Contains(keys, l.key) {
 			keys = append(keys, l.key)
 		}
 	}
