--- a/internal/dissemination/gossip.go
+++ b/internal/dissemination/gossip.go
@@ -51,7 +51,7 @@
 	// recentRetention is how long a value is sent to peers that don't answer comparisons: in
 	// that time some twenty nodes compare with each peer. lateMost bounds such values.
 	recentRetention = 20 * time.Second
-	lateMost        = 32
+	maxRecent       = 32
 	// pushBatch is up to how many bytes of small values are pushed unasked; of more only the
 	// news is, and peers pull them.
 	pushBatch = 4 << 10
--- a/internal/dissemination/lately.go
+++ b/internal/dissemination/lately.go
@@ -34,7 +34,7 @@
 			})
 		}
 	}
-	first := max(len(g.recentValues)-lateMost, 0)
+	first := max(len(g.recentValues)-maxRecent, 0)
 	for first < len(g.recentValues) && now.Sub(g.recentValues[first].at) > recentRetention {
 		first++
 	}
