--- a/internal/dissemination/gossip.go
+++ b/internal/dissemination/gossip.go
@@ -115,9 +115,9 @@
 	pulling time.Time
 	// progress is when this node last came to hold more, or as much as a peer, as the time
 	// since begun.
-	progress atomic.Int64
-	recent   [recentCalls]bool
-	calls    int
+	progress      atomic.Int64
+	recentResults [recentCalls]bool
+	calls         int
 }
 
 // New returns a gossip about a replica.
@@ -178,7 +178,7 @@
 		return false
 	}
 	answered := 0
-	for _, ok := range g.recent {
+	for _, ok := range g.recentResults {
 		if ok {
 			answered++
 		}
@@ -196,7 +196,7 @@
 func (g *Gossip) called(ok bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.recent[g.calls%recentCalls] = ok
+	g.recentResults[g.calls%recentCalls] = ok
 	g.calls++
 }
 
