--- a/internal/dissemination/mention.go
+++ b/internal/dissemination/mention.go
@@ -9,11 +9,11 @@
 	"ploverjunction.example/ploverjunction/internal/wire"
 )
 
-// mention names a few random nodes, so that nodes find each other where the
+// sampleNodes names a few random nodes, so that nodes find each other where the
 // platform gives no list; more of them to a peer that knows few, and first of all those
 // that can have roles: until nodes that start know them they ask nodes for targets that
 // are too weak for it.
-func (g *Gossip) mention(known int) []*wire.Node {
+func (g *Gossip) sampleNodes(known int) []*wire.Node {
 	view := g.cfg.View()
 	live := view.Live()
 	n := min(max(mentions, len(live)-known), mentionsMost)
