--- a/internal/dissemination/gossip.go
+++ b/internal/dissemination/gossip.go
@@ -24,8 +24,8 @@
 	// rumor reaches 1,000 nodes in about 6 rounds and misses about 1 in 50; the
 	// comparisons find those.
 	fanout = 4
-	// mentions is how many known nodes a reply names.
-	mentions = 4
+	// sampleSize is how many known nodes a reply names.
+	sampleSize = 4
 	// maxRounds bounds the messages of one comparison.
 	maxRounds = 16
 	// recentCalls is how many calls show whether this node is cut off.
--- a/internal/dissemination/mention.go
+++ b/internal/dissemination/mention.go
@@ -16,9 +16,9 @@
 func (g *Gossip) sampleNodes(known int) []*wire.Node {
 	view := g.cfg.View()
 	live := view.Live()
-	n := min(max(mentions, len(live)-known), mentionsMost)
+	n := min(max(sampleSize, len(live)-known), mentionsMost)
 	var list []membership.Node
-	if n > mentions {
+	if n > sampleSize {
 		list = someNodes(view.Capable(), n/2)
 	}
 	list = append(list, someNodes(live, n-len(list))...)
