--- a/internal/dissemination/gossip.go
+++ b/internal/dissemination/gossip.go
@@ -60,8 +60,8 @@
 	farPatience = time.Second
 	// pullPatience is how long a pull may go without an answer until another one may begin.
 	pullPatience = 500 * time.Millisecond
-	// mentionsMost is how many nodes a reply names to a node that knows few.
-	mentionsMost = 40
+	// maxSampleSize is how many nodes a reply names to a node that knows few.
+	maxSampleSize = 40
 )
 
 // Config holds the seams of a Gossip. All functions may be called concurrently.
--- a/internal/dissemination/mention.go
+++ b/internal/dissemination/mention.go
@@ -16,7 +16,7 @@
 func (g *Gossip) sampleNodes(known int) []*wire.Node {
 	view := g.cfg.View()
 	live := view.Live()
-	n := min(max(sampleSize, len(live)-known), mentionsMost)
+	n := min(max(sampleSize, len(live)-known), maxSampleSize)
 	var list []membership.Node
 	if n > sampleSize {
 		list = someNodes(view.Capable(), n/2)
