--- a/internal/dissemination/mention.go
+++ b/internal/dissemination/mention.go
@@ -19,9 +19,9 @@
 	n := min(max(sampleSize, len(live)-known), maxSampleSize)
 	var list []membership.Node
 	if n > sampleSize {
-		list = someNodes(view.Capable(), n/2)
+		list = randomRun(view.Capable(), n/2)
 	}
-	list = append(list, someNodes(live, n-len(list))...)
+	list = append(list, randomRun(live, n-len(list))...)
 	out := make([]*wire.Node, 0, len(list))
 	for _, m := range list {
 		out = append(out, &wire.Node{
@@ -33,8 +33,8 @@
 	return out
 }
 
-// someNodes returns up to n nodes of a list, from a random place on.
-func someNodes(list []membership.Node, n int) []membership.Node {
+// randomRun returns up to n nodes of a list, from a random place on.
+func randomRun(list []membership.Node, n int) []membership.Node {
 	var out []membership.Node
 	from := rand.IntN(max(len(list), 1))
 	for i := range min(n, len(list)) {
