--- a/internal/dissemination/gossip.go
+++ b/internal/dissemination/gossip.go
@@ -32,8 +32,8 @@
 	recentCalls = 8
 	// compareTries is how many peers one comparison asks at most, each after
 	// comparePatience without an answer of the one before.
-	compareTries    = 3
-	comparePatience = 300 * time.Millisecond
+	compareTries   = 3
+	compareMaxWait = 300 * time.Millisecond
 	// maxTalks bounds the conversations under way.
 	maxTalks = 32
 	// differsPause is the least time between two comparisons because of a digest:
--- a/internal/dissemination/talk.go
+++ b/internal/dissemination/talk.go
@@ -64,7 +64,7 @@
 	}
 	talks.Go(ctx, "compare", func(ctx context.Context) error {
 		var tries task.Group
-		patience := time.NewTicker(comparePatience)
+		patience := time.NewTicker(compareMaxWait)
 		defer patience.Stop()
 		for _, peer := range peers {
 			answered := make(chan struct{})
