--- a/internal/dissemination/gossip.go
+++ b/internal/dissemination/gossip.go
@@ -55,9 +55,9 @@
 	// pushBatch is up to how many bytes of small values are pushed unasked; of more only the
 	// news is, and peers pull them.
 	pushBatch = 4 << 10
-	// farPatience is after how long without progress a node pulls from any peer that is ahead of
+	// farMaxWait is after how long without progress a node pulls from any peer that is ahead of
 	// it, and not only from those of its data hall.
-	farPatience = time.Second
+	farMaxWait = time.Second
 	// pullPatience is how long a pull may go without an answer until another one may begin.
 	pullPatience = 500 * time.Millisecond
 	// maxSampleSize is how many nodes a reply names to a node that knows few.
--- a/internal/dissemination/pull.go
+++ b/internal/dissemination/pull.go
@@ -52,7 +52,7 @@
 
 // stuck reports whether this node has come to hold no more, nor as much as a peer, for a while.
 func (g *Gossip) stuck(now time.Time) bool {
-	return g.uptime(now)-time.Duration(g.progress.Load()) > farPatience
+	return g.uptime(now)-time.Duration(g.progress.Load()) > farMaxWait
 }
 
 func (g *Gossip) progressed(now time.Time) { g.progress.Store(int64(g.uptime(now))) }
