--- a/internal/dissemination/gossip.go
+++ b/internal/dissemination/gossip.go
@@ -58,8 +58,8 @@
 	// farMaxWait is after how long without progress a node pulls from any peer that is ahead of
 	// it, and not only from those of its data hall.
 	farMaxWait = time.Second
-	// pullPatience is how long a pull may go without an answer until another one may begin.
-	pullPatience = 500 * time.Millisecond
+	// pullMaxWait is how long a pull may go without an answer until another one may begin.
+	pullMaxWait = 500 * time.Millisecond
 	// maxSampleSize is how many nodes a reply names to a node that knows few.
 	maxSampleSize = 40
 )
--- a/internal/dissemination/pull.go
+++ b/internal/dissemination/pull.go
@@ -110,7 +110,7 @@
 func (g *Gossip) claimPull(now time.Time) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if !g.pulling.IsZero() && now.Sub(g.pulling) < pullPatience {
+	if !g.pulling.IsZero() && now.Sub(g.pulling) < pullMaxWait {
 		return false
 	}
 	g.pulling = now
