--- a/internal/dissemination/gossip.go
+++ b/internal/dissemination/gossip.go
@@ -34,8 +34,8 @@
 	// comparePatience without an answer of the one before.
 	compareTries   = 3
 	compareMaxWait = 300 * time.Millisecond
-	// maxTalks bounds the conversations under way.
-	maxTalks = 32
+	// maxExchanges bounds the conversations under way.
+	maxExchanges = 32
 	// differsPause is the least time between two comparisons because of a digest:
 	// while a value spreads digests differ everywhere.
 	differsPause = 150 * time.Millisecond
--- a/internal/dissemination/talk.go
+++ b/internal/dissemination/talk.go
@@ -59,7 +59,7 @@
 // compare exchanges digests with the first of some peers, and with the next one
 // when it doesn't answer soon.
 func (g *Gossip) compare(ctx context.Context, talks *task.Group, peers []string) {
-	if talks.Len() > maxTalks {
+	if talks.Len() > maxExchanges {
 		return
 	}
 	talks.Go(ctx, "compare", func(ctx context.Context) error {
