--- a/internal/dissemination/talk.go
+++ b/internal/dissemination/talk.go
@@ -28,7 +28,7 @@
 	}
 	for _, peer := range append(near, far...) {
 		talks.Go(ctx, "push", func(ctx context.Context) error {
-			g.converse(ctx, peer, req, false)
+			g.exchange(ctx, peer, req, false)
 			return nil
 		})
 	}
@@ -86,9 +86,9 @@
 	})
 }
 
-// converse sends req to a peer and goes on until the peer wants nothing more or,
+// exchange sends req to a peer and goes on until the peer wants nothing more or,
 // to compare, neither side lacks anything that the other has. It reports whether the peer answered to the end.
-func (g *Gossip) converse(ctx context.Context, peer string, req *wire.SyncRequest, compare bool) bool {
+func (g *Gossip) exchange(ctx context.Context, peer string, req *wire.SyncRequest, compare bool) bool {
 	for range maxRounds {
 		reply, err := g.call(ctx, peer, req)
 		if err != nil {
@@ -125,7 +125,7 @@
 // parts find what may still differ.
 func (g *Gossip) compareWith(ctx context.Context, peer string) bool {
 	if !g.pulls() {
-		return g.converse(ctx, peer, g.request(), true)
+		return g.exchange(ctx, peer, g.request(), true)
 	}
 	if !g.claimPull(time.Now()) {
 		return true
@@ -143,7 +143,7 @@
 	if req = g.follow(req, reply, true); req == nil {
 		return true
 	}
-	return g.converse(ctx, peer, req, true)
+	return g.exchange(ctx, peer, req, true)
 }
 
 // follow returns the next message to a peer, or nil if all is said.
