--- a/internal/dissemination/lately.go
+++ b/internal/dissemination/lately.go
@@ -55,9 +55,9 @@
 	return keys
 }
 
-// tell sends what was learned lately to a peer that did not answer a comparison. Whether
+// sendRecent sends what was learned lately to a peer that did not answer a comparison. Whether
 // it answers this time doesn't matter, so that a failure is not counted again.
-func (g *Gossip) tell(ctx context.Context, peer string) {
+func (g *Gossip) sendRecent(ctx context.Context, peer string) {
 	keys := g.recentKeys()
 	if len(keys) == 0 {
 		return
--- a/internal/dissemination/talk.go
+++ b/internal/dissemination/talk.go
@@ -73,7 +73,7 @@
 					close(answered)
 					return nil
 				}
-				g.tell(ctx, peer)
+				g.sendRecent(ctx, peer)
 				return nil
 			})
 			select {
