--- a/internal/dissemination/peers.go
+++ b/internal/dissemination/peers.go
@@ -59,8 +59,8 @@
 	return out
 }
 
-// strangers returns the nodes of a list with which this node has not compared yet.
-func (g *Gossip) strangers(list []membership.Node) []membership.Node {
+// notCompared returns the nodes of a list with which this node has not compared yet.
+func (g *Gossip) notCompared(list []membership.Node) []membership.Node {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	var out []membership.Node
@@ -82,7 +82,7 @@
 		near, far := g.cfg.View().Halls()
 		begins := g.Compared() < startCompares
 		if begins {
-			near, far = g.strangers(near), g.strangers(far)
+			near, far = g.notCompared(near), g.notCompared(far)
 		}
 		from = far
 		if len(near) > 0 && (begins || rand.IntN(10) < ownHallOdds || rand.IntN(len(near)+len(far)) < len(near)) {
