--- a/internal/dissemination/gossip.go
+++ b/internal/dissemination/gossip.go
@@ -46,8 +46,8 @@
 	// startCompares is how many different peers a node compares with before it
 	// prefers those of its data hall: as many as it needs to become ready.
 	startCompares = 3
-	// ownHallOdds is how many of ten comparisons stay in the data hall.
-	ownHallOdds = 6
+	// ownHallTenths is how many of ten comparisons stay in the data hall.
+	ownHallTenths = 6
 	// recentRetention is how long a value is sent to peers that don't answer comparisons: in
 	// that time some twenty nodes compare with each peer. lateMost bounds such values.
 	recentRetention = 20 * time.Second
--- a/internal/dissemination/peers.go
+++ b/internal/dissemination/peers.go
@@ -85,7 +85,7 @@
 			near, far = g.notCompared(near), g.notCompared(far)
 		}
 		from = far
-		if len(near) > 0 && (begins || rand.IntN(10) < ownHallOdds || rand.IntN(len(near)+len(far)) < len(near)) {
+		if len(near) > 0 && (begins || rand.IntN(10) < ownHallTenths || rand.IntN(len(near)+len(far)) < len(near)) {
 			from = near
 		}
 	}
