--- a/internal/dissemination/gossip.go
+++ b/internal/dissemination/gossip.go
@@ -36,9 +36,9 @@
 	compareMaxWait = 300 * time.Millisecond
 	// maxExchanges bounds the conversations under way.
 	maxExchanges = 32
-	// differsPause is the least time between two comparisons because of a digest:
+	// minDifferInterval is the least time between two comparisons because of a digest:
 	// while a value spreads digests differ everywhere.
-	differsPause = 150 * time.Millisecond
+	minDifferInterval = 150 * time.Millisecond
 	// fanoutFar is how many peers of other data halls learn of a new value from
 	// the node that read it. Bytes between data halls are dear; each data hall
 	// needs to hear of a value once.
@@ -260,12 +260,12 @@
 		case l := <-g.fresh:
 			g.push(ctx, &talks, l)
 		case peer := <-g.differs:
-			if time.Since(asked) >= differsPause {
+			if time.Since(asked) >= minDifferInterval {
 				asked = time.Now()
 				g.compare(ctx, &talks, []string{peer})
 			}
 		case <-g.wanted:
-			if time.Since(asked) >= differsPause {
+			if time.Since(asked) >= minDifferInterval {
 				asked = time.Now()
 				g.compare(ctx, &talks, g.choose(compareTries))
 			}
