--- a/internal/dissemination/gossip.go
+++ b/internal/dissemination/gossip.go
@@ -221,7 +221,7 @@
 	}
 	g.spread(learned{
 		entries: fresh,
-		first:   true,
+		ownRead: true,
 	})
 }
 
@@ -229,7 +229,7 @@
 // itself, pulled if it got them from a peer that it had asked.
 type learned struct {
 	entries []*wire.Entry
-	first   bool
+	ownRead bool
 	pulled  bool
 }
 
