--- a/internal/dissemination/gossip.go
+++ b/internal/dissemination/gossip.go
@@ -95,7 +95,7 @@
 type Gossip struct {
 	cfg         Config
 	replica     *Replica
-	fresh       chan learned
+	fresh       chan update
 	startedAt   time.Time
 	lastContact atomic.Int64
 	// lastAgreement is when a peer last had the same values, as the time since begun.
@@ -128,7 +128,7 @@
 	return &Gossip{
 		cfg:       cfg,
 		replica:   replica,
-		fresh:     make(chan learned, 128),
+		fresh:     make(chan update, 128),
 		compares:  map[string]bool{},
 		startedAt: time.Now(),
 		differs:   make(chan string, 1),
@@ -219,15 +219,15 @@
 	if g.replica.NoteRead(upTo) {
 		g.progressed(time.Now())
 	}
-	g.spread(learned{
+	g.spread(update{
 		entries: fresh,
 		ownRead: true,
 	})
 }
 
-// learned are values that are new to this node; first is set if it read them
+// update are values that are new to this node; first is set if it read them
 // itself, pulled if it got them from a peer that it had asked.
-type learned struct {
+type update struct {
 	entries []*wire.Entry
 	ownRead bool
 	pulled  bool
@@ -235,7 +235,7 @@
 
 // spread hands new values to Run. If Run is far behind they are left to the
 // comparisons.
-func (g *Gossip) spread(l learned) {
+func (g *Gossip) spread(l update) {
 	if len(l.entries) == 0 {
 		return
 	}
@@ -284,7 +284,7 @@
 	g.cfg.Heard(in.GetFrom())
 	g.observeAgeMillis(in.GetPlatformAgeMs())
 	g.learnReadTo(in.GetReadTo())
-	g.spread(learned{
+	g.spread(update{
 		entries: g.replica.Offer(in.GetEntries()),
 	})
 	// Read before the digest: what is said of up to where this node has all must not be newer.
--- a/internal/dissemination/talk.go
+++ b/internal/dissemination/talk.go
@@ -13,7 +13,7 @@
 
 // push tells a few random peers of new values: of few by themselves, of many, or those that this
 // node asked for itself, that there are some.
-func (g *Gossip) push(ctx context.Context, talks *task.Group, l learned) {
+func (g *Gossip) push(ctx context.Context, talks *task.Group, l update) {
 	req := g.request()
 	whole := !g.pulls() || !l.pulled && sizeOf(l.entries) <= pushBatch
 	if whole {
@@ -94,7 +94,7 @@
 		if err != nil {
 			return false
 		}
-		g.spread(learned{
+		g.spread(update{
 			entries: g.replica.Offer(reply.GetEntries()),
 		})
 		req = g.follow(req, reply, compare)
