--- a/internal/dissemination/gossip.go
+++ b/internal/dissemination/gossip.go
@@ -219,7 +219,7 @@
 	if g.replica.NoteRead(upTo) {
 		g.progressed(time.Now())
 	}
-	g.spread(update{
+	g.enqueue(update{
 		entries: fresh,
 		ownRead: true,
 	})
@@ -233,9 +233,9 @@
 	pulled  bool
 }
 
-// spread hands new values to Run. If Run is far behind they are left to the
+// enqueue hands new values to Run. If Run is far behind they are left to the
 // comparisons.
-func (g *Gossip) spread(l update) {
+func (g *Gossip) enqueue(l update) {
 	if len(l.entries) == 0 {
 		return
 	}
@@ -284,7 +284,7 @@
 	g.cfg.Heard(in.GetFrom())
 	g.observeAgeMillis(in.GetPlatformAgeMs())
 	g.learnReadTo(in.GetReadTo())
-	g.spread(update{
+	g.enqueue(update{
 		entries: g.replica.Offer(in.GetEntries()),
 	})
 	// Read before the digest: what is said of up to where this node has all must not be newer.
--- a/internal/dissemination/pull.go
+++ b/internal/dissemination/pull.go
@@ -97,7 +97,7 @@
 		g.progressed(time.Now())
 	}
 	if !reply.GetMore() {
-		g.spread(update{
+		g.enqueue(update{
 			entries: fresh,
 			pulled:  true,
 		})
--- a/internal/dissemination/talk.go
+++ b/internal/dissemination/talk.go
@@ -94,7 +94,7 @@
 		if err != nil {
 			return false
 		}
-		g.spread(update{
+		g.enqueue(update{
 			entries: g.replica.Offer(reply.GetEntries()),
 		})
 		req = g.follow(req, reply, compare)
