--- a/internal/dissemination/peers.go
+++ b/internal/dissemination/peers.go
@@ -21,16 +21,16 @@
 	switch {
 	case first:
 		return near, eachHall(others, fanoutFar)
-	case crosses(len(ours)):
+	case crossesHalls(len(ours)):
 		return near, some(others, 1)
 	default:
 		return near, nil
 	}
 }
 
-// crosses reports by chance whether one of the nodes of a data hall with near others talks to
+// crossesHalls reports by chance whether one of the nodes of a data hall with near others talks to
 // another data hall: about fanoutFar of all do.
-func crosses(near int) bool { return rand.IntN(near+1) < fanoutFar }
+func crossesHalls(near int) bool { return rand.IntN(near+1) < fanoutFar }
 
 // eachHall returns up to n nodes of each data hall among far.
 func eachHall(far []membership.Node, n int) []string {
--- a/internal/dissemination/pull.go
+++ b/internal/dissemination/pull.go
@@ -47,7 +47,7 @@
 		return true
 	}
 	// Whoever has nothing yet would fetch all.
-	return g.replica.Len() > 0 && crosses(len(near))
+	return g.replica.Len() > 0 && crossesHalls(len(near))
 }
 
 // stuck reports whether this node has come to hold no more, nor as much as a peer, for a while.
