--- a/internal/dissemination/peers.go
+++ b/internal/dissemination/peers.go
@@ -17,12 +17,12 @@
 		return nil, g.choose(fanout)
 	}
 	ours, others := g.cfg.View().Halls()
-	near = some(ours, fanout)
+	near = randomAddresses(ours, fanout)
 	switch {
 	case first:
 		return near, eachHall(others, fanoutFar)
 	case crossesHalls(len(ours)):
-		return near, some(others, 1)
+		return near, randomAddresses(others, 1)
 	default:
 		return near, nil
 	}
@@ -40,13 +40,13 @@
 	}
 	var out []string
 	for _, peers := range byHall {
-		out = append(out, some(peers, n)...)
+		out = append(out, randomAddresses(peers, n)...)
 	}
 	return out
 }
 
-// some returns the addresses of up to n different random nodes of a list.
-func some(list []membership.Node, n int) []string {
+// randomAddresses returns the addresses of up to n different random nodes of a list.
+func randomAddresses(list []membership.Node, n int) []string {
 	n = min(n, len(list))
 	picked := make([]int, 0, n)
 	out := make([]string, 0, n)
@@ -89,7 +89,7 @@
 			from = near
 		}
 	}
-	out := some(from, n)
+	out := randomAddresses(from, n)
 	const seedOdds = 10
 	if len(out) < n || rand.IntN(seedOdds) == 0 {
 		self := g.cfg.Self().GetAddress()
