--- a/internal/dissemination/peers.go
+++ b/internal/dissemination/peers.go
@@ -20,7 +20,7 @@
 	near = randomAddresses(ours, fanout)
 	switch {
 	case first:
-		return near, eachHall(others, fanoutFar)
+		return near, addressesPerHall(others, fanoutFar)
 	case crossesHalls(len(ours)):
 		return near, randomAddresses(others, 1)
 	default:
@@ -32,8 +32,8 @@
 // another data hall: about fanoutFar of all do.
 func crossesHalls(near int) bool { return rand.IntN(near+1) < fanoutFar }
 
-// eachHall returns up to n nodes of each data hall among far.
-func eachHall(far []membership.Node, n int) []string {
+// addressesPerHall returns up to n nodes of each data hall among far.
+func addressesPerHall(far []membership.Node, n int) []string {
 	byHall := map[string][]membership.Node{}
 	for _, p := range far {
 		byHall[p.DataHall()] = append(byHall[p.DataHall()], p)
