--- a/internal/dissemination/peers.go
+++ b/internal/dissemination/peers.go
@@ -9,10 +9,10 @@
 	"ploverjunction.example/ploverjunction/internal/membership"
 )
 
-// pushTo returns the peers of the own data hall and of others that learn of a new value from this
+// pushPeers returns the peers of the own data hall and of others that learn of a new value from this
 // node; first is set on the node that read it. In each data hall a few others carry it on to
 // other data halls, in case that the first one's messages were lost.
-func (g *Gossip) pushTo(first bool) (near, far []string) {
+func (g *Gossip) pushPeers(first bool) (near, far []string) {
 	if !g.cfg.Near {
 		return nil, g.choose(fanout)
 	}
--- a/internal/dissemination/talk.go
+++ b/internal/dissemination/talk.go
@@ -19,7 +19,7 @@
 	if whole {
 		g.fill(req, l.entries)
 	}
-	near, far := g.pushTo(l.ownRead)
+	near, far := g.pushPeers(l.ownRead)
 	if !whole && g.cfg.Announce != nil {
 		for _, peer := range near {
 			g.cfg.Announce(peer)
