--- a/internal/dissemination/gossip.go
+++ b/internal/dissemination/gossip.go
@@ -267,10 +267,10 @@
 		case <-g.wanted:
 			if time.Since(asked) >= minDifferInterval {
 				asked = time.Now()
-				g.compare(ctx, &talks, g.choose(compareTries))
+				g.compare(ctx, &talks, g.choosePeers(compareTries))
 			}
 		case <-next.C:
-			g.compare(ctx, &talks, g.choose(compareTries))
+			g.compare(ctx, &talks, g.choosePeers(compareTries))
 			next.Reset(Interval/2 + rand.N(Interval))
 		}
 		if err := talks.Reap(); err != nil {
--- a/internal/dissemination/peers.go
+++ b/internal/dissemination/peers.go
@@ -14,7 +14,7 @@
 // other data halls, in case that the first one's messages were lost.
 func (g *Gossip) pushPeers(first bool) (near, far []string) {
 	if !g.cfg.Near {
-		return nil, g.choose(fanout)
+		return nil, g.choosePeers(fanout)
 	}
 	ours, others := g.cfg.View().Halls()
 	near = randomAddresses(ours, fanout)
@@ -72,11 +72,11 @@
 	return out
 }
 
-// choose returns up to n different random peers, mostly of the own data hall. Until this node has
+// choosePeers returns up to n different random peers, mostly of the own data hall. Until this node has
 // compared with some it takes only others than those, of its data hall first.
 // Seeds are candidates while fewer than n peers are known, and later by chance: without them two
 // parts of the fleet that know nothing of each other would stay apart.
-func (g *Gossip) choose(n int) []string {
+func (g *Gossip) choosePeers(n int) []string {
 	from := g.cfg.View().Peers()
 	if g.cfg.Near {
 		near, far := g.cfg.View().Halls()
