--- a/internal/dissemination/batches.go
+++ b/internal/dissemination/batches.go
@@ -22,9 +22,9 @@
 // batches keeps what was packed for pulls: nodes that start together ask for the same. They hold as
 // long as no value changes, and may be used concurrently.
 type batches struct {
-	mu     sync.Mutex
-	digest uint64
-	kept   map[order.Position]batch
+	mu         sync.Mutex
+	digest     uint64
+	byPosition map[order.Position]batch
 }
 
 func (b *batches) find(digest uint64, since order.Position) (batch, bool) {
@@ -33,15 +33,15 @@
 	if b.digest != digest {
 		return batch{}, false
 	}
-	out, ok := b.kept[since]
+	out, ok := b.byPosition[since]
 	return out, ok
 }
 
 func (b *batches) keep(digest uint64, since order.Position, packed batch) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.kept == nil || b.digest != digest || len(b.kept) >= mostBatches {
-		b.digest, b.kept = digest, map[order.Position]batch{}
+	if b.byPosition == nil || b.digest != digest || len(b.byPosition) >= mostBatches {
+		b.digest, b.byPosition = digest, map[order.Position]batch{}
 	}
-	b.kept[since] = packed
+	b.byPosition[since] = packed
 }
