--- a/internal/dissemination/batches.go
+++ b/internal/dissemination/batches.go
@@ -9,8 +9,8 @@
 	"ploverjunction.example/ploverjunction/internal/wire"
 )
 
-// mostBatches bounds the batches that are kept, of some ten KB each.
-const mostBatches = 64
+// maxBatches bounds the batches that are kept, of some ten KB each.
+const maxBatches = 64
 
 // batch is what a pull behind a position brings.
 type batch struct {
@@ -40,7 +40,7 @@
 func (b *batches) keep(digest uint64, since order.Position, packed batch) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.byPosition == nil || b.digest != digest || len(b.byPosition) >= mostBatches {
+	if b.byPosition == nil || b.digest != digest || len(b.byPosition) >= maxBatches {
 		b.digest, b.byPosition = digest, map[order.Position]batch{}
 	}
 	b.byPosition[since] = packed
