--- a/internal/dissemination/batches.go
+++ b/internal/dissemination/batches.go
@@ -27,7 +27,7 @@
 	byPosition map[order.Position]batch
 }
 
-func (b *batches) find(digest uint64, since order.Position) (batch, bool) {
+func (b *batches) get(digest uint64, since order.Position) (batch, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.digest != digest {
--- a/internal/dissemination/pull.go
+++ b/internal/dissemination/pull.go
@@ -60,7 +60,7 @@
 // answerPull adds to a reply what this node has behind the position that a peer names.
 func (g *Gossip) answerPull(in *wire.SyncRequest, out *wire.SyncReply) error {
 	since := fleetconfig.PositionOf(in.GetSince())
-	if b, ok := g.batches.find(out.GetDigest(), since); ok {
+	if b, ok := g.batches.get(out.GetDigest(), since); ok {
 		out.Batch, out.UpTo, out.More = b.packed, b.upTo, b.more
 		return nil
 	}
