--- a/internal/dissemination/batches.go
+++ b/internal/dissemination/batches.go
@@ -37,7 +37,7 @@
 	return out, ok
 }
 
-func (b *batches) keep(digest uint64, since order.Position, packed batch) {
+func (b *batches) put(digest uint64, since order.Position, packed batch) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.byPosition == nil || b.digest != digest || len(b.byPosition) >= maxBatches {
--- a/internal/dissemination/pull.go
+++ b/internal/dissemination/pull.go
@@ -72,7 +72,7 @@
 	out.Batch, out.UpTo, out.More = packed, fleetconfig.WirePosition(upTo), more
 	// Values may have come since the digest was taken.
 	if out.GetDigest() == g.replica.Digest() {
-		g.batches.keep(out.GetDigest(), since, batch{
+		g.batches.put(out.GetDigest(), since, batch{
 			packed: packed,
 			upTo:   out.GetUpTo(),
 			more:   more,
