--- a/internal/dissemination/batches.go
+++ b/internal/dissemination/batches.go
@@ -19,15 +19,15 @@
 	more   bool
 }
 
-// batches keeps what was packed for pulls: nodes that start together ask for the same. They hold as
+// batchCache keeps what was packed for pulls: nodes that start together ask for the same. They hold as
 // long as no value changes, and may be used concurrently.
-type batches struct {
+type batchCache struct {
 	mu         sync.Mutex
 	digest     uint64
 	byPosition map[order.Position]batch
 }
 
-func (b *batches) get(digest uint64, since order.Position) (batch, bool) {
+func (b *batchCache) get(digest uint64, since order.Position) (batch, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.digest != digest {
@@ -37,7 +37,7 @@
 	return out, ok
 }
 
-func (b *batches) put(digest uint64, since order.Position, packed batch) {
+func (b *batchCache) put(digest uint64, since order.Position, packed batch) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.byPosition == nil || b.digest != digest || len(b.byPosition) >= maxBatches {
--- a/internal/dissemination/gossip.go
+++ b/internal/dissemination/gossip.go
@@ -108,7 +108,7 @@
 	// recentValues are the small values learned last, the oldest first.
 	recentValues []recentValue
 	// batches are those packed for peers.
-	batches batches
+	batches batchCache
 	// positions is set once a peer knew up to where it has all that the source told.
 	positions atomic.Bool
 	// pulling is when the pull that goes on last got an answer, the zero time where none does.
