--- a/internal/dissemination/buckets.go
+++ b/internal/dissemination/buckets.go
@@ -28,9 +28,9 @@
 	return parts, r.store.In(parts)
 }
 
-// against returns this replica's revisions of the keys in some parts that a peer has at
+// otherRevisions returns this replica's revisions of the keys in some parts that a peer has at
 // another one, 0 for those that only the peer has.
-func (r *Replica) against(parts []uint32, theirs []*wire.KeyRevision) []*wire.KeyRevision {
+func (r *Replica) otherRevisions(parts []uint32, theirs []*wire.KeyRevision) []*wire.KeyRevision {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	known := marks(theirs)
--- a/internal/dissemination/talk.go
+++ b/internal/dissemination/talk.go
@@ -162,7 +162,7 @@
 		return nil
 	}
 	if parts := reply.GetDiffering(); len(parts) > 0 {
-		next.Revisions = g.replica.against(parts, reply.GetRevisions())
+		next.Revisions = g.replica.otherRevisions(parts, reply.GetRevisions())
 		if len(next.Revisions) == 0 {
 			// The peer's news has come by another way meanwhile.
 			return nil
