--- a/internal/dissemination/buckets.go
+++ b/internal/dissemination/buckets.go
@@ -51,8 +51,8 @@
 	return out
 }
 
-// look fills in what a message sends to find where two replicas differ.
-func (r *Replica) look(sent, next *wire.SyncRequest) {
+// addComparison fills in what a message sends to find where two replicas differ.
+func (r *Replica) addComparison(sent, next *wire.SyncRequest) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.store.Len() <= listWhole || len(sent.GetBuckets()) > 0 {
--- a/internal/dissemination/talk.go
+++ b/internal/dissemination/talk.go
@@ -174,7 +174,7 @@
 	if named && len(reply.GetEntries()) == 0 {
 		return nil
 	}
-	g.replica.look(sent, next)
+	g.replica.addComparison(sent, next)
 	return next
 }
 
