--- a/internal/dissemination/buckets.go
+++ b/internal/dissemination/buckets.go
@@ -12,9 +12,9 @@
 // some tenths of a second, and each node compares several times: with 720 targets that took
 // 20 kB each time while all revisions were listed, and takes 1.7 kB.
 
-// listWhole is up to how many keys a node names all of them at once: one that has just
+// maxFullList is up to how many keys a node names all of them at once: one that has just
 // started has none, and wants all.
-const listWhole = 2 * fleetconfig.Buckets
+const maxFullList = 2 * fleetconfig.Buckets
 
 // differing returns the parts whose digests are not the given ones, and all newest
 // revisions in them.
@@ -55,7 +55,7 @@
 func (r *Replica) addComparison(sent, next *wire.SyncRequest) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.store.Len() <= listWhole || len(sent.GetBuckets()) > 0 {
+	if r.store.Len() <= maxFullList || len(sent.GetBuckets()) > 0 {
 		// A peer that knows no parts answers nothing to their digests.
 		next.Revisions = r.store.Revisions()
 		next.Complete = true
