--- a/internal/dissemination/replica.go
+++ b/internal/dissemination/replica.go
@@ -33,8 +33,8 @@
 
 // question is a value that a peer was asked for.
 type question struct {
-	mark order.Mark
-	at   time.Time
+	version order.Mark
+	at      time.Time
 }
 
 // Replica is this node's copy of the published values. It may be used
@@ -282,12 +282,12 @@
 // ask reports whether a peer should be asked for a value, and notes that it was.
 func (r *Replica) ask(now time.Time, kr *wire.KeyRevision) bool {
 	q, mark := r.asked[kr.GetKey()], fleetconfig.MarkOf(kr)
-	if q.mark.Covers(mark) && now.Sub(q.at) < askAgain {
+	if q.version.Covers(mark) && now.Sub(q.at) < askAgain {
 		return false
 	}
 	r.asked[kr.GetKey()] = question{
-		mark: mark,
-		at:   now,
+		version: mark,
+		at:      now,
 	}
 	return true
 }
