--- a/internal/dissemination/replica.go
+++ b/internal/dissemination/replica.go
@@ -31,8 +31,8 @@
 // several peers announce the same value within milliseconds.
 const askAgain = 500 * time.Millisecond
 
-// question is a value that a peer was asked for.
-type question struct {
+// valueRequest is a value that a peer was asked for.
+type valueRequest struct {
 	version order.Mark
 	at      time.Time
 }
@@ -45,7 +45,7 @@
 	digest uint64
 	// readTo is up to where the replica has all that the source told.
 	readTo order.Position
-	asked  map[string]question
+	asked  map[string]valueRequest
 	packed map[string]*wire.Entry
 	// broken counts compressed values of peers that could not be read.
 	broken   atomic.Int64
@@ -59,7 +59,7 @@
 	return &Replica{
 		store:    s,
 		digest:   s.Digest(),
-		asked:    map[string]question{},
+		asked:    map[string]valueRequest{},
 		packed:   map[string]*wire.Entry{},
 		accepted: accepted,
 	}
@@ -285,7 +285,7 @@
 	if q.version.Covers(mark) && now.Sub(q.at) < askAgain {
 		return false
 	}
-	r.asked[kr.GetKey()] = question{
+	r.asked[kr.GetKey()] = valueRequest{
 		version: mark,
 		at:      now,
 	}
