--- a/internal/dissemination/replica.go
+++ b/internal/dissemination/replica.go
@@ -44,9 +44,9 @@
 	store  *fleetconfig.Store
 	digest uint64
 	// readTo is up to where the replica has all that the source told.
-	readTo order.Position
-	asked  map[string]valueRequest
-	packed map[string]*wire.Entry
+	readTo    order.Position
+	requested map[string]valueRequest
+	packed    map[string]*wire.Entry
 	// broken counts compressed values of peers that could not be read.
 	broken   atomic.Int64
 	accepted func(*fleetconfig.Config, []fleetconfig.Refusal)
@@ -57,11 +57,11 @@
 func NewReplica(accepted func(*fleetconfig.Config, []fleetconfig.Refusal)) *Replica {
 	s := fleetconfig.NewStore()
 	return &Replica{
-		store:    s,
-		digest:   s.Digest(),
-		asked:    map[string]valueRequest{},
-		packed:   map[string]*wire.Entry{},
-		accepted: accepted,
+		store:     s,
+		digest:    s.Digest(),
+		requested: map[string]valueRequest{},
+		packed:    map[string]*wire.Entry{},
+		accepted:  accepted,
 	}
 }
 
@@ -87,7 +87,7 @@
 	}
 	fresh := r.store.Offer(plain)
 	for _, e := range fresh {
-		delete(r.asked, e.GetKey())
+		delete(r.requested, e.GetKey())
 	}
 	if len(fresh) > 0 {
 		r.digest = r.store.Digest()
@@ -281,11 +281,11 @@
 
 // ask reports whether a peer should be asked for a value, and notes that it was.
 func (r *Replica) ask(now time.Time, kr *wire.KeyRevision) bool {
-	q, mark := r.asked[kr.GetKey()], fleetconfig.MarkOf(kr)
+	q, mark := r.requested[kr.GetKey()], fleetconfig.MarkOf(kr)
 	if q.version.Covers(mark) && now.Sub(q.at) < askAgain {
 		return false
 	}
-	r.asked[kr.GetKey()] = valueRequest{
+	r.requested[kr.GetKey()] = valueRequest{
 		version: mark,
 		at:      now,
 	}
