--- a/internal/dissemination/replica.go
+++ b/internal/dissemination/replica.go
@@ -27,9 +27,9 @@
 	pushWhole = 512
 )
 
-// askAgain is after how long a value that a peer was asked for is asked for again:
+// rerequestAfter is after how long a value that a peer was asked for is asked for again:
 // several peers announce the same value within milliseconds.
-const askAgain = 500 * time.Millisecond
+const rerequestAfter = 500 * time.Millisecond
 
 // valueRequest is a value that a peer was asked for.
 type valueRequest struct {
@@ -282,7 +282,7 @@
 // ask reports whether a peer should be asked for a value, and notes that it was.
 func (r *Replica) ask(now time.Time, kr *wire.KeyRevision) bool {
 	q, mark := r.requested[kr.GetKey()], fleetconfig.MarkOf(kr)
-	if q.version.Covers(mark) && now.Sub(q.at) < askAgain {
+	if q.version.Covers(mark) && now.Sub(q.at) < rerequestAfter {
 		return false
 	}
 	r.requested[kr.GetKey()] = valueRequest{
