--- a/internal/dissemination/replica.go
+++ b/internal/dissemination/replica.go
@@ -255,7 +255,7 @@
 		if ours != (order.Mark{}) && !theirs.Covers(ours) {
 			keys = append(keys, kr.GetKey())
 		}
-		if !ours.Covers(theirs) && r.ask(now, kr) {
+		if !ours.Covers(theirs) && r.claimRequest(now, kr) {
 			wanted = append(wanted, kr.GetKey())
 		}
 	}
@@ -279,8 +279,8 @@
 	return out
 }
 
-// ask reports whether a peer should be asked for a value, and notes that it was.
-func (r *Replica) ask(now time.Time, kr *wire.KeyRevision) bool {
+// claimRequest reports whether a peer should be asked for a value, and notes that it was.
+func (r *Replica) claimRequest(now time.Time, kr *wire.KeyRevision) bool {
 	q, mark := r.requested[kr.GetKey()], fleetconfig.MarkOf(kr)
 	if q.version.Covers(mark) && now.Sub(q.at) < rerequestAfter {
 		return false
