--- a/internal/dissemination/buckets.go
+++ b/internal/dissemination/buckets.go
@@ -33,7 +33,7 @@
 func (r *Replica) otherRevisions(parts []uint32, theirs []*wire.KeyRevision) []*wire.KeyRevision {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	known := marks(theirs)
+	known := versions(theirs)
 	var out []*wire.KeyRevision
 	for _, kr := range r.store.In(parts) {
 		if known[kr.GetKey()] != fleetconfig.MarkOf(kr) {
--- a/internal/dissemination/replica.go
+++ b/internal/dissemination/replica.go
@@ -260,7 +260,7 @@
 		}
 	}
 	if complete {
-		theirs := marks(revisions)
+		theirs := versions(revisions)
 		for _, kr := range r.store.Revisions() {
 			if _, named := theirs[kr.GetKey()]; !named {
 				keys = append(keys, kr.GetKey())
@@ -270,8 +270,8 @@
 	return r.entries(keys), wanted
 }
 
-// marks returns the marks of a list by key.
-func marks(list []*wire.KeyRevision) map[string]order.Mark {
+// versions returns the marks of a list by key.
+func versions(list []*wire.KeyRevision) map[string]order.Mark {
 	out := make(map[string]order.Mark, len(list))
 	for _, kr := range list {
 		out[kr.GetKey()] = fleetconfig.MarkOf(kr)
