--- a/internal/dissemination/lately.go
+++ b/internal/dissemination/lately.go
@@ -27,7 +27,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for _, e := range entries {
-		if len(e.GetValue()) <= pushWhole {
+		if len(e.GetValue()) <= maxPushedValue {
 			g.recentValues = append(g.recentValues, recentValue{
 				key: e.GetKey(),
 				at:  now,
--- a/internal/dissemination/replica.go
+++ b/internal/dissemination/replica.go
@@ -22,9 +22,9 @@
 	// maxReply bounds the values in one message, in bytes, unless a single one is larger. Both
 	// ends of a connection keep buffers as large as its greatest message.
 	maxReply = 64 << 10
-	// pushWhole is the greatest value in bytes that is pushed unasked; larger
+	// maxPushedValue is the greatest value in bytes that is pushed unasked; larger
 	// ones are announced and fetched by those that lack them.
-	pushWhole = 512
+	maxPushedValue = 512
 )
 
 // rerequestAfter is after how long a value that a peer was asked for is asked for again:
--- a/internal/dissemination/talk.go
+++ b/internal/dissemination/talk.go
@@ -38,7 +38,7 @@
 func sizeOf(entries []*wire.Entry) int {
 	size := 0
 	for _, e := range entries {
-		if len(e.GetValue()) <= pushWhole {
+		if len(e.GetValue()) <= maxPushedValue {
 			size += len(e.GetKey()) + len(e.GetValue())
 		}
 	}
@@ -48,7 +48,7 @@
 // fill puts values into a request: small ones whole, the marks of others.
 func (g *Gossip) fill(req *wire.SyncRequest, entries []*wire.Entry) {
 	for _, e := range entries {
-		if len(e.GetValue()) <= pushWhole {
+		if len(e.GetValue()) <= maxPushedValue {
 			req.Entries = append(req.Entries, e)
 			continue
 		}
