--- a/internal/dissemination/gossip.go
+++ b/internal/dissemination/gossip.go
@@ -52,9 +52,9 @@
 	// that time some twenty nodes compare with each peer. lateMost bounds such values.
 	recentRetention = 20 * time.Second
 	maxRecent       = 32
-	// pushBatch is up to how many bytes of small values are pushed unasked; of more only the
+	// maxPushedBytes is up to how many bytes of small values are pushed unasked; of more only the
 	// news is, and peers pull them.
-	pushBatch = 4 << 10
+	maxPushedBytes = 4 << 10
 	// farMaxWait is after how long without progress a node pulls from any peer that is ahead of
 	// it, and not only from those of its data hall.
 	farMaxWait = time.Second
--- a/internal/dissemination/talk.go
+++ b/internal/dissemination/talk.go
@@ -15,7 +15,7 @@
 // node asked for itself, that there are some.
 func (g *Gossip) push(ctx context.Context, talks *task.Group, l update) {
 	req := g.request()
-	whole := !g.pulls() || !l.pulled && sizeOf(l.entries) <= pushBatch
+	whole := !g.pulls() || !l.pulled && sizeOf(l.entries) <= maxPushedBytes
 	if whole {
 		g.fill(req, l.entries)
 	}
