--- a/internal/dissemination/pack.go
+++ b/internal/dissemination/pack.go
@@ -14,13 +14,13 @@
 	"ploverjunction.example/ploverjunction/internal/wire"
 )
 
-// packFrom is the size in bytes from which on values travel compressed: JSON of
+// minPackSize is the size in bytes from which on values travel compressed: JSON of
 // many routes shrinks to a tenth, and narrow links carry it to several peers.
-const packFrom = 2 << 10
+const minPackSize = 2 << 10
 
 // pack returns an entry as it travels.
 func pack(e *wire.Entry) (*wire.Entry, error) {
-	if len(e.GetValue()) < packFrom {
+	if len(e.GetValue()) < minPackSize {
 		return e, nil
 	}
 	packed, err := deflate(e.GetValue())
--- a/internal/dissemination/replica.go
+++ b/internal/dissemination/replica.go
@@ -214,7 +214,7 @@
 	size := 0
 	for _, k := range keys {
 		for _, e := range r.store.Entries(k) {
-			size += min(len(e.GetValue()), packFrom)
+			size += min(len(e.GetValue()), minPackSize)
 			if size > maxReply && len(out) > 0 {
 				return out
 			}
