--- a/internal/dissemination/pack.go
+++ b/internal/dissemination/pack.go
@@ -27,7 +27,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return with(e, nil, packed), nil
+	return withValue(e, nil, packed), nil
 }
 
 func deflate(value []byte) ([]byte, error) {
@@ -106,11 +106,11 @@
 	if err != nil {
 		return nil, fmt.Errorf("dissemination: unpack %s: %w", e.GetKey(), err)
 	}
-	return with(e, value, nil), nil
+	return withValue(e, value, nil), nil
 }
 
-// with returns a copy of an entry with another form of its value.
-func with(e *wire.Entry, value, packed []byte) *wire.Entry {
+// withValue returns a copy of an entry with another form of its value.
+func withValue(e *wire.Entry, value, packed []byte) *wire.Entry {
 	out := &wire.Entry{
 		Key:     e.GetKey(),
 		Value:   value,
