--- a/internal/dissemination/pull.go
+++ b/internal/dissemination/pull.go
@@ -43,15 +43,15 @@
 	}
 	view := g.cfg.View()
 	near, _ := view.Halls()
-	if len(near) == 0 || view.Near(peer) || g.stuck(time.Now()) {
+	if len(near) == 0 || view.Near(peer) || g.stalled(time.Now()) {
 		return true
 	}
 	// Whoever has nothing yet would fetch all.
 	return g.replica.Len() > 0 && crossesHalls(len(near))
 }
 
-// stuck reports whether this node has come to hold no more, nor as much as a peer, for a while.
-func (g *Gossip) stuck(now time.Time) bool {
+// stalled reports whether this node has come to hold no more, nor as much as a peer, for a while.
+func (g *Gossip) stalled(now time.Time) bool {
 	return g.uptime(now)-time.Duration(g.progress.Load()) > farMaxWait
 }
 
