--- a/internal/dissemination/gossip.go
+++ b/internal/dissemination/gossip.go
@@ -113,9 +113,9 @@
 	positions atomic.Bool
 	// pulling is when the pull that goes on last got an answer, the zero time where none does.
 	pulling time.Time
-	// progress is when this node last came to hold more, or as much as a peer, as the time
+	// lastProgress is when this node last came to hold more, or as much as a peer, as the time
 	// since begun.
-	progress      atomic.Int64
+	lastProgress  atomic.Int64
 	recentResults [recentCalls]bool
 	calls         int
 }
--- a/internal/dissemination/pull.go
+++ b/internal/dissemination/pull.go
@@ -52,10 +52,10 @@
 
 // stalled reports whether this node has come to hold no more, nor as much as a peer, for a while.
 func (g *Gossip) stalled(now time.Time) bool {
-	return g.uptime(now)-time.Duration(g.progress.Load()) > farMaxWait
+	return g.uptime(now)-time.Duration(g.lastProgress.Load()) > farMaxWait
 }
 
-func (g *Gossip) progressed(now time.Time) { g.progress.Store(int64(g.uptime(now))) }
+func (g *Gossip) progressed(now time.Time) { g.lastProgress.Store(int64(g.uptime(now))) }
 
 // answerPull adds to a reply what this node has behind the position that a peer names.
 func (g *Gossip) answerPull(in *wire.SyncRequest, out *wire.SyncReply) error {
