--- a/internal/dissemination/age.go
+++ b/internal/dissemination/age.go
@@ -72,7 +72,7 @@
 // Agrees notes that a peer has the same values as this node.
 func (g *Gossip) Agrees(now time.Time) {
 	g.lastAgreement.Store(max(int64(g.uptime(now)), 1))
-	g.progressed(now)
+	g.recordProgress(now)
 }
 
 // AgreedAge returns how long ago a peer had the same values as this node.
--- a/internal/dissemination/gossip.go
+++ b/internal/dissemination/gossip.go
@@ -217,7 +217,7 @@
 func (g *Gossip) PublishTo(entries []*wire.Entry, upTo order.Position) {
 	fresh := g.replica.Offer(entries)
 	if g.replica.NoteRead(upTo) {
-		g.progressed(time.Now())
+		g.recordProgress(time.Now())
 	}
 	g.enqueue(update{
 		entries: fresh,
--- a/internal/dissemination/pull.go
+++ b/internal/dissemination/pull.go
@@ -55,7 +55,7 @@
 	return g.uptime(now)-time.Duration(g.lastProgress.Load()) > farMaxWait
 }
 
-func (g *Gossip) progressed(now time.Time) { g.lastProgress.Store(int64(g.uptime(now))) }
+func (g *Gossip) recordProgress(now time.Time) { g.lastProgress.Store(int64(g.uptime(now))) }
 
 // answerPull adds to a reply what this node has behind the position that a peer names.
 func (g *Gossip) answerPull(in *wire.SyncRequest, out *wire.SyncReply) error {
@@ -94,7 +94,7 @@
 	}
 	fresh := g.replica.Offer(entries)
 	if !reply.GetMore() && g.replica.NoteRead(fleetconfig.PositionOf(reply.GetReadTo())) || len(fresh) > 0 {
-		g.progressed(time.Now())
+		g.recordProgress(time.Now())
 	}
 	if !reply.GetMore() {
 		g.enqueue(update{
