--- a/internal/dissemination/gossip.go
+++ b/internal/dissemination/gossip.go
@@ -140,7 +140,7 @@
 // all values. The two compare unless a comparison began a moment ago, the peer is behind, or that is
 // left to peers of the own data hall.
 func (g *Gossip) Differs(peer string, readTo *wire.Position) {
-	behind := g.pulls() && readTo != nil && g.replica.ReadTo().Compare(fleetconfig.PositionOf(readTo)) > 0
+	behind := g.pullsByPosition() && readTo != nil && g.replica.ReadTo().Compare(fleetconfig.PositionOf(readTo)) > 0
 	if !behind && g.pullsFrom(peer) {
 		g.differ(peer)
 	}
--- a/internal/dissemination/pull.go
+++ b/internal/dissemination/pull.go
@@ -15,15 +15,15 @@
 // ReadTo returns what messages say of up to where this node has all values: nothing where it asks
 // for none by their positions.
 func (g *Gossip) ReadTo() *wire.Position {
-	if !g.pulls() {
+	if !g.pullsByPosition() {
 		return nil
 	}
 	return fleetconfig.WirePosition(g.replica.ReadTo())
 }
 
-// pulls reports whether this node asks for values by their positions: the source gives some, or it
+// pullsByPosition reports whether this node asks for values by their positions: the source gives some, or it
 // has no value yet.
-func (g *Gossip) pulls() bool {
+func (g *Gossip) pullsByPosition() bool {
 	return g.positions.Load() || g.replica.ReadTo() != (order.Position{}) || g.replica.Len() == 0
 }
 
--- a/internal/dissemination/talk.go
+++ b/internal/dissemination/talk.go
@@ -15,7 +15,7 @@
 // node asked for itself, that there are some.
 func (g *Gossip) push(ctx context.Context, talks *task.Group, l update) {
 	req := g.request()
-	whole := !g.pulls() || !l.pulled && sizeOf(l.entries) <= maxPushedBytes
+	whole := !g.pullsByPosition() || !l.pulled && sizeOf(l.entries) <= maxPushedBytes
 	if whole {
 		g.fill(req, l.entries)
 	}
@@ -124,7 +124,7 @@
 // Where both know positions what is behind them is pulled, by each from the other; digests of
 // parts find what may still differ.
 func (g *Gossip) compareWith(ctx context.Context, peer string) bool {
-	if !g.pulls() {
+	if !g.pullsByPosition() {
 		return g.exchange(ctx, peer, g.request(), true)
 	}
 	if !g.claimPull(time.Now()) {
