--- a/internal/dissemination/pull.go
+++ b/internal/dissemination/pull.go
@@ -81,9 +81,9 @@
 	return nil
 }
 
-// takeBatch takes the values that a peer sent for a pull. When there are no more of them this node
+// applyBatch takes the values that a peer sent for a pull. When there are no more of them this node
 // has all that the peer has.
-func (g *Gossip) takeBatch(sent *wire.SyncRequest, reply *wire.SyncReply) error {
+func (g *Gossip) applyBatch(sent *wire.SyncRequest, reply *wire.SyncReply) error {
 	if !sent.GetPull() || reply.GetReadTo() == nil {
 		return nil
 	}
@@ -148,7 +148,7 @@
 		if err != nil {
 			return nil, nil, err
 		}
-		if err := g.takeBatch(req, reply); err != nil {
+		if err := g.applyBatch(req, reply); err != nil {
 			return nil, nil, err
 		}
 		upTo := fleetconfig.PositionOf(reply.GetUpTo())
