--- a/internal/dissemination/talk.go
+++ b/internal/dissemination/talk.go
@@ -97,7 +97,7 @@
 		g.enqueue(update{
 			entries: g.replica.Offer(reply.GetEntries()),
 		})
-		req = g.follow(req, reply, compare)
+		req = g.nextMessage(req, reply, compare)
 		if req == nil {
 			if compare {
 				g.compared(peer)
@@ -140,14 +140,14 @@
 		g.compared(peer)
 		return true
 	}
-	if req = g.follow(req, reply, true); req == nil {
+	if req = g.nextMessage(req, reply, true); req == nil {
 		return true
 	}
 	return g.exchange(ctx, peer, req, true)
 }
 
-// follow returns the next message to a peer, or nil if all is said.
-func (g *Gossip) follow(sent *wire.SyncRequest, reply *wire.SyncReply, compare bool) *wire.SyncRequest {
+// nextMessage returns the next message to a peer, or nil if all is said.
+func (g *Gossip) nextMessage(sent *wire.SyncRequest, reply *wire.SyncReply, compare bool) *wire.SyncRequest {
 	next := g.request()
 	if len(reply.GetWanted()) > 0 {
 		next.Entries = g.replica.Entries(reply.GetWanted())
