--- a/internal/dissemination/talk.go
+++ b/internal/dissemination/talk.go
@@ -17,7 +17,7 @@
 	req := g.request()
 	whole := !g.pullsByPosition() || !l.pulled && sizeOf(l.entries) <= maxPushedBytes
 	if whole {
-		g.fill(req, l.entries)
+		g.addValues(req, l.entries)
 	}
 	near, far := g.pushPeers(l.ownRead)
 	if !whole && g.cfg.Announce != nil {
@@ -45,8 +45,8 @@
 	return size
 }
 
-// fill puts values into a request: small ones whole, the marks of others.
-func (g *Gossip) fill(req *wire.SyncRequest, entries []*wire.Entry) {
+// addValues puts values into a request: small ones whole, the marks of others.
+func (g *Gossip) addValues(req *wire.SyncRequest, entries []*wire.Entry) {
 	for _, e := range entries {
 		if len(e.GetValue()) <= maxPushedValue {
 			req.Entries = append(req.Entries, e)
