--- a/internal/dissemination/gossip.go
+++ b/internal/dissemination/gossip.go
@@ -102,9 +102,9 @@
 	lastAgreement atomic.Int64
 	differs       chan string
 	// wanted holds a value when a request waits for news.
-	wanted   chan struct{}
-	mu       sync.Mutex
-	compares map[string]bool
+	wanted       chan struct{}
+	mu           sync.Mutex
+	comparedWith map[string]bool
 	// recentValues are the small values learned last, the oldest first.
 	recentValues []recentValue
 	// batches are those packed for peers.
@@ -126,13 +126,13 @@
 		cfg.Suspended = func(time.Time) time.Duration { return 0 }
 	}
 	return &Gossip{
-		cfg:       cfg,
-		replica:   replica,
-		fresh:     make(chan update, 128),
-		compares:  map[string]bool{},
-		startedAt: time.Now(),
-		differs:   make(chan string, 1),
-		wanted:    make(chan struct{}, 1),
+		cfg:          cfg,
+		replica:      replica,
+		fresh:        make(chan update, 128),
+		comparedWith: map[string]bool{},
+		startedAt:    time.Now(),
+		differs:      make(chan string, 1),
+		wanted:       make(chan struct{}, 1),
 	}
 }
 
@@ -166,7 +166,7 @@
 func (g *Gossip) Compared() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return len(g.compares)
+	return len(g.comparedWith)
 }
 
 // CutOff reports whether most of the recent calls to peers failed. It is false
@@ -205,7 +205,7 @@
 func (g *Gossip) compared(peer string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.compares[peer] = true
+	g.comparedWith[peer] = true
 	g.Agrees(time.Now())
 }
 
--- a/internal/dissemination/peers.go
+++ b/internal/dissemination/peers.go
@@ -65,7 +65,7 @@
 	defer g.mu.Unlock()
 	var out []membership.Node
 	for _, n := range list {
-		if !g.compares[n.Address()] {
+		if !g.comparedWith[n.Address()] {
 			out = append(out, n)
 		}
 	}
