--- a/internal/dissemination/gossip.go
+++ b/internal/dissemination/gossip.go
@@ -200,9 +200,9 @@
 	g.calls++
 }
 
-// compared notes a conversation that came to its end: only then is this node as
+// recordCompared notes a conversation that came to its end: only then is this node as
 // new as the peer.
-func (g *Gossip) compared(peer string) {
+func (g *Gossip) recordCompared(peer string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.comparedWith[peer] = true
--- a/internal/dissemination/talk.go
+++ b/internal/dissemination/talk.go
@@ -100,7 +100,7 @@
 		req = g.nextMessage(req, reply, compare)
 		if req == nil {
 			if compare {
-				g.compared(peer)
+				g.recordCompared(peer)
 			}
 			return true
 		}
@@ -137,7 +137,7 @@
 	ahead := g.replica.ReadTo().Compare(fleetconfig.PositionOf(reply.GetReadTo()))
 	if reply.GetDigest() == g.replica.Digest() || reply.GetReadTo() != nil && ahead > 0 {
 		// A peer that is behind pulls what it lacks itself.
-		g.compared(peer)
+		g.recordCompared(peer)
 		return true
 	}
 	if req = g.nextMessage(req, reply, true); req == nil {
