--- a/internal/dissemination/gossip.go
+++ b/internal/dissemination/gossip.go
@@ -193,7 +193,7 @@
 	return g.calls
 }
 
-func (g *Gossip) called(ok bool) {
+func (g *Gossip) recordCall(ok bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.recentResults[g.calls%recentCalls] = ok
--- a/internal/dissemination/talk.go
+++ b/internal/dissemination/talk.go
@@ -111,7 +111,7 @@
 // call makes one call to a peer and learns what each reply tells.
 func (g *Gossip) call(ctx context.Context, peer string, req *wire.SyncRequest) (*wire.SyncReply, error) {
 	reply, err := g.cfg.Call(ctx, peer, req)
-	g.called(err == nil)
+	g.recordCall(err == nil)
 	if err != nil {
 		g.cfg.Failed(peer)
 		return nil, err
