--- a/internal/dissemination/gossip.go
+++ b/internal/dissemination/gossip.go
@@ -142,11 +142,11 @@
 func (g *Gossip) Differs(peer string, readTo *wire.Position) {
 	behind := g.pullsByPosition() && readTo != nil && g.replica.ReadTo().Compare(fleetconfig.PositionOf(readTo)) > 0
 	if !behind && g.pullsFrom(peer) {
-		g.differ(peer)
+		g.queueCompare(peer)
 	}
 }
 
-func (g *Gossip) differ(peer string) {
+func (g *Gossip) queueCompare(peer string) {
 	select {
 	case g.differs <- peer:
 	default:
@@ -292,7 +292,7 @@
 	parts, revisions := g.replica.differing(in.GetBuckets())
 	lacks, wanted := g.replica.Compare(time.Now(), in.GetRevisions(), in.GetComplete())
 	if in.GetDigest() != g.replica.Digest() && fleetconfig.PositionOf(in.GetReadTo()).Compare(fleetconfig.PositionOf(readTo)) > 0 {
-		g.differ(in.GetFrom().GetAddress())
+		g.queueCompare(in.GetFrom().GetAddress())
 	}
 	out := &wire.SyncReply{
 		From:          g.cfg.Self(),
