--- a/internal/dissemination/lately.go
+++ b/internal/dissemination/lately.go
@@ -65,6 +65,6 @@
 	req := g.request()
 	req.Entries = g.replica.Entries(keys)
 	if reply, err := g.cfg.Call(ctx, peer, req); err == nil {
-		g.learn(reply)
+		g.processReply(reply)
 	}
 }
--- a/internal/dissemination/talk.go
+++ b/internal/dissemination/talk.go
@@ -116,7 +116,7 @@
 		g.cfg.Failed(peer)
 		return nil, err
 	}
-	g.learn(reply)
+	g.processReply(reply)
 	return reply, nil
 }
 
@@ -178,7 +178,7 @@
 	return next
 }
 
-func (g *Gossip) learn(reply *wire.SyncReply) {
+func (g *Gossip) processReply(reply *wire.SyncReply) {
 	g.observeAgeMillis(reply.GetPlatformAgeMs())
 	g.learnReadTo(reply.GetReadTo())
 	g.cfg.Heard(reply.GetFrom())
