--- a/internal/dissemination/gossip.go
+++ b/internal/dissemination/gossip.go
@@ -283,7 +283,7 @@
 func (g *Gossip) Sync(_ context.Context, in *wire.SyncRequest) (*wire.SyncReply, error) {
 	g.cfg.Heard(in.GetFrom())
 	g.observeAgeMillis(in.GetPlatformAgeMs())
-	g.learnReadTo(in.GetReadTo())
+	g.observeReadTo(in.GetReadTo())
 	g.enqueue(update{
 		entries: g.replica.Offer(in.GetEntries()),
 	})
--- a/internal/dissemination/pull.go
+++ b/internal/dissemination/pull.go
@@ -27,8 +27,8 @@
 	return g.positions.Load() || g.replica.ReadTo() != (order.Position{}) || g.replica.Len() == 0
 }
 
-// learnReadTo notes that a peer knows up to where it has all values.
-func (g *Gossip) learnReadTo(p *wire.Position) {
+// observeReadTo notes that a peer knows up to where it has all values.
+func (g *Gossip) observeReadTo(p *wire.Position) {
 	if fleetconfig.PositionOf(p) != (order.Position{}) {
 		g.positions.Store(true)
 	}
--- a/internal/dissemination/talk.go
+++ b/internal/dissemination/talk.go
@@ -180,7 +180,7 @@
 
 func (g *Gossip) processReply(reply *wire.SyncReply) {
 	g.observeAgeMillis(reply.GetPlatformAgeMs())
-	g.learnReadTo(reply.GetReadTo())
+	g.observeReadTo(reply.GetReadTo())
 	g.cfg.Heard(reply.GetFrom())
 	for _, n := range reply.GetNodes() {
 		g.cfg.Mentioned(n)
