--- a/internal/dissemination/gossip.go
+++ b/internal/dissemination/gossip.go
@@ -101,8 +101,8 @@
 	// lastAgreement is when a peer last had the same values, as the time since begun.
 	lastAgreement atomic.Int64
 	differs       chan string
-	// wanted holds a value when a request waits for news.
-	wanted       chan struct{}
+	// compareSoon holds a value when a request waits for news.
+	compareSoon  chan struct{}
 	mu           sync.Mutex
 	comparedWith map[string]bool
 	// recentValues are the small values learned last, the oldest first.
@@ -132,7 +132,7 @@
 		comparedWith: map[string]bool{},
 		startedAt:    time.Now(),
 		differs:      make(chan string, 1),
-		wanted:       make(chan struct{}, 1),
+		compareSoon:  make(chan struct{}, 1),
 	}
 }
 
@@ -156,7 +156,7 @@
 // Ask has this node compare with peers soon, unless it did so a moment ago.
 func (g *Gossip) Ask() {
 	select {
-	case g.wanted <- struct{}{}:
+	case g.compareSoon <- struct{}{}:
 	default:
 	}
 }
@@ -264,7 +264,7 @@
 				asked = time.Now()
 				g.compare(ctx, &talks, []string{peer})
 			}
-		case <-g.wanted:
+		case <-g.compareSoon:
 			if time.Since(asked) >= minDifferInterval {
 				asked = time.Now()
 				g.compare(ctx, &talks, g.choosePeers(compareTries))
