--- a/internal/membership/rumor.go
+++ b/internal/membership/rumor.go
@@ -9,13 +9,13 @@
 
 // rumor is news that this node still passes on.
 type rumor struct {
-	news News
-	told int
+	update News
+	told   int
 }
 
 // before reports whether a rumor should be told before another one.
 func (r *rumor) before(o *rumor) bool {
-	return cmp.Or(cmp.Compare(r.told, o.told), cmp.Compare(r.news.Node.address, o.news.Node.address)) < 0
+	return cmp.Or(cmp.Compare(r.told, o.told), cmp.Compare(r.update.Node.address, o.update.Node.address)) < 0
 }
 
 // rumors are those of one kind, by the address of the node that they are about.
@@ -38,9 +38,9 @@
 		first = first[:min(len(first), n-len(out))]
 	}
 	for _, f := range first {
-		out = append(out, f.news)
+		out = append(out, f.update)
 		if f.told++; f.told >= most {
-			delete(r, f.news.Node.address)
+			delete(r, f.update.Node.address)
 		}
 	}
 	return out
@@ -69,7 +69,7 @@
 func (n *news) weigh(address string, weight uint32) {
 	for _, r := range [...]rumors{n.urgent, n.joins} {
 		if rumor := r[address]; rumor != nil {
-			rumor.news.Weight = weight
+			rumor.update.Weight = weight
 			rumor.told = 0
 		}
 	}
@@ -83,7 +83,7 @@
 		to = t.news.urgent
 	}
 	to[s.node.address] = &rumor{
-		news: News{
+		update: News{
 			Node:        s.node,
 			Incarnation: s.incarnation,
 			Leaving:     s.leaving,
