--- a/internal/membership/rumor.go
+++ b/internal/membership/rumor.go
@@ -10,12 +10,12 @@
 // rumor is news that this node still passes on.
 type rumor struct {
 	update News
-	told   int
+	sent   int
 }
 
 // before reports whether a rumor should be told before another one.
 func (r *rumor) before(o *rumor) bool {
-	return cmp.Or(cmp.Compare(r.told, o.told), cmp.Compare(r.update.Node.address, o.update.Node.address)) < 0
+	return cmp.Or(cmp.Compare(r.sent, o.sent), cmp.Compare(r.update.Node.address, o.update.Node.address)) < 0
 }
 
 // rumors are those of one kind, by the address of the node that they are about.
@@ -39,7 +39,7 @@
 	}
 	for _, f := range first {
 		out = append(out, f.update)
-		if f.told++; f.told >= most {
+		if f.sent++; f.sent >= most {
 			delete(r, f.update.Node.address)
 		}
 	}
@@ -70,7 +70,7 @@
 	for _, r := range [...]rumors{n.urgent, n.joins} {
 		if rumor := r[address]; rumor != nil {
 			rumor.update.Weight = weight
-			rumor.told = 0
+			rumor.sent = 0
 		}
 	}
 }
