--- a/internal/membership/rumor.go
+++ b/internal/membership/rumor.go
@@ -21,10 +21,10 @@
 // rumors are those of one kind, by the address of the node that they are about.
 type rumors map[string]*rumor
 
-// tell appends rumors to out until it has n entries, the least told first, and drops
+// next appends rumors to out until it has n entries, the least told first, and drops
 // those that have been told most times. It looks at each rumor once: there are as many
 // as nodes while a fleet starts, and a datagram carries few.
-func (r rumors) tell(out []News, n, most int) []News {
+func (r rumors) next(out []News, n, most int) []News {
 	var first []*rumor
 	for _, candidate := range r {
 		at := len(first)
