--- a/internal/membership/rumor.go
+++ b/internal/membership/rumor.go
@@ -65,8 +65,8 @@
 	delete(n.joins, address)
 }
 
-// weigh notes another weight of a node: what was told so far had the old one, or none.
-func (n *news) weigh(address string, weight uint32) {
+// setWeight notes another weight of a node: what was told so far had the old one, or none.
+func (n *news) setWeight(address string, weight uint32) {
 	for _, r := range [...]rumors{n.urgent, n.joins} {
 		if rumor := r[address]; rumor != nil {
 			rumor.update.Weight = weight
--- a/internal/membership/table.go
+++ b/internal/membership/table.go
@@ -183,7 +183,7 @@
 	}
 	s.weight = weight
 	t.changed = true
-	t.news.weigh(address, weight)
+	t.news.setWeight(address, weight)
 }
 
 // DefaultWeight is the weight of this node if it states none.
