--- a/internal/membership/rumor.go
+++ b/internal/membership/rumor.go
@@ -46,27 +46,27 @@
 	return out
 }
 
-// news is what this node passes on. Urgent news changes roles at once; a fleet that
+// rumorQueues is what this node passes on. Urgent news changes roles at once; a fleet that
 // starts has joins of all its nodes, which must not hold up the rest.
-type news struct {
+type rumorQueues struct {
 	urgent rumors
 	joins  rumors
 }
 
-func newNews() news {
-	return news{
+func newNews() rumorQueues {
+	return rumorQueues{
 		urgent: rumors{},
 		joins:  rumors{},
 	}
 }
 
-func (n *news) drop(address string) {
+func (n *rumorQueues) drop(address string) {
 	delete(n.urgent, address)
 	delete(n.joins, address)
 }
 
 // setWeight notes another weight of a node: what was told so far had the old one, or none.
-func (n *news) setWeight(address string, weight uint32) {
+func (n *rumorQueues) setWeight(address string, weight uint32) {
 	for _, r := range [...]rumors{n.urgent, n.joins} {
 		if rumor := r[address]; rumor != nil {
 			rumor.update.Weight = weight
--- a/internal/membership/table.go
+++ b/internal/membership/table.go
@@ -68,7 +68,7 @@
 	order []*state
 	// changed is set when the next view differs from the last one.
 	changed bool
-	news    news
+	news    rumorQueues
 	// weight is this node's own.
 	weight uint32
 }
