--- a/internal/membership/rumor.go
+++ b/internal/membership/rumor.go
@@ -53,7 +53,7 @@
 	joins  rumors
 }
 
-func newNews() rumorQueues {
+func newRumorQueues() rumorQueues {
 	return rumorQueues{
 		urgent: rumors{},
 		joins:  rumors{},
--- a/internal/membership/table.go
+++ b/internal/membership/table.go
@@ -78,7 +78,7 @@
 	return &Table{
 		self:  self,
 		nodes: map[string]*state{},
-		news:  newNews(),
+		news:  newRumorQueues(),
 	}
 }
 
