--- a/internal/membership/news.go
+++ b/internal/membership/news.go
@@ -134,9 +134,9 @@
 // were suspected, died or leave, and only if joins is set of nodes that just live.
 func (t *Table) Tell(n int, joins bool) []News {
 	scale := bits.Len(uint(len(t.nodes) + 1))
-	out := t.news.urgent.next(nil, n, tellFactor*scale)
+	out := t.rumors.urgent.next(nil, n, tellFactor*scale)
 	if joins {
-		out = t.news.joins.next(out, n, joinFactor*scale)
+		out = t.rumors.joins.next(out, n, joinFactor*scale)
 	}
 	return out
 }
--- a/internal/membership/rumor.go
+++ b/internal/membership/rumor.go
@@ -77,10 +77,10 @@
 
 // spread begins to pass on what this node believes of s.
 func (t *Table) spread(s *state, o Opinion, urgent bool) {
-	t.news.drop(s.node.address)
-	to := t.news.joins
+	t.rumors.drop(s.node.address)
+	to := t.rumors.joins
 	if urgent {
-		to = t.news.urgent
+		to = t.rumors.urgent
 	}
 	to[s.node.address] = &rumor{
 		update: News{
--- a/internal/membership/table.go
+++ b/internal/membership/table.go
@@ -68,7 +68,7 @@
 	order []*state
 	// changed is set when the next view differs from the last one.
 	changed bool
-	news    rumorQueues
+	rumors  rumorQueues
 	// weight is this node's own.
 	weight uint32
 }
@@ -76,9 +76,9 @@
 // NewTable returns a table that knows only self.
 func NewTable(self Node) *Table {
 	return &Table{
-		self:  self,
-		nodes: map[string]*state{},
-		news:  newRumorQueues(),
+		self:   self,
+		nodes:  map[string]*state{},
+		rumors: newRumorQueues(),
 	}
 }
 
@@ -135,7 +135,7 @@
 // forget drops a node.
 func (t *Table) forget(address string) {
 	delete(t.nodes, address)
-	t.news.drop(address)
+	t.rumors.drop(address)
 	if at, ok := t.place(address); ok {
 		t.order = slices.Delete(t.order, at, at+1)
 	}
@@ -183,7 +183,7 @@
 	}
 	s.weight = weight
 	t.changed = true
-	t.news.setWeight(address, weight)
+	t.rumors.setWeight(address, weight)
 }
 
 // DefaultWeight is the weight of this node if it states none.
