--- a/internal/membership/news.go
+++ b/internal/membership/news.go
@@ -49,7 +49,7 @@
 		t.changed = t.changed || s.dead || leaving && !s.leaving
 		s.incarnation = incarnation
 		s.leaving = s.leaving || leaving
-		t.spread(s, OpinionAlive, refuted || s.leaving)
+		t.enqueue(s, OpinionAlive, refuted || s.leaving)
 	}
 	s.dead = false
 	s.suspected = time.Time{}
@@ -63,7 +63,7 @@
 		return
 	}
 	s.suspected = now
-	t.spread(s, OpinionSuspect, true)
+	t.enqueue(s, OpinionSuspect, true)
 }
 
 // Take takes the news of a peer. It returns true when the news is about this node
@@ -104,7 +104,7 @@
 func (t *Table) bury(s *state) {
 	s.dead = true
 	t.changed = true
-	t.spread(s, OpinionDead, true)
+	t.enqueue(s, OpinionDead, true)
 }
 
 // Advance takes nodes for dead whose time to refute a suspicion is over. It
--- a/internal/membership/rumor.go
+++ b/internal/membership/rumor.go
@@ -75,8 +75,8 @@
 	}
 }
 
-// spread begins to pass on what this node believes of s.
-func (t *Table) spread(s *state, o Opinion, urgent bool) {
+// enqueue begins to pass on what this node believes of s.
+func (t *Table) enqueue(s *state, o Opinion, urgent bool) {
 	t.rumors.drop(s.node.address)
 	to := t.rumors.joins
 	if urgent {
--- a/internal/membership/table.go
+++ b/internal/membership/table.go
@@ -153,7 +153,7 @@
 	if incarnation < s.incarnation {
 		// The process started anew while its clock was behind: it is told, so that
 		// it takes a greater one.
-		t.spread(s, OpinionAlive, true)
+		t.enqueue(s, OpinionAlive, true)
 		return
 	}
 	before := s.leaving
