--- a/internal/membership/news.go
+++ b/internal/membership/news.go
@@ -93,7 +93,7 @@
 	case s.dead:
 	case n.Opinion == OpinionDead:
 		s.incarnation = n.Incarnation
-		t.bury(s)
+		t.declareDead(s)
 	case s.suspected.IsZero():
 		s.incarnation = n.Incarnation
 		t.Suspect(now, n.Node.address)
@@ -101,7 +101,7 @@
 	return false
 }
 
-func (t *Table) bury(s *state) {
+func (t *Table) declareDead(s *state) {
 	s.dead = true
 	t.changed = true
 	t.enqueue(s, OpinionDead, true)
@@ -113,7 +113,7 @@
 	var out []Node
 	for _, s := range t.nodes {
 		if !s.dead && !s.suspected.IsZero() && now.Sub(s.suspected) >= RefuteTime {
-			t.bury(s)
+			t.declareDead(s)
 			out = append(out, s.node)
 		}
 	}
