--- a/internal/membership/news.go
+++ b/internal/membership/news.go
@@ -42,8 +42,8 @@
 	joinFactor = 2
 )
 
-// alive notes that a node lives, in the given incarnation.
-func (t *Table) alive(s *state, incarnation uint64, leaving bool) {
+// recordAlive notes that a node lives, in the given incarnation.
+func (t *Table) recordAlive(s *state, incarnation uint64, leaving bool) {
 	refuted := s.dead || !s.suspected.IsZero()
 	if refuted || s.heard.IsZero() || incarnation > s.incarnation || leaving != s.leaving {
 		t.changed = t.changed || s.dead || leaving && !s.leaving
@@ -87,7 +87,7 @@
 				t.changed = t.changed || s.leaving
 				s.leaving = false
 			}
-			t.alive(s, n.Incarnation, n.Leaving)
+			t.recordAlive(s, n.Incarnation, n.Leaving)
 			s.heard = now
 		}
 	case s.dead:
--- a/internal/membership/table.go
+++ b/internal/membership/table.go
@@ -160,7 +160,7 @@
 	if incarnation > s.incarnation {
 		s.leaving = false
 	}
-	t.alive(s, incarnation, leaving)
+	t.recordAlive(s, incarnation, leaving)
 	s.incarnation = incarnation
 	s.leaving = s.leaving || leaving
 	t.changed = t.changed || s.leaving != before || !s.suspectTill.IsZero()
