--- a/internal/membership/table.go
+++ b/internal/membership/table.go
@@ -114,7 +114,7 @@
 			node: n,
 		}
 		t.nodes[n.address] = s
-		at, _ := t.place(n.address)
+		at, _ := t.search(n.address)
 		t.order = slices.Insert(t.order, at, s)
 		t.changed = true
 	}
@@ -125,8 +125,8 @@
 	return s
 }
 
-// place returns where a node stands, or would stand, in the order.
-func (t *Table) place(address string) (int, bool) {
+// search returns where a node stands, or would stand, in the order.
+func (t *Table) search(address string) (int, bool) {
 	return slices.BinarySearchFunc(t.order, address, func(s *state, a string) int {
 		return strings.Compare(s.node.address, a)
 	})
@@ -136,7 +136,7 @@
 func (t *Table) forget(address string) {
 	delete(t.nodes, address)
 	t.rumors.drop(address)
-	if at, ok := t.place(address); ok {
+	if at, ok := t.search(address); ok {
 		t.order = slices.Delete(t.order, at, at+1)
 	}
 	t.changed = true
--- a/internal/membership/view.go
+++ b/internal/membership/view.go
@@ -51,7 +51,7 @@
 		live:    make([]Node, 0, len(t.order)+1),
 		weights: make([]uint32, 0, len(t.order)+1),
 	}
-	own, _ := t.place(t.self.address)
+	own, _ := t.search(t.self.address)
 	for _, s := range t.order[:own] {
 		v.add(now, s)
 	}
