--- a/internal/membership/news.go
+++ b/internal/membership/news.go
@@ -45,7 +45,7 @@
 // recordAlive notes that a node lives, in the given incarnation.
 func (t *Table) recordAlive(s *state, incarnation uint64, leaving bool) {
 	refuted := s.dead || !s.suspected.IsZero()
-	if refuted || s.heard.IsZero() || incarnation > s.incarnation || leaving != s.leaving {
+	if refuted || s.lastReceived.IsZero() || incarnation > s.incarnation || leaving != s.leaving {
 		t.changed = t.changed || s.dead || leaving && !s.leaving
 		s.incarnation = incarnation
 		s.leaving = s.leaving || leaving
@@ -88,7 +88,7 @@
 				s.leaving = false
 			}
 			t.recordAlive(s, n.Incarnation, n.Leaving)
-			s.heard = now
+			s.lastReceived = now
 		}
 	case s.dead:
 	case n.Opinion == OpinionDead:
--- a/internal/membership/table.go
+++ b/internal/membership/table.go
@@ -44,13 +44,13 @@
 
 // state is what the table holds of one node.
 type state struct {
-	node        Node
-	listed      bool
-	leaving     bool
-	incarnation uint64
-	heard       time.Time
-	failures    int
-	suspectTill time.Time
+	node         Node
+	listed       bool
+	leaving      bool
+	incarnation  uint64
+	lastReceived time.Time
+	failures     int
+	suspectTill  time.Time
 	// suspected is when a probe or a peer raised a suspicion, dead is set when
 	// nobody refuted it.
 	suspected time.Time
@@ -164,7 +164,7 @@
 	s.incarnation = incarnation
 	s.leaving = s.leaving || leaving
 	t.changed = t.changed || s.leaving != before || !s.suspectTill.IsZero()
-	s.heard = now
+	s.lastReceived = now
 	s.failures = 0
 	s.suspectTill = time.Time{}
 }
@@ -194,7 +194,7 @@
 	if n.address == t.self.address || n.address == "" || t.nodes[n.address] != nil {
 		return
 	}
-	t.find(n).heard = now
+	t.find(n).lastReceived = now
 }
 
 // Failed notes a call to a node that got no answer.
@@ -208,7 +208,7 @@
 		s.suspectTill = now.Add(SuspectTime)
 		t.changed = true
 	}
-	if !s.listed && now.Sub(s.heard) > ForgetTime {
+	if !s.listed && now.Sub(s.lastReceived) > ForgetTime {
 		t.forget(address)
 	}
 }
