--- a/internal/membership/news.go
+++ b/internal/membership/news.go
@@ -45,11 +45,11 @@
 // recordAlive notes that a node lives, in the given incarnation.
 func (t *Table) recordAlive(s *state, incarnation uint64, leaving bool) {
 	refuted := s.dead || !s.suspected.IsZero()
-	if refuted || s.lastReceived.IsZero() || incarnation > s.incarnation || leaving != s.leaving {
-		t.changed = t.changed || s.dead || leaving && !s.leaving
+	if refuted || s.lastReceived.IsZero() || incarnation > s.incarnation || leaving != s.draining {
+		t.changed = t.changed || s.dead || leaving && !s.draining
 		s.incarnation = incarnation
-		s.leaving = s.leaving || leaving
-		t.enqueue(s, OpinionAlive, refuted || s.leaving)
+		s.draining = s.draining || leaving
+		t.enqueue(s, OpinionAlive, refuted || s.draining)
 	}
 	s.dead = false
 	s.suspected = time.Time{}
@@ -82,10 +82,10 @@
 	switch {
 	case n.Incarnation < s.incarnation:
 	case n.Opinion == OpinionAlive:
-		if !known || n.Incarnation > s.incarnation || n.Leaving && !s.leaving {
+		if !known || n.Incarnation > s.incarnation || n.Leaving && !s.draining {
 			if n.Incarnation > s.incarnation {
-				t.changed = t.changed || s.leaving
-				s.leaving = false
+				t.changed = t.changed || s.draining
+				s.draining = false
 			}
 			t.recordAlive(s, n.Incarnation, n.Leaving)
 			s.lastReceived = now
@@ -146,7 +146,7 @@
 func (t *Table) Dead() []Node {
 	var out []Node
 	for _, s := range t.nodes {
-		if s.dead && !s.leaving {
+		if s.dead && !s.draining {
 			out = append(out, s.node)
 		}
 	}
--- a/internal/membership/rumor.go
+++ b/internal/membership/rumor.go
@@ -86,7 +86,7 @@
 		update: News{
 			Node:        s.node,
 			Incarnation: s.incarnation,
-			Leaving:     s.leaving,
+			Leaving:     s.draining,
 			Opinion:     o,
 			Weight:      s.weight,
 		},
--- a/internal/membership/table.go
+++ b/internal/membership/table.go
@@ -46,7 +46,7 @@
 type state struct {
 	node         Node
 	listed       bool
-	leaving      bool
+	draining     bool
 	incarnation  uint64
 	lastReceived time.Time
 	failures     int
@@ -103,7 +103,7 @@
 	for _, n := range leaving {
 		s := t.find(n)
 		s.listed = true
-		s.leaving = true
+		s.draining = true
 	}
 }
 
@@ -156,14 +156,14 @@
 		t.enqueue(s, OpinionAlive, true)
 		return
 	}
-	before := s.leaving
+	before := s.draining
 	if incarnation > s.incarnation {
-		s.leaving = false
+		s.draining = false
 	}
 	t.recordAlive(s, incarnation, leaving)
 	s.incarnation = incarnation
-	s.leaving = s.leaving || leaving
-	t.changed = t.changed || s.leaving != before || !s.suspectTill.IsZero()
+	s.draining = s.draining || leaving
+	t.changed = t.changed || s.draining != before || !s.suspectTill.IsZero()
 	s.lastReceived = now
 	s.failures = 0
 	s.suspectTill = time.Time{}
--- a/internal/membership/view.go
+++ b/internal/membership/view.go
@@ -64,7 +64,7 @@
 }
 
 func (v *View) add(now time.Time, s *state) {
-	if s.leaving || s.node.address == v.self.address {
+	if s.draining || s.node.address == v.self.address {
 		return
 	}
 	v.peers = append(v.peers, s.node)
