--- a/internal/membership/table.go
+++ b/internal/membership/table.go
@@ -50,7 +50,7 @@
 	incarnation  uint64
 	lastReceived time.Time
 	failures     int
-	suspectTill  time.Time
+	noRoleUntil  time.Time
 	// suspected is when a probe or a peer raised a suspicion, dead is set when
 	// nobody refuted it.
 	suspected time.Time
@@ -163,10 +163,10 @@
 	t.recordAlive(s, incarnation, leaving)
 	s.incarnation = incarnation
 	s.draining = s.draining || leaving
-	t.changed = t.changed || s.draining != before || !s.suspectTill.IsZero()
+	t.changed = t.changed || s.draining != before || !s.noRoleUntil.IsZero()
 	s.lastReceived = now
 	s.failures = 0
-	s.suspectTill = time.Time{}
+	s.noRoleUntil = time.Time{}
 }
 
 // Weigh notes how much of the roles a node, or this one, can carry; 0 says
@@ -205,7 +205,7 @@
 	}
 	s.failures++
 	if s.failures >= suspectAfter {
-		s.suspectTill = now.Add(SuspectTime)
+		s.noRoleUntil = now.Add(SuspectTime)
 		t.changed = true
 	}
 	if !s.listed && now.Sub(s.lastReceived) > ForgetTime {
--- a/internal/membership/view.go
+++ b/internal/membership/view.go
@@ -68,7 +68,7 @@
 		return
 	}
 	v.peers = append(v.peers, s.node)
-	if !now.Before(s.suspectTill) && !s.dead {
+	if !now.Before(s.noRoleUntil) && !s.dead {
 		v.live = append(v.live, s.node)
 		v.weights = append(v.weights, s.weight)
 	}
