--- a/internal/membership/table.go
+++ b/internal/membership/table.go
@@ -18,8 +18,8 @@
 	SuspectTime = 10 * time.Second
 	// ForgetTime is after how long an unlisted node that nobody hears is dropped.
 	ForgetTime = time.Minute
-	// suspectAfter is how many calls must fail one after another.
-	suspectAfter = 2
+	// maxFailures is how many calls must fail one after another.
+	maxFailures = 2
 )
 
 // Node is one process of the fleet.
@@ -204,7 +204,7 @@
 		return
 	}
 	s.failures++
-	if s.failures >= suspectAfter {
+	if s.failures >= maxFailures {
 		s.noRoleUntil = now.Add(SuspectTime)
 		t.changed = true
 	}
