--- a/internal/membership/news.go
+++ b/internal/membership/news.go
@@ -34,9 +34,9 @@
 	// RefuteTime is how long a suspected node has to refute a suspicion: some
 	// ticks of the probes, so that news reaches it and its word comes back.
 	RefuteTime = 500 * time.Millisecond
-	// tellFactor is how often urgent news is passed on, in times the logarithm of the
+	// urgentFactor is how often urgent news is passed on, in times the logarithm of the
 	// number of nodes (Das, Gupta and Motivala, "SWIM", DSN 2002).
-	tellFactor = 3
+	urgentFactor = 3
 	// joinFactor is the same for news of nodes that live. Comparisons name nodes too,
 	// so that a node which misses such news hears of the other all the same.
 	joinFactor = 2
@@ -134,7 +134,7 @@
 // were suspected, died or leave, and only if joins is set of nodes that just live.
 func (t *Table) Tell(n int, joins bool) []News {
 	scale := bits.Len(uint(len(t.nodes) + 1))
-	out := t.rumors.urgent.next(nil, n, tellFactor*scale)
+	out := t.rumors.urgent.next(nil, n, urgentFactor*scale)
 	if joins {
 		out = t.rumors.joins.next(out, n, joinFactor*scale)
 	}
