--- a/internal/membership/view.go
+++ b/internal/membership/view.go
@@ -178,9 +178,9 @@
 	return cmp.Or(v.weights[i], v.weight, DefaultWeight)
 }
 
-// weakPart is the part of the strongest node's weight below which a node gets no
+// minWeightDivisor is the part of the strongest node's weight below which a node gets no
 // role: what it costs would show in the requests that it serves itself.
-const weakPart = 2
+const minWeightDivisor = 2
 
 // strong returns the least weight that gets roles.
 func (v *View) strong(dataHall string) uint32 {
@@ -190,7 +190,7 @@
 			most = max(most, v.weightAt(i))
 		}
 	}
-	return most / weakPart
+	return most / minWeightDivisor
 }
 
 // Capable returns the live nodes that are strong enough for roles.
