--- a/internal/membership/view.go
+++ b/internal/membership/view.go
@@ -142,7 +142,7 @@
 		rank float64
 	}
 	var all []ranked
-	least := v.strong(dataHall)
+	least := v.minRoleWeight(dataHall)
 	for i, node := range v.live {
 		if w := v.weightAt(i); (dataHall == "" || node.dataHall == dataHall) && w >= least {
 			all = append(all, ranked{
@@ -182,8 +182,8 @@
 // role: what it costs would show in the requests that it serves itself.
 const minWeightDivisor = 2
 
-// strong returns the least weight that gets roles.
-func (v *View) strong(dataHall string) uint32 {
+// minRoleWeight returns the least weight that gets roles.
+func (v *View) minRoleWeight(dataHall string) uint32 {
 	most := uint32(0)
 	for i, node := range v.live {
 		if dataHall == "" || node.dataHall == dataHall {
@@ -196,7 +196,7 @@
 // Capable returns the live nodes that are strong enough for roles.
 func (v *View) Capable() []Node {
 	var out []Node
-	least := v.strong("")
+	least := v.minRoleWeight("")
 	for i, node := range v.live {
 		if v.weightAt(i) >= least {
 			out = append(out, node)
