--- a/internal/source/directory.go
+++ b/internal/source/directory.go
@@ -41,9 +41,9 @@
 	files, err := os.ReadDir(d.path)
 	if err != nil {
 		return nil, &Error{
-			kind:  KindDirectory,
-			place: d.path,
-			cause: err,
+			kind:     KindDirectory,
+			location: d.path,
+			cause:    err,
 		}
 	}
 	var out []*wire.Entry
@@ -101,9 +101,9 @@
 
 func fileError(file string, err error) *Error {
 	return &Error{
-		kind:  KindFile,
-		place: file,
-		cause: err,
+		kind:     KindFile,
+		location: file,
+		cause:    err,
 	}
 }
 
--- a/internal/source/error.go
+++ b/internal/source/error.go
@@ -20,15 +20,15 @@
 
 // Error is a failure of a source.
 type Error struct {
-	kind  Kind
-	place string
-	cause error
-	code  int
+	kind     Kind
+	location string
+	cause    error
+	code     int
 }
 
 // Error names the place and the failure.
 func (e *Error) Error() string {
-	s := fmt.Sprintf("source: %s: %s", e.place, e.kind)
+	s := fmt.Sprintf("source: %s: %s", e.location, e.kind)
 	if e.code != 0 {
 		s += fmt.Sprintf(": status %d", e.code)
 	}
--- a/internal/source/platform.go
+++ b/internal/source/platform.go
@@ -165,8 +165,8 @@
 
 func (p *Platform) fault(kind Kind, cause error) *Error {
 	return &Error{
-		kind:  kind,
-		place: p.base,
-		cause: cause,
+		kind:     kind,
+		location: p.base,
+		cause:    cause,
 	}
 }
