--- a/internal/source/directory.go
+++ b/internal/source/directory.go
@@ -23,15 +23,15 @@
 // key. A file's revision is its time of change in nanoseconds, so that it grows
 // over restarts as well. It isn't safe for concurrent use.
 type Directory struct {
-	path  string
-	known map[string]*wire.Entry
+	path    string
+	entries map[string]*wire.Entry
 }
 
 // NewDirectory returns a source that reads the folder path.
 func NewDirectory(path string) *Directory {
 	return &Directory{
-		path:  path,
-		known: map[string]*wire.Entry{},
+		path:    path,
+		entries: map[string]*wire.Entry{},
 	}
 }
 
@@ -64,7 +64,7 @@
 	}
 	out = append(out, d.deleted(now, seen)...)
 	for _, e := range out {
-		d.known[e.GetKey()] = e
+		d.entries[e.GetKey()] = e
 	}
 	return out, nil
 }
@@ -77,7 +77,7 @@
 		return nil, fileError(file, err)
 	}
 	revision := uint64(info.ModTime().UnixNano())
-	old := d.known[key]
+	old := d.entries[key]
 	if old != nil && !old.GetDeleted() && old.GetRevision() == revision {
 		return nil, nil
 	}
@@ -109,7 +109,7 @@
 
 func (d *Directory) deleted(now time.Time, seen map[string]bool) []*wire.Entry {
 	var out []*wire.Entry
-	for key, old := range d.known {
+	for key, old := range d.entries {
 		if seen[key] || old.GetDeleted() {
 			continue
 		}
