--- a/internal/source/platform.go
+++ b/internal/source/platform.go
@@ -19,8 +19,8 @@
 
 // Times and sizes of calls to the platform.
 const (
-	// watchTime is how long a watch waits for a change.
-	watchTime = 25 * time.Second
+	// watchTimeout is how long a watch waits for a change.
+	watchTimeout = 25 * time.Second
 	// watchGrace is how much longer than that an answer may take.
 	watchGrace = 3 * time.Second
 	// readTime bounds a read of all values.
@@ -85,8 +85,8 @@
 	if p.position == (order.Position{}) {
 		return p.read(ctx, cfg, reasonFirst)
 	}
-	url := fmt.Sprintf("%s/v1/watch?era=%d&after=%d&wait=%s", p.base, p.position.Era(), p.position.Revision(), watchTime)
-	list, err := p.get(ctx, url, watchTime+watchGrace)
+	url := fmt.Sprintf("%s/v1/watch?era=%d&after=%d&wait=%s", p.base, p.position.Era(), p.position.Revision(), watchTimeout)
+	list, err := p.get(ctx, url, watchTimeout+watchGrace)
 	if err != nil {
 		return nil, err
 	}
