--- a/internal/source/platform.go
+++ b/internal/source/platform.go
@@ -23,8 +23,8 @@
 	watchTimeout = 25 * time.Second
 	// watchGrace is how much longer than that an answer may take.
 	watchGrace = 3 * time.Second
-	// readTime bounds a read of all values.
-	readTime = 10 * time.Second
+	// readTimeout bounds a read of all values.
+	readTimeout = 10 * time.Second
 	// roleInterval is how often a process that isn't a reader asks whether it is.
 	roleInterval = 500 * time.Millisecond
 	// Times between calls after failures.
@@ -103,7 +103,7 @@
 )
 
 func (p *Platform) read(ctx context.Context, cfg Config, reason string) ([]*wire.Entry, error) {
-	list, err := p.get(ctx, p.base+"/v1/values", readTime)
+	list, err := p.get(ctx, p.base+"/v1/values", readTimeout)
 	if err != nil {
 		return nil, err
 	}
