--- a/internal/source/platform.go
+++ b/internal/source/platform.go
@@ -29,7 +29,7 @@
 	roleInterval = 500 * time.Millisecond
 	// Times between calls after failures.
 	retryFirst = 250 * time.Millisecond
-	retryMost  = 15 * time.Second
+	retryMax   = 15 * time.Second
 	maxAnswer  = 512 << 20
 )
 
@@ -65,7 +65,7 @@
 	return Follow(ctx, cfg, Intervals{
 		Role:       roleInterval,
 		RetryFirst: retryFirst,
-		RetryMost:  retryMost,
+		RetryMost:  retryMax,
 	}, func(ctx context.Context) error {
 		entries, err := p.next(ctx, cfg)
 		if err != nil {
