--- a/internal/source/platform.go
+++ b/internal/source/platform.go
@@ -28,9 +28,9 @@
 	// roleInterval is how often a process that isn't a reader asks whether it is.
 	roleInterval = 500 * time.Millisecond
 	// Times between calls after failures.
-	retryFirst = 250 * time.Millisecond
-	retryMax   = 15 * time.Second
-	maxAnswer  = 512 << 20
+	retryFirst     = 250 * time.Millisecond
+	retryMax       = 15 * time.Second
+	maxAnswerBytes = 512 << 20
 )
 
 // Platform reads values from the platform's configuration service: GET
@@ -150,7 +150,7 @@
 		e.code = res.StatusCode
 		return nil, e
 	}
-	body, err := io.ReadAll(io.LimitReader(res.Body, maxAnswer))
+	body, err := io.ReadAll(io.LimitReader(res.Body, maxAnswerBytes))
 	if err != nil {
 		return nil, p.fault(KindAnswer, err)
 	}
