--- a/internal/source/platform.go
+++ b/internal/source/platform.go
@@ -93,7 +93,7 @@
 	if list.GetEra() > p.position.Era() {
 		return p.read(ctx, cfg, reasonRestored)
 	}
-	return p.take(list), nil
+	return p.convert(list), nil
 }
 
 // Reasons to read all values.
@@ -108,7 +108,7 @@
 		return nil, err
 	}
 	before := p.position
-	out := p.take(list)
+	out := p.convert(list)
 	cfg.Reread(Reread{
 		Reason: reason,
 		Before: before,
@@ -117,8 +117,8 @@
 	return out, nil
 }
 
-// take returns the values of an answer and notes up to where it goes.
-func (p *Platform) take(list *wire.ValueList) []*wire.Entry {
+// convert returns the values of an answer and notes up to where it goes.
+func (p *Platform) convert(list *wire.ValueList) []*wire.Entry {
 	p.position = order.Max(p.position, fleetconfig.PositionOf(list))
 	out := make([]*wire.Entry, 0, len(list.GetValues()))
 	for _, v := range list.GetValues() {
