--- a/internal/source/platform.go
+++ b/internal/source/platform.go
@@ -83,7 +83,7 @@
 // all is read again at once: a watch leaves out what was changed before its revision.
 func (p *Platform) next(ctx context.Context, cfg Config) ([]*wire.Entry, error) {
 	if p.position == (order.Position{}) {
-		return p.read(ctx, cfg, reasonFirst)
+		return p.readAll(ctx, cfg, reasonFirst)
 	}
 	url := fmt.Sprintf("%s/v1/watch?era=%d&after=%d&wait=%s", p.base, p.position.Era(), p.position.Revision(), watchTimeout)
 	list, err := p.get(ctx, url, watchTimeout+watchGrace)
@@ -91,7 +91,7 @@
 		return nil, err
 	}
 	if list.GetEra() > p.position.Era() {
-		return p.read(ctx, cfg, reasonRestored)
+		return p.readAll(ctx, cfg, reasonRestored)
 	}
 	return p.convert(list), nil
 }
@@ -102,7 +102,7 @@
 	reasonRestored = "platform was restored"
 )
 
-func (p *Platform) read(ctx context.Context, cfg Config, reason string) ([]*wire.Entry, error) {
+func (p *Platform) readAll(ctx context.Context, cfg Config, reason string) ([]*wire.Entry, error) {
 	list, err := p.get(ctx, p.base+"/v1/values", readTimeout)
 	if err != nil {
 		return nil, err
