--- a/internal/dissemination/replica.go
+++ b/internal/dissemination/replica.go
@@ -281,12 +281,12 @@
 
 // claimRequest reports whether a peer should be asked for a value, and notes that it was.
 func (r *Replica) claimRequest(now time.Time, kr *wire.KeyRevision) bool {
-	q, mark := r.requested[kr.GetKey()], fleetconfig.MarkOf(kr)
-	if q.version.Covers(mark) && now.Sub(q.at) < rerequestAfter {
+	q, version := r.requested[kr.GetKey()], fleetconfig.MarkOf(kr)
+	if q.version.Covers(version) && now.Sub(q.at) < rerequestAfter {
 		return false
 	}
 	r.requested[kr.GetKey()] = valueRequest{
-		version: mark,
+		version: version,
 		at:      now,
 	}
 	return true
