--- a/internal/fleetconfig/mark.go
+++ b/internal/fleetconfig/mark.go
@@ -39,11 +39,11 @@
 	if w := m.GetWritten(); w != nil {
 		written = PositionOf(w)
 	}
-	mark := order.MarkOf(position, order.StampOf(m.GetStamp().GetIncarnation(), m.GetStamp().GetSequence()), written)
+	version := order.MarkOf(position, order.StampOf(m.GetStamp().GetIncarnation(), m.GetStamp().GetSequence()), written)
 	if m.GetGone() {
-		mark = mark.Remove()
+		version = version.Remove()
 	}
-	return mark
+	return version
 }
 
 // SetMark writes a mark into an entry.
