--- a/internal/fleetconfig/mark.go
+++ b/internal/fleetconfig/mark.go
@@ -103,11 +103,11 @@
 		Key:     key,
 		Deleted: true,
 	}
-	mark := order.MarkOf(position, stamp, position)
+	version := order.MarkOf(position, stamp, position)
 	if stamp != (order.Stamp{}) {
-		mark = mark.Remove()
+		version = version.Remove()
 	}
-	SetMark(e, mark)
+	SetMark(e, version)
 	return e
 }
 
