--- a/internal/fleetconfig/history.go
+++ b/internal/fleetconfig/history.go
@@ -55,27 +55,27 @@
 // order of positions, until they take most bytes. upTo is up to where nothing is left out; more is set
 // where it isn't the last position.
 func (s *Store) After(p order.Position, most int) (out []*wire.Entry, upTo order.Position, more bool) {
-	places := s.history.changes
-	from, _ := slices.BinarySearchFunc(places, p, func(at change, p order.Position) int {
+	changes := s.history.changes
+	from, _ := slices.BinarySearchFunc(changes, p, func(at change, p order.Position) int {
 		if at.position.Compare(p) <= 0 {
 			return -1
 		}
 		return 1
 	})
 	size := 0
-	for i := from; i < len(places); i++ {
-		if !s.isLatest(places[i]) || i > 0 && places[i-1] == places[i] {
+	for i := from; i < len(changes); i++ {
+		if !s.isLatest(changes[i]) || i > 0 && changes[i-1] == changes[i] {
 			continue
 		}
-		entries := s.Entries(places[i].key)
+		entries := s.Entries(changes[i].key)
 		for _, e := range entries {
 			size += len(e.GetKey()) + len(e.GetValue())
 		}
-		if size > most && len(out) > 0 && places[i].position != upTo {
+		if size > most && len(out) > 0 && changes[i].position != upTo {
 			return out, upTo, true
 		}
 		out = append(out, entries...)
-		upTo = places[i].position
+		upTo = changes[i].position
 	}
 	return out, upTo, false
 }
