--- a/internal/fleetconfig/link.go
+++ b/internal/fleetconfig/link.go
@@ -27,20 +27,20 @@
 	c := *s.base
 	c.position = s.config.position
 	c.services = make(map[string]*Service, len(s.base.services))
-	var anew []string
+	var rebuilt []string
 	for name, svc := range s.base.services {
 		out := *svc
 		old := s.config.services[name]
 		if old != nil && old.connections == svc.connections && old.documentTargets+svc.documentTargets == 0 && !slices.Contains(changed, name) {
 			out.targets, out.keyed, out.halls, out.slots = old.targets, old.keyed, old.halls, old.slots
 		} else {
-			anew = append(anew, name)
+			rebuilt = append(rebuilt, name)
 		}
 		c.services[name] = &out
 	}
 	s.config = &c
-	if len(anew) > 0 {
-		s.attachTo(anew)
+	if len(rebuilt) > 0 {
+		s.attachTo(rebuilt)
 	}
 }
 
