--- a/internal/fleetconfig/route.go
+++ b/internal/fleetconfig/route.go
@@ -94,7 +94,7 @@
 // pickMethod returns the route for a method, or whether there is one for the path
 // at least; longer reports whether the path goes on behind the prefix.
 func pickMethod(routes []*Route, method string, longer bool) (*Route, Match) {
-	var open *Route
+	var anyMethod *Route
 	match := MatchNone
 	for _, r := range routes {
 		if r.below && !longer {
@@ -102,10 +102,10 @@
 		}
 		match = MatchPath
 		if len(r.methods) == 0 {
-			open = r
+			anyMethod = r
 		} else if slices.Contains(r.methods, method) {
 			return r, MatchRoute
 		}
 	}
-	return open, match
+	return anyMethod, match
 }
