--- a/internal/fleetconfig/store.go
+++ b/internal/fleetconfig/store.go
@@ -59,9 +59,9 @@
 	var fresh []*wire.Entry
 	changed := false
 	for _, e := range entries {
-		news, change := s.merge(e)
-		if news != nil {
-			fresh = append(fresh, news)
+		update, change := s.merge(e)
+		if update != nil {
+			fresh = append(fresh, update)
 		}
 		changed = changed || change
 	}
