--- a/internal/dissemination/buckets.go
+++ b/internal/dissemination/buckets.go
@@ -33,16 +33,16 @@
 func (r *Replica) otherRevisions(parts []uint32, theirs []*wire.KeyRevision) []*wire.KeyRevision {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	known := versions(theirs)
+	theirVersions := versions(theirs)
 	var out []*wire.KeyRevision
 	for _, kr := range r.store.In(parts) {
-		if known[kr.GetKey()] != fleetconfig.MarkOf(kr) {
+		if theirVersions[kr.GetKey()] != fleetconfig.MarkOf(kr) {
 			out = append(out, kr)
 		}
-		delete(known, kr.GetKey())
+		delete(theirVersions, kr.GetKey())
 	}
 	for _, kr := range theirs {
-		if _, unknown := known[kr.GetKey()]; unknown {
+		if _, unknown := theirVersions[kr.GetKey()]; unknown {
 			out = append(out, &wire.KeyRevision{
 				Key: kr.GetKey(),
 			})
