--- a/internal/dissemination/gossip.go
+++ b/internal/dissemination/gossip.go
@@ -249,31 +249,31 @@
 // Run pushes new values and compares at each tick until the context ends. No
 // conversation waits for another: a peer that hangs must not delay the rest.
 func (g *Gossip) Run(ctx context.Context) error {
-	var talks task.Group
+	var exchanges task.Group
 	next := time.NewTimer(0)
 	defer next.Stop()
 	var asked time.Time
 	for {
 		select {
 		case <-ctx.Done():
-			return talks.Wait()
+			return exchanges.Wait()
 		case l := <-g.fresh:
-			g.push(ctx, &talks, l)
+			g.push(ctx, &exchanges, l)
 		case peer := <-g.differs:
 			if time.Since(asked) >= minDifferInterval {
 				asked = time.Now()
-				g.compare(ctx, &talks, []string{peer})
+				g.compare(ctx, &exchanges, []string{peer})
 			}
 		case <-g.compareSoon:
 			if time.Since(asked) >= minDifferInterval {
 				asked = time.Now()
-				g.compare(ctx, &talks, g.choosePeers(compareTries))
+				g.compare(ctx, &exchanges, g.choosePeers(compareTries))
 			}
 		case <-next.C:
-			g.compare(ctx, &talks, g.choosePeers(compareTries))
+			g.compare(ctx, &exchanges, g.choosePeers(compareTries))
 			next.Reset(Interval/2 + rand.N(Interval))
 		}
-		if err := talks.Reap(); err != nil {
+		if err := exchanges.Reap(); err != nil {
 			return err
 		}
 	}
