--- a/internal/dissemination/talk.go
+++ b/internal/dissemination/talk.go
@@ -13,7 +13,7 @@
 
 // push tells a few random peers of new values: of few by themselves, of many, or those that this
 // node asked for itself, that there are some.
-func (g *Gossip) push(ctx context.Context, talks *task.Group, l update) {
+func (g *Gossip) push(ctx context.Context, exchanges *task.Group, l update) {
 	req := g.request()
 	whole := !g.pullsByPosition() || !l.pulled && sizeOf(l.entries) <= maxPushedBytes
 	if whole {
@@ -27,7 +27,7 @@
 		near = nil
 	}
 	for _, peer := range append(near, far...) {
-		talks.Go(ctx, "push", func(ctx context.Context) error {
+		exchanges.Go(ctx, "push", func(ctx context.Context) error {
 			g.exchange(ctx, peer, req, false)
 			return nil
 		})
