--- a/internal/dissemination/talk.go
+++ b/internal/dissemination/talk.go
@@ -58,11 +58,11 @@
 
 // compare exchanges digests with the first of some peers, and with the next one
 // when it doesn't answer soon.
-func (g *Gossip) compare(ctx context.Context, talks *task.Group, peers []string) {
-	if talks.Len() > maxExchanges {
+func (g *Gossip) compare(ctx context.Context, exchanges *task.Group, peers []string) {
+	if exchanges.Len() > maxExchanges {
 		return
 	}
-	talks.Go(ctx, "compare", func(ctx context.Context) error {
+	exchanges.Go(ctx, "compare", func(ctx context.Context) error {
 		var tries task.Group
 		patience := time.NewTicker(compareMaxWait)
 		defer patience.Stop()
