--- a/internal/dissemination/talk.go
+++ b/internal/dissemination/talk.go
@@ -64,8 +64,8 @@
 	}
 	exchanges.Go(ctx, "compare", func(ctx context.Context) error {
 		var tries task.Group
-		patience := time.NewTicker(compareMaxWait)
-		defer patience.Stop()
+		ticker := time.NewTicker(compareMaxWait)
+		defer ticker.Stop()
 		for _, peer := range peers {
 			answered := make(chan struct{})
 			tries.Go(ctx, "compare with one", func(ctx context.Context) error {
@@ -79,7 +79,7 @@
 			select {
 			case <-answered:
 				return tries.Wait()
-			case <-patience.C:
+			case <-ticker.C:
 			}
 		}
 		return tries.Wait()
