--- a/internal/dissemination/peers.go
+++ b/internal/dissemination/peers.go
@@ -80,12 +80,12 @@
 	from := g.cfg.View().Peers()
 	if g.cfg.Near {
 		near, far := g.cfg.View().Halls()
-		begins := g.Compared() < startCompares
-		if begins {
+		starting := g.Compared() < startCompares
+		if starting {
 			near, far = g.notCompared(near), g.notCompared(far)
 		}
 		from = far
-		if len(near) > 0 && (begins || rand.IntN(10) < ownHallTenths || rand.IntN(len(near)+len(far)) < len(near)) {
+		if len(near) > 0 && (starting || rand.IntN(10) < ownHallTenths || rand.IntN(len(near)+len(far)) < len(near)) {
 			from = near
 		}
 	}
