--- a/internal/fleetconfig/version.go
+++ b/internal/fleetconfig/version.go
@@ -7,85 +7,131 @@
 	"ploverjunction.example/ploverjunction/internal/wire"
 )
 
-// parsedValue is one value of a key together with what it parsed to: nothing, a target that
-// registers itself, or another document.
-type parsedValue struct {
-	entry        *wire.Entry
-	version      order.Mark
-	doc          *wire.Document
-	registration *registration
-	err          error
+// positioned is a message that carries a position.
+type positioned interface {
+	GetEra() uint64
+	GetRevision() uint64
 }
 
-// after reports whether v replaces w: by their writer's order where both are values, else
-// by the store's.
-func (v *parsedValue) after(w *parsedValue) bool {
-	if w == nil {
-		return true
+// PositionOf returns the position that a message carries.
+func PositionOf(m positioned) order.Position { return order.At(m.GetEra(), m.GetRevision()) }
+
+// WirePosition returns a position as messages carry it.
+func WirePosition(p order.Position) *wire.Position {
+	return &wire.Position{
+		Era:      p.Era(),
+		Revision: p.Revision(),
 	}
-	if Removed(v.entry) || Removed(w.entry) {
-		return v.version.Position().Compare(w.version.Position()) > 0
+}
+
+// versioned is a message that carries a mark.
+type versioned interface {
+	positioned
+	GetStamp() *wire.Stamp
+	GetWritten() *wire.Position
+	GetGone() bool
+}
+
+// MarkOf returns the mark that an Entry or a KeyRevision carries.
+func MarkOf(m versioned) order.Mark {
+	position := PositionOf(m)
+	written := position
+	if w := m.GetWritten(); w != nil {
+		written = PositionOf(w)
 	}
-	return v.version.CompareValues(w.version) > 0
+	version := order.MarkOf(position, order.StampOf(m.GetStamp().GetIncarnation(), m.GetStamp().GetSequence()), written)
+	if m.GetGone() {
+		version = version.Remove()
+	}
+	return version
 }
 
-// sameValue reports whether the entry says the same as v of the key, at another position.
-func (v *parsedValue) sameValue(e *wire.Entry) bool {
-	return v.entry.GetDeleted() == e.GetDeleted() && v.version.CompareValues(MarkOf(e)) == 0
+// SetMark writes a mark into an entry.
+func SetMark(e *wire.Entry, m order.Mark) {
+	e.Era, e.Revision = m.Position().Era(), m.Position().Revision()
+	e.Stamp, e.Written, e.Gone = stampOf(m), writtenOf(m), m.Gone()
 }
 
-// record is all that the store holds of one key. The newest version may be
-// refused; the one in force is then older. fallback is the greatest version
-// between the two: a process that starts anew learns from its peers, in any
-// order, the one that they have in force and the one that they refuse.
-type record struct {
-	newest   *parsedValue
-	inForce  *parsedValue
-	fallback *parsedValue
-	// refusal says why the newest version is not in force, nil if it is.
-	refusal error
+// KeyRevision returns a key with a mark.
+func KeyRevision(key string, m order.Mark) *wire.KeyRevision {
+	return &wire.KeyRevision{
+		Key:      key,
+		Era:      m.Position().Era(),
+		Revision: m.Position().Revision(),
+		Stamp:    stampOf(m),
+		Written:  writtenOf(m),
+		Gone:     m.Gone(),
+	}
 }
 
-// setFallback notes a version that isn't the newest.
-func (r *record) setFallback(v *parsedValue) bool {
-	if v.err != nil || !r.newest.after(v) || !v.after(r.inForce) || !v.after(r.fallback) {
-		return false
+func stampOf(m order.Mark) *wire.Stamp {
+	if m.Stamp() == (order.Stamp{}) {
+		return nil
+	}
+	return &wire.Stamp{
+		Incarnation: m.Stamp().Incarnation(),
+		Sequence:    m.Stamp().Sequence(),
 	}
-	r.fallback = v
-	return true
 }
 
-// candidates returns the versions that could replace the one in force, the best
-// first.
-func (r *record) candidates() []*parsedValue {
-	out := []*parsedValue{r.newest}
-	if r.fallback != nil && r.fallback.after(r.inForce) {
-		out = append(out, r.fallback)
+func writtenOf(m order.Mark) *wire.Position {
+	if m.Written() == m.Position() {
+		return nil
 	}
-	return out
+	return WirePosition(m.Written())
 }
 
-func parseValue(e *wire.Entry) *parsedValue {
-	v := &parsedValue{
-		entry:   e,
-		version: MarkOf(e),
+// Removed reports whether a key has no value.
+func Removed(e *wire.Entry) bool { return e.GetDeleted() || e.GetGone() }
+
+// Written returns the entry of a value that its writer wrote with a stamp and that the store holds
+// at a position.
+func Written(key string, value []byte, position order.Position, stamp order.Stamp) *wire.Entry {
+	e := &wire.Entry{
+		Key:   key,
+		Value: value,
 	}
-	if Removed(e) {
-		return v
+	SetMark(e, order.MarkOf(position, stamp, position))
+	return e
+}
+
+// Removal returns the entry that removes the value with a stamp at a position. A store that is
+// restored may have that value again: only a later one of the writer undoes the removal. Where
+// writers count nothing any value of a later position does.
+func Removal(key string, position order.Position, stamp order.Stamp) *wire.Entry {
+	e := &wire.Entry{
+		Key:     key,
+		Deleted: true,
 	}
-	v.doc, v.err = Parse(e.GetValue())
-	if v.err == nil && isRegistration(v.doc) {
-		v.registration, v.err = newRegistration(v.doc.GetTargets()[0])
-		v.doc = nil
+	version := order.MarkOf(position, stamp, position)
+	if stamp != (order.Stamp{}) {
+		version = version.Remove()
 	}
-	return v
+	SetMark(e, version)
+	return e
 }
 
-// isDocument reports whether the version must be valid together with the others.
-func (v *parsedValue) isDocument() bool { return v != nil && v.doc != nil }
-
-// hasDocument reports whether any version of the key that can be in force must be valid together with
-// those of other keys.
-func (r *record) hasDocument() bool {
-	return r.newest.isDocument() || r.inForce.isDocument() || r.fallback.isDocument()
+// join merges two entries of a key: the store's last position and its writer's last value. The
+// result doesn't depend on the order in which entries are joined.
+func join(a, b *wire.Entry) *wire.Entry {
+	ma, mb := MarkOf(a), MarkOf(b)
+	last := a
+	if ma.Position().Compare(mb.Position()) < 0 {
+		last = b
+	}
+	value := a
+	if ma.CompareValues(mb) < 0 {
+		value = b
+	}
+	ml, mv := MarkOf(last), MarkOf(value)
+	if ml.CompareValues(mv) == 0 {
+		return last
+	}
+	out := &wire.Entry{
+		Key:     a.GetKey(),
+		Value:   value.GetValue(),
+		Deleted: last.GetDeleted(),
+	}
+	SetMark(out, mv.At(ml.Position()))
+	return out
 }
