--- a/internal/fleetconfig/activate.go
+++ b/internal/fleetconfig/activate.go
@@ -11,7 +11,7 @@
 )
 
 // activate puts in force as many newest values as are valid. Documents must be valid together; a
-// target that registers itself needs its service only.
+// registration needs only its service.
 func (s *Store) activate() {
 	if pending := s.pending(true); pending != nil {
 		s.activateDocuments(pending, replaceableServices(s.inactive))
@@ -21,8 +21,8 @@
 }
 
 // activateDocuments puts in force as many newest documents as are valid together: all of them
-// at once where that works, else one after another in the order of revisions
-// until no more can be added. changed are services whose registrations it may replace.
+// at once if possible, else one after another in order of position until no more
+// can be added. changed are services whose registrations it may replace.
 func (s *Store) activateDocuments(pending []*record, changed []string) {
 	if s.tryAll(pending) {
 		pending = nil
@@ -42,7 +42,7 @@
 	s.attachRegistrations(changed)
 }
 
-// advance puts the best candidate of a key in force that is valid now.
+// advance puts the first valid candidate of a key in force and reports whether there was one.
 func (s *Store) advance(r *record) bool {
 	if r.newest == r.inForce {
 		return false
@@ -55,12 +55,12 @@
 	return false
 }
 
-// pending returns the records of documents, or else of registrations, that are not in force, in
-// the order of revisions.
-func (s *Store) pending(joint bool) []*record {
+// pending returns the records of documents, or else of registrations, that are not in force, by
+// position.
+func (s *Store) pending(documents bool) []*record {
 	var out []*record
 	for _, r := range s.inactive {
-		if r.hasDocument() == joint && r.newest != r.inForce {
+		if r.hasDocument() == documents && r.newest != r.inForce {
 			out = append(out, r)
 		}
 	}
@@ -68,7 +68,7 @@
 	return out
 }
 
-// tryAll puts the newest values of all keys in force if they are valid together.
+// tryAll puts the newest values of all pending records in force if they are valid together.
 func (s *Store) tryAll(pending []*record) bool {
 	old := make([]*parsedValue, len(pending))
 	for i, r := range pending {
@@ -90,7 +90,7 @@
 	return false
 }
 
-// try puts one version in force if it is valid with all else that is.
+// try puts one value in force if it is valid together with all others in force.
 func (s *Store) try(r *record, v *parsedValue) error {
 	if v.err != nil {
 		return v.err
@@ -106,7 +106,7 @@
 	return nil
 }
 
-// inForceDocs returns the documents in force in the order of their keys.
+// inForceDocs returns the documents in force, sorted by key.
 func (s *Store) inForceDocs() []*wire.Document {
 	docs := make([]*wire.Document, 0, len(s.documents))
 	for _, k := range slices.Sorted(maps.Keys(s.documents)) {
@@ -117,8 +117,8 @@
 	return docs
 }
 
-// finish gives the configuration its position, and drops what is no longer needed of the records
-// that were looked at.
+// finish sets the position of the configuration, lists the refusals, and drops state that is no
+// longer needed.
 func (s *Store) finish() {
 	s.config.position = order.Max(s.config.position, s.base.position)
 	left := map[string]*record{}
@@ -138,7 +138,7 @@
 			delete(s.documents, key)
 		}
 	}
-	// A new map: one that held many keys once stays as large.
+	// A new map, because a Go map doesn't shrink when keys are deleted.
 	s.inactive = left
 	s.refusals = nil
 	for _, key := range slices.Sorted(maps.Keys(s.inactive)) {
@@ -156,7 +156,8 @@
 	s.policies = used
 }
 
-// advancePosition notes values that are in force at later positions.
+// advancePosition advances the position of the configuration over values in force that were
+// reported again at later positions.
 func (s *Store) advancePosition(fresh []*wire.Entry) {
 	for _, e := range fresh {
 		if r := s.records[e.GetKey()]; r.inForce != nil {
--- a/internal/fleetconfig/attach.go
+++ b/internal/fleetconfig/attach.go
@@ -9,7 +9,7 @@
 	"strings"
 )
 
-// replaceableServices returns the services of registrations in force that documents may replace.
+// replaceableServices returns the services whose registrations in force may be replaced by documents.
 func replaceableServices(records map[string]*record) []string {
 	var out []string
 	for _, r := range records {
@@ -20,9 +20,9 @@
 	return out
 }
 
-// attachRegistrations makes the configuration in force of the documents and all registrations in force. A service
-// keeps its targets where neither it nor its documents say anything else of them; changed are
-// services where they may.
+// attachRegistrations builds the configuration from the documents and registrations in force. A
+// service keeps its targets unless its connections changed, documents list targets, or it is among
+// changed.
 func (s *Store) attachRegistrations(changed []string) {
 	c := *s.base
 	c.position = s.config.position
@@ -44,7 +44,7 @@
 	}
 }
 
-// attachTo gives some services the targets that are registered for them.
+// attachTo adds the registered targets to some services.
 func (s *Store) attachTo(services []string) {
 	var list []*record
 	for _, r := range s.records {
@@ -64,8 +64,8 @@
 	e.apply(s.config)
 }
 
-// activateRegistrations puts in force what can be of the targets that register themselves. Each
-// depends on its service and on the keys of that service's targets only.
+// activateRegistrations puts valid registrations in force. Each depends only on its service and the
+// keys of that service's targets.
 func (s *Store) activateRegistrations() {
 	pending := s.pending(false)
 	if len(pending) == 0 {
@@ -93,7 +93,7 @@
 	e.apply(s.config)
 }
 
-// byPosition orders records by revisions.
+// byPosition orders records by the position of the newest value, then by key.
 func byPosition(a, b *record) int {
 	return cmp.Or(
 		a.newest.version.Position().Compare(b.newest.version.Position()),
@@ -101,13 +101,13 @@
 	)
 }
 
-// edit is what changes of the targets of one service.
+// edit is a change of the targets of one service.
 type edit struct {
 	removed map[*Target]bool
 	added   map[string]*Target
 }
 
-// edits are the changes of services by their names.
+// edits are the changes by service name.
 type edits map[string]*edit
 
 func (e edits) forService(service string) *edit {
@@ -120,7 +120,7 @@
 	return e[service]
 }
 
-// put puts a version of a record in force in place of the one that is.
+// put replaces the value of a record in force by v.
 func (e edits) put(c *Config, r *record, v *parsedValue) error {
 	if v.err != nil {
 		return v.err
@@ -167,7 +167,7 @@
 	}
 }
 
-// apply makes the changed services of a configuration that nobody else has yet.
+// apply replaces the changed services of c, which must not be shared yet.
 func (e edits) apply(c *Config) {
 	for name, change := range e {
 		if len(change.removed)+len(change.added) == 0 {
--- a/internal/fleetconfig/config.go
+++ b/internal/fleetconfig/config.go
@@ -3,7 +3,7 @@
 // Package fleetconfig holds the configuration that operators publish: services,
 // targets, routes, workspaces and lists of instances. A published value is one
 // wire.Document in JSON; the configuration is the union of all values and is
-// validated whole.
+// validated as a whole.
 package fleetconfig
 
 import (
@@ -16,8 +16,8 @@
 	"ploverjunction.example/ploverjunction/internal/policy"
 )
 
-// DefaultThreshold is the evidence needed against a target where the service
-// states none. It is a log-likelihood ratio: e^7 is about 1100 to 1.
+// DefaultThreshold is the evidence needed to eject a target of a service without
+// a threshold. It is a log-likelihood ratio: e^7 is about 1100 to 1.
 const DefaultThreshold = 7.0
 
 // Target is one target of a service.
@@ -43,28 +43,28 @@
 // DataHall returns the data hall of the target; it may be empty.
 func (t *Target) DataHall() string { return t.dataHall }
 
-// Slots returns how many requests the target works on at once, at least 1.
+// Slots returns how many requests the target processes concurrently, at least 1.
 func (t *Target) Slots() int { return t.slots }
 
 // Connections returns how many connections the target accepts, at least 1.
 func (t *Target) Connections() int { return t.connections }
 
-// ID names the target; it is empty where none is published. A target may start again
-// under the ID that it had.
+// ID returns the published ID of the target, or "". A target may restart under the
+// same ID.
 func (t *Target) ID() string { return t.id }
 
-// Key names one life of the target among those of its service: its ID and when that
-// life began, else its address.
+// Key identifies one incarnation of the target within its service: its ID and start
+// time, else its address.
 func (t *Target) Key() string { return t.key }
 
-// Born returns when this life of the target began by its own clock, the zero time where it
-// doesn't say.
+// Born returns the start time of this incarnation by the target's own clock, the zero time if
+// it isn't published.
 func (t *Target) Born() time.Time { return t.startedAt }
 
 // Leaving reports whether the target takes no new work.
 func (t *Target) Leaving() bool { return t.draining }
 
-// Warmup returns how long after its appearance the target works more slowly.
+// Warmup returns how long the target is slower after it was first listed.
 func (t *Target) Warmup() time.Duration { return t.warmup }
 
 // Service is a pool of targets with its policy.
@@ -74,16 +74,16 @@
 	healthPath string
 	loadPath   string
 	threshold  float64
-	// targets are in the order of their addresses, keyed in that of their keys.
+	// targets are sorted by address, keyed by key.
 	targets []*Target
 	keyed   []*Target
-	// documentTargets is how many targets the document of the service, or another one, lists.
+	// documentTargets is the number of targets listed in documents, registrations excluded.
 	documentTargets int
-	// connections is what a target accepts that states no number itself.
+	// connections is the number of connections of targets that state none.
 	connections int
-	// warmupRate bounds the requests a second to a target that warms up; 0 is no bound.
+	// warmupRate limits the requests per second to a target that warms up; 0 means no limit.
 	warmupRate float64
-	// halls are the data halls of the targets, sorted by name, slots all that the targets have.
+	// halls are the data halls of the targets, sorted by name; slots is the sum over all targets.
 	halls     []hall
 	slots     int
 	evacuated map[string]bool
@@ -101,15 +101,14 @@
 // LoadPath returns the path of the targets' load endpoint, or "".
 func (s *Service) LoadPath() string { return s.loadPath }
 
-// Threshold returns the evidence needed against a target, above 0.
+// Threshold returns the evidence needed to eject a target, above 0.
 func (s *Service) Threshold() float64 { return s.threshold }
 
-// Targets returns the targets in the order of their addresses. The slice must
-// not be changed.
+// Targets returns the targets sorted by address. The slice must not be modified.
 func (s *Service) Targets() []*Target { return s.targets }
 
-// WarmupRate returns the requests a second that a target takes from all nodes while it warms
-// up; 0 means no bound.
+// WarmupRate returns the limit of requests per second from all nodes to a target that warms
+// up; 0 means no limit.
 func (s *Service) WarmupRate() float64 { return s.warmupRate }
 
 // Evacuated reports whether targets in a data hall get no new requests.
@@ -118,11 +117,10 @@
 // AnyEvacuated reports whether any data hall is evacuated.
 func (s *Service) AnyEvacuated() bool { return len(s.evacuated) > 0 }
 
-// SameEvacuations reports whether the same data halls are evacuated as in another configuration
-// of the service.
+// SameEvacuations reports whether the same data halls are evacuated as in o.
 func (s *Service) SameEvacuations(o *Service) bool { return maps.Equal(s.evacuated, o.evacuated) }
 
-// Drained reports whether a target gets no new requests: it leaves, or its data hall is
+// Drained reports whether a target gets no new requests: it is draining, or its data hall is
 // evacuated.
 func (s *Service) Drained(t *Target) bool { return t.draining || s.evacuated[t.dataHall] }
 
@@ -135,7 +133,7 @@
 	return s.keyed[at]
 }
 
-// Route says where matching requests go.
+// Route maps matching requests to a service.
 type Route struct {
 	name       string
 	host       string
@@ -146,7 +144,7 @@
 	repeatable bool
 	deadline   time.Duration
 	maxBody    int64
-	// below is set where the path of a request must go on behind the prefix.
+	// below is set if a request's path must be longer than the prefix.
 	below         bool
 	targetLatency time.Duration
 	priority      int
@@ -157,25 +155,25 @@
 	split         []splitService
 }
 
-// splitService is one service of a route that splits its traffic.
+// splitService is one service of a route with a traffic split.
 type splitService struct {
 	service *Service
-	// cumulativeWeight is the sum of the weights up to this part's, its own included.
+	// cumulativeWeight is the sum of the weights up to and including this service's.
 	cumulativeWeight uint64
 }
 
 // Name returns the name of the route.
 func (r *Route) Name() string { return r.name }
 
-// Host returns the host whose requests the route is for, "" for any.
+// Host returns the host that the route matches, "" for any.
 func (r *Route) Host() string { return r.host }
 
-// Service returns the service of the route, the first one of a route that splits
-// its traffic. It is never nil.
+// Service returns the service of the route, the first one of a split. It is never
+// nil.
 func (r *Route) Service() *Service { return r.service }
 
-// Choose returns the service of one request. random gives 64 random bits; the
-// parts of a split get requests in proportion to their weights.
+// Choose returns the service of one request. random is 64 random bits; the
+// services of a split get requests in proportion to their weights.
 func (r *Route) Choose(random uint64) *Service {
 	if len(r.split) == 0 {
 		return r.service
@@ -189,15 +187,15 @@
 	return r.service
 }
 
-// TargetLatency returns the time within which an answer is worth most; 0 means
-// that none is published.
+// TargetLatency returns the soft deadline of an answer; 0 means that none is
+// published.
 func (r *Route) TargetLatency() time.Duration { return r.targetLatency }
 
-// Priority returns the rank under overload; 0 is served first.
+// Priority returns the priority under overload; 0 is served first.
 func (r *Route) Priority() int { return r.priority }
 
-// MaxAttempts returns the greatest number of targets that may run one request; 0
-// means that only the policy bounds it.
+// MaxAttempts returns the greatest number of targets that one request may be sent
+// to; 0 means that only the policy limits it.
 func (r *Route) MaxAttempts() int { return r.maxAttempts }
 
 // Bulk reports whether answers are large.
@@ -209,18 +207,18 @@
 // Public reports whether callers need no key.
 func (r *Route) Public() bool { return r.public }
 
-// Class returns the class of the route, its service's name where none is given.
+// Class returns the class of the route, by default its service's name.
 func (r *Route) Class() string { return r.class }
 
-// Repeatable reports whether a request may run more than once without harm.
+// Repeatable reports whether requests are idempotent.
 func (r *Route) Repeatable() bool { return r.repeatable }
 
-// Deadline returns the longest time to the first byte of an answer; 0 means the
-// setting of the process.
+// Deadline returns the longest time to the first byte of an answer; 0 means that
+// the process setting applies.
 func (r *Route) Deadline() time.Duration { return r.deadline }
 
-// MaxBody returns the greatest request body in bytes; 0 means the setting of
-// the process.
+// MaxBody returns the greatest request body in bytes; 0 means that the process
+// setting applies.
 func (r *Route) MaxBody() int64 { return r.maxBody }
 
 // Instance is one entry of the platform's list of instances.
@@ -231,19 +229,19 @@
 	entry    bool
 }
 
-// Address returns the address for peers, or of the target.
+// Address returns the address that peers use, or that of the target.
 func (i *Instance) Address() string { return i.address }
 
 // DataHall returns the data hall; it may be empty.
 func (i *Instance) DataHall() string { return i.dataHall }
 
-// Leaving reports whether the platform has announced the instance's end.
+// Leaving reports whether the platform has announced the instance's shutdown.
 func (i *Instance) Leaving() bool { return i.draining }
 
-// Entry reports whether the instance runs a process of the fleet, not a target.
+// Entry reports whether the instance runs a proxy process, not a target.
 func (i *Instance) Entry() bool { return i.entry }
 
-// Config is one whole, valid configuration. It never changes and may be read
+// Config is a complete, valid configuration. It is immutable and may be read
 // concurrently.
 type Config struct {
 	services   map[string]*Service
@@ -251,7 +249,7 @@
 	workspaces map[string]*Workspace
 	// byKey are the workspaces by the digests of their keys.
 	byKey map[KeyDigest]*Workspace
-	// leastUrgent is the greatest rank of a workspace.
+	// leastUrgent is the greatest priority number of a workspace.
 	leastUrgent int
 	instances   map[string]*Instance
 	position    order.Position
@@ -260,8 +258,8 @@
 	evacuated map[string]bool
 }
 
-// Limits bound what callers may send. Zero values leave the settings of the
-// process in force.
+// Limits are bounds on what callers may send. A zero value means that the process
+// setting applies.
 type Limits struct {
 	maxHeader     int64
 	maxBody       int64
@@ -269,16 +267,16 @@
 	idleTimeout   time.Duration
 }
 
-// MaxHeader returns the greatest size of a request's header in bytes.
+// MaxHeader returns the greatest request header in bytes.
 func (l *Limits) MaxHeader() int64 { return l.maxHeader }
 
-// MaxBody returns the greatest size of a request's body in bytes.
+// MaxBody returns the greatest request body in bytes.
 func (l *Limits) MaxBody() int64 { return l.maxBody }
 
 // HeaderTimeout returns how long a caller may take to send a header.
 func (l *Limits) HeaderTimeout() time.Duration { return l.headerTimeout }
 
-// IdleTimeout returns how long a caller's connection may rest.
+// IdleTimeout returns how long a caller's connection may be idle.
 func (l *Limits) IdleTimeout() time.Duration { return l.idleTimeout }
 
 // Limits returns the published limits, never nil.
@@ -287,7 +285,7 @@
 // Service returns a service by name, or nil.
 func (c *Config) Service(name string) *Service { return c.services[name] }
 
-// Services returns all services by name. The map must not be changed.
+// Services returns all services by name. The map must not be modified.
 func (c *Config) Services() map[string]*Service { return c.services }
 
 // Evacuated reports whether targets in a data hall get no new requests.
@@ -297,11 +295,10 @@
 func (c *Config) Evacuations() []string { return slices.Sorted(maps.Keys(c.evacuated)) }
 
 // Instances returns the listed instances by address. The map must not be
-// changed.
+// modified.
 func (c *Config) Instances() map[string]*Instance { return c.instances }
 
-// SameInstances reports whether the list of instances is that of another configuration, which may
-// be nil.
+// SameInstances reports whether o, which may be nil, lists the same instances.
 func (c *Config) SameInstances(o *Config) bool {
 	return o != nil && maps.Equal(c.instances, o.instances)
 }
@@ -309,5 +306,5 @@
 // Routes returns the number of routes.
 func (c *Config) Routes() int { return c.routes.count }
 
-// Position returns the latest position of all that is in force.
+// Position returns the latest position of all values in force.
 func (c *Config) Position() order.Position { return c.position }
--- a/internal/fleetconfig/digest.go
+++ b/internal/fleetconfig/digest.go
@@ -11,14 +11,14 @@
 	"ploverjunction.example/ploverjunction/internal/wire"
 )
 
-// Buckets is into how many parts the keys of a store are divided for comparisons. Their
+// Buckets is the number of buckets of keys in a store, each with its own digest. The
 // digests take 512 bytes; a list of the revisions of 720 targets takes 18 kB.
 const Buckets = 64
 
-// bucketOf returns the part of a key.
+// bucketOf returns the bucket of a key.
 func bucketOf(key string) int { return int(xxhash.Sum64String(key) % Buckets) }
 
-// hashOf returns what a key with the mark of its newest value adds to a digest.
+// hashOf returns the hash of an entry's key and version; a digest is the XOR of these hashes.
 func hashOf(e *wire.Entry) uint64 {
 	m := MarkOf(e)
 	b := append([]byte(e.GetKey()), 0)
@@ -38,14 +38,14 @@
 	return xxhash.Sum64(b)
 }
 
-// bucket is one part of the keys.
+// bucket is a subset of the keys, chosen by hash.
 type bucket struct {
 	digest uint64
 	// keys are sorted.
 	keys []string
 }
 
-// index takes a newer entry of a key into the digests; old is nil for a new key.
+// index updates digests, era and history with a key's newest entry; old is nil for a new key.
 func (s *Store) index(old, newest *wire.Entry) {
 	b := &s.buckets[bucketOf(newest.GetKey())]
 	if old != nil {
@@ -60,8 +60,8 @@
 	s.history.add(position, newest.GetKey())
 }
 
-// Digest returns a hash over the marks of all keys. Two stores
-// with equal digests hold the same newest values.
+// Digest returns a hash over the versions of all keys. Stores with equal digests hold
+// the same newest values.
 func (s *Store) Digest() uint64 {
 	sum := uint64(0)
 	for i := range s.buckets {
@@ -70,7 +70,7 @@
 	return sum
 }
 
-// BucketDigests returns the digests of the parts. The slice is the caller's.
+// BucketDigests returns a new slice with the digests of the buckets.
 func (s *Store) BucketDigests() []uint64 {
 	out := make([]uint64, Buckets)
 	for i := range s.buckets {
@@ -79,8 +79,8 @@
 	return out
 }
 
-// Differing returns the parts whose digests are not the given ones, none if there is
-// another number of digests than Buckets.
+// Differing returns the buckets whose digests are not the given ones, none if the
+// number of digests is not Buckets.
 func (s *Store) Differing(digests []uint64) []uint32 {
 	if len(digests) != Buckets {
 		return nil
@@ -94,7 +94,7 @@
 	return out
 }
 
-// In returns the marks of the newest values, by key, in some parts.
+// In returns the versions of the newest values in some buckets.
 func (s *Store) In(parts []uint32) []*wire.KeyRevision {
 	var out []*wire.KeyRevision
 	for _, b := range slices.Compact(slices.Sorted(slices.Values(parts))) {
@@ -103,7 +103,7 @@
 	return out
 }
 
-// revisions appends the marks of the newest values in a part.
+// revisions appends the versions of the newest values in a bucket.
 func (s *Store) revisions(out []*wire.KeyRevision, part uint32) []*wire.KeyRevision {
 	if part >= Buckets {
 		return out
--- a/internal/fleetconfig/error.go
+++ b/internal/fleetconfig/error.go
@@ -4,7 +4,7 @@
 
 import "fmt"
 
-// Kind says what is wrong with a published value.
+// Kind is the kind of fault in a published value.
 type Kind string
 
 // Kinds of faults in published configuration.
@@ -27,7 +27,7 @@
 	cause  error
 }
 
-// Error names the object at fault and the fault.
+// Error returns the object at fault, the fault and its cause.
 func (e *Error) Error() string {
 	s := fmt.Sprintf("fleetconfig: %s: %s", e.object, e.kind)
 	if e.detail != "" {
@@ -42,10 +42,10 @@
 // Unwrap returns the cause, such as a *policy.Error, or nil.
 func (e *Error) Unwrap() error { return e.cause }
 
-// Kind returns what is wrong.
+// Kind returns the kind of fault.
 func (e *Error) Kind() Kind { return e.kind }
 
-// Object names what is at fault, such as "route quotes".
+// Object returns the object at fault, such as "route quotes".
 func (e *Error) Object() string { return e.object }
 
 func fault(kind Kind, detail, format string, args ...any) *Error {
--- a/internal/fleetconfig/export_test.go
+++ b/internal/fleetconfig/export_test.go
@@ -2,5 +2,5 @@
 
 package fleetconfig
 
-// HistoryLen returns how many places the history has.
+// HistoryLen returns the number of changes in the history.
 func (s *Store) HistoryLen() int { return len(s.history.changes) }
--- a/internal/fleetconfig/history.go
+++ b/internal/fleetconfig/history.go
@@ -9,24 +9,26 @@
 	"ploverjunction.example/ploverjunction/internal/wire"
 )
 
-// historyStalePerKey is how many places without effect a history keeps for each key, and at the least.
+// A history is compacted when it has more stale changes than historyStalePerKey for each key plus
+// historyMinStale.
 const (
 	historyStalePerKey = 1
 	historyMinStale    = 64
 )
 
-// history lists where the source told of keys, by position: what lies behind a position is found
-// without a look at all keys. A key may stand at earlier places too, without effect.
+// history lists the changes of keys by position, so that changes after a position are found without
+// a scan of all keys. Earlier changes of a key are stale and ignored.
 type history struct {
 	changes []change
 }
 
+// change is a position at which the source reported a value or removal of a key.
 type change struct {
 	position order.Position
 	key      string
 }
 
-// add notes that the source told of a key. Most places are later than all before them.
+// add inserts a change. Most changes are later than all before them.
 func (h *history) add(p order.Position, key string) {
 	at := len(h.changes)
 	for at > 0 && h.changes[at-1].position.Compare(p) > 0 {
@@ -38,7 +40,7 @@
 	})
 }
 
-// compact drops the places that have no effect once there are as many of them as keys.
+// compact drops stale changes once there are too many of them.
 func (h *history) compact(keys int, effective func(change) bool) {
 	if len(h.changes) <= keys*(1+historyStalePerKey)+historyMinStale {
 		return
@@ -46,14 +48,13 @@
 	h.changes = slices.DeleteFunc(h.changes, func(p change) bool { return !effective(p) })
 }
 
-// isLatest reports whether a place is the last one at which the source told of its key.
+// isLatest reports whether a change is the last one of its key.
 func (s *Store) isLatest(at change) bool {
 	return s.records[at.key].newest.version.Position() == at.position
 }
 
-// After returns the newest entries of the keys of which the source told behind a position, in the
-// order of positions, until they take most bytes. upTo is up to where nothing is left out; more is set
-// where it isn't the last position.
+// After returns the newest entries of the keys that changed after a position, in order of position,
+// up to most bytes. The result is complete up to upTo; more is set if later changes were left out.
 func (s *Store) After(p order.Position, most int) (out []*wire.Entry, upTo order.Position, more bool) {
 	changes := s.history.changes
 	from, _ := slices.BinarySearchFunc(changes, p, func(at change, p order.Position) int {
--- a/internal/fleetconfig/parsed_value.go
+++ b/internal/fleetconfig/parsed_value.go
@@ -7,8 +7,8 @@
 	"ploverjunction.example/ploverjunction/internal/wire"
 )
 
-// parsedValue is one value of a key together with what it parsed to: nothing, a target that
-// registers itself, or another document.
+// parsedValue is one value of a key with what it parsed to: a registration, another document,
+// or neither if the key was removed or the value has an error.
 type parsedValue struct {
 	entry        *wire.Entry
 	version      order.Mark
@@ -17,8 +17,8 @@
 	err          error
 }
 
-// after reports whether v replaces w: by their writer's order where both are values, else
-// by the store's.
+// after reports whether v replaces w: by the writer's order if both are values, else by
+// position.
 func (v *parsedValue) after(w *parsedValue) bool {
 	if w == nil {
 		return true
@@ -29,24 +29,25 @@
 	return v.version.CompareValues(w.version) > 0
 }
 
-// sameValue reports whether the entry says the same as v of the key, at another position.
+// sameValue reports whether e holds the same value as v, perhaps at another position.
 func (v *parsedValue) sameValue(e *wire.Entry) bool {
 	return v.entry.GetDeleted() == e.GetDeleted() && v.version.CompareValues(MarkOf(e)) == 0
 }
 
-// record is all that the store holds of one key. The newest version may be
-// refused; the one in force is then older. fallback is the greatest version
-// between the two: a process that starts anew learns from its peers, in any
-// order, the one that they have in force and the one that they refuse.
+// record holds the values of one key. If the newest value is refused, the one in
+// force is older. fallback is the latest value between the two: a process that
+// starts receives from its peers, in any order, the value that they have in force
+// and the one that they refuse.
 type record struct {
 	newest   *parsedValue
 	inForce  *parsedValue
 	fallback *parsedValue
-	// refusal says why the newest version is not in force, nil if it is.
+	// refusal is the reason why the newest value is not in force, nil if it is.
 	refusal error
 }
 
-// setFallback notes a version that isn't the newest.
+// setFallback makes v the fallback if it is valid, older than the newest value and later than the
+// value in force and the fallback, and reports whether it did.
 func (r *record) setFallback(v *parsedValue) bool {
 	if v.err != nil || !r.newest.after(v) || !v.after(r.inForce) || !v.after(r.fallback) {
 		return false
@@ -55,7 +56,7 @@
 	return true
 }
 
-// candidates returns the versions that could replace the one in force, the best
+// candidates returns the values that could replace the one in force, the latest
 // first.
 func (r *record) candidates() []*parsedValue {
 	out := []*parsedValue{r.newest}
@@ -81,11 +82,10 @@
 	return v
 }
 
-// isDocument reports whether the version must be valid together with the others.
+// isDocument reports whether the value is a document, which must be valid together with others.
 func (v *parsedValue) isDocument() bool { return v != nil && v.doc != nil }
 
-// hasDocument reports whether any version of the key that can be in force must be valid together with
-// those of other keys.
+// hasDocument reports whether any value of the key that can be in force is a document.
 func (r *record) hasDocument() bool {
 	return r.newest.isDocument() || r.inForce.isDocument() || r.fallback.isDocument()
 }
--- a/internal/fleetconfig/pool.go
+++ b/internal/fleetconfig/pool.go
@@ -12,11 +12,11 @@
 type hall struct {
 	name  string
 	total int
-	// notDraining are those that are not leaving.
+	// notDraining counts the targets that are not draining.
 	notDraining int
 }
 
-// Halls returns the data halls with targets that are not leaving, sorted.
+// Halls returns the data halls with targets that are not draining, sorted.
 func (s *Service) Halls() []string {
 	out := make([]string, 0, len(s.halls))
 	for _, h := range s.halls {
@@ -27,10 +27,10 @@
 	return out
 }
 
-// Slots returns how many requests all targets together work on at once.
+// Slots returns how many requests all targets together process concurrently.
 func (s *Service) Slots() int { return s.slots }
 
-// HallSizes returns how many targets each data hall has, leaving ones included.
+// HallSizes returns the number of targets by data hall, draining ones included.
 func (s *Service) HallSizes() map[string]int {
 	out := make(map[string]int, len(s.halls))
 	for _, h := range s.halls {
@@ -45,7 +45,7 @@
 
 func byKey(a, b *Target) int { return strings.Compare(a.key, b.key) }
 
-// setTargets gives the service its targets.
+// setTargets replaces the targets of the service.
 func (s *Service) setTargets(list []*Target) {
 	s.targets = slices.SortedFunc(slices.Values(list), byAddress)
 	s.keyed = slices.SortedFunc(slices.Values(list), byKey)
@@ -55,7 +55,7 @@
 	}
 }
 
-// countTarget adds n to the number of targets like t.
+// countTarget adds n to the count of targets in t's data hall and n times t's slots.
 func (s *Service) countTarget(t *Target, n int) {
 	at, ok := slices.BinarySearchFunc(s.halls, t.dataHall, func(h hall, name string) int { return strings.Compare(h.name, name) })
 	if !ok {
@@ -74,8 +74,8 @@
 	}
 }
 
-// withTargets returns a copy of the service without some of its targets and with others. Its cost in
-// comparisons goes by the targets that change.
+// withTargets returns a copy of the service with targets removed and added. The number of
+// comparisons grows with the targets that change, not with all.
 func (s *Service) withTargets(removed, added []*Target) *Service {
 	out := *s
 	out.targets = splice(s.targets, removed, added, byAddress)
@@ -90,7 +90,7 @@
 	return &out
 }
 
-// splice returns a copy of a sorted list without some of its entries and with others.
+// splice returns a copy of a sorted list with entries removed and added.
 func splice(list, removed, added []*Target, compare func(a, b *Target) int) []*Target {
 	removed, added = slices.Clone(removed), slices.Clone(added)
 	slices.SortFunc(removed, compare)
@@ -112,8 +112,8 @@
 	return append(out, list[from:]...)
 }
 
-// Changes returns the targets of s that before does not have, and those that only before has. Both
-// are compared by identity: a target that is published unchanged stays the same one.
+// Changes returns the targets that only s has, and those that only before has. They are compared by
+// identity: an unchanged target keeps its pointer.
 func (s *Service) Changes(before *Service) (added, removed []*Target) {
 	a, b := s.keyed, before.keyed
 	for len(a) > 0 || len(b) > 0 {
--- a/internal/fleetconfig/refusal.go
+++ b/internal/fleetconfig/refusal.go
@@ -4,7 +4,7 @@
 
 import "ploverjunction.example/ploverjunction/internal/order"
 
-// Refusal says why the newest value of a key is not in force.
+// Refusal is the reason why the newest value of a key is not in force.
 type Refusal struct {
 	key      string
 	position order.Position
--- a/internal/fleetconfig/region.go
+++ b/internal/fleetconfig/region.go
@@ -8,11 +8,11 @@
 	"ploverjunction.example/ploverjunction/internal/wire"
 )
 
-// Regions are the regions in which something may be served; none means all.
+// Regions are the regions whose targets may serve a request; none means all.
 type Regions []string
 
-// Allow reports whether a region is one of them. A target whose region isn't known has the
-// region "", which is none of any list.
+// Allow reports whether a region is allowed. A target of unknown region has the region "",
+// which no list contains.
 func (r Regions) Allow(region string) bool { return len(r) == 0 || slices.Contains(r, region) }
 
 func checkRegions(kind, name string, regions []string) error {
--- a/internal/fleetconfig/registration.go
+++ b/internal/fleetconfig/registration.go
@@ -6,12 +6,12 @@
 	"ploverjunction.example/ploverjunction/internal/wire"
 )
 
-// registration is a target that registers itself, apart from the configuration of its service:
-// such targets come and go one by one.
+// registration is a target that registered itself, independently of the document of its service:
+// such targets are added and removed one by one.
 type registration struct {
 	service string
 	target  *Target
-	// connections is what the target states itself, 0 if nothing.
+	// connections is the number stated by the target itself, 0 if none.
 	connections int
 }
 
@@ -37,7 +37,8 @@
 	}, nil
 }
 
-// targetFor returns the target as one of a service. It is the same as before while the service is.
+// targetFor returns the target as one of a service. The pointer stays the same while the number of
+// connections does.
 func (r *registration) targetFor(s *Service) (*Target, error) {
 	want := r.connections
 	if want == 0 {
--- a/internal/fleetconfig/route.go
+++ b/internal/fleetconfig/route.go
@@ -8,7 +8,7 @@
 )
 
 // routeTable finds routes by host and path prefix. A lookup costs one map access
-// for each segment of the path, however many routes there are.
+// for each path segment, regardless of the number of routes.
 type routeTable struct {
 	hosts map[string]map[string][]*Route
 	count int
@@ -20,7 +20,7 @@
 	}
 }
 
-// add reports false where a route for the same host, prefix and method exists.
+// add adds a route and reports false if one for the same host, prefix and method exists.
 func (t *routeTable) add(r *Route) bool {
 	prefixes := t.hosts[r.host]
 	if prefixes == nil {
@@ -50,14 +50,14 @@
 // Results of a lookup.
 const (
 	MatchNone Match = iota
-	// MatchPath means that the path is known but not for this method.
+	// MatchPath means that a route matches the path but not the method.
 	MatchPath
 	MatchRoute
 )
 
 // Route finds the route with the longest prefix that ends at a segment of path
-// and allows the method; a route for the host goes before one for any host, and
-// one that names the method before one for any method. It does not allocate.
+// and allows the method. A route for the host takes precedence over one for any
+// host, one that names the method over one for any method. It does not allocate.
 func (c *Config) Route(host, path, method string) (*Route, Match) {
 	best := MatchNone
 	if host != "" {
@@ -91,8 +91,8 @@
 	}
 }
 
-// pickMethod returns the route for a method, or whether there is one for the path
-// at least; longer reports whether the path goes on behind the prefix.
+// pickMethod returns the route for a method, or whether any route matches the path;
+// longer is set if the path is longer than the prefix.
 func pickMethod(routes []*Route, method string, longer bool) (*Route, Match) {
 	var anyMethod *Route
 	match := MatchNone
--- a/internal/fleetconfig/store.go
+++ b/internal/fleetconfig/store.go
@@ -11,20 +11,19 @@
 )
 
 // Store keeps the newest value and the value in force of each key. Neither is ever replaced by
-// an older one. It is not safe for concurrent use: one controller owns
-// it.
+// an older one. It is not safe for concurrent use.
 type Store struct {
 	records map[string]*record
-	// buckets are the keys, divided for comparisons.
+	// buckets are the keys, grouped by hash to compare stores.
 	buckets [Buckets]bucket
-	// inactive are the records whose newest version is not in force.
+	// inactive are the records whose newest value is not in force.
 	inactive map[string]*record
-	// documents are the records with versions that must be valid together, base the
-	// configuration that they make without the targets that register themselves.
+	// documents are the records with values that must be valid together, base the
+	// configuration built from them, without registrations.
 	documents map[string]*record
 	base      *Config
 	policies  policyCache
-	// era is the greatest one of any value.
+	// era is the greatest era of any value.
 	era      uint64
 	history  history
 	config   *Config
@@ -35,7 +34,7 @@
 func NewStore() *Store {
 	c, err := Build(nil)
 	if err != nil {
-		panic("fleetconfig: the empty configuration is valid: " + err.Error())
+		panic("fleetconfig: building the empty configuration failed: " + err.Error())
 	}
 	return &Store{
 		records:   map[string]*record{},
@@ -50,11 +49,11 @@
 // Config returns the configuration in force, never nil.
 func (s *Store) Config() *Config { return s.config }
 
-// Refusals returns the values that are newest but refused, by key.
+// Refusals returns the newest values that are refused, sorted by key.
 func (s *Store) Refusals() []Refusal { return slices.Clone(s.refusals) }
 
-// Offer takes values from any source, in any order, and returns those that told something
-// new, joined with what was known. After the call Config is the newest valid configuration.
+// Offer merges values from any source, in any order, and returns those that were new,
+// joined with the stored ones. After the call Config is the newest valid configuration.
 func (s *Store) Offer(entries []*wire.Entry) []*wire.Entry {
 	var fresh []*wire.Entry
 	changed := false
@@ -77,8 +76,8 @@
 	return fresh
 }
 
-// merge returns what an entry tells that is new, nil for nothing, and reports whether that can
-// change the configuration.
+// merge merges an entry into the store. It returns the joined entry, nil if nothing was new, and
+// reports whether the configuration can change.
 func (s *Store) merge(e *wire.Entry) (*wire.Entry, bool) {
 	if e.GetKey() == "" || e.GetRevision() == 0 {
 		return nil, false
@@ -119,7 +118,7 @@
 	return joined, true
 }
 
-// markInactive notes that the newest version of a key is to be put in force.
+// markInactive records that the newest value of a key has yet to be put in force.
 func (s *Store) markInactive(key string, r *record) {
 	s.inactive[key] = r
 	if r.hasDocument() {
@@ -127,7 +126,7 @@
 	}
 }
 
-// Revisions returns the mark of the newest value of each key, by key.
+// Revisions returns the version of the newest value of each key, sorted by key.
 func (s *Store) Revisions() []*wire.KeyRevision {
 	out := make([]*wire.KeyRevision, 0, len(s.records))
 	for i := range s.buckets {
@@ -137,7 +136,7 @@
 	return out
 }
 
-// Len returns the number of keys, deleted ones included.
+// Len returns the number of keys, removed ones included.
 func (s *Store) Len() int { return len(s.records) }
 
 // Newest returns the newest entry of a key, which may be a removal, or nil.
@@ -148,7 +147,7 @@
 	return nil
 }
 
-// Mark returns the mark of the newest value of a key, the zero mark for an unknown key.
+// Mark returns the version of the newest value of a key, the zero version for an unknown key.
 func (s *Store) Mark(key string) order.Mark {
 	if r := s.records[key]; r != nil {
 		return r.newest.version
@@ -156,10 +155,10 @@
 	return order.Mark{}
 }
 
-// Era returns the greatest era of the source that any value is from.
+// Era returns the greatest era of any value.
 func (s *Store) Era() uint64 { return s.era }
 
-// keysWhere returns the keys whose newest version fits a condition, sorted.
+// keysWhere returns the keys whose newest value meets a condition, sorted.
 func (s *Store) keysWhere(fits func(*parsedValue) bool) []string {
 	var out []string
 	for k, r := range s.records {
@@ -176,20 +175,19 @@
 	return s.keysWhere(func(v *parsedValue) bool { return !Removed(v.entry) })
 }
 
-// Behind returns the keys whose values are known from earlier eras of the source only,
-// sorted.
+// Behind returns the keys whose values are from eras of the source before era, sorted.
 func (s *Store) Behind(era uint64) []string {
 	return s.keysWhere(func(v *parsedValue) bool { return !Removed(v.entry) && v.version.Position().Era() < era })
 }
 
-// Withheld returns the keys that the source has though their values were removed before it was
-// restored, sorted.
+// Withheld returns the keys that the source holds again after a restore although their values had
+// been removed, sorted.
 func (s *Store) Withheld() []string {
 	return s.keysWhere(func(v *parsedValue) bool { return v.entry.GetGone() && !v.entry.GetDeleted() })
 }
 
-// Ahead returns the keys whose values the source does not have, or has only in an older
-// version, since it was restored: sorted.
+// Ahead returns the keys whose values the restored source lacks or holds only in an older
+// version, sorted.
 func (s *Store) Ahead() []string {
 	era := s.Era()
 	return s.keysWhere(func(v *parsedValue) bool {
@@ -208,8 +206,8 @@
 	return out
 }
 
-// Entries returns the values of a key that a peer needs: the newest, and before
-// it the one in force where that is another. It returns nil for an unknown key.
+// Entries returns the values of a key that a peer needs: the one in force, if it isn't
+// the newest, and the newest. It returns nil for an unknown key.
 func (s *Store) Entries(key string) []*wire.Entry {
 	r := s.records[key]
 	if r == nil {
--- a/internal/fleetconfig/validate.go
+++ b/internal/fleetconfig/validate.go
@@ -16,7 +16,7 @@
 )
 
 // MaxValue is the greatest size of one published value in bytes, the platform's
-// bound.
+// limit.
 const MaxValue = 1 << 20
 
 // Bounds of numbers in published configuration.
@@ -28,7 +28,7 @@
 	maxPriority  = 1_000_000
 )
 
-// Parse reads one published value. Unknown fields are faults.
+// Parse parses one published value. Unknown fields are errors.
 func Parse(value []byte) (*wire.Document, error) {
 	if len(value) > MaxValue {
 		return nil, fault(KindSize, "at most 1 MiB", "value")
@@ -44,8 +44,8 @@
 	return d, nil
 }
 
-// policyCache keeps compiled policies between builds: compiling one costs far
-// more than all other validation.
+// policyCache caches compiled policies between builds: compilation costs far more
+// than all other validation.
 type policyCache map[policy.Text]*policy.Program
 
 func (c policyCache) compile(t policy.Text) (*policy.Program, error) {
@@ -60,8 +60,8 @@
 	return p, nil
 }
 
-// Build validates documents together and returns the configuration that they
-// make. Every fault is an *Error.
+// Build validates documents together and returns their configuration. Every error
+// is an *Error.
 func Build(docs []*wire.Document) (*Config, error) {
 	return build(docs, policyCache{})
 }
@@ -175,14 +175,14 @@
 	return s, nil
 }
 
-// addTargets adds the targets of a document; keys are those of all targets so far, behind the
-// names of their services.
+// addTargets adds the targets of a document; keys holds service name and key of all targets
+// so far.
 func (c *Config) addTargets(d *wire.Document, keys map[string]bool) error {
 	for _, w := range d.GetTargets() {
 		s := c.services[w.GetService()]
 		if s == nil && w.GetId() != "" {
-			// Targets that register themselves come and go apart from the services:
-			// one whose service isn't published waits for it.
+			// Registrations are independent of the documents of services: a target whose
+			// service isn't published yet waits for it.
 			continue
 		}
 		if s == nil {
@@ -221,8 +221,8 @@
 	return nil
 }
 
-// targetKey returns the key of a target. A process that starts again under its ID holds
-// and knows nothing of what it did before: it is another target.
+// targetKey returns the key of a target. A restarted process has lost all its state, so it is
+// another target even under the same ID.
 func targetKey(w *wire.Target) string {
 	switch {
 	case w.GetId() == "":
--- a/internal/fleetconfig/validate_route.go
+++ b/internal/fleetconfig/validate_route.go
@@ -29,8 +29,8 @@
 	return nil
 }
 
-// splitServices returns the services of a route, one with weight 1 where the route
-// does not split its traffic.
+// splitServices returns the services of a route with their weights; a route without a
+// split has one with weight 1.
 func (c *Config) splitServices(w *wire.Route) ([]splitService, error) {
 	split := w.GetSplit()
 	if len(split) > 0 && w.GetService() != "" {
--- a/internal/fleetconfig/version.go
+++ b/internal/fleetconfig/version.go
@@ -24,7 +24,7 @@
 	}
 }
 
-// versioned is a message that carries a mark.
+// versioned is a message that carries a version.
 type versioned interface {
 	positioned
 	GetStamp() *wire.Stamp
@@ -32,7 +32,7 @@
 	GetGone() bool
 }
 
-// MarkOf returns the mark that an Entry or a KeyRevision carries.
+// MarkOf returns the version that an Entry or a KeyRevision carries.
 func MarkOf(m versioned) order.Mark {
 	position := PositionOf(m)
 	written := position
@@ -46,13 +46,13 @@
 	return version
 }
 
-// SetMark writes a mark into an entry.
+// SetMark writes a version into an entry.
 func SetMark(e *wire.Entry, m order.Mark) {
 	e.Era, e.Revision = m.Position().Era(), m.Position().Revision()
 	e.Stamp, e.Written, e.Gone = stampOf(m), writtenOf(m), m.Gone()
 }
 
-// KeyRevision returns a key with a mark.
+// KeyRevision returns a key with a version.
 func KeyRevision(key string, m order.Mark) *wire.KeyRevision {
 	return &wire.KeyRevision{
 		Key:      key,
@@ -84,8 +84,7 @@
 // Removed reports whether a key has no value.
 func Removed(e *wire.Entry) bool { return e.GetDeleted() || e.GetGone() }
 
-// Written returns the entry of a value that its writer wrote with a stamp and that the store holds
-// at a position.
+// Written returns the entry of a value with its writer's stamp and its position in the source.
 func Written(key string, value []byte, position order.Position, stamp order.Stamp) *wire.Entry {
 	e := &wire.Entry{
 		Key:   key,
@@ -95,9 +94,9 @@
 	return e
 }
 
-// Removal returns the entry that removes the value with a stamp at a position. A store that is
-// restored may have that value again: only a later one of the writer undoes the removal. Where
-// writers count nothing any value of a later position does.
+// Removal returns the entry that removes the value with a stamp at a position. A restored source
+// may hold that value again, so only a later value of the writer undoes the removal. Without a
+// stamp any value at a later position does.
 func Removal(key string, position order.Position, stamp order.Stamp) *wire.Entry {
 	e := &wire.Entry{
 		Key:     key,
@@ -111,7 +110,7 @@
 	return e
 }
 
-// join merges two entries of a key: the store's last position and its writer's last value. The
+// join merges two entries of a key: the source's last position and the writer's last value. The
 // result doesn't depend on the order in which entries are joined.
 func join(a, b *wire.Entry) *wire.Entry {
 	ma, mb := MarkOf(a), MarkOf(b)
--- a/internal/fleetconfig/workspace.go
+++ b/internal/fleetconfig/workspace.go
@@ -9,12 +9,12 @@
 	"ploverjunction.example/ploverjunction/internal/wire"
 )
 
-// digestSize is how many bytes of the SHA-256 of a key are kept. Among 10^6 keys two
-// have the same 16 bytes with a probability of 10^-27.
+// digestSize is the number of bytes kept of a key's SHA-256. Among 10^6 keys two have
+// the same 16 bytes with a probability of 10^-27.
 const digestSize = 16
 
-// KeyDigest stands for a caller's key wherever the fleet stores or tells it: a
-// configuration, a log or a message that gets into wrong hands opens nothing.
+// KeyDigest replaces a caller's key wherever the fleet stores or sends it, so that a
+// leaked configuration, log or message grants no access.
 type KeyDigest [digestSize]byte
 
 // DigestKey returns the digest of a key.
@@ -35,15 +35,15 @@
 // ID returns the identity.
 func (w *Workspace) ID() string { return w.id }
 
-// Rate returns the requests a second of the whole fleet; 0 means unlimited.
+// Rate returns the limit of requests per second over the whole fleet; 0 means unlimited.
 func (w *Workspace) Rate() float64 { return w.rate }
 
-// Burst returns the requests that may come at once, at least 1 where a rate is
-// given.
+// Burst returns the number of requests that may arrive at once, at least 1 if there
+// is a rate.
 func (w *Workspace) Burst() float64 { return w.burst }
 
-// Priority returns the rank under overload, which goes before that of the route; 0
-// is served first.
+// Priority returns the priority under overload, which takes precedence over the
+// route's; 0 is served first.
 func (w *Workspace) Priority() int { return w.priority }
 
 // Regions returns the regions whose targets may serve the workspace.
@@ -55,7 +55,7 @@
 // Owner returns the workspace to which a key belongs, or nil.
 func (c *Config) Owner(key KeyDigest) *Workspace { return c.byKey[key] }
 
-// LeastUrgent returns the rank of the workspaces that are served last.
+// LeastUrgent returns the priority of the workspaces that are served last.
 func (c *Config) LeastUrgent() int { return c.leastUrgent }
 
 // Workspaces returns the number of workspaces.
