--- a/internal/fleetconfig/fleetconfig_test.go
+++ b/internal/fleetconfig/fleetconfig_test.go
@@ -181,7 +181,7 @@
 	}
 }
 
-func TestPolicyErrorKeepsItsPlace(t *testing.T) {
+func TestPolicyErrorHasLineAndColumn(t *testing.T) {
 	_, err := build(t, `{"services":[{"name":"s","policy":{"sick":"score >\n  nothing"}}]}`)
 	var pe *policy.Error
 	if !errors.As(err, &pe) || pe.Line() != 2 || pe.Column() != 3 {
@@ -269,7 +269,7 @@
 	}
 }
 
-func TestRouteTellsWrongMethodFromNoRoute(t *testing.T) {
+func TestRouteDistinguishesWrongMethodFromNoRoute(t *testing.T) {
 	cfg, err := build(t, pool, `{"routes":[{"name":"put","pathPrefix":"/only","service":"s","methods":["PUT"]}]}`)
 	if err != nil {
 		t.Fatal(err)
@@ -388,7 +388,7 @@
 	}
 }
 
-func TestValuesThatNeedEachOtherWaitForEachOther(t *testing.T) {
+func TestDependentValuesAreValidatedTogether(t *testing.T) {
 	s := fleetconfig.NewStore()
 	s.Offer([]*wire.Entry{{
 		Key:      "routes",
--- a/internal/fleetconfig/registration_test.go
+++ b/internal/fleetconfig/registration_test.go
@@ -51,7 +51,7 @@
 }
 
 // Guards against targets that are lost, or stay, because of what happened before.
-func TestTargetsInForceGoByTheNewestValues(t *testing.T) {
+func TestTargetsInForceMatchNewestValues(t *testing.T) {
 	for seed := range uint64(150) {
 		rng := rand.New(rand.NewPCG(seed, 42))
 		s := fleetconfig.NewStore()
@@ -80,7 +80,7 @@
 }
 
 // Guards against a change of one target that costs as much as all of them.
-func TestOneTargetCostsWhatChanged(t *testing.T) {
+func TestCostOfOneTargetIsIndependentOfFleetSize(t *testing.T) {
 	cost := func(targets int) float64 {
 		s := largeFleet(targets, 60)
 		n := uint64(100_000)
