--- a/internal/source/source_test.go
+++ b/internal/source/source_test.go
@@ -186,7 +186,7 @@
 }
 
 // Guards against a watch that waits for revisions of a former era.
-func TestPlatformIsReadWholeAfterARestore(t *testing.T) {
+func TestFullReadAfterPlatformRestore(t *testing.T) {
 	p, url := serve(t)
 	p.Publish("a", "1")
 	copied := p.Copy()
