--- a/internal/dissemination/age_test.go
+++ b/internal/dissemination/age_test.go
@@ -12,7 +12,7 @@
 
 // Nodes that tell each other all the time how long ago the platform was heard don't keep
 // it young: what is old for one stays old for all.
-func TestAgeIsNotHeldByEchoes(t *testing.T) {
+func TestPlatformAgeGrowsDespiteGossip(t *testing.T) {
 	const (
 		silent = 4 * time.Second
 		// way is how long a message is under way, gap the time between two of a node.
@@ -44,7 +44,7 @@
 
 // A machine that was suspended wakes with what it heard before: that is as old as for any
 // other node, though the clock by which it measures ages stood still.
-func TestSuspendedTimeCounts(t *testing.T) {
+func TestAgesIncludeSuspendedTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var suspended time.Duration
 		g := dissemination.New(dissemination.Config{
--- a/internal/dissemination/buckets_test.go
+++ b/internal/dissemination/buckets_test.go
@@ -37,7 +37,7 @@
 
 // One value of 720 that differs is found, whoever has the newer one, with few bytes: two
 // comparisons take 39.7 kB with lists of all revisions and 3.3 kB by parts.
-func TestOneDifferenceTakesFewBytes(t *testing.T) {
+func TestComparisonOfOneDifferenceIsSmall(t *testing.T) {
 	const (
 		values = 720
 		most   = 4000
--- a/internal/dissemination/dissemination_test.go
+++ b/internal/dissemination/dissemination_test.go
@@ -192,7 +192,7 @@
 
 // A node to which nothing comes through, though its own messages arrive, can't
 // learn anything: it must know that.
-func TestDeafNodeKnowsThatItIsCutOff(t *testing.T) {
+func TestDeafNodeReportsCutOff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const deaf = "192.0.2.7:1"
 		f := newFleet(20)
@@ -236,7 +236,7 @@
 	}
 }
 
-func TestHealedPartsAgreeOnTheGreatest(t *testing.T) {
+func TestHealedPartitionsConverge(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(20)
 		side := func(name string) bool { return len(name) == len("192.0.2.1:1") }
@@ -265,7 +265,7 @@
 
 // A node whose answers are lost, and to which nobody has pushed a value, is told of it by
 // the peers that compare with it.
-func TestUnansweredPeerIsTold(t *testing.T) {
+func TestUnresponsivePeerGetsRecentValues(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const reached = "192.0.2.1:1"
 		f := newFleet(2)
--- a/internal/dissemination/pack_test.go
+++ b/internal/dissemination/pack_test.go
@@ -25,7 +25,7 @@
 	return []byte(b.String())
 }
 
-func TestLargeValuesTravelCompressed(t *testing.T) {
+func TestLargeValuesAreSentCompressed(t *testing.T) {
 	value := manyRoutes()
 	from, to := newReplica(), newReplica()
 	from.Offer([]*wire.Entry{
--- a/internal/dissemination/restore_test.go
+++ b/internal/dissemination/restore_test.go
@@ -31,7 +31,7 @@
 }
 
 // Guards against a compressed value of a former era that is sent in place of the one with the same revision.
-func TestLargeValueOfALaterEraTravels(t *testing.T) {
+func TestLargeValueOfLaterEraIsSent(t *testing.T) {
 	from, to := newReplica(), newReplica()
 	from.Offer([]*wire.Entry{largeAt(1, 7, "route")})
 	to.Offer(from.Entries([]string{"config"}))
@@ -44,7 +44,7 @@
 }
 
 // Guards against a value that is not asked for because one of a former era with a greater revision was.
-func TestValueOfALaterEraIsAskedForAtOnce(t *testing.T) {
+func TestValueOfLaterEraIsRequestedAtOnce(t *testing.T) {
 	r, now := newReplica(), time.Now()
 	names := func(era, rev uint64) []*wire.KeyRevision {
 		return []*wire.KeyRevision{fleetconfig.KeyRevision("config", order.MarkOf(order.At(era, rev), order.Stamp{}, order.At(era, rev)))}
@@ -61,7 +61,7 @@
 }
 
 // A restore moves all values to a new era. What that costs a node grows with the values, not with the nodes.
-func TestBytesOfARestore(t *testing.T) {
+func TestBytesAfterRestore(t *testing.T) {
 	const values = 60
 	each := map[int]int{}
 	for _, nodes := range []int{20, 80} {
--- a/internal/dissemination/sample_test.go
+++ b/internal/dissemination/sample_test.go
@@ -16,7 +16,7 @@
 
 // A node that has just started hears at once of the few nodes that are strong enough for
 // roles, whichever others it is told of.
-func TestStrongNodesAreNamedFirst(t *testing.T) {
+func TestReplyNamesCapableNodesFirst(t *testing.T) {
 	const nodes, strong = 443, 15
 	self := membership.NewNode("192.0.2.1:1", "a")
 	tab := membership.NewTable(self)
--- a/internal/dissemination/startup_test.go
+++ b/internal/dissemination/startup_test.go
@@ -166,7 +166,7 @@
 
 // Guards against a start whose messages, or bytes for each target, grow with the targets: links that
 // are full lose what tells that nodes live.
-func TestBytesOfAStartGoByTheTargets(t *testing.T) {
+func TestStartupBytesAreProportionalToTargets(t *testing.T) {
 	const (
 		nodes = 60
 		// mostEach is the most bytes that a node may exchange for each target, a registration of
@@ -199,7 +199,7 @@
 }
 
 // Guards against a node that begins anew and fetches all values several times, or from other data halls.
-func TestNodeThatBeginsFetchesOnceFromItsDataHall(t *testing.T) {
+func TestNewNodeFetchesOnceFromItsDataHall(t *testing.T) {
 	const (
 		nodes, targets = 30, 3000
 		most           = 200 << 10
@@ -233,7 +233,7 @@
 }
 
 // Guards against batches that are sent again after a value in them has changed.
-func TestPulledBatchesAreTheNewest(t *testing.T) {
+func TestPulledBatchesAreCurrent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const targets = 2000
 		f := newHallFleet(3 * halls)
--- a/internal/dissemination/upgrade_test.go
+++ b/internal/dissemination/upgrade_test.go
@@ -75,7 +75,7 @@
 func (f *fleet) name(i int) string { return "192.0.2." + string(rune('0'+i)) + ":1" }
 
 // Guards against nodes of two versions that undo each other's values.
-func TestNodesWithoutErasBesideNodesWithThem(t *testing.T) {
+func TestNodesWithAndWithoutErasInteroperate(t *testing.T) {
 	const half, settle = 4, 8 * time.Second
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(2 * half)
