--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -42,7 +42,7 @@
 	// b
 }
 
-func TestRolePassesOnAndReturns(t *testing.T) {
+func TestRoleMovesOnFailureAndReturns(t *testing.T) {
 	tab, _ := table(9)
 	first := tab.View(start).Role("x", "b", 1)[0]
 	tab.Failed(start, first.Address())
@@ -72,7 +72,7 @@
 	}
 }
 
-func TestLeaving(t *testing.T) {
+func TestDrainingNode(t *testing.T) {
 	tab, list := table(3)
 	tab.Heard(start, list[1], 5, true)
 	tab.List(list, nil)
--- a/internal/membership/rumor_test.go
+++ b/internal/membership/rumor_test.go
@@ -11,7 +11,7 @@
 
 // The datagrams of requests carry no news of nodes that just live; a suspicion travels
 // on each of them.
-func TestOnlyUrgentNewsTravelsWithRequests(t *testing.T) {
+func TestOnlyUrgentUpdatesAreSentWithRequests(t *testing.T) {
 	tab := heardTable(30)
 	if news := tab.Tell(4, false); len(news) != 0 {
 		t.Errorf("news of nodes that live: %v", news)
@@ -27,7 +27,7 @@
 }
 
 // Urgent news goes before the joins of a fleet that starts.
-func TestSuspicionGoesBeforeJoins(t *testing.T) {
+func TestSuspicionIsSentBeforeJoins(t *testing.T) {
 	tab := heardTable(30)
 	tab.Suspect(begin, peer(7).Address())
 	if news := tab.Tell(4, true); len(news) != 4 || news[0].Node != peer(7) {
@@ -36,7 +36,7 @@
 }
 
 // What doesn't change a view asks for none: each datagram says again who its sender is.
-func TestKnownNodesChangeNothing(t *testing.T) {
+func TestRepeatedUpdateDoesNotChangeTheView(t *testing.T) {
 	tab := heardTable(30)
 	tab.Weigh(peer(3).Address(), 160)
 	tab.Changed()
--- a/internal/membership/update_test.go
+++ b/internal/membership/update_test.go
@@ -35,7 +35,7 @@
 }
 
 // A suspicion that nobody refutes takes a node out of its roles within a second.
-func TestSilentNodeIsDead(t *testing.T) {
+func TestUnrefutedSuspicionDeclaresDead(t *testing.T) {
 	tab := heardTable(3)
 	tab.Suspect(begin, peer(1).Address())
 	if !live(tab, begin, peer(1)) {
@@ -48,7 +48,7 @@
 }
 
 // A word of the node itself ends a suspicion and a death.
-func TestNodeThatSpeaksLives(t *testing.T) {
+func TestMessageRefutesSuspicionAndDeath(t *testing.T) {
 	tab := heardTable(3)
 	tab.Suspect(begin, peer(1).Address())
 	tab.Heard(begin, peer(1), 1, false)
@@ -67,7 +67,7 @@
 
 // News of a greater incarnation refutes a suspicion that came from elsewhere; news
 // of an older one changes nothing.
-func TestNewsIsRefutedByIncarnation(t *testing.T) {
+func TestGreaterIncarnationRefutes(t *testing.T) {
 	tab := heardTable(3)
 	take := func(o membership.Opinion, incarnation uint64) {
 		tab.Take(begin, membership.News{
@@ -128,7 +128,7 @@
 }
 
 // A node that stood still itself gives the others their whole time again.
-func TestOwnPauseKillsNobody(t *testing.T) {
+func TestOwnPauseDeclaresNobodyDead(t *testing.T) {
 	tab := heardTable(3)
 	tab.Suspect(begin, peer(1).Address())
 	now := begin.Add(5 * time.Second)
@@ -139,7 +139,7 @@
 }
 
 // News is passed on a bounded number of times.
-func TestNewsEnds(t *testing.T) {
+func TestUpdatesAreSentABoundedNumberOfTimes(t *testing.T) {
 	tab := heardTable(30)
 	n := 0
 	for len(tab.Tell(4, true)) > 0 {
@@ -208,7 +208,7 @@
 }
 
 // News that began before a node's weight was known carries the weight once it is.
-func TestNewsCarriesTheWeight(t *testing.T) {
+func TestUpdateCarriesTheWeight(t *testing.T) {
 	tab := heardTable(1)
 	for range 3 {
 		tab.Tell(1, true)
