--- a/internal/dissemination/batch_cache.go
+++ b/internal/dissemination/batch_cache.go
@@ -9,18 +9,18 @@
 	"ploverjunction.example/ploverjunction/internal/wire"
 )
 
-// maxBatches bounds the batches that are kept, of some ten KB each.
+// maxBatches is the greatest number of cached batches, of some ten KB each.
 const maxBatches = 64
 
-// batch is what a pull behind a position brings.
+// batch is the answer to a pull of the values after a position.
 type batch struct {
 	packed []byte
 	upTo   *wire.Position
 	more   bool
 }
 
-// batchCache keeps what was packed for pulls: nodes that start together ask for the same. They hold as
-// long as no value changes, and may be used concurrently.
+// batchCache caches packed batches, because nodes that start together pull the same ones. Batches are
+// valid until a value changes. It may be used concurrently.
 type batchCache struct {
 	mu         sync.Mutex
 	digest     uint64
--- a/internal/dissemination/buckets.go
+++ b/internal/dissemination/buckets.go
@@ -7,16 +7,16 @@
 	"ploverjunction.example/ploverjunction/internal/wire"
 )
 
-// Two replicas that differ find where by the digests of parts of their keys, and name only
-// the keys of the parts that differ. While a value spreads digests differ everywhere for
-// some tenths of a second, and each node compares several times: with 720 targets that took
-// 20 kB each time while all revisions were listed, and takes 1.7 kB.
+// Replicas that differ compare the digests of buckets of keys, and list only the keys of the
+// buckets that differ. While a value spreads, digests differ everywhere for some tenths of a
+// second, and each node compares several times: with 720 targets a comparison takes 1.7 kB,
+// and 20 kB with a list of all revisions.
 
-// maxFullList is up to how many keys a node names all of them at once: one that has just
-// started has none, and wants all.
+// maxFullList is the greatest number of keys that a node lists in full instead of comparing
+// buckets: a node that has just started has none and needs all values.
 const maxFullList = 2 * fleetconfig.Buckets
 
-// differing returns the parts whose digests are not the given ones, and all newest
+// differing returns the buckets whose digests are not the given ones, and all newest
 // revisions in them.
 func (r *Replica) differing(digests []uint64) ([]uint32, []*wire.KeyRevision) {
 	if len(digests) == 0 {
@@ -28,8 +28,8 @@
 	return parts, r.store.In(parts)
 }
 
-// otherRevisions returns this replica's revisions of the keys in some parts that a peer has at
-// another one, 0 for those that only the peer has.
+// otherRevisions returns this replica's revisions of the keys in some buckets that a peer holds
+// at other revisions, 0 for keys that only the peer has.
 func (r *Replica) otherRevisions(parts []uint32, theirs []*wire.KeyRevision) []*wire.KeyRevision {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -51,12 +51,12 @@
 	return out
 }
 
-// addComparison fills in what a message sends to find where two replicas differ.
+// addComparison adds to the next message the revisions or bucket digests to compare.
 func (r *Replica) addComparison(sent, next *wire.SyncRequest) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.store.Len() <= maxFullList || len(sent.GetBuckets()) > 0 {
-		// A peer that knows no parts answers nothing to their digests.
+		// A peer without buckets doesn't answer their digests.
 		next.Revisions = r.store.Revisions()
 		next.Complete = true
 		return
--- a/internal/dissemination/exchange.go
+++ b/internal/dissemination/exchange.go
@@ -11,8 +11,8 @@
 	"ploverjunction.example/ploverjunction/internal/wire"
 )
 
-// push tells a few random peers of new values: of few by themselves, of many, or those that this
-// node asked for itself, that there are some.
+// push sends new values to a few random peers. If they are large in total, or this node pulled them
+// itself, it only announces within the data hall that there are some.
 func (g *Gossip) push(ctx context.Context, exchanges *task.Group, l update) {
 	req := g.request()
 	whole := !g.pullsByPosition() || !l.pulled && sizeOf(l.entries) <= maxPushedBytes
@@ -34,7 +34,7 @@
 	}
 }
 
-// sizeOf returns how many bytes the small values among some take.
+// sizeOf returns the size in bytes of the small values among entries, with their keys.
 func sizeOf(entries []*wire.Entry) int {
 	size := 0
 	for _, e := range entries {
@@ -45,7 +45,7 @@
 	return size
 }
 
-// addValues puts values into a request: small ones whole, the marks of others.
+// addValues adds small values and the versions of others to a request.
 func (g *Gossip) addValues(req *wire.SyncRequest, entries []*wire.Entry) {
 	for _, e := range entries {
 		if len(e.GetValue()) <= maxPushedValue {
@@ -56,8 +56,8 @@
 	}
 }
 
-// compare exchanges digests with the first of some peers, and with the next one
-// when it doesn't answer soon.
+// compare compares with the first peer, and also with the next one each time none has
+// answered within compareMaxWait.
 func (g *Gossip) compare(ctx context.Context, exchanges *task.Group, peers []string) {
 	if exchanges.Len() > maxExchanges {
 		return
@@ -86,8 +86,9 @@
 	})
 }
 
-// exchange sends req to a peer and goes on until the peer wants nothing more or,
-// to compare, neither side lacks anything that the other has. It reports whether the peer answered to the end.
+// exchange sends req to a peer and goes on until the peer requests nothing more or,
+// to compare, neither side lacks values of the other. It reports whether all calls
+// were answered.
 func (g *Gossip) exchange(ctx context.Context, peer string, req *wire.SyncRequest, compare bool) bool {
 	for range maxRounds {
 		reply, err := g.call(ctx, peer, req)
@@ -108,7 +109,7 @@
 	return true
 }
 
-// call makes one call to a peer and learns what each reply tells.
+// call makes one call to a peer and processes the reply.
 func (g *Gossip) call(ctx context.Context, peer string, req *wire.SyncRequest) (*wire.SyncReply, error) {
 	reply, err := g.cfg.Call(ctx, peer, req)
 	g.recordCall(err == nil)
@@ -120,9 +121,9 @@
 	return reply, nil
 }
 
-// compareWith brings this node to what a peer has, and reports whether the peer answered to the end.
-// Where both know positions what is behind them is pulled, by each from the other; digests of
-// parts find what may still differ.
+// compareWith brings this node up to date with a peer, and reports whether all calls were answered.
+// If both have positions, each pulls the values after its own; digests of buckets find remaining
+// differences.
 func (g *Gossip) compareWith(ctx context.Context, peer string) bool {
 	if !g.pullsByPosition() {
 		return g.exchange(ctx, peer, g.request(), true)
@@ -146,7 +147,7 @@
 	return g.exchange(ctx, peer, req, true)
 }
 
-// nextMessage returns the next message to a peer, or nil if all is said.
+// nextMessage returns the next message of an exchange, or nil if it is complete.
 func (g *Gossip) nextMessage(sent *wire.SyncRequest, reply *wire.SyncReply, compare bool) *wire.SyncRequest {
 	next := g.request()
 	if len(reply.GetWanted()) > 0 {
@@ -156,20 +157,20 @@
 	if reply.GetDigest() == next.GetDigest() {
 		return nil
 	}
-	// While a value spreads digests differ everywhere: only comparisons look for
-	// the reason.
+	// While a value spreads, digests differ everywhere: only comparisons search for
+	// the difference.
 	if !compare {
 		return nil
 	}
 	if parts := reply.GetDiffering(); len(parts) > 0 {
 		next.Revisions = g.replica.otherRevisions(parts, reply.GetRevisions())
 		if len(next.Revisions) == 0 {
-			// The peer's news has come by another way meanwhile.
+			// The peer's values have arrived from elsewhere meanwhile.
 			return nil
 		}
 		return next
 	}
-	// If nothing came of a list the rest is left to the next tick.
+	// If a list brought no values the rest is left to the next tick.
 	named := len(sent.GetRevisions()) > 0 || sent.GetComplete()
 	if named && len(reply.GetEntries()) == 0 {
 		return nil
--- a/internal/dissemination/export_test.go
+++ b/internal/dissemination/export_test.go
@@ -8,7 +8,7 @@
 	"ploverjunction.example/ploverjunction/internal/wire"
 )
 
-// SetCall replaces the way to peers.
+// SetCall replaces the function that calls peers.
 func (g *Gossip) SetCall(call func(ctx context.Context, peer string, in *wire.SyncRequest) (*wire.SyncReply, error)) {
 	g.cfg.Call = call
 }
--- a/internal/dissemination/gossip.go
+++ b/internal/dissemination/gossip.go
@@ -18,75 +18,75 @@
 
 // Intervals and fan-outs.
 const (
-	// Interval is the time between two comparisons with a random peer.
+	// Interval is the mean time between comparisons with a random peer.
 	Interval = time.Second
-	// fanout is how many peers learn of a new value from one node. With 4, a
-	// rumor reaches 1,000 nodes in about 6 rounds and misses about 1 in 50; the
-	// comparisons find those.
+	// fanout is the number of peers to which a node pushes a new value. With 4, a
+	// value reaches 1,000 nodes in about 6 rounds and misses about 1 in 50, which
+	// the comparisons find.
 	fanout = 4
-	// sampleSize is how many known nodes a reply names.
+	// sampleSize is the number of nodes that a reply names.
 	sampleSize = 4
-	// maxRounds bounds the messages of one comparison.
+	// maxRounds is the greatest number of messages of one exchange.
 	maxRounds = 16
-	// recentCalls is how many calls show whether this node is cut off.
+	// recentCalls is the number of calls by which this node detects that it is cut off.
 	recentCalls = 8
-	// compareTries is how many peers one comparison asks at most, each after
-	// comparePatience without an answer of the one before.
+	// compareTries is the greatest number of peers tried for one comparison, each after
+	// compareMaxWait without an answer of the ones before.
 	compareTries   = 3
 	compareMaxWait = 300 * time.Millisecond
-	// maxExchanges bounds the conversations under way.
+	// maxExchanges is the number of concurrent exchanges above which no comparison starts.
 	maxExchanges = 32
-	// minDifferInterval is the least time between two comparisons because of a digest:
-	// while a value spreads digests differ everywhere.
+	// minDifferInterval is the least time between comparisons caused by a digest: while
+	// a value spreads, digests differ everywhere.
 	minDifferInterval = 150 * time.Millisecond
-	// fanoutFar is how many peers of other data halls learn of a new value from
-	// the node that read it. Bytes between data halls are dear; each data hall
-	// needs to hear of a value once.
+	// fanoutFar is the number of peers in each other data hall to which the node that
+	// read a value pushes it. Traffic between data halls is expensive, and each data
+	// hall needs to receive a value only once.
 	fanoutFar = 2
-	// startCompares is how many different peers a node compares with before it
-	// prefers those of its data hall: as many as it needs to become ready.
+	// startCompares is the number of different peers that a node compares with before
+	// it chooses by data hall: as many as it needs to become ready.
 	startCompares = 3
-	// ownHallTenths is how many of ten comparisons stay in the data hall.
+	// ownHallTenths is the share of comparisons within the data hall, in tenths.
 	ownHallTenths = 6
 	// recentRetention is how long a value is sent to peers that don't answer comparisons: in
-	// that time some twenty nodes compare with each peer. lateMost bounds such values.
+	// that time some twenty nodes compare with each peer. maxRecent limits such values.
 	recentRetention = 20 * time.Second
 	maxRecent       = 32
-	// maxPushedBytes is up to how many bytes of small values are pushed unasked; of more only the
-	// news is, and peers pull them.
+	// maxPushedBytes is the greatest size of small values that are pushed; more are only
+	// announced, and peers pull them.
 	maxPushedBytes = 4 << 10
-	// farMaxWait is after how long without progress a node pulls from any peer that is ahead of
-	// it, and not only from those of its data hall.
+	// farMaxWait is the time without progress after which a node pulls from any peer that is
+	// ahead of it, not only from those of its data hall.
 	farMaxWait = time.Second
-	// pullMaxWait is how long a pull may go without an answer until another one may begin.
+	// pullMaxWait is the time without an answer to a pull after which another may begin.
 	pullMaxWait = 500 * time.Millisecond
-	// maxSampleSize is how many nodes a reply names to a node that knows few.
+	// maxSampleSize is the number of nodes that a reply names to a peer with few.
 	maxSampleSize = 40
 )
 
-// Config holds the seams of a Gossip. All functions may be called concurrently.
+// Config holds the dependencies of a Gossip. All functions may be called concurrently.
 type Config struct {
 	// Self describes this node in each message.
 	Self func() *wire.Node
 	// View returns the known nodes.
 	View func() *membership.View
-	// Near is set where datagrams tell of differences at once: values and
-	// comparisons then stay mostly in the data hall. Without them all peers are
-	// chosen alike, for a comparison is all that finds what a cut held back.
+	// Near is set if datagrams report differences at once: values and comparisons
+	// then stay mostly in the data hall. Without datagrams all peers are chosen
+	// alike, because only comparisons find what a network partition held back.
 	Near bool
-	// Seeds returns peers to ask when no others are known.
+	// Seeds returns peers to contact when no others are known.
 	Seeds func() []string
-	// Announce tells a peer, without an answer, what Differs is called with there; nil sends
-	// nothing.
+	// Announce sends a peer, without an answer, this node's digest and ReadTo, which the peer
+	// passes to Differs; nil sends nothing.
 	Announce func(peer string)
 	// Call sends a request to a peer.
 	Call func(ctx context.Context, peer string, in *wire.SyncRequest) (*wire.SyncReply, error)
-	// Heard notes a node that sent a message, Mentioned one that a peer knows,
-	// Failed a peer that didn't answer.
+	// Heard is called with each node that sent a message, Mentioned with each that a
+	// peer names, Failed with each peer that didn't answer.
 	Heard     func(*wire.Node)
 	Mentioned func(*wire.Node)
 	Failed    func(peer string)
-	// Suspended returns for how long this machine was suspended since the node began; nil
+	// Suspended returns how long this machine was suspended since the node started; nil
 	// means never.
 	Suspended func(now time.Time) time.Duration
 }
@@ -98,29 +98,27 @@
 	fresh       chan update
 	startedAt   time.Time
 	lastContact atomic.Int64
-	// lastAgreement is when a peer last had the same values, as the time since begun.
+	// lastAgreement is when a peer last had the same values, as uptime.
 	lastAgreement atomic.Int64
 	differs       chan string
-	// compareSoon holds a value when a request waits for news.
+	// compareSoon holds a value if a comparison is requested.
 	compareSoon  chan struct{}
 	mu           sync.Mutex
 	comparedWith map[string]bool
-	// recentValues are the small values learned last, the oldest first.
+	// recentValues are the latest small values, the oldest first.
 	recentValues []recentValue
-	// batches are those packed for peers.
-	batches batchCache
-	// positions is set once a peer knew up to where it has all that the source told.
+	batches      batchCache
+	// positions is set once a peer has reported the position up to which it is complete.
 	positions atomic.Bool
-	// pulling is when the pull that goes on last got an answer, the zero time where none does.
+	// pulling is when the current pull last progressed, the zero time if there is none.
 	pulling time.Time
-	// lastProgress is when this node last came to hold more, or as much as a peer, as the time
-	// since begun.
+	// lastProgress is when this node last received new values or agreed with a peer, as uptime.
 	lastProgress  atomic.Int64
 	recentResults [recentCalls]bool
 	calls         int
 }
 
-// New returns a gossip about a replica.
+// New returns a Gossip that spreads the values of a replica.
 func New(cfg Config, replica *Replica) *Gossip {
 	if cfg.Suspended == nil {
 		cfg.Suspended = func(time.Time) time.Duration { return 0 }
@@ -136,9 +134,9 @@
 	}
 }
 
-// Differs notes that a peer has another digest than this node, and what it says of up to where it has
-// all values. The two compare unless a comparison began a moment ago, the peer is behind, or that is
-// left to peers of the own data hall.
+// Differs receives that a peer has another digest, and the position up to which it is complete. The
+// nodes compare unless a comparison has just begun, the peer is behind, or comparing is left to peers
+// of the own data hall.
 func (g *Gossip) Differs(peer string, readTo *wire.Position) {
 	behind := g.pullsByPosition() && readTo != nil && g.replica.ReadTo().Compare(fleetconfig.PositionOf(readTo)) > 0
 	if !behind && g.pullsFrom(peer) {
@@ -153,7 +151,7 @@
 	}
 }
 
-// Ask has this node compare with peers soon, unless it did so a moment ago.
+// Ask requests a comparison with peers, unless one has just begun.
 func (g *Gossip) Ask() {
 	select {
 	case g.compareSoon <- struct{}{}:
@@ -161,8 +159,8 @@
 	}
 }
 
-// Compared returns with how many different peers this node has compared all its
-// values to the end.
+// Compared returns the number of different peers with which this node has finished
+// a comparison of all values.
 func (g *Gossip) Compared() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -170,7 +168,7 @@
 }
 
 // CutOff reports whether most of the recent calls to peers failed. It is false
-// before the first few calls.
+// before the first recentCalls calls.
 func (g *Gossip) CutOff() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -186,7 +184,7 @@
 	return answered*2 < recentCalls
 }
 
-// Calls returns how many calls to peers were made.
+// Calls returns the number of calls made to peers.
 func (g *Gossip) Calls() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -200,8 +198,8 @@
 	g.calls++
 }
 
-// recordCompared notes a conversation that came to its end: only then is this node as
-// new as the peer.
+// recordCompared records a finished comparison: only then is this node as up to date as
+// the peer.
 func (g *Gossip) recordCompared(peer string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -209,11 +207,11 @@
 	g.Agrees(time.Now())
 }
 
-// Publish offers values that this node has learned by itself.
+// Publish offers values that this node has read itself.
 func (g *Gossip) Publish(entries []*wire.Entry) { g.PublishTo(entries, order.Position{}) }
 
-// PublishTo offers values that this node has read, with which it has all that the source told up
-// to a position.
+// PublishTo offers values that this node has read and with which it is complete up to a position
+// of the source.
 func (g *Gossip) PublishTo(entries []*wire.Entry, upTo order.Position) {
 	fresh := g.replica.Offer(entries)
 	if g.replica.NoteRead(upTo) {
@@ -225,15 +223,15 @@
 	})
 }
 
-// update are values that are new to this node; first is set if it read them
-// itself, pulled if it got them from a peer that it had asked.
+// update holds values that are new to this node; ownRead is set if it read them
+// itself, pulled if it pulled them from a peer.
 type update struct {
 	entries []*wire.Entry
 	ownRead bool
 	pulled  bool
 }
 
-// enqueue hands new values to Run. If Run is far behind they are left to the
+// enqueue passes new values to Run. If the queue is full they are left to the
 // comparisons.
 func (g *Gossip) enqueue(l update) {
 	if len(l.entries) == 0 {
@@ -246,8 +244,8 @@
 	}
 }
 
-// Run pushes new values and compares at each tick until the context ends. No
-// conversation waits for another: a peer that hangs must not delay the rest.
+// Run pushes new values and compares at each tick until the context ends. Exchanges
+// are concurrent: a peer that hangs must not delay the others.
 func (g *Gossip) Run(ctx context.Context) error {
 	var exchanges task.Group
 	next := time.NewTimer(0)
@@ -287,7 +285,7 @@
 	g.enqueue(update{
 		entries: g.replica.Offer(in.GetEntries()),
 	})
-	// Read before the digest: what is said of up to where this node has all must not be newer.
+	// Read before the digest: the reported position must not be newer than the digest.
 	readTo := g.ReadTo()
 	parts, revisions := g.replica.differing(in.GetBuckets())
 	lacks, wanted := g.replica.Compare(time.Now(), in.GetRevisions(), in.GetComplete())
--- a/internal/dissemination/pack.go
+++ b/internal/dissemination/pack.go
@@ -14,11 +14,11 @@
 	"ploverjunction.example/ploverjunction/internal/wire"
 )
 
-// minPackSize is the size in bytes from which on values travel compressed: JSON of
-// many routes shrinks to a tenth, and narrow links carry it to several peers.
+// minPackSize is the least size in bytes of values that are sent compressed: JSON of
+// many routes shrinks to a tenth, and slow links carry it to several peers.
 const minPackSize = 2 << 10
 
-// pack returns an entry as it travels.
+// pack returns an entry in the form in which it is sent.
 func pack(e *wire.Entry) (*wire.Entry, error) {
 	if len(e.GetValue()) < minPackSize {
 		return e, nil
@@ -45,13 +45,13 @@
 	return b.Bytes(), nil
 }
 
-// inflate returns what was compressed, at most most bytes and one more.
+// inflate decompresses at most one byte more than most.
 func inflate(packed []byte, most int64) ([]byte, error) {
 	return io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(packed)), most+1))
 }
 
-// packBatch returns entries as they travel together: those of targets differ in little and
-// shrink to a quarter.
+// packBatch compresses entries together: those of targets differ little and shrink to a
+// quarter.
 func packBatch(entries []*wire.Entry) ([]byte, error) {
 	if len(entries) == 0 {
 		return nil, nil
@@ -65,8 +65,7 @@
 	return deflate(plain)
 }
 
-// unpackBatch returns the entries of a batch. What claims to be larger than a batch may be is a
-// fault.
+// unpackBatch returns the entries of a batch. A batch of more than maxBatch bytes is a *BatchError.
 func unpackBatch(batch []byte) ([]*wire.Entry, error) {
 	if len(batch) == 0 {
 		return nil, nil
@@ -86,18 +85,18 @@
 	return list.GetEntries(), nil
 }
 
-// BatchError is a batch that is larger than any may be.
+// BatchError reports a batch of more than maxBatch bytes.
 type BatchError struct{}
 
-// Error says so.
+// Error returns the message.
 func (*BatchError) Error() string { return "dissemination: unpack: too large" }
 
-// maxBatch bounds what is unpacked of one batch: the values of one message, one of which may be as
-// large as any, and what else belongs to them.
+// maxBatch is the greatest size of an unpacked batch in bytes: the values of one message, one of
+// which may have the greatest size, and their keys and versions.
 const maxBatch = 2*fleetconfig.MaxValue + 4*maxReply
 
-// unpack returns an entry as it is kept. What claims to be larger than a value may
-// be is a fault.
+// unpack returns an entry in the form in which it is stored. Decompression stops one byte
+// after MaxValue; the store refuses so large a value.
 func unpack(e *wire.Entry) (*wire.Entry, error) {
 	if len(e.GetPacked()) == 0 {
 		return e, nil
--- a/internal/dissemination/peers.go
+++ b/internal/dissemination/peers.go
@@ -9,9 +9,9 @@
 	"ploverjunction.example/ploverjunction/internal/membership"
 )
 
-// pushPeers returns the peers of the own data hall and of others that learn of a new value from this
-// node; first is set on the node that read it. In each data hall a few others carry it on to
-// other data halls, in case that the first one's messages were lost.
+// pushPeers returns the peers, of the own data hall and of others, to which this node pushes a new
+// value; first is set on the node that read it. In each data hall a few other nodes also push it to
+// other data halls, in case the first node's messages were lost.
 func (g *Gossip) pushPeers(first bool) (near, far []string) {
 	if !g.cfg.Near {
 		return nil, g.choosePeers(fanout)
@@ -28,8 +28,8 @@
 	}
 }
 
-// crossesHalls reports by chance whether one of the nodes of a data hall with near others talks to
-// another data hall: about fanoutFar of all do.
+// crossesHalls reports, at random, whether a node with near others in its data hall sends to other
+// data halls: on average fanoutFar nodes of each data hall do.
 func crossesHalls(near int) bool { return rand.IntN(near+1) < fanoutFar }
 
 // addressesPerHall returns up to n nodes of each data hall among far.
@@ -73,9 +73,9 @@
 }
 
 // choosePeers returns up to n different random peers, mostly of the own data hall. Until this node has
-// compared with some it takes only others than those, of its data hall first.
-// Seeds are candidates while fewer than n peers are known, and later by chance: without them two
-// parts of the fleet that know nothing of each other would stay apart.
+// compared with startCompares peers it takes only new ones, of its data hall first.
+// Seeds are candidates while fewer than n peers are known, and later at random: without them two
+// partitions of the fleet without contact would never merge.
 func (g *Gossip) choosePeers(n int) []string {
 	from := g.cfg.View().Peers()
 	if g.cfg.Near {
--- a/internal/dissemination/pull.go
+++ b/internal/dissemination/pull.go
@@ -12,8 +12,8 @@
 	"ploverjunction.example/ploverjunction/internal/wire"
 )
 
-// ReadTo returns what messages say of up to where this node has all values: nothing where it asks
-// for none by their positions.
+// ReadTo returns the position up to which this node has all values, for messages; nil if it doesn't
+// pull by position.
 func (g *Gossip) ReadTo() *wire.Position {
 	if !g.pullsByPosition() {
 		return nil
@@ -21,22 +21,22 @@
 	return fleetconfig.WirePosition(g.replica.ReadTo())
 }
 
-// pullsByPosition reports whether this node asks for values by their positions: the source gives some, or it
-// has no value yet.
+// pullsByPosition reports whether this node pulls values by position: the source gives positions, or
+// it has no value yet.
 func (g *Gossip) pullsByPosition() bool {
 	return g.positions.Load() || g.replica.ReadTo() != (order.Position{}) || g.replica.Len() == 0
 }
 
-// observeReadTo notes that a peer knows up to where it has all values.
+// observeReadTo receives the position up to which a peer has all values.
 func (g *Gossip) observeReadTo(p *wire.Position) {
 	if fleetconfig.PositionOf(p) != (order.Position{}) {
 		g.positions.Store(true)
 	}
 }
 
-// pullsFrom reports whether this node asks a peer for values as soon as it learns that the two
-// differ. Bytes between data halls are dear: a few nodes of each fetch what is new, and the others
-// get it from them.
+// pullsFrom reports whether this node pulls from a peer as soon as it receives that the two differ.
+// Traffic between data halls is expensive: a few nodes of each data hall fetch new values, and the
+// others get them from those.
 func (g *Gossip) pullsFrom(peer string) bool {
 	if !g.cfg.Near {
 		return true
@@ -46,18 +46,18 @@
 	if len(near) == 0 || view.Near(peer) || g.stalled(time.Now()) {
 		return true
 	}
-	// Whoever has nothing yet would fetch all.
+	// A node without values would fetch all of them across data halls.
 	return g.replica.Len() > 0 && crossesHalls(len(near))
 }
 
-// stalled reports whether this node has come to hold no more, nor as much as a peer, for a while.
+// stalled reports whether this node has made no progress for farMaxWait.
 func (g *Gossip) stalled(now time.Time) bool {
 	return g.uptime(now)-time.Duration(g.lastProgress.Load()) > farMaxWait
 }
 
 func (g *Gossip) recordProgress(now time.Time) { g.lastProgress.Store(int64(g.uptime(now))) }
 
-// answerPull adds to a reply what this node has behind the position that a peer names.
+// answerPull adds to a reply the values after the position of the request.
 func (g *Gossip) answerPull(in *wire.SyncRequest, out *wire.SyncReply) error {
 	since := fleetconfig.PositionOf(in.GetSince())
 	if b, ok := g.batches.get(out.GetDigest(), since); ok {
@@ -70,7 +70,7 @@
 		return err
 	}
 	out.Batch, out.UpTo, out.More = packed, fleetconfig.WirePosition(upTo), more
-	// Values may have come since the digest was taken.
+	// Values may have arrived since the digest was taken.
 	if out.GetDigest() == g.replica.Digest() {
 		g.batches.put(out.GetDigest(), since, batch{
 			packed: packed,
@@ -81,8 +81,8 @@
 	return nil
 }
 
-// applyBatch takes the values that a peer sent for a pull. When there are no more of them this node
-// has all that the peer has.
+// applyBatch stores the values that a peer sent for a pull. After the last batch this node has all
+// that the peer has.
 func (g *Gossip) applyBatch(sent *wire.SyncRequest, reply *wire.SyncReply) error {
 	if !sent.GetPull() || reply.GetReadTo() == nil {
 		return nil
@@ -105,8 +105,8 @@
 	return nil
 }
 
-// claimPull reports whether a pull may begin: one at a time, for others would bring the same values.
-// One that hangs is not waited for.
+// claimPull reports whether a pull may begin, and records that it does. Only one runs at a time,
+// because others would fetch the same values; one without an answer for pullMaxWait doesn't count.
 func (g *Gossip) claimPull(now time.Time) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -117,26 +117,26 @@
 	return true
 }
 
-// renewPull notes that a pull has got an answer, or with the zero time that it is over.
+// renewPull records the progress of a pull, or with the zero time its end.
 func (g *Gossip) renewPull(now time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.pulling = now
 }
 
-// PullError is a peer that has more values behind a position and sends none.
+// PullError reports a peer that claims more values after a position but sends none.
 type PullError struct {
 	peer  string
 	since order.Position
 }
 
-// Error names the peer and the position.
+// Error returns the message with the peer and the position.
 func (e *PullError) Error() string {
-	return fmt.Sprintf("dissemination: pull from %s: no progress behind %v", e.peer, e.since)
+	return fmt.Sprintf("dissemination: pull from %s: no progress after position %v", e.peer, e.since)
 }
 
-// pull has a peer send what it has behind the position up to which this node has all. It returns
-// the peer's last reply, which has no more.
+// pull fetches a peer's values after the position up to which this node is complete. It returns
+// the last request and the peer's last reply.
 func (g *Gossip) pull(ctx context.Context, peer string) (*wire.SyncRequest, *wire.SyncReply, error) {
 	defer g.renewPull(time.Time{})
 	since := g.replica.ReadTo()
--- a/internal/dissemination/recent.go
+++ b/internal/dissemination/recent.go
@@ -10,18 +10,18 @@
 	"ploverjunction.example/ploverjunction/internal/wire"
 )
 
-// A node whose answers are lost can be told of a value, but not be compared with: the first
-// message of a comparison holds only a digest. So the peers that get no answer from it
-// tell it what they learned lately.
+// A node whose answers are lost can receive a value but not be compared with, because the first
+// message of a comparison holds only a digest. Peers that get no answer from it therefore
+// send it their recent values.
 
-// recentValue is a small value that this node learned, and when.
+// recentValue is the key of a small value that this node received, and when.
 type recentValue struct {
 	key string
 	at  time.Time
 }
 
-// recordRecent notes when values were learned, and forgets those learned long ago, or before the
-// last lateMost.
+// recordRecent records small values, and drops those that are older than recentRetention or not
+// among the last maxRecent.
 func (g *Gossip) recordRecent(entries []*wire.Entry) {
 	now := time.Now()
 	g.mu.Lock()
@@ -41,7 +41,7 @@
 	g.recentValues = slices.Clone(g.recentValues[first:])
 }
 
-// recentKeys returns the keys of small values that this node learned lately.
+// recentKeys returns the keys of the small values received within recentRetention.
 func (g *Gossip) recentKeys() []string {
 	now := time.Now()
 	g.mu.Lock()
@@ -55,8 +55,8 @@
 	return keys
 }
 
-// sendRecent sends what was learned lately to a peer that did not answer a comparison. Whether
-// it answers this time doesn't matter, so that a failure is not counted again.
+// sendRecent sends the recent values to a peer that did not answer a comparison. A failure is not
+// counted again.
 func (g *Gossip) sendRecent(ctx context.Context, peer string) {
 	keys := g.recentKeys()
 	if len(keys) == 0 {
--- a/internal/dissemination/replica.go
+++ b/internal/dissemination/replica.go
@@ -19,19 +19,19 @@
 
 // Bounds of messages.
 const (
-	// maxReply bounds the values in one message, in bytes, unless a single one is larger. Both
-	// ends of a connection keep buffers as large as its greatest message.
+	// maxReply is the greatest size of the values in one message, in bytes, unless a single one is
+	// larger. Both ends of a connection keep buffers as large as its greatest message.
 	maxReply = 64 << 10
-	// maxPushedValue is the greatest value in bytes that is pushed unasked; larger
-	// ones are announced and fetched by those that lack them.
+	// maxPushedValue is the greatest size in bytes of a value that is pushed; larger
+	// ones are announced and fetched by peers that lack them.
 	maxPushedValue = 512
 )
 
-// rerequestAfter is after how long a value that a peer was asked for is asked for again:
-// several peers announce the same value within milliseconds.
+// rerequestAfter is the time after which a requested value is requested again: several
+// peers announce the same value within milliseconds.
 const rerequestAfter = 500 * time.Millisecond
 
-// valueRequest is a value that a peer was asked for.
+// valueRequest is a value requested from a peer.
 type valueRequest struct {
 	version order.Mark
 	at      time.Time
@@ -43,17 +43,17 @@
 	mu     sync.Mutex
 	store  *fleetconfig.Store
 	digest uint64
-	// readTo is up to where the replica has all that the source told.
+	// readTo is the position of the source up to which the replica is complete.
 	readTo    order.Position
 	requested map[string]valueRequest
 	packed    map[string]*wire.Entry
-	// broken counts compressed values of peers that could not be read.
+	// broken counts compressed values of peers that could not be decompressed.
 	broken   atomic.Int64
 	accepted func(*fleetconfig.Config, []fleetconfig.Refusal)
 }
 
 // NewReplica returns an empty replica. accepted is called with each new state,
-// one call after another; it must not call the replica.
+// never concurrently; it must not call the replica.
 func NewReplica(accepted func(*fleetconfig.Config, []fleetconfig.Refusal)) *Replica {
 	s := fleetconfig.NewStore()
 	return &Replica{
@@ -65,7 +65,7 @@
 	}
 }
 
-// Offer takes values from any source and returns those that were new.
+// Offer stores values from any source and returns those that were new.
 func (r *Replica) Offer(entries []*wire.Entry) []*wire.Entry {
 	if len(entries) == 0 {
 		return nil
@@ -76,7 +76,7 @@
 	for _, e := range entries {
 		v, err := unpack(e)
 		if err != nil {
-			// The comparisons bring it again, from another peer.
+			// The comparisons fetch it again, from another peer.
 			r.broken.Add(1)
 			continue
 		}
@@ -96,7 +96,7 @@
 	return fresh
 }
 
-// Broken returns how many compressed values of peers could not be read.
+// Broken returns the number of compressed values of peers that could not be decompressed.
 func (r *Replica) Broken() int64 { return r.broken.Load() }
 
 // Len returns the number of keys, removed ones included.
@@ -113,7 +113,7 @@
 	return r.digest
 }
 
-// Revisions returns the marks of all newest values.
+// Revisions returns the versions of all newest values.
 func (r *Replica) Revisions() []*wire.KeyRevision {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -127,16 +127,16 @@
 	return r.store.Newest(key)
 }
 
-// ReadTo returns up to where the replica has all that the source told; the zero value means
-// that this isn't known.
+// ReadTo returns the position of the source up to which the replica is complete, the zero value
+// if it is unknown.
 func (r *Replica) ReadTo() order.Position {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.readTo
 }
 
-// NoteRead notes that the replica has all that the source told up to a position, and reports
-// whether that is news.
+// NoteRead records that the replica is complete up to a position of the source, and reports
+// whether that is progress.
 func (r *Replica) NoteRead(p order.Position) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -147,8 +147,8 @@
 	return true
 }
 
-// After returns what the replica has behind a position, as much as fits into one message, and up to
-// where that goes; more is set where there is more.
+// After returns the entries after a position that fit into one message, and the position up to which
+// they are complete; more is set if there are more.
 func (r *Replica) After(p order.Position) (entries []*wire.Entry, upTo order.Position, more bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -159,29 +159,30 @@
 	return entries, upTo, more
 }
 
-// Era returns the greatest era of the source that any value is from.
+// Era returns the greatest era of any value.
 func (r *Replica) Era() uint64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.store.Era()
 }
 
-// Behind returns the keys whose values are known from earlier eras of the source only.
+// Behind returns the keys whose values are from eras of the source before era, sorted.
 func (r *Replica) Behind(era uint64) []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.store.Behind(era)
 }
 
-// Withheld returns the keys that the source has though their values were removed before it was
-// restored.
+// Withheld returns the keys that the source holds again after a restore although their values had
+// been removed, sorted.
 func (r *Replica) Withheld() []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.store.Withheld()
 }
 
-// Ahead returns the keys whose values the source lost when it was restored, sorted.
+// Ahead returns the keys whose values the restored source lacks or holds only in an older
+// version, sorted.
 func (r *Replica) Ahead() []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -224,14 +225,14 @@
 	return out
 }
 
-// pack returns an entry as it travels; each is compressed once.
+// pack returns an entry in the form in which it is sent; each is compressed once.
 func (r *Replica) pack(e *wire.Entry) *wire.Entry {
 	if p := r.packed[e.GetKey()]; p != nil && fleetconfig.MarkOf(p) == fleetconfig.MarkOf(e) {
 		return p
 	}
 	p, err := pack(e)
 	if err != nil {
-		// Memory can't fail to be written; the value can travel as it is.
+		// Writing to memory doesn't fail; the value can be sent uncompressed.
 		return e
 	}
 	if p != e {
@@ -240,9 +241,9 @@
 	return p
 }
 
-// Compare tells what a peer with the given marks lacks and what it has
-// beyond this replica. Keys that the peer doesn't name count as lacking only if
-// the list is complete.
+// Compare returns the values that a peer with the given versions lacks, and the keys
+// whose values to request from it. Keys that the peer doesn't list count as lacking
+// only if the list is complete.
 func (r *Replica) Compare(now time.Time, revisions []*wire.KeyRevision, complete bool) (lacks []*wire.Entry, wanted []string) {
 	if len(revisions) == 0 && !complete {
 		return nil, nil
@@ -270,7 +271,7 @@
 	return r.entries(keys), wanted
 }
 
-// versions returns the marks of a list by key.
+// versions returns the versions of a list by key.
 func versions(list []*wire.KeyRevision) map[string]order.Mark {
 	out := make(map[string]order.Mark, len(list))
 	for _, kr := range list {
@@ -279,7 +280,7 @@
 	return out
 }
 
-// claimRequest reports whether a peer should be asked for a value, and notes that it was.
+// claimRequest reports whether to request a value from a peer, and records the request.
 func (r *Replica) claimRequest(now time.Time, kr *wire.KeyRevision) bool {
 	q, version := r.requested[kr.GetKey()], fleetconfig.MarkOf(kr)
 	if q.version.Covers(version) && now.Sub(q.at) < rerequestAfter {
--- a/internal/dissemination/sample.go
+++ b/internal/dissemination/sample.go
@@ -9,10 +9,10 @@
 	"ploverjunction.example/ploverjunction/internal/wire"
 )
 
-// sampleNodes names a few random nodes, so that nodes find each other where the
-// platform gives no list; more of them to a peer that knows few, and first of all those
-// that can have roles: until nodes that start know them they ask nodes for targets that
-// are too weak for it.
+// sampleNodes returns a few random nodes, so that nodes find each other if the
+// platform gives no list. A peer that knows few nodes gets more of them, nodes that can
+// have roles first: without them a starting node sends grant requests to nodes that are
+// too weak.
 func (g *Gossip) sampleNodes(known int) []*wire.Node {
 	view := g.cfg.View()
 	live := view.Live()
@@ -33,7 +33,7 @@
 	return out
 }
 
-// randomRun returns up to n nodes of a list, from a random place on.
+// randomRun returns up to n consecutive nodes of a list, from a random offset, cyclically.
 func randomRun(list []membership.Node, n int) []membership.Node {
 	var out []membership.Node
 	from := rand.IntN(max(len(list), 1))
