--- a/internal/membership/rumor.go
+++ b/internal/membership/rumor.go
@@ -7,23 +7,23 @@
 	"slices"
 )
 
-// rumor is news that this node still passes on.
+// rumor is an update that this node still sends, and how often it was sent.
 type rumor struct {
 	update News
 	sent   int
 }
 
-// before reports whether a rumor should be told before another one.
+// before reports whether a rumor should be sent before another one.
 func (r *rumor) before(o *rumor) bool {
 	return cmp.Or(cmp.Compare(r.sent, o.sent), cmp.Compare(r.update.Node.address, o.update.Node.address)) < 0
 }
 
-// rumors are those of one kind, by the address of the node that they are about.
+// rumors are rumors of one kind, by the address of the node that they are about.
 type rumors map[string]*rumor
 
-// next appends rumors to out until it has n entries, the least told first, and drops
-// those that have been told most times. It looks at each rumor once: there are as many
-// as nodes while a fleet starts, and a datagram carries few.
+// next appends updates to out until it has n entries, the least often sent first, and
+// drops those that have been sent most times. It examines each rumor once, without a sort:
+// while a fleet starts there are as many as nodes, and a datagram carries few.
 func (r rumors) next(out []News, n, most int) []News {
 	var first []*rumor
 	for _, candidate := range r {
@@ -46,8 +46,8 @@
 	return out
 }
 
-// rumorQueues is what this node passes on. Urgent news changes roles at once; a fleet that
-// starts has joins of all its nodes, which must not hold up the rest.
+// rumorQueues holds the rumors to send. Urgent ones change roles at once; a starting fleet
+// has joins of all its nodes, which must not delay them.
 type rumorQueues struct {
 	urgent rumors
 	joins  rumors
@@ -65,7 +65,8 @@
 	delete(n.joins, address)
 }
 
-// setWeight notes another weight of a node: what was told so far had the old one, or none.
+// setWeight changes the weight in queued updates on a node, and sends them from the start:
+// those sent so far carried the old weight, or none.
 func (n *rumorQueues) setWeight(address string, weight uint32) {
 	for _, r := range [...]rumors{n.urgent, n.joins} {
 		if rumor := r[address]; rumor != nil {
@@ -75,7 +76,7 @@
 	}
 }
 
-// enqueue begins to pass on what this node believes of s.
+// enqueue replaces the queued updates on s by a new one.
 func (t *Table) enqueue(s *state, o Opinion, urgent bool) {
 	t.rumors.drop(s.node.address)
 	to := t.rumors.joins
--- a/internal/membership/table.go
+++ b/internal/membership/table.go
@@ -1,9 +1,9 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package membership knows the nodes of the fleet: those that the platform
-// lists, corrected by what this node hears itself. It is pure: the time is an
-// argument. The list lags and nodes may disagree on it, so membership gives
-// roles and never exclusive rights.
+// Package membership tracks the nodes of the fleet: those that the platform
+// lists, corrected by the messages that this node receives. It does no I/O, and
+// the time is an argument. The list lags and nodes may disagree on it, so
+// membership assigns roles and never exclusive rights.
 package membership
 
 import (
@@ -14,11 +14,12 @@
 
 // Times of the table.
 const (
-	// SuspectTime is how long a node that didn't answer gets no role.
+	// SuspectTime is how long a node that didn't answer calls gets no role.
 	SuspectTime = 10 * time.Second
-	// ForgetTime is after how long an unlisted node that nobody hears is dropped.
+	// ForgetTime is the time after its last message after which a failed call to an
+	// unlisted node removes it.
 	ForgetTime = time.Minute
-	// maxFailures is how many calls must fail one after another.
+	// maxFailures is the number of consecutive failed calls after which a node gets no role.
 	maxFailures = 2
 )
 
@@ -28,7 +29,7 @@
 	dataHall string
 }
 
-// NewNode returns a node by the address that it offers to peers.
+// NewNode returns a node with the address that it advertises to peers.
 func NewNode(address, dataHall string) Node {
 	return Node{
 		address:  address,
@@ -36,13 +37,13 @@
 	}
 }
 
-// Address returns the address for peers; it names the node.
+// Address returns the address for peers, which identifies the node.
 func (n Node) Address() string { return n.address }
 
 // DataHall returns the data hall of the node.
 func (n Node) DataHall() string { return n.dataHall }
 
-// state is what the table holds of one node.
+// state is the table's state of one node.
 type state struct {
 	node         Node
 	listed       bool
@@ -51,20 +52,20 @@
 	lastReceived time.Time
 	failures     int
 	noRoleUntil  time.Time
-	// suspected is when a probe or a peer raised a suspicion, dead is set when
-	// nobody refuted it.
+	// suspected is when a probe or a peer raised a suspicion; dead is set if it
+	// was not refuted in time.
 	suspected time.Time
 	dead      bool
 	weight    uint32
 }
 
-// Table is the list of nodes as one node knows it. It isn't safe for concurrent
+// Table is one node's copy of the list of nodes. It isn't safe for concurrent
 // use.
 type Table struct {
 	self  Node
 	nodes map[string]*state
-	// order holds the states by address, so that a view need not sort them: while a
-	// fleet starts a node makes a view each time it hears of others.
+	// order holds the states sorted by address, so that a view need not sort them: while
+	// a fleet starts a node makes a view each time it discovers others.
 	order []*state
 	// changed is set when the next view differs from the last one.
 	changed bool
@@ -73,7 +74,7 @@
 	weight uint32
 }
 
-// NewTable returns a table that knows only self.
+// NewTable returns a table that holds only self.
 func NewTable(self Node) *Table {
 	return &Table{
 		self:   self,
@@ -83,15 +84,15 @@
 }
 
 // Changed reports whether anything happened since the last call that can change a
-// view; the mere end of a suspicion isn't noticed.
+// view, except that a node's time without roles ended.
 func (t *Table) Changed() bool {
 	c := t.changed
 	t.changed = false
 	return c
 }
 
-// List takes the platform's list of nodes: live ones, and leaving ones. A node
-// that said itself that it leaves stays leaving, however old the list is.
+// List applies the platform's list of nodes: live and draining ones. A node that
+// reported itself that it drains stays draining, even if the list is older.
 func (t *Table) List(live, leaving []Node) {
 	t.changed = true
 	for _, s := range t.nodes {
@@ -125,14 +126,14 @@
 	return s
 }
 
-// search returns where a node stands, or would stand, in the order.
+// search returns the index of a node in the order, or where to insert it.
 func (t *Table) search(address string) (int, bool) {
 	return slices.BinarySearchFunc(t.order, address, func(s *state, a string) int {
 		return strings.Compare(s.node.address, a)
 	})
 }
 
-// forget drops a node.
+// forget removes a node.
 func (t *Table) forget(address string) {
 	delete(t.nodes, address)
 	t.rumors.drop(address)
@@ -142,17 +143,16 @@
 	t.changed = true
 }
 
-// Heard notes a message of a node. incarnation tells the lives of a process at
-// one address apart: a greater one is a new process, which isn't leaving because
-// the one before it was.
+// Heard records a message of a node. A greater incarnation is a new process at the
+// address, which isn't draining because the one before it was.
 func (t *Table) Heard(now time.Time, n Node, incarnation uint64, leaving bool) {
 	if n.address == t.self.address || n.address == "" {
 		return
 	}
 	s := t.find(n)
 	if incarnation < s.incarnation {
-		// The process started anew while its clock was behind: it is told, so that
-		// it takes a greater one.
+		// The process restarted while its clock was behind: the update makes it
+		// choose a greater incarnation.
 		t.enqueue(s, OpinionAlive, true)
 		return
 	}
@@ -169,8 +169,8 @@
 	s.noRoleUntil = time.Time{}
 }
 
-// Weigh notes how much of the roles a node, or this one, can carry; 0 says
-// nothing.
+// Weigh sets the capacity for roles of a node, or of this one; 0 means unknown
+// and is ignored for other nodes.
 func (t *Table) Weigh(address string, weight uint32) {
 	if address == t.self.address {
 		t.changed = t.changed || weight != t.weight
@@ -189,7 +189,7 @@
 // DefaultWeight is the weight of this node if it states none.
 const DefaultWeight = 1000
 
-// Mentioned notes a node that a peer knows.
+// Mentioned records a node that a peer named.
 func (t *Table) Mentioned(now time.Time, n Node) {
 	if n.address == t.self.address || n.address == "" || t.nodes[n.address] != nil {
 		return
@@ -197,7 +197,7 @@
 	t.find(n).lastReceived = now
 }
 
-// Failed notes a call to a node that got no answer.
+// Failed records a call to a node that got no answer.
 func (t *Table) Failed(now time.Time, address string) {
 	s := t.nodes[address]
 	if s == nil {
--- a/internal/membership/update.go
+++ b/internal/membership/update.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Opinion is what one node believes of another.
+// Opinion is the status of a node as estimated by another.
 type Opinion uint8
 
 // Opinions.
@@ -15,34 +15,34 @@
 	OpinionAlive Opinion = iota
 	// OpinionSuspect means that probes went unanswered; the node can refute it.
 	OpinionSuspect
-	// OpinionDead means that nobody refuted a suspicion.
+	// OpinionDead means that a suspicion was not refuted in time.
 	OpinionDead
 )
 
-// News is an opinion that travels between nodes.
+// News is a status update that nodes exchange.
 type News struct {
 	Node        Node
 	Incarnation uint64
 	Leaving     bool
 	Opinion     Opinion
-	// Weight is how much of the roles the node can carry; 0 if it isn't known.
+	// Weight is the node's capacity for roles; 0 if it isn't known.
 	Weight uint32
 }
 
-// Times and counts of news.
+// Times and counts of updates.
 const (
-	// RefuteTime is how long a suspected node has to refute a suspicion: some
-	// ticks of the probes, so that news reaches it and its word comes back.
+	// RefuteTime is how long a node has to refute a suspicion: several probe
+	// intervals, so that the suspicion reaches it and its answer returns.
 	RefuteTime = 500 * time.Millisecond
-	// urgentFactor is how often urgent news is passed on, in times the logarithm of the
-	// number of nodes (Das, Gupta and Motivala, "SWIM", DSN 2002).
+	// urgentFactor is how often an urgent update is sent, as a multiple of the logarithm
+	// of the number of nodes (Das, Gupta and Motivala, "SWIM", DSN 2002).
 	urgentFactor = 3
-	// joinFactor is the same for news of nodes that live. Comparisons name nodes too,
-	// so that a node which misses such news hears of the other all the same.
+	// joinFactor is the same for updates on live nodes. Replies to comparisons name
+	// nodes too, so a node that misses such an update still discovers the other.
 	joinFactor = 2
 )
 
-// recordAlive notes that a node lives, in the given incarnation.
+// recordAlive records that a node is alive in the given incarnation.
 func (t *Table) recordAlive(s *state, incarnation uint64, leaving bool) {
 	refuted := s.dead || !s.suspected.IsZero()
 	if refuted || s.lastReceived.IsZero() || incarnation > s.incarnation || leaving != s.draining {
@@ -55,8 +55,8 @@
 	s.suspected = time.Time{}
 }
 
-// Suspect notes that a node did not answer a probe, nor others on this node's
-// behalf.
+// Suspect records that a node answered neither this node's probe nor those that
+// others sent on its behalf.
 func (t *Table) Suspect(now time.Time, address string) {
 	s := t.nodes[address]
 	if s == nil || s.dead || !s.suspected.IsZero() {
@@ -66,9 +66,9 @@
 	t.enqueue(s, OpinionSuspect, true)
 }
 
-// Take takes the news of a peer. It returns true when the news is about this node
-// itself and wrong, so that it must be refuted by a greater incarnation than the
-// one named.
+// Take applies an update of a peer; own is this node's incarnation. It returns true if
+// the update is about this node itself and wrong, so that this node must refute it with
+// an incarnation greater than the update's.
 func (t *Table) Take(now time.Time, n News, own uint64) (refute bool) {
 	if n.Node.address == t.self.address {
 		return n.Incarnation > own || n.Opinion != OpinionAlive && n.Incarnation == own
@@ -107,8 +107,8 @@
 	t.enqueue(s, OpinionDead, true)
 }
 
-// Advance takes nodes for dead whose time to refute a suspicion is over. It
-// returns them.
+// Advance declares nodes dead that did not refute a suspicion in time, and returns
+// them.
 func (t *Table) Advance(now time.Time) []Node {
 	var out []Node
 	for _, s := range t.nodes {
@@ -120,8 +120,8 @@
 	return out
 }
 
-// Calm gives all suspected nodes their whole time to refute again: this node has
-// just stood still.
+// Calm restarts the time to refute of all suspected nodes, because this node itself
+// was paused.
 func (t *Table) Calm(now time.Time) {
 	for _, s := range t.nodes {
 		if !s.dead && !s.suspected.IsZero() {
@@ -130,8 +130,8 @@
 	}
 }
 
-// Tell returns up to n pieces of news to pass on, the least told first: of nodes that
-// were suspected, died or leave, and only if joins is set of nodes that just live.
+// Tell returns up to n updates to send, the least often sent first: on nodes that are
+// suspected, refuted, dead or draining, and, only if joins is set, on other live nodes.
 func (t *Table) Tell(n int, joins bool) []News {
 	scale := bits.Len(uint(len(t.nodes) + 1))
 	out := t.rumors.urgent.next(nil, n, urgentFactor*scale)
@@ -141,8 +141,8 @@
 	return out
 }
 
-// Dead returns the nodes that are taken for dead: one that comes back is found by
-// asking them now and then.
+// Dead returns the nodes that are declared dead and not draining. They are probed now
+// and then to find those that are back.
 func (t *Table) Dead() []Node {
 	var out []Node
 	for _, s := range t.nodes {
--- a/internal/membership/view.go
+++ b/internal/membership/view.go
@@ -18,19 +18,19 @@
 	self  Node
 	peers []Node
 	live  []Node
-	// weights are those of the live nodes, in their order; 0 where it isn't known.
+	// weights are those of the live nodes, in the same order; 0 if unknown.
 	weights []uint32
-	// weight is the one of this node.
+	// weight is this node's own.
 	weight uint32
-	// roles are the holders of roles that were asked for before.
+	// roles caches the holders of roles by roleKey.
 	roles sync.Map
-	// near and far are the other live nodes, divided when first asked for.
+	// near and far are the other live nodes, divided on first use.
 	halls sync.Once
 	near  []Node
 	far   []Node
 }
 
-// roleKey is one question after the holders of a role.
+// roleKey holds the arguments of a call of Role.
 type roleKey struct {
 	role     string
 	dataHall string
@@ -42,7 +42,7 @@
 	return o != nil && v.self == o.self && slices.Equal(v.peers, o.peers) && slices.Equal(v.live, o.live) && slices.Equal(v.weights, o.weights)
 }
 
-// View returns the table as it stands at now.
+// View returns a view of the table at the time now.
 func (t *Table) View(now time.Time) *View {
 	v := &View{
 		self:    t.self,
@@ -74,19 +74,19 @@
 	}
 }
 
-// Self returns the node whose view this is.
+// Self returns the node to which the view belongs.
 func (v *View) Self() Node { return v.self }
 
-// Peers returns the other nodes that aren't leaving, suspected ones too. The
-// slice must not be changed.
+// Peers returns the other nodes that aren't draining, suspected and dead ones
+// included. The slice must not be modified.
 func (v *View) Peers() []Node { return v.peers }
 
-// Live returns the nodes that can have a role, this one too. The slice must not
-// be changed.
+// Live returns the nodes that can have a role, this one included. The slice must not
+// be modified.
 func (v *View) Live() []Node { return v.live }
 
 // Halls returns the other live nodes, divided into those of this node's data hall
-// and those of the others. The slices must not be changed.
+// and those of the others. The slices must not be modified.
 func (v *View) Halls() (near, far []Node) {
 	v.halls.Do(func() {
 		for _, n := range v.live {
@@ -108,19 +108,19 @@
 	return ok && v.live[at].dataHall == v.self.dataHall
 }
 
-// find returns where a live node stands.
+// find returns the index of a live node and whether there is one.
 func (v *View) find(address string) (int, bool) {
 	return slices.BinarySearchFunc(v.live, address, func(n Node, a string) int {
 		return strings.Compare(n.address, a)
 	})
 }
 
-// Nodes returns how many nodes share the work: all that aren't leaving.
+// Nodes returns the number of nodes that aren't draining, this one included.
 func (v *View) Nodes() int { return len(v.peers) + 1 }
 
 // Role returns the n live nodes of a data hall that rank first for a role by
 // rendezvous hashing, or of all data halls if dataHall is empty. The slice must
-// not be changed.
+// not be modified.
 func (v *View) Role(role, dataHall string, n int) []Node {
 	k := roleKey{
 		role:     role,
@@ -135,7 +135,8 @@
 	return out
 }
 
-// rank gives roles to the strong nodes, as long as there are any in question.
+// rank returns the n nodes that rank first for a role, among those of at least
+// minRoleWeight.
 func (v *View) rank(role, dataHall string, n int) []Node {
 	type ranked struct {
 		node Node
@@ -161,8 +162,7 @@
 	return out
 }
 
-// Weight returns how much of the roles a live node can carry, 0 if that isn't
-// known.
+// Weight returns the capacity for roles of a live node, 0 if unknown.
 func (v *View) Weight(node Node) uint32 {
 	at, ok := v.find(node.address)
 	if !ok {
@@ -171,18 +171,18 @@
 	return v.weights[at]
 }
 
-// weightAt returns the same for ranks. A node of which it isn't known counts as one
-// like this: most fleets have instances of one size, and nodes that took it for
-// more than that would give it roles that the others do not.
+// weightAt returns the weight of the i-th live node for ranking. An unknown weight
+// counts as this node's own: most fleets have instances of one size, and a node that
+// assumed more would assign roles differently from the others.
 func (v *View) weightAt(i int) uint32 {
 	return cmp.Or(v.weights[i], v.weight, DefaultWeight)
 }
 
-// minWeightDivisor is the part of the strongest node's weight below which a node gets no
-// role: what it costs would show in the requests that it serves itself.
+// minWeightDivisor divides the greatest weight to give the least weight for roles: on a
+// weaker node the cost of a role would slow the requests that it serves itself.
 const minWeightDivisor = 2
 
-// minRoleWeight returns the least weight that gets roles.
+// minRoleWeight returns the least weight of nodes that get roles.
 func (v *View) minRoleWeight(dataHall string) uint32 {
 	most := uint32(0)
 	for i, node := range v.live {
@@ -193,7 +193,7 @@
 	return most / minWeightDivisor
 }
 
-// Capable returns the live nodes that are strong enough for roles.
+// Capable returns the live nodes whose weight suffices for roles.
 func (v *View) Capable() []Node {
 	var out []Node
 	least := v.minRoleWeight("")
@@ -205,8 +205,8 @@
 	return out
 }
 
-// score is the rank of a node by weighted rendezvous hashing: over many roles a
-// node gets as many as its weight says (Schindelhauer and Schomaker, SPAA 2005).
+// score returns the rank of a node by weighted rendezvous hashing: over many roles a
+// node gets a share proportional to its weight (Schindelhauer and Schomaker, SPAA 2005).
 func score(role string, node Node, w uint32) float64 {
 	u := (float64(xxhash.Sum64String(role+"|"+node.address)) + 0.5) / (1 << 64)
 	return float64(w) / -math.Log(u)
