--- a/internal/source/directory.go
+++ b/internal/source/directory.go
@@ -13,21 +13,21 @@
 	"ploverjunction.example/ploverjunction/internal/wire"
 )
 
-// directoryInterval is the time between two looks at a directory.
+// directoryInterval is the time between two reads of a directory.
 const directoryInterval = 500 * time.Millisecond
 
 // fileSuffix marks the files that hold published values.
 const fileSuffix = ".json"
 
-// Directory reads one value from each file NAME.json of a folder; NAME is the
-// key. A file's revision is its time of change in nanoseconds, so that it grows
-// over restarts as well. It isn't safe for concurrent use.
+// Directory reads one value from each file NAME.json of a directory; NAME is the
+// key. A file's revision is its modification time in nanoseconds, so that it also
+// grows across restarts. It isn't safe for concurrent use.
 type Directory struct {
 	path    string
 	entries map[string]*wire.Entry
 }
 
-// NewDirectory returns a source that reads the folder path.
+// NewDirectory returns a source that reads the directory path.
 func NewDirectory(path string) *Directory {
 	return &Directory{
 		path:    path,
@@ -35,8 +35,8 @@
 	}
 }
 
-// Read returns the values that changed since the last call. A failure gives an
-// *Error and no values.
+// Read returns the values that changed since the last call, or an *Error and no
+// values.
 func (d *Directory) Read(now time.Time) ([]*wire.Entry, error) {
 	files, err := os.ReadDir(d.path)
 	if err != nil {
@@ -69,7 +69,7 @@
 	return out, nil
 }
 
-// read returns the value of a file, or nil if it is the known one.
+// read returns the value of a file, or nil if it is unchanged.
 func (d *Directory) read(key string) (*wire.Entry, error) {
 	file := filepath.Join(d.path, key+fileSuffix)
 	info, err := os.Stat(file)
@@ -89,7 +89,7 @@
 		return nil, nil
 	}
 	if old != nil {
-		// An older file put in its place is a change all the same.
+		// Replacement by an older file is a change too.
 		revision = max(revision, old.GetRevision()+1)
 	}
 	return &wire.Entry{
@@ -122,8 +122,8 @@
 	return out
 }
 
-// Run reads the folder at each tick until the context ends. deliver gets the
-// changes, failed each new failure.
+// Run reads the directory at each tick until the context ends. deliver is called
+// with the changes, failed with each failure.
 func (d *Directory) Run(ctx context.Context, deliver func([]*wire.Entry), failed func(error)) error {
 	tick := time.NewTicker(directoryInterval)
 	defer tick.Stop()
--- a/internal/source/error.go
+++ b/internal/source/error.go
@@ -6,7 +6,7 @@
 
 import "fmt"
 
-// Kind says what failed when a source was read.
+// Kind is the kind of failure when a source was read.
 type Kind string
 
 // Kinds of failures.
@@ -26,7 +26,7 @@
 	code     int
 }
 
-// Error names the place and the failure.
+// Error returns the location, the failure and its cause.
 func (e *Error) Error() string {
 	s := fmt.Sprintf("source: %s: %s", e.location, e.kind)
 	if e.code != 0 {
@@ -38,8 +38,8 @@
 	return s
 }
 
-// Unwrap returns the error beneath, or nil.
+// Unwrap returns the cause, or nil.
 func (e *Error) Unwrap() error { return e.cause }
 
-// Kind returns what failed.
+// Kind returns the kind of failure.
 func (e *Error) Kind() Kind { return e.kind }
--- a/internal/source/follow.go
+++ b/internal/source/follow.go
@@ -11,55 +11,55 @@
 	"ploverjunction.example/ploverjunction/internal/wire"
 )
 
-// Config holds the seams of a platform's run.
+// Config holds the dependencies of a source's run.
 type Config struct {
-	// Reader reports whether this process should read the platform now.
+	// Reader reports whether this process currently has the role to read the platform.
 	Reader func() bool
-	// Deliver gets values, and up to where all that the source told has been delivered with
-	// them; heard is called with each good answer.
+	// Deliver is called with values, and the position of the source up to which everything has
+	// been delivered with them; Heard is called on each good answer.
 	Deliver func([]*wire.Entry, order.Position)
 	Heard   func()
-	// Known returns the newest entry of a key that the fleet has, which may be a removal,
-	// or nil. Keys returns the keys with values.
+	// Known returns the newest entry of a key in the local copy, which may be a removal, or
+	// nil. Keys returns the keys with values.
 	Known func(key string) *wire.Entry
 	Keys  func() []string
-	// Era returns the greatest era of the source that the fleet knows.
+	// Era returns the greatest era of any value in the local copy.
 	Era func() uint64
-	// Behind returns the keys whose values the fleet knows from earlier eras only, Withheld
-	// those that the source has though they were removed before it was restored.
+	// Behind returns the keys whose values are from earlier eras, Withheld those that the
+	// source holds again after a restore although their values had been removed.
 	Behind   func(era uint64) []string
 	Withheld func() []string
-	// Age returns how long ago any process of the fleet heard the source.
+	// Age returns the time since any process of the fleet received an answer of the source.
 	Age func() time.Duration
-	// Failed gets each failure.
+	// Failed is called with each failure.
 	Failed func(error)
-	// Reread gets each read of all values.
+	// Reread is called with each full read.
 	Reread func(Reread)
 }
 
-// Reread is a read of all values.
+// Reread describes a full read: a read of all values.
 type Reread struct {
-	// Reason says why changes alone were not enough.
+	// Reason is why reading the changes was not enough.
 	Reason string
-	// Before is up to where the source was read until then, After up to where it is now.
+	// Before and After are the positions up to which the source was read before and after it.
 	Before order.Position
 	After  order.Position
 }
 
 // Intervals are the times of a reader.
 type Intervals struct {
-	// Role is how often a process that isn't a reader asks whether it is.
+	// Role is the interval at which a process that isn't a reader checks whether it is.
 	Role time.Duration
-	// Pace is the least time from the begin of one step to the next, 0 for none.
+	// Pace is the least time between the starts of two steps, 0 for none.
 	Pace time.Duration
-	// RetryFirst is the wait after a first failure; it doubles up to RetryMost.
+	// RetryFirst is the mean wait after a first failure; it doubles up to RetryMost.
 	RetryFirst time.Duration
 	RetryMost  time.Duration
 }
 
-// Follow makes one step after another while this process is a reader, until the
-// context ends. After failures it waits, ever longer and by chance, so that a
-// platform that comes back isn't met by the whole fleet at once.
+// Follow runs one step after another while this process is a reader, until the
+// context ends. After failures it backs off exponentially with jitter, so that a
+// platform that recovers doesn't get calls of the whole fleet at once.
 func Follow(ctx context.Context, cfg Config, b Intervals, step func(ctx context.Context) error) error {
 	wait := b.RetryFirst
 	for ctx.Err() == nil {
--- a/internal/source/platform.go
+++ b/internal/source/platform.go
@@ -21,13 +21,13 @@
 const (
 	// watchTimeout is how long a watch waits for a change.
 	watchTimeout = 25 * time.Second
-	// watchGrace is how much longer than that an answer may take.
+	// watchGrace is how much longer than watchTimeout an answer may take.
 	watchGrace = 3 * time.Second
-	// readTimeout bounds a read of all values.
+	// readTimeout is the longest time of a full read.
 	readTimeout = 10 * time.Second
-	// roleInterval is how often a process that isn't a reader asks whether it is.
+	// roleInterval is the interval at which a process that isn't a reader checks whether it is.
 	roleInterval = 500 * time.Millisecond
-	// Times between calls after failures.
+	// retryFirst and retryMax bound the mean wait after failures.
 	retryFirst     = 250 * time.Millisecond
 	retryMax       = 15 * time.Second
 	maxAnswerBytes = 512 << 20
@@ -77,10 +77,10 @@
 	})
 }
 
-// next makes one call: a read at first, then watches. An answer older than one
-// before it comes from a stale replica: its values are still handed on, for each
-// counts by its own position, but the watch doesn't go back. Where the platform was restored
-// all is read again at once: a watch leaves out what was changed before its revision.
+// next makes one call: a full read at first, then watches. An answer older than one
+// before it comes from a stale replica: its values are still delivered, because each
+// has its own position, but the watch doesn't go back. If the platform was restored
+// all values are read again at once: a watch omits changes before its revision.
 func (p *Platform) next(ctx context.Context, cfg Config) ([]*wire.Entry, error) {
 	if p.position == (order.Position{}) {
 		return p.readAll(ctx, cfg, reasonFirst)
@@ -96,7 +96,7 @@
 	return p.convert(list), nil
 }
 
-// Reasons to read all values.
+// Reasons for a full read.
 const (
 	reasonFirst    = "first read"
 	reasonRestored = "platform was restored"
@@ -117,7 +117,7 @@
 	return out, nil
 }
 
-// convert returns the values of an answer and notes up to where it goes.
+// convert returns the values of an answer as entries and advances the position to the answer's.
 func (p *Platform) convert(list *wire.ValueList) []*wire.Entry {
 	p.position = order.Max(p.position, fleetconfig.PositionOf(list))
 	out := make([]*wire.Entry, 0, len(list.GetValues()))
