--- a/internal/dissemination/dissemination_test.go
+++ b/internal/dissemination/dissemination_test.go
@@ -126,8 +126,8 @@
 	}
 }
 
-// have counts the nodes that have a revision in force.
-func (f *fleet) have(rev uint64) int {
+// countInForce counts the nodes that have a revision in force.
+func (f *fleet) countInForce(rev uint64) int {
 	n := 0
 	for _, p := range f.peers {
 		if p.replica.InForce()["key"].Revision() >= rev {
@@ -173,13 +173,13 @@
 				time.Sleep(3 * time.Second)
 				begun := time.Now()
 				f.peers["192.0.2.0:1"].gossip.Publish([]*wire.Entry{value(1, c.size)})
-				for f.have(1) < len(f.peers) && time.Since(begun) < time.Minute {
+				for f.countInForce(1) < len(f.peers) && time.Since(begun) < time.Minute {
 					time.Sleep(5 * time.Millisecond)
 				}
 				took := time.Since(begun)
 				t.Logf("on all nodes after %v", took)
 				if took > c.most {
-					t.Errorf("on %d of %d nodes after %v", f.have(1), len(f.peers), took)
+					t.Errorf("on %d of %d nodes after %v", f.countInForce(1), len(f.peers), took)
 				}
 				cancel()
 				if err := g.Wait(); err != nil {
@@ -246,14 +246,14 @@
 		f.peers["192.0.2.1:1"].gossip.Publish([]*wire.Entry{value(7, 0)})
 		f.peers["192.0.2.11:1"].gossip.Publish([]*wire.Entry{value(9, 0)})
 		time.Sleep(10 * time.Second)
-		if a, b := f.have(7), f.have(9); a != 20 || b != 10 {
+		if a, b := f.countInForce(7), f.countInForce(9); a != 20 || b != 10 {
 			t.Errorf("during the cut %d nodes have 7 and %d have 9", a, b)
 		}
 		f.mu.Lock()
 		f.cut = func(string, string) bool { return false }
 		f.mu.Unlock()
 		time.Sleep(10 * time.Second)
-		if n := f.have(9); n != 20 {
+		if n := f.countInForce(9); n != 20 {
 			t.Errorf("after the cut %d nodes have 9", n)
 		}
 		cancel()
@@ -279,7 +279,7 @@
 		f.cut = func(from, _ string) bool { return from == reached }
 		f.mu.Unlock()
 		time.Sleep(10 * time.Second)
-		if f.have(1) != len(f.peers) {
+		if f.countInForce(1) != len(f.peers) {
 			t.Error("the value is not on the node that can only be reached")
 		}
 		cancel()
