--- a/internal/dissemination/dissemination_test.go
+++ b/internal/dissemination/dissemination_test.go
@@ -31,8 +31,8 @@
 type fleet struct {
 	mu    sync.Mutex
 	peers map[string]*peer
-	// cut tells which way messages are lost.
-	cut   func(from, to string) bool
+	// drops tells which way messages are lost.
+	drops func(from, to string) bool
 	calls int
 	// bytes is the size of all messages.
 	bytes int
@@ -46,7 +46,7 @@
 func newFleet(n int) *fleet {
 	f := &fleet{
 		peers: map[string]*peer{},
-		cut:   func(string, string) bool { return false },
+		drops: func(string, string) bool { return false },
 	}
 	var list []membership.Node
 	for i := range n {
@@ -85,7 +85,7 @@
 	f.mu.Lock()
 	f.calls++
 	f.bytes += proto.Size(in)
-	lost := f.cut(from, to)
+	lost := f.drops(from, to)
 	f.mu.Unlock()
 	if lost {
 		select {
@@ -102,7 +102,7 @@
 	time.Sleep(time.Millisecond)
 	f.mu.Lock()
 	f.bytes += proto.Size(reply)
-	lost = f.cut(to, from)
+	lost = f.drops(to, from)
 	f.mu.Unlock()
 	if lost {
 		return nil, lostError{}
@@ -167,7 +167,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				f := newFleet(60)
-				f.cut = c.cut
+				f.drops = c.cut
 				ctx, cancel := context.WithCancel(t.Context())
 				g := f.run(ctx)
 				time.Sleep(3 * time.Second)
@@ -196,7 +196,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		const deaf = "192.0.2.7:1"
 		f := newFleet(20)
-		f.cut = func(_, to string) bool { return to == deaf }
+		f.drops = func(_, to string) bool { return to == deaf }
 		ctx, cancel := context.WithCancel(t.Context())
 		g := f.run(ctx)
 		time.Sleep(30 * time.Second)
@@ -240,7 +240,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(20)
 		side := func(name string) bool { return len(name) == len("192.0.2.1:1") }
-		f.cut = func(from, to string) bool { return side(from) != side(to) }
+		f.drops = func(from, to string) bool { return side(from) != side(to) }
 		ctx, cancel := context.WithCancel(t.Context())
 		g := f.run(ctx)
 		f.peers["192.0.2.1:1"].gossip.Publish([]*wire.Entry{value(7, 0)})
@@ -250,7 +250,7 @@
 			t.Errorf("during the cut %d nodes have 7 and %d have 9", a, b)
 		}
 		f.mu.Lock()
-		f.cut = func(string, string) bool { return false }
+		f.drops = func(string, string) bool { return false }
 		f.mu.Unlock()
 		time.Sleep(10 * time.Second)
 		if n := f.countInForce(9); n != 20 {
@@ -269,14 +269,14 @@
 	synctest.Test(t, func(t *testing.T) {
 		const reached = "192.0.2.1:1"
 		f := newFleet(2)
-		f.cut = func(_, to string) bool { return to == reached }
+		f.drops = func(_, to string) bool { return to == reached }
 		ctx, cancel := context.WithCancel(t.Context())
 		g := f.run(ctx)
 		f.peers["192.0.2.0:1"].gossip.Publish([]*wire.Entry{value(1, 10)})
 		// The push is lost; from here on only answers are.
 		time.Sleep(100 * time.Millisecond)
 		f.mu.Lock()
-		f.cut = func(from, _ string) bool { return from == reached }
+		f.drops = func(from, _ string) bool { return from == reached }
 		f.mu.Unlock()
 		time.Sleep(10 * time.Second)
 		if f.countInForce(1) != len(f.peers) {
--- a/internal/dissemination/startup_test.go
+++ b/internal/dissemination/startup_test.go
@@ -36,7 +36,7 @@
 	f := &hallFleet{
 		fleet: &fleet{
 			peers: map[string]*peer{},
-			cut:   func(string, string) bool { return false },
+			drops: func(string, string) bool { return false },
 		},
 	}
 	for i := range n {
