--- a/internal/dissemination/upgrade_test.go
+++ b/internal/dissemination/upgrade_test.go
@@ -48,9 +48,9 @@
 	return out
 }
 
-// upgrade has the first half of a fleet be of the version before eras: what such nodes send and get
+// mixVersions has the first half of a fleet be of the version before eras: what such nodes send and get
 // lacks the fields that they don't know.
-func (f *fleet) upgrade(half int) {
+func (f *fleet) mixVersions(half int) {
 	for _, p := range f.peers {
 		isOld := func(name string) bool { return name < f.name(half) }
 		call := f.call
@@ -79,7 +79,7 @@
 	const half, settle = 4, 8 * time.Second
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(2 * half)
-		f.upgrade(half)
+		f.mixVersions(half)
 		ctx, cancel := context.WithCancel(t.Context())
 		g := f.run(ctx)
 		inForce := func(what string, i int, want uint64) {
