--- a/internal/dissemination/upgrade_test.go
+++ b/internal/dissemination/upgrade_test.go
@@ -22,8 +22,8 @@
 	return e
 }
 
-// old returns an entry as a node of a version before eras sends it.
-func old(e *wire.Entry) *wire.Entry {
+// withoutEras returns an entry as a node of a version before eras sends it.
+func withoutEras(e *wire.Entry) *wire.Entry {
 	out := proto.CloneOf(e)
 	out.Era, out.Stamp, out.Written, out.Gone = 0, nil, nil, false
 	return out
@@ -43,7 +43,7 @@
 func oldEntries(list []*wire.Entry) []*wire.Entry {
 	var out []*wire.Entry
 	for _, e := range list {
-		out = append(out, old(e))
+		out = append(out, withoutEras(e))
 	}
 	return out
 }
@@ -88,7 +88,7 @@
 				t.Errorf("%s: node %d has revision %d, want %d", what, i, got, want)
 			}
 		}
-		f.peers[f.name(0)].gossip.Publish([]*wire.Entry{old(at(0, 40, 19))})
+		f.peers[f.name(0)].gossip.Publish([]*wire.Entry{withoutEras(at(0, 40, 19))})
 		time.Sleep(settle)
 		for i := range 2 * half {
 			inForce("read by an old node", i, 40)
@@ -114,7 +114,7 @@
 			inForce("revisions have passed the lost ones", i, 45)
 		}
 		// What only old nodes read is not in force at new ones, which can't order it.
-		f.peers[f.name(0)].gossip.Publish([]*wire.Entry{old(at(2, 46, 31))})
+		f.peers[f.name(0)].gossip.Publish([]*wire.Entry{withoutEras(at(2, 46, 31))})
 		time.Sleep(settle)
 		inForce("read by an old node after a restore", 1, 46)
 		inForce("read by an old node after a restore", half, 45)
