--- a/internal/dissemination/upgrade_test.go
+++ b/internal/dissemination/upgrade_test.go
@@ -29,7 +29,7 @@
 	return out
 }
 
-func oldList(list []*wire.KeyRevision) []*wire.KeyRevision {
+func revisionsWithoutEras(list []*wire.KeyRevision) []*wire.KeyRevision {
 	var out []*wire.KeyRevision
 	for _, kr := range list {
 		out = append(out, &wire.KeyRevision{
@@ -58,13 +58,13 @@
 			mixed := isOld(p.name) || isOld(to)
 			if mixed {
 				in = proto.CloneOf(in)
-				in.Entries, in.Revisions = oldEntries(in.GetEntries()), oldList(in.GetRevisions())
+				in.Entries, in.Revisions = oldEntries(in.GetEntries()), revisionsWithoutEras(in.GetRevisions())
 				in.ReadTo, in.Pull, in.Since = nil, false, nil
 			}
 			reply, err := call(ctx, p.name, to, in)
 			if mixed && err == nil {
 				reply = proto.CloneOf(reply)
-				reply.Entries, reply.Revisions = oldEntries(reply.GetEntries()), oldList(reply.GetRevisions())
+				reply.Entries, reply.Revisions = oldEntries(reply.GetEntries()), revisionsWithoutEras(reply.GetRevisions())
 				reply.ReadTo, reply.Batch, reply.UpTo, reply.More = nil, nil, nil, false
 			}
 			return reply, err
