--- a/internal/dissemination/upgrade_test.go
+++ b/internal/dissemination/upgrade_test.go
@@ -40,7 +40,7 @@
 	return out
 }
 
-func oldEntries(list []*wire.Entry) []*wire.Entry {
+func entriesWithoutEras(list []*wire.Entry) []*wire.Entry {
 	var out []*wire.Entry
 	for _, e := range list {
 		out = append(out, withoutEras(e))
@@ -58,13 +58,13 @@
 			mixed := isOld(p.name) || isOld(to)
 			if mixed {
 				in = proto.CloneOf(in)
-				in.Entries, in.Revisions = oldEntries(in.GetEntries()), revisionsWithoutEras(in.GetRevisions())
+				in.Entries, in.Revisions = entriesWithoutEras(in.GetEntries()), revisionsWithoutEras(in.GetRevisions())
 				in.ReadTo, in.Pull, in.Since = nil, false, nil
 			}
 			reply, err := call(ctx, p.name, to, in)
 			if mixed && err == nil {
 				reply = proto.CloneOf(reply)
-				reply.Entries, reply.Revisions = oldEntries(reply.GetEntries()), revisionsWithoutEras(reply.GetRevisions())
+				reply.Entries, reply.Revisions = entriesWithoutEras(reply.GetEntries()), revisionsWithoutEras(reply.GetRevisions())
 				reply.ReadTo, reply.Batch, reply.UpTo, reply.More = nil, nil, nil, false
 			}
 			return reply, err
