--- a/internal/dissemination/startup_test.go
+++ b/internal/dissemination/startup_test.go
@@ -27,9 +27,9 @@
 type hallFleet struct {
 	*fleet
 	list []membership.Node
-	// between are the bytes that crossed data halls, largest those of the greatest message.
-	between int
-	largest int
+	// crossHallBytes are the bytes that crossed data halls, largest those of the greatest message.
+	crossHallBytes int
+	largest        int
 }
 
 func newHallFleet(n int) *hallFleet {
@@ -88,7 +88,7 @@
 	for _, n := range sizes {
 		f.largest = max(f.largest, n)
 		if !near {
-			f.between += n
+			f.crossHallBytes += n
 		}
 	}
 }
@@ -185,7 +185,7 @@
 			f.mu.Lock()
 			each := float64(f.bytes) / nodes / float64(targets)
 			t.Logf("%d targets: %.0f bytes a node and target, %.0f between data halls, %d the largest message, %v after the last one",
-				targets, each, float64(f.between)/nodes/float64(targets), f.largest, took)
+				targets, each, float64(f.crossHallBytes)/nodes/float64(targets), f.largest, took)
 			if each > mostEach || f.largest > mostLarge || took > mostTime {
 				t.Errorf("%d targets: %.0f bytes a node and target, largest message %d, %v", targets, each, f.largest, took)
 			}
@@ -217,9 +217,9 @@
 		took := f.await(t)
 		time.Sleep(time.Second)
 		f.mu.Lock()
-		t.Logf("%d bytes, %d of them between data halls, in %v", f.bytes, f.between, took)
-		if f.bytes > most || f.between > mostBetween {
-			t.Errorf("%d bytes, %d of them between data halls", f.bytes, f.between)
+		t.Logf("%d bytes, %d of them between data halls, in %v", f.bytes, f.crossHallBytes, took)
+		if f.bytes > most || f.crossHallBytes > mostBetween {
+			t.Errorf("%d bytes, %d of them between data halls", f.bytes, f.crossHallBytes)
 		}
 		f.mu.Unlock()
 		if anew.gossip.Compared() == 0 {
