--- a/internal/dissemination/startup_test.go
+++ b/internal/dissemination/startup_test.go
@@ -29,7 +29,7 @@
 	list []membership.Node
 	// crossHallBytes are the bytes that crossed data halls, largest those of the greatest message.
 	crossHallBytes int
-	largest        int
+	largestMessage int
 }
 
 func newHallFleet(n int) *hallFleet {
@@ -86,7 +86,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, n := range sizes {
-		f.largest = max(f.largest, n)
+		f.largestMessage = max(f.largestMessage, n)
 		if !near {
 			f.crossHallBytes += n
 		}
@@ -185,9 +185,9 @@
 			f.mu.Lock()
 			each := float64(f.bytes) / nodes / float64(targets)
 			t.Logf("%d targets: %.0f bytes a node and target, %.0f between data halls, %d the largest message, %v after the last one",
-				targets, each, float64(f.crossHallBytes)/nodes/float64(targets), f.largest, took)
-			if each > mostEach || f.largest > mostLarge || took > mostTime {
-				t.Errorf("%d targets: %.0f bytes a node and target, largest message %d, %v", targets, each, f.largest, took)
+				targets, each, float64(f.crossHallBytes)/nodes/float64(targets), f.largestMessage, took)
+			if each > mostEach || f.largestMessage > mostLarge || took > mostTime {
+				t.Errorf("%d targets: %.0f bytes a node and target, largest message %d, %v", targets, each, f.largestMessage, took)
 			}
 			f.mu.Unlock()
 			cancel()
