--- a/internal/dissemination/startup_test.go
+++ b/internal/dissemination/startup_test.go
@@ -125,8 +125,8 @@
 	}
 }
 
-// agreed reports whether all nodes have the same values.
-func (f *hallFleet) agreed() bool {
+// converged reports whether all nodes have the same values.
+func (f *hallFleet) converged() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	digest := f.peers[f.list[0].Address()].replica.Digest()
@@ -142,7 +142,7 @@
 func (f *hallFleet) await(t *testing.T) time.Duration {
 	t.Helper()
 	begun := time.Now()
-	for !f.agreed() {
+	for !f.converged() {
 		if time.Since(begun) > time.Minute {
 			t.Fatal("the nodes don't agree")
 		}
