--- a/internal/dissemination/startup_test.go
+++ b/internal/dissemination/startup_test.go
@@ -138,8 +138,8 @@
 	return true
 }
 
-// await waits until all nodes agree, and returns how long that took.
-func (f *hallFleet) await(t *testing.T) time.Duration {
+// awaitConvergence waits until all nodes agree, and returns how long that took.
+func (f *hallFleet) awaitConvergence(t *testing.T) time.Duration {
 	t.Helper()
 	begun := time.Now()
 	for !f.converged() {
@@ -181,7 +181,7 @@
 			ctx, cancel := context.WithCancel(t.Context())
 			g := f.run(ctx)
 			f.register(targets)
-			took := f.await(t)
+			took := f.awaitConvergence(t)
 			f.mu.Lock()
 			each := float64(f.bytes) / nodes / float64(targets)
 			t.Logf("%d targets: %.0f bytes a node and target, %.0f between data halls, %d the largest message, %v after the last one",
@@ -214,7 +214,7 @@
 		anew := f.start(f.list[7])
 		ctx, cancel := context.WithCancel(t.Context())
 		g := f.run(ctx)
-		took := f.await(t)
+		took := f.awaitConvergence(t)
 		time.Sleep(time.Second)
 		f.mu.Lock()
 		t.Logf("%d bytes, %d of them between data halls, in %v", f.bytes, f.crossHallBytes, took)
