--- a/internal/dissemination/age_test.go
+++ b/internal/dissemination/age_test.go
@@ -14,7 +14,7 @@
 // it young: what is old for one stays old for all.
 func TestPlatformAgeGrowsDespiteGossip(t *testing.T) {
 	const (
-		silent = 4 * time.Second
+		silence = 4 * time.Second
 		// way is how long a message is under way, gap the time between two of a node.
 		way   = 2 * time.Millisecond
 		gap   = time.Millisecond
@@ -28,15 +28,15 @@
 		}
 		order[0].gossip.PlatformHeard(time.Now())
 		begun := time.Now()
-		for n := 0; time.Since(begun) < silent; n++ {
+		for n := 0; time.Since(begun) < silence; n++ {
 			from, to := order[n%nodes], order[(n+1+n/nodes%(nodes-1))%nodes]
 			age := from.gossip.PlatformAge(time.Now())
 			time.Sleep(gap)
 			time.AfterFunc(way-gap, func() { to.gossip.LearnAge(time.Now(), age) })
 		}
 		for _, p := range order {
-			if age := p.gossip.PlatformAge(time.Now()); age < silent-time.Millisecond {
-				t.Errorf("heard %v ago, it was %v", age, silent)
+			if age := p.gossip.PlatformAge(time.Now()); age < silence-time.Millisecond {
+				t.Errorf("heard %v ago, it was %v", age, silence)
 			}
 		}
 	})
