--- a/internal/dissemination/age_test.go
+++ b/internal/dissemination/age_test.go
@@ -15,10 +15,10 @@
 func TestPlatformAgeGrowsDespiteGossip(t *testing.T) {
 	const (
 		silence = 4 * time.Second
-		// way is how long a message is under way, gap the time between two of a node.
-		way   = 2 * time.Millisecond
-		gap   = time.Millisecond
-		nodes = 5
+		// latency is how long a message is under way, gap the time between two of a node.
+		latency = 2 * time.Millisecond
+		gap     = time.Millisecond
+		nodes   = 5
 	)
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(nodes)
@@ -32,7 +32,7 @@
 			from, to := order[n%nodes], order[(n+1+n/nodes%(nodes-1))%nodes]
 			age := from.gossip.PlatformAge(time.Now())
 			time.Sleep(gap)
-			time.AfterFunc(way-gap, func() { to.gossip.LearnAge(time.Now(), age) })
+			time.AfterFunc(latency-gap, func() { to.gossip.LearnAge(time.Now(), age) })
 		}
 		for _, p := range order {
 			if age := p.gossip.PlatformAge(time.Now()); age < silence-time.Millisecond {
