--- a/internal/dissemination/age_test.go
+++ b/internal/dissemination/age_test.go
@@ -16,9 +16,9 @@
 	const (
 		silence = 4 * time.Second
 		// latency is how long a message is under way, gap the time between two of a node.
-		latency = 2 * time.Millisecond
-		gap     = time.Millisecond
-		nodes   = 5
+		latency  = 2 * time.Millisecond
+		interval = time.Millisecond
+		nodes    = 5
 	)
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(nodes)
@@ -31,8 +31,8 @@
 		for n := 0; time.Since(begun) < silence; n++ {
 			from, to := order[n%nodes], order[(n+1+n/nodes%(nodes-1))%nodes]
 			age := from.gossip.PlatformAge(time.Now())
-			time.Sleep(gap)
-			time.AfterFunc(latency-gap, func() { to.gossip.LearnAge(time.Now(), age) })
+			time.Sleep(interval)
+			time.AfterFunc(latency-interval, func() { to.gossip.LearnAge(time.Now(), age) })
 		}
 		for _, p := range order {
 			if age := p.gossip.PlatformAge(time.Now()); age < silence-time.Millisecond {
