--- a/internal/dissemination/age_test.go
+++ b/internal/dissemination/age_test.go
@@ -27,8 +27,8 @@
 			order = append(order, p)
 		}
 		order[0].gossip.PlatformHeard(time.Now())
-		begun := time.Now()
-		for n := 0; time.Since(begun) < silence; n++ {
+		start := time.Now()
+		for n := 0; time.Since(start) < silence; n++ {
 			from, to := order[n%nodes], order[(n+1+n/nodes%(nodes-1))%nodes]
 			age := from.gossip.PlatformAge(time.Now())
 			time.Sleep(interval)
