--- a/internal/dissemination/buckets_test.go
+++ b/internal/dissemination/buckets_test.go
@@ -39,8 +39,8 @@
 // comparisons take 39.7 kB with lists of all revisions and 3.3 kB by parts.
 func TestComparisonOfOneDifferenceIsSmall(t *testing.T) {
 	const (
-		values = 720
-		most   = 4000
+		values   = 720
+		maxBytes = 4000
 	)
 	tests := []struct {
 		name  string
@@ -85,8 +85,8 @@
 					f.mu.Lock()
 					defer f.mu.Unlock()
 					t.Logf("%d bytes", f.bytes)
-					if f.bytes > most {
-						t.Errorf("%d bytes, want at most %d", f.bytes, most)
+					if f.bytes > maxBytes {
+						t.Errorf("%d bytes, want at most %d", f.bytes, maxBytes)
 					}
 				})
 			})
