--- a/internal/dissemination/dissemination_test.go
+++ b/internal/dissemination/dissemination_test.go
@@ -139,28 +139,28 @@
 
 func TestSpread(t *testing.T) {
 	cases := []struct {
-		name string
-		size int
-		cut  func(from, to string) bool
-		most time.Duration
+		name    string
+		size    int
+		cut     func(from, to string) bool
+		maxTime time.Duration
 	}{
 		{
-			name: "small value",
-			size: 10,
-			cut:  func(string, string) bool { return false },
-			most: 3 * time.Second,
+			name:    "small value",
+			size:    10,
+			cut:     func(string, string) bool { return false },
+			maxTime: 3 * time.Second,
 		},
 		{
-			name: "large value",
-			size: 100_000,
-			cut:  func(string, string) bool { return false },
-			most: 3 * time.Second,
+			name:    "large value",
+			size:    100_000,
+			cut:     func(string, string) bool { return false },
+			maxTime: 3 * time.Second,
 		},
 		{
-			name: "a node that can only be reached",
-			size: 10,
-			cut:  func(from, _ string) bool { return from == "192.0.2.7:1" },
-			most: 30 * time.Second,
+			name:    "a node that can only be reached",
+			size:    10,
+			cut:     func(from, _ string) bool { return from == "192.0.2.7:1" },
+			maxTime: 30 * time.Second,
 		},
 	}
 	for _, c := range cases {
@@ -178,7 +178,7 @@
 				}
 				took := time.Since(begun)
 				t.Logf("on all nodes after %v", took)
-				if took > c.most {
+				if took > c.maxTime {
 					t.Errorf("on %d of %d nodes after %v", f.countInForce(1), len(f.peers), took)
 				}
 				cancel()
