--- a/internal/dissemination/dissemination_test.go
+++ b/internal/dissemination/dissemination_test.go
@@ -171,12 +171,12 @@
 				ctx, cancel := context.WithCancel(t.Context())
 				g := f.run(ctx)
 				time.Sleep(3 * time.Second)
-				begun := time.Now()
+				start := time.Now()
 				f.peers["192.0.2.0:1"].gossip.Publish([]*wire.Entry{value(1, c.size)})
-				for f.countInForce(1) < len(f.peers) && time.Since(begun) < time.Minute {
+				for f.countInForce(1) < len(f.peers) && time.Since(start) < time.Minute {
 					time.Sleep(5 * time.Millisecond)
 				}
-				took := time.Since(begun)
+				took := time.Since(start)
 				t.Logf("on all nodes after %v", took)
 				if took > c.maxTime {
 					t.Errorf("on %d of %d nodes after %v", f.countInForce(1), len(f.peers), took)
