--- a/internal/dissemination/startup_test.go
+++ b/internal/dissemination/startup_test.go
@@ -141,14 +141,14 @@
 // awaitConvergence waits until all nodes agree, and returns how long that took.
 func (f *hallFleet) awaitConvergence(t *testing.T) time.Duration {
 	t.Helper()
-	begun := time.Now()
+	start := time.Now()
 	for !f.converged() {
-		if time.Since(begun) > time.Minute {
+		if time.Since(start) > time.Minute {
 			t.Fatal("the nodes don't agree")
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
-	return time.Since(begun)
+	return time.Since(start)
 }
 
 // register has two nodes of different data halls read targets from the source, part after part.
