--- a/internal/dissemination/startup_test.go
+++ b/internal/dissemination/startup_test.go
@@ -172,7 +172,7 @@
 		// maxBytesPerTarget is the most bytes that a node may exchange for each target, a registration of
 		// some 130 bytes, and mostLarge the most bytes of a message.
 		maxBytesPerTarget = 120
-		mostLarge         = 72 << 10
+		maxMessage        = 72 << 10
 		mostTime          = 3 * time.Second
 	)
 	for _, targets := range []int{1500, 3000} {
@@ -186,7 +186,7 @@
 			each := float64(f.bytes) / nodes / float64(targets)
 			t.Logf("%d targets: %.0f bytes a node and target, %.0f between data halls, %d the largest message, %v after the last one",
 				targets, each, float64(f.crossHallBytes)/nodes/float64(targets), f.largestMessage, took)
-			if each > maxBytesPerTarget || f.largestMessage > mostLarge || took > mostTime {
+			if each > maxBytesPerTarget || f.largestMessage > maxMessage || took > mostTime {
 				t.Errorf("%d targets: %.0f bytes a node and target, largest message %d, %v", targets, each, f.largestMessage, took)
 			}
 			f.mu.Unlock()
