--- a/internal/dissemination/startup_test.go
+++ b/internal/dissemination/startup_test.go
@@ -202,7 +202,7 @@
 func TestNewNodeFetchesOnceFromItsDataHall(t *testing.T) {
 	const (
 		nodes, targets = 30, 3000
-		most           = 200 << 10
+		maxBytes       = 200 << 10
 		mostBetween    = 20 << 10
 	)
 	synctest.Test(t, func(t *testing.T) {
@@ -218,7 +218,7 @@
 		time.Sleep(time.Second)
 		f.mu.Lock()
 		t.Logf("%d bytes, %d of them between data halls, in %v", f.bytes, f.crossHallBytes, took)
-		if f.bytes > most || f.crossHallBytes > mostBetween {
+		if f.bytes > maxBytes || f.crossHallBytes > mostBetween {
 			t.Errorf("%d bytes, %d of them between data halls", f.bytes, f.crossHallBytes)
 		}
 		f.mu.Unlock()
