--- a/internal/dissemination/startup_test.go
+++ b/internal/dissemination/startup_test.go
@@ -201,9 +201,9 @@
 // Guards against a node that begins anew and fetches all values several times, or from other data halls.
 func TestNewNodeFetchesOnceFromItsDataHall(t *testing.T) {
 	const (
-		nodes, targets = 30, 3000
-		maxBytes       = 200 << 10
-		mostBetween    = 20 << 10
+		nodes, targets    = 30, 3000
+		maxBytes          = 200 << 10
+		maxCrossHallBytes = 20 << 10
 	)
 	synctest.Test(t, func(t *testing.T) {
 		f := newHallFleet(nodes)
@@ -218,7 +218,7 @@
 		time.Sleep(time.Second)
 		f.mu.Lock()
 		t.Logf("%d bytes, %d of them between data halls, in %v", f.bytes, f.crossHallBytes, took)
-		if f.bytes > maxBytes || f.crossHallBytes > mostBetween {
+		if f.bytes > maxBytes || f.crossHallBytes > maxCrossHallBytes {
 			t.Errorf("%d bytes, %d of them between data halls", f.bytes, f.crossHallBytes)
 		}
 		f.mu.Unlock()
