--- a/internal/dissemination/startup_test.go
+++ b/internal/dissemination/startup_test.go
@@ -211,7 +211,7 @@
 			p.replica.Offer(manyValues(targets))
 			p.replica.NoteRead(order.At(0, targets+1))
 		}
-		anew := f.start(f.list[7])
+		newNode := f.start(f.list[7])
 		ctx, cancel := context.WithCancel(t.Context())
 		g := f.run(ctx)
 		took := f.awaitConvergence(t)
@@ -222,7 +222,7 @@
 			t.Errorf("%d bytes, %d of them between data halls", f.bytes, f.crossHallBytes)
 		}
 		f.mu.Unlock()
-		if anew.gossip.Compared() == 0 {
+		if newNode.gossip.Compared() == 0 {
 			t.Error("the node has compared with nobody")
 		}
 		cancel()
