--- a/internal/dissemination/startup_test.go
+++ b/internal/dissemination/startup_test.go
@@ -237,13 +237,13 @@
 	synctest.Test(t, func(t *testing.T) {
 		const targets = 2000
 		f := newHallFleet(3 * halls)
-		giver := f.peers[f.list[0].Address()]
-		giver.gossip.PublishTo(manyValues(targets), order.At(0, targets+1))
+		sender := f.peers[f.list[0].Address()]
+		sender.gossip.PublishTo(manyValues(targets), order.At(0, targets+1))
 		pull := func() []*wire.Entry {
 			var out []*wire.Entry
 			since := &wire.Position{}
 			for {
-				reply, err := giver.gossip.Sync(t.Context(), &wire.SyncRequest{
+				reply, err := sender.gossip.Sync(t.Context(), &wire.SyncRequest{
 					From:  &wire.Node{},
 					Pull:  true,
 					Since: since,
@@ -267,7 +267,7 @@
 		}
 		fresh := targetValue(3, targets+10)
 		fresh.Value = []byte(`{"targets":[{"service":"quotes","address":"192.0.2.1:9","dataHall":"b","slots":1,"id":"i-0000000003"}]}`)
-		giver.gossip.PublishTo([]*wire.Entry{fresh}, order.At(0, targets+10))
+		sender.gossip.PublishTo([]*wire.Entry{fresh}, order.At(0, targets+10))
 		for range 2 {
 			got := pull()
 			if last := got[len(got)-1]; len(got) != targets+1 || string(last.GetValue()) != string(fresh.GetValue()) {
