--- a/internal/fleetconfig/restore_test.go
+++ b/internal/fleetconfig/restore_test.go
@@ -16,8 +16,8 @@
 	"ploverjunction.example/ploverjunction/internal/wire"
 )
 
-// counted returns a value of a key as a store holds it: at a position, with its writer's count.
-func counted(key string, era, revision, count uint64) *wire.Entry {
+// stampedEntry returns a value of a key as a store holds it: at a position, with its writer's count.
+func stampedEntry(key string, era, revision, count uint64) *wire.Entry {
 	e := &wire.Entry{
 		Key:   key,
 		Value: fmt.Appendf(nil, `{"workspaces":[{"id":"%s-%d-%d-%d"}]}`, key, era, revision, count),
@@ -42,68 +42,68 @@
 		{
 			name: "later era, lower revision",
 			entries: []*wire.Entry{
-				counted("k", 1, 44, 21),
-				counted("k", 2, 41, 25),
+				stampedEntry("k", 1, 44, 21),
+				stampedEntry("k", 2, 41, 25),
 			},
-			want: counted("k", 2, 41, 25),
+			want: stampedEntry("k", 2, 41, 25),
 		},
 		{
 			name: "copy with an older value",
 			entries: []*wire.Entry{
-				counted("k", 1, 44, 21),
-				counted("k", 2, 40, 19),
+				stampedEntry("k", 1, 44, 21),
+				stampedEntry("k", 2, 40, 19),
 			},
-			want:  counted("k", 1, 44, 21),
+			want:  stampedEntry("k", 1, 44, 21),
 			ahead: true,
 		},
 		{
 			name: "written again after the restore",
 			entries: []*wire.Entry{
-				counted("k", 1, 44, 21),
-				counted("k", 2, 40, 19),
-				counted("k", 2, 41, 21),
+				stampedEntry("k", 1, 44, 21),
+				stampedEntry("k", 2, 40, 19),
+				stampedEntry("k", 2, 41, 21),
 			},
-			want: counted("k", 2, 41, 21),
+			want: stampedEntry("k", 2, 41, 21),
 		},
 		{
 			name: "value of the former era comes late",
 			entries: []*wire.Entry{
-				counted("k", 2, 41, 25),
-				counted("k", 1, 99, 23),
+				stampedEntry("k", 2, 41, 25),
+				stampedEntry("k", 1, 99, 23),
 			},
-			want: counted("k", 2, 41, 25),
+			want: stampedEntry("k", 2, 41, 25),
 		},
 		{
 			name: "lost value of a node that was cut off",
 			entries: []*wire.Entry{
-				counted("k", 2, 40, 19),
-				counted("k", 1, 44, 21),
+				stampedEntry("k", 2, 40, 19),
+				stampedEntry("k", 1, 44, 21),
 			},
-			want:  counted("k", 1, 44, 21),
+			want:  stampedEntry("k", 1, 44, 21),
 			ahead: true,
 		},
 		{
 			name: "two restores",
 			entries: []*wire.Entry{
-				counted("k", 1, 44, 21),
-				counted("k", 2, 40, 19),
-				counted("k", 3, 38, 17),
+				stampedEntry("k", 1, 44, 21),
+				stampedEntry("k", 2, 40, 19),
+				stampedEntry("k", 3, 38, 17),
 			},
-			want:  counted("k", 1, 44, 21),
+			want:  stampedEntry("k", 1, 44, 21),
 			ahead: true,
 		},
 		{
 			name: "writer that counts nothing",
 			entries: []*wire.Entry{
-				counted("k", 1, 44, 0),
-				counted("k", 2, 40, 0),
+				stampedEntry("k", 1, 44, 0),
+				stampedEntry("k", 2, 40, 0),
 			},
-			want: counted("k", 2, 40, 0),
+			want: stampedEntry("k", 2, 40, 0),
 		},
 		{
 			name: "removed after the restore",
 			entries: []*wire.Entry{
-				counted("k", 1, 44, 21),
+				stampedEntry("k", 1, 44, 21),
 				removedAt("k", 2, 41, 21),
 			},
 		},
@@ -111,23 +111,23 @@
 			name: "copy of what was removed",
 			entries: []*wire.Entry{
 				removedAt("k", 1, 60, 21),
-				counted("k", 2, 41, 19),
+				stampedEntry("k", 2, 41, 19),
 			},
 		},
 		{
 			name: "copy of just what was removed",
 			entries: []*wire.Entry{
 				removedAt("k", 1, 60, 21),
-				counted("k", 2, 41, 21),
+				stampedEntry("k", 2, 41, 21),
 			},
 		},
 		{
 			name: "removal of a former era",
 			entries: []*wire.Entry{
 				removedAt("k", 1, 60, 21),
-				counted("k", 2, 41, 25),
+				stampedEntry("k", 2, 41, 25),
 			},
-			want: counted("k", 2, 41, 25),
+			want: stampedEntry("k", 2, 41, 25),
 		},
 	}
 	for _, tt := range tests {
@@ -170,7 +170,7 @@
 		if c%2 == 0 {
 			count = 1 + rng.Uint64N(12)
 		}
-		out[i] = counted(key, era, revision, count)
+		out[i] = stampedEntry(key, era, revision, count)
 		switch {
 		case removals && rng.IntN(4) == 0:
 			out[i] = removedAt(key, era, revision, count)
