--- a/internal/fleetconfig/restore_test.go
+++ b/internal/fleetconfig/restore_test.go
@@ -181,8 +181,8 @@
 	return out
 }
 
-// state returns all that a store holds and has in force.
-func state(s *fleetconfig.Store) string {
+// storeState returns all that a store holds and has in force.
+func storeState(s *fleetconfig.Store) string {
 	text := fmt.Sprint(s.Digest(), s.Config().Position(), s.Ahead())
 	for _, kr := range s.Revisions() {
 		e := s.Newest(kr.GetKey())
@@ -209,7 +209,7 @@
 			b.Offer(list[:n])
 			list = list[n:]
 		}
-		return state(a) == state(b)
+		return storeState(a) == storeState(b)
 	}
 	p.Property("values and removals", prop.ForAll(
 		func(codes []int, seed int64) bool { return same(codes, seed, true, false) }, codes, gen.Int64(),
@@ -227,7 +227,7 @@
 			for _, kr := range right.Revisions() {
 				left.Offer(right.Entries(kr.GetKey()))
 			}
-			return state(all) == state(left) && state(all) == state(right)
+			return storeState(all) == storeState(left) && storeState(all) == storeState(right)
 		}, codes, gen.IntRange(0, 24),
 	))
 	p.Property("the greatest good value by its writer's order is in force", prop.ForAll(
