--- a/internal/fleetconfig/registration_test.go
+++ b/internal/fleetconfig/registration_test.go
@@ -33,8 +33,8 @@
 	return e
 }
 
-// serving describes the targets of all services, by each of the ways to find them.
-func serving(c *fleetconfig.Config) string {
+// describeTargets describes the targets of all services, by each of the ways to find them.
+func describeTargets(c *fleetconfig.Config) string {
 	var b strings.Builder
 	for i := range 3 {
 		s := c.Service(fmt.Sprintf("s%d", i))
@@ -67,7 +67,7 @@
 					inForce.Offer([]*wire.Entry{e})
 				}
 			}
-			if got, want := serving(s.Config()), serving(inForce.Config()); got != want {
+			if got, want := describeTargets(s.Config()), describeTargets(inForce.Config()); got != want {
 				t.Fatalf("seed %d, step %d: got\n%swant\n%s", seed, revision, got, want)
 			}
 			for _, r := range s.Refusals() {
