--- a/internal/fleetconfig/fleetconfig_test.go
+++ b/internal/fleetconfig/fleetconfig_test.go
@@ -417,8 +417,8 @@
 	}
 }
 
-// routesOf builds a configuration of n routes.
-func routesOf(t *testing.T, n int) *fleetconfig.Config {
+// configWithRoutes builds a configuration of n routes.
+func configWithRoutes(t *testing.T, n int) *fleetconfig.Config {
 	t.Helper()
 	var list []string
 	for i := range n {
@@ -443,7 +443,7 @@
 }
 
 func TestRouteGuard(t *testing.T) {
-	few, many := routesOf(t, 10), routesOf(t, 7100)
+	few, many := configWithRoutes(t, 10), configWithRoutes(t, 7100)
 	allocs := testing.AllocsPerRun(1000, func() { many.Route("host", "/a/b7/c/d", "GET") })
 	if allocs != 0 {
 		t.Fatalf("%v allocations a lookup", allocs)
