--- a/internal/fleetconfig/registration_test.go
+++ b/internal/fleetconfig/registration_test.go
@@ -131,8 +131,8 @@
 	for n := range uint64(5000) {
 		s.Offer([]*wire.Entry{registration(int(n%targets), 1000+n)})
 	}
-	if n, most := s.HistoryLen(), 2*(targets+1)+64; n > most {
-		t.Errorf("%d places of %d targets, want at most %d", n, targets, most)
+	if n, maxLen := s.HistoryLen(), 2*(targets+1)+64; n > maxLen {
+		t.Errorf("%d places of %d targets, want at most %d", n, targets, maxLen)
 	}
 	if got, _, _ := s.After(order.Position{}, 1<<20); len(got) != targets+1 {
 		t.Errorf("%d values behind the first position", len(got))
