--- a/internal/membership/rumor_test.go
+++ b/internal/membership/rumor_test.go
@@ -12,7 +12,7 @@
 // The datagrams of requests carry no news of nodes that just live; a suspicion travels
 // on each of them.
 func TestOnlyUrgentUpdatesAreSentWithRequests(t *testing.T) {
-	tab := heardTable(30)
+	tab := tableOf(30)
 	if news := tab.Tell(4, false); len(news) != 0 {
 		t.Errorf("news of nodes that live: %v", news)
 	}
@@ -28,7 +28,7 @@
 
 // Urgent news goes before the joins of a fleet that starts.
 func TestSuspicionIsSentBeforeJoins(t *testing.T) {
-	tab := heardTable(30)
+	tab := tableOf(30)
 	tab.Suspect(begin, peer(7).Address())
 	if news := tab.Tell(4, true); len(news) != 4 || news[0].Node != peer(7) {
 		t.Errorf("news %v, want the suspicion first", news)
@@ -37,7 +37,7 @@
 
 // What doesn't change a view asks for none: each datagram says again who its sender is.
 func TestRepeatedUpdateDoesNotChangeTheView(t *testing.T) {
-	tab := heardTable(30)
+	tab := tableOf(30)
 	tab.Weigh(peer(3).Address(), 160)
 	tab.Changed()
 	tab.Heard(begin, peer(3), 2, false)
@@ -72,11 +72,11 @@
 func BenchmarkTell(b *testing.B) {
 	for _, joins := range []bool{true, false} {
 		b.Run(fmt.Sprintf("joins=%v", joins), func(b *testing.B) {
-			tab := heardTable(443)
+			tab := tableOf(443)
 			for i := 0; b.Loop(); i++ {
 				if i%100 == 0 {
 					b.StopTimer()
-					tab = heardTable(443)
+					tab = tableOf(443)
 					b.StartTimer()
 				}
 				tab.Tell(4, joins)
@@ -88,7 +88,7 @@
 // A view of 443 nodes, before and after the table kept its nodes in order: 150 and
 // 11 us.
 func BenchmarkView(b *testing.B) {
-	tab := heardTable(443)
+	tab := tableOf(443)
 	for b.Loop() {
 		tab.View(begin)
 	}
--- a/internal/membership/update_test.go
+++ b/internal/membership/update_test.go
@@ -16,8 +16,8 @@
 	return membership.NewNode(fmt.Sprintf("192.0.2.%d:1", n), "a")
 }
 
-// heardTable returns the table of node 0, which has heard n others.
-func heardTable(n int) *membership.Table {
+// tableOf returns the table of node 0, which has heard n others.
+func tableOf(n int) *membership.Table {
 	t := membership.NewTable(peer(0))
 	for i := 1; i <= n; i++ {
 		t.Heard(begin, peer(i), 1, false)
@@ -36,7 +36,7 @@
 
 // A suspicion that nobody refutes takes a node out of its roles within a second.
 func TestUnrefutedSuspicionDeclaresDead(t *testing.T) {
-	tab := heardTable(3)
+	tab := tableOf(3)
 	tab.Suspect(begin, peer(1).Address())
 	if !live(tab, begin, peer(1)) {
 		t.Error("a suspected node lost its roles before it could refute")
@@ -49,7 +49,7 @@
 
 // A word of the node itself ends a suspicion and a death.
 func TestMessageRefutesSuspicionAndDeath(t *testing.T) {
-	tab := heardTable(3)
+	tab := tableOf(3)
 	tab.Suspect(begin, peer(1).Address())
 	tab.Heard(begin, peer(1), 1, false)
 	now := begin.Add(2 * membership.RefuteTime)
@@ -68,7 +68,7 @@
 // News of a greater incarnation refutes a suspicion that came from elsewhere; news
 // of an older one changes nothing.
 func TestGreaterIncarnationRefutes(t *testing.T) {
-	tab := heardTable(3)
+	tab := tableOf(3)
 	take := func(o membership.Opinion, incarnation uint64) {
 		tab.Take(begin, membership.News{
 			Node:        peer(1),
@@ -94,7 +94,7 @@
 
 // A node that hears of its own death must be told to refute it.
 func TestOwnDeathIsRefuted(t *testing.T) {
-	tab := heardTable(3)
+	tab := tableOf(3)
 	n := membership.News{
 		Node:        peer(0),
 		Incarnation: 5,
@@ -111,7 +111,7 @@
 // A process whose clock was set back starts with a smaller incarnation. It is told
 // of the greater one and takes it up.
 func TestRestartWithAnOlderClock(t *testing.T) {
-	tab := heardTable(3)
+	tab := tableOf(3)
 	tab.Heard(begin, peer(1), 100, false)
 	for told := 1; told > 0; {
 		told = len(tab.Tell(10, true))
@@ -129,7 +129,7 @@
 
 // A node that stood still itself gives the others their whole time again.
 func TestOwnPauseDeclaresNobodyDead(t *testing.T) {
-	tab := heardTable(3)
+	tab := tableOf(3)
 	tab.Suspect(begin, peer(1).Address())
 	now := begin.Add(5 * time.Second)
 	tab.Calm(now)
@@ -140,7 +140,7 @@
 
 // News is passed on a bounded number of times.
 func TestUpdatesAreSentABoundedNumberOfTimes(t *testing.T) {
-	tab := heardTable(30)
+	tab := tableOf(30)
 	n := 0
 	for len(tab.Tell(4, true)) > 0 {
 		if n++; n > 1000 {
@@ -152,7 +152,7 @@
 // Nodes that can carry more get more of the roles, and weak ones none as long as
 // there are others.
 func TestRolesFollowWeights(t *testing.T) {
-	tab := heardTable(9)
+	tab := tableOf(9)
 	tab.Weigh(peer(0).Address(), 100)
 	for i := 1; i <= 9; i++ {
 		tab.Weigh(peer(i).Address(), 100)
@@ -182,7 +182,7 @@
 // Nodes that know a peer only by name give roles as those do that have heard it:
 // a weight that isn't known doesn't make it the strongest.
 func TestUnknownWeightGivesTheSameRoles(t *testing.T) {
-	heard, mentioned := heardTable(9), membership.NewTable(peer(0))
+	heard, mentioned := tableOf(9), membership.NewTable(peer(0))
 	for _, tab := range []*membership.Table{
 		heard,
 		mentioned,
@@ -209,7 +209,7 @@
 
 // News that began before a node's weight was known carries the weight once it is.
 func TestUpdateCarriesTheWeight(t *testing.T) {
-	tab := heardTable(1)
+	tab := tableOf(1)
 	for range 3 {
 		tab.Tell(1, true)
 	}
