--- a/internal/membership/rumor_test.go
+++ b/internal/membership/rumor_test.go
@@ -13,8 +13,8 @@
 // on each of them.
 func TestOnlyUrgentUpdatesAreSentWithRequests(t *testing.T) {
 	tab := tableOf(30)
-	if news := tab.Tell(4, false); len(news) != 0 {
-		t.Errorf("news of nodes that live: %v", news)
+	if updates := tab.Tell(4, false); len(updates) != 0 {
+		t.Errorf("news of nodes that live: %v", updates)
 	}
 	tab.Suspect(begin, peer(7).Address())
 	if news := tab.Tell(4, false); len(news) != 1 || news[0].Node != peer(7) {
