--- a/internal/membership/rumor_test.go
+++ b/internal/membership/rumor_test.go
@@ -17,8 +17,8 @@
 		t.Errorf("news of nodes that live: %v", updates)
 	}
 	tab.Suspect(begin, peer(7).Address())
-	if news := tab.Tell(4, false); len(news) != 1 || news[0].Node != peer(7) {
-		t.Errorf("news %v, want the suspicion", news)
+	if updates := tab.Tell(4, false); len(updates) != 1 || updates[0].Node != peer(7) {
+		t.Errorf("news %v, want the suspicion", updates)
 	}
 	tab.Heard(begin, peer(7), 1, false)
 	if news := tab.Tell(4, false); len(news) != 1 || news[0].Opinion != membership.OpinionAlive {
