--- a/internal/membership/rumor_test.go
+++ b/internal/membership/rumor_test.go
@@ -21,8 +21,8 @@
 		t.Errorf("news %v, want the suspicion", updates)
 	}
 	tab.Heard(begin, peer(7), 1, false)
-	if news := tab.Tell(4, false); len(news) != 1 || news[0].Opinion != membership.OpinionAlive {
-		t.Errorf("news %v, want that the suspicion is refuted", news)
+	if updates := tab.Tell(4, false); len(updates) != 1 || updates[0].Opinion != membership.OpinionAlive {
+		t.Errorf("news %v, want that the suspicion is refuted", updates)
 	}
 }
 
