--- a/internal/membership/rumor_test.go
+++ b/internal/membership/rumor_test.go
@@ -30,8 +30,8 @@
 func TestSuspicionIsSentBeforeJoins(t *testing.T) {
 	tab := tableOf(30)
 	tab.Suspect(begin, peer(7).Address())
-	if news := tab.Tell(4, true); len(news) != 4 || news[0].Node != peer(7) {
-		t.Errorf("news %v, want the suspicion first", news)
+	if updates := tab.Tell(4, true); len(updates) != 4 || updates[0].Node != peer(7) {
+		t.Errorf("news %v, want the suspicion first", updates)
 	}
 }
 
