--- a/internal/membership/update_test.go
+++ b/internal/membership/update_test.go
@@ -69,24 +69,24 @@
 // of an older one changes nothing.
 func TestGreaterIncarnationRefutes(t *testing.T) {
 	tab := tableOf(3)
-	take := func(o membership.Opinion, incarnation uint64) {
+	apply := func(o membership.Opinion, incarnation uint64) {
 		tab.Take(begin, membership.News{
 			Node:        peer(1),
 			Incarnation: incarnation,
 			Opinion:     o,
 		}, 1)
 	}
-	take(membership.OpinionSuspect, 1)
-	take(membership.OpinionAlive, 2)
+	apply(membership.OpinionSuspect, 1)
+	apply(membership.OpinionAlive, 2)
 	now := begin.Add(membership.RefuteTime)
 	if dead := tab.Advance(now); len(dead) != 0 {
 		t.Errorf("dead: %v", dead)
 	}
-	take(membership.OpinionDead, 1)
+	apply(membership.OpinionDead, 1)
 	if !live(tab, now, peer(1)) {
 		t.Error("old news killed a node")
 	}
-	take(membership.OpinionDead, 2)
+	apply(membership.OpinionDead, 2)
 	if live(tab, now, peer(1)) {
 		t.Error("news of a death was not taken")
 	}
