--- a/internal/membership/update_test.go
+++ b/internal/membership/update_test.go
@@ -113,8 +113,8 @@
 func TestRestartWithAnOlderClock(t *testing.T) {
 	tab := tableOf(3)
 	tab.Heard(begin, peer(1), 100, false)
-	for told := 1; told > 0; {
-		told = len(tab.Tell(10, true))
+	for sent := 1; sent > 0; {
+		sent = len(tab.Tell(10, true))
 	}
 	tab.Heard(begin, peer(1), 50, false)
 	told := tab.Tell(10, true)
