--- a/internal/membership/update_test.go
+++ b/internal/membership/update_test.go
@@ -117,12 +117,12 @@
 		sent = len(tab.Tell(10, true))
 	}
 	tab.Heard(begin, peer(1), 50, false)
-	told := tab.Tell(10, true)
-	if len(told) != 1 || told[0].Incarnation != 100 {
-		t.Fatalf("told %v", told)
+	updates := tab.Tell(10, true)
+	if len(updates) != 1 || updates[0].Incarnation != 100 {
+		t.Fatalf("told %v", updates)
 	}
 	own := membership.NewTable(peer(1))
-	if !own.Take(begin, told[0], 50) {
+	if !own.Take(begin, updates[0], 50) {
 		t.Error("the process does not take a greater incarnation")
 	}
 }
