--- a/internal/membership/update_test.go
+++ b/internal/membership/update_test.go
@@ -182,23 +182,23 @@
 // Nodes that know a peer only by name give roles as those do that have heard it:
 // a weight that isn't known doesn't make it the strongest.
 func TestUnknownWeightGivesTheSameRoles(t *testing.T) {
-	observed, mentioned := tableOf(9), membership.NewTable(peer(0))
+	observed, discovered := tableOf(9), membership.NewTable(peer(0))
 	for _, tab := range []*membership.Table{
 		observed,
-		mentioned,
+		discovered,
 	} {
 		tab.Weigh(peer(0).Address(), 320)
 	}
 	for i := 1; i <= 9; i++ {
 		observed.Weigh(peer(i).Address(), 320)
 		if i < 5 {
-			mentioned.Heard(begin, peer(i), 1, false)
-			mentioned.Weigh(peer(i).Address(), 320)
+			discovered.Heard(begin, peer(i), 1, false)
+			discovered.Weigh(peer(i).Address(), 320)
 		} else {
-			mentioned.Mentioned(begin, peer(i))
+			discovered.Mentioned(begin, peer(i))
 		}
 	}
-	a, b := observed.View(begin), mentioned.View(begin)
+	a, b := observed.View(begin), discovered.View(begin)
 	for i := range 100 {
 		role := fmt.Sprintf("role-%d", i)
 		if x, y := a.Role(role, "", 1)[0], b.Role(role, "", 1)[0]; x != y {
