--- a/internal/membership/update_test.go
+++ b/internal/membership/update_test.go
@@ -214,7 +214,7 @@
 		tab.Tell(1, true)
 	}
 	tab.Weigh(peer(1).Address(), 320)
-	if news := tab.Tell(1, true); len(news) != 1 || news[0].Weight != 320 {
-		t.Errorf("news: %+v, want the weight 320", news)
+	if updates := tab.Tell(1, true); len(updates) != 1 || updates[0].Weight != 320 {
+		t.Errorf("news: %+v, want the weight 320", updates)
 	}
 }
