--- a/internal/dissemination/age_test.go
+++ b/internal/dissemination/age_test.go
@@ -10,12 +10,12 @@
 	"ploverjunction.example/ploverjunction/internal/dissemination"
 )
 
-// Nodes that tell each other all the time how long ago the platform was heard don't keep
-// it young: what is old for one stays old for all.
+// Guards against an age of the last platform contact that stays constant while nodes exchange it:
+// each would keep accepting the other's age if a hop added less than its latency.
 func TestPlatformAgeGrowsDespiteGossip(t *testing.T) {
 	const (
 		silence = 4 * time.Second
-		// latency is how long a message is under way, gap the time between two of a node.
+		// latency is that of a message, interval the time between two messages.
 		latency  = 2 * time.Millisecond
 		interval = time.Millisecond
 		nodes    = 5
@@ -36,14 +36,14 @@
 		}
 		for _, p := range order {
 			if age := p.gossip.PlatformAge(time.Now()); age < silence-time.Millisecond {
-				t.Errorf("heard %v ago, it was %v", age, silence)
+				t.Errorf("age of the last contact %v, want %v", age, silence)
 			}
 		}
 	})
 }
 
-// A machine that was suspended wakes with what it heard before: that is as old as for any
-// other node, though the clock by which it measures ages stood still.
+// Guards against ages that leave out the time for which the machine was suspended: the clock by
+// which they are measured stands still meanwhile.
 func TestAgesIncludeSuspendedTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var suspended time.Duration
@@ -56,15 +56,15 @@
 		time.Sleep(time.Second)
 		suspended = 5 * time.Second
 		if got := g.PlatformAge(time.Now()); got != 6*time.Second {
-			t.Errorf("the platform was heard %v ago, it was 6 s", got)
+			t.Errorf("age of the last contact %v, want 6 s", got)
 		}
 		if got := g.AgreedAge(time.Now()); got != 6*time.Second {
-			t.Errorf("a peer agreed %v ago, it was 6 s", got)
+			t.Errorf("age of the last agreement %v, want 6 s", got)
 		}
-		// What is heard after it is new.
+		// A contact after the suspension has the age 0.
 		g.PlatformHeard(time.Now())
 		if got := g.PlatformAge(time.Now()); got != 0 {
-			t.Errorf("heard %v ago, it was just now", got)
+			t.Errorf("age of a new contact %v, want 0", got)
 		}
 	})
 }
--- a/internal/dissemination/buckets_test.go
+++ b/internal/dissemination/buckets_test.go
@@ -35,8 +35,8 @@
 	}
 }
 
-// One value of 720 that differs is found, whoever has the newer one, with few bytes: two
-// comparisons take 39.7 kB with lists of all revisions and 3.3 kB by parts.
+// Guards against comparisons that list all revisions to find one of 720 values that differs,
+// whichever node has the newer one: two take 39.7 kB with lists, and 3.3 kB with buckets.
 func TestComparisonOfOneDifferenceIsSmall(t *testing.T) {
 	const (
 		values   = 720
--- a/internal/dissemination/dissemination_test.go
+++ b/internal/dissemination/dissemination_test.go
@@ -31,16 +31,16 @@
 type fleet struct {
 	mu    sync.Mutex
 	peers map[string]*peer
-	// drops tells which way messages are lost.
+	// drops reports whether messages from one node to another are lost.
 	drops func(from, to string) bool
 	calls int
-	// bytes is the size of all messages.
+	// bytes is the total size of all messages.
 	bytes int
 }
 
 type lostError struct{}
 
-// Error says that a message was lost.
+// Error returns the message.
 func (lostError) Error() string { return "lost" }
 
 func newFleet(n int) *fleet {
@@ -80,7 +80,7 @@
 	return f
 }
 
-// call hangs for two seconds where a message is lost, as a real one does.
+// call hangs for two seconds if the request is lost, like a real call.
 func (f *fleet) call(ctx context.Context, from, to string, in *wire.SyncRequest) (*wire.SyncReply, error) {
 	f.mu.Lock()
 	f.calls++
@@ -190,8 +190,8 @@
 	}
 }
 
-// A node to which nothing comes through, though its own messages arrive, can't
-// learn anything: it must know that.
+// Guards against a node that sends but receives nothing, and doesn't detect that
+// it is cut off.
 func TestDeafNodeReportsCutOff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const deaf = "192.0.2.7:1"
@@ -212,7 +212,8 @@
 	})
 }
 
-// A quiet fleet costs about one call a node and tick, however large it is.
+// Guards against calls of an idle fleet that grow with its size: about one per node
+// and interval is expected.
 func TestQuietCost(t *testing.T) {
 	for _, n := range []int{10, 40, 160} {
 		synctest.Test(t, func(t *testing.T) {
@@ -224,9 +225,9 @@
 			f.mu.Lock()
 			each := float64(f.calls) / float64(n) / seconds
 			f.mu.Unlock()
-			t.Logf("%d nodes: %.2f calls a second and node", n, each)
+			t.Logf("%d nodes: %.2f calls per second and node", n, each)
 			if each > 1.3 {
-				t.Errorf("%d nodes: %.2f calls a second and node", n, each)
+				t.Errorf("%d nodes: %.2f calls per second and node, want at most 1.3", n, each)
 			}
 			cancel()
 			if err := g.Wait(); err != nil {
@@ -247,14 +248,14 @@
 		f.peers["192.0.2.11:1"].gossip.Publish([]*wire.Entry{value(9, 0)})
 		time.Sleep(10 * time.Second)
 		if a, b := f.countInForce(7), f.countInForce(9); a != 20 || b != 10 {
-			t.Errorf("during the cut %d nodes have 7 and %d have 9", a, b)
+			t.Errorf("during the partition %d nodes have 7 and %d have 9, want 20 and 10", a, b)
 		}
 		f.mu.Lock()
 		f.drops = func(string, string) bool { return false }
 		f.mu.Unlock()
 		time.Sleep(10 * time.Second)
 		if n := f.countInForce(9); n != 20 {
-			t.Errorf("after the cut %d nodes have 9", n)
+			t.Errorf("after the partition %d nodes have 9, want 20", n)
 		}
 		cancel()
 		if err := g.Wait(); err != nil {
@@ -263,8 +264,8 @@
 	})
 }
 
-// A node whose answers are lost, and to which nobody has pushed a value, is told of it by
-// the peers that compare with it.
+// Guards against a node whose answers are lost, and that missed the push of a value, without
+// receiving the value from peers that try to compare with it.
 func TestUnresponsivePeerGetsRecentValues(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const reached = "192.0.2.1:1"
@@ -273,14 +274,14 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		g := f.run(ctx)
 		f.peers["192.0.2.0:1"].gossip.Publish([]*wire.Entry{value(1, 10)})
-		// The push is lost; from here on only answers are.
+		// The push is lost; from now on only answers are.
 		time.Sleep(100 * time.Millisecond)
 		f.mu.Lock()
 		f.drops = func(from, _ string) bool { return from == reached }
 		f.mu.Unlock()
 		time.Sleep(10 * time.Second)
 		if f.countInForce(1) != len(f.peers) {
-			t.Error("the value is not on the node that can only be reached")
+			t.Error("the node whose answers are lost does not have the value")
 		}
 		cancel()
 		if err := g.Wait(); err != nil {
--- a/internal/dissemination/pack_test.go
+++ b/internal/dissemination/pack_test.go
@@ -40,10 +40,10 @@
 		t.Fatalf("%d entries, %d bytes compressed of %d", len(sent), len(sent[0].GetPacked()), len(value))
 	}
 	if fresh := to.Offer(sent); len(fresh) != 1 {
-		t.Fatalf("%d fresh", len(fresh))
+		t.Fatalf("%d new values, want 1", len(fresh))
 	}
 	if got := to.Newest("config"); !bytes.Equal(got.GetValue(), value) {
-		t.Error("the value has changed on its way")
+		t.Error("the received value differs from the sent one")
 	}
 	broken := &wire.Entry{
 		Key:      "config",
@@ -51,6 +51,6 @@
 		Packed:   []byte("no DEFLATE"),
 	}
 	if fresh := to.Offer([]*wire.Entry{broken}); len(fresh) != 0 || to.Broken() != 1 {
-		t.Errorf("%d fresh of a broken value, %d counted", len(fresh), to.Broken())
+		t.Errorf("%d new values of a corrupt one, %d counted as corrupt, want 0 and 1", len(fresh), to.Broken())
 	}
 }
--- a/internal/dissemination/restore_test.go
+++ b/internal/dissemination/restore_test.go
@@ -16,7 +16,7 @@
 	"ploverjunction.example/ploverjunction/internal/wire"
 )
 
-// largeAt returns a value of "config" that travels compressed.
+// largeAt returns a value of "config" that is sent compressed.
 func largeAt(era, rev uint64, name string) *wire.Entry {
 	e := &wire.Entry{
 		Key:   "config",
@@ -30,7 +30,7 @@
 	return dissemination.NewReplica(func(*fleetconfig.Config, []fleetconfig.Refusal) {})
 }
 
-// Guards against a compressed value of a former era that is sent in place of the one with the same revision.
+// Guards against a cached compressed value of an earlier era that is sent in place of the one with the same revision.
 func TestLargeValueOfLaterEraIsSent(t *testing.T) {
 	from, to := newReplica(), newReplica()
 	from.Offer([]*wire.Entry{largeAt(1, 7, "route")})
@@ -43,24 +43,24 @@
 	}
 }
 
-// Guards against a value that is not asked for because one of a former era with a greater revision was.
+// Guards against a value that is not requested because one of an earlier era with a greater revision was.
 func TestValueOfLaterEraIsRequestedAtOnce(t *testing.T) {
 	r, now := newReplica(), time.Now()
 	names := func(era, rev uint64) []*wire.KeyRevision {
 		return []*wire.KeyRevision{fleetconfig.KeyRevision("config", order.MarkOf(order.At(era, rev), order.Stamp{}, order.At(era, rev)))}
 	}
 	if _, wanted := r.Compare(now, names(1, 44), false); len(wanted) != 1 {
-		t.Fatal("an unknown value is not asked for")
+		t.Fatal("an unknown value is not requested")
 	}
 	if _, wanted := r.Compare(now, names(1, 44), false); len(wanted) != 0 {
-		t.Error("one value is asked for twice at once")
+		t.Error("a value is requested again at once")
 	}
 	if _, wanted := r.Compare(now, names(2, 41), false); len(wanted) != 1 {
-		t.Error("the value of the later era is not asked for")
+		t.Error("the value of the later era is not requested")
 	}
 }
 
-// A restore moves all values to a new era. What that costs a node grows with the values, not with the nodes.
+// A restore moves all values to a new era. Guards against bytes per node that grow with the nodes, not only with the values.
 func TestBytesAfterRestore(t *testing.T) {
 	const values = 60
 	each := map[int]int{}
@@ -92,7 +92,7 @@
 			f.mu.Unlock()
 			for name, p := range f.peers {
 				if p.replica.Digest() != first.replica.Digest() {
-					t.Errorf("%s differs", name)
+					t.Errorf("digest of %s differs from that of the first node", name)
 				}
 			}
 			cancel()
@@ -101,8 +101,8 @@
 			}
 		})
 	}
-	t.Log(fmt.Sprintf("%d values: bytes a node, by nodes: %v", values, each))
+	t.Log(fmt.Sprintf("%d values: bytes per node, by number of nodes: %v", values, each))
 	if each[80] > 2*each[20] {
-		t.Errorf("%d bytes a node at 80 nodes, %d at 20", each[80], each[20])
+		t.Errorf("%d bytes per node at 80 nodes, %d at 20", each[80], each[20])
 	}
 }
--- a/internal/dissemination/sample_test.go
+++ b/internal/dissemination/sample_test.go
@@ -14,8 +14,8 @@
 	"ploverjunction.example/ploverjunction/internal/wire"
 )
 
-// A node that has just started hears at once of the few nodes that are strong enough for
-// roles, whichever others it is told of.
+// Guards against a starting node that receives only nodes too weak for roles: a reply must
+// name the few capable ones first.
 func TestReplyNamesCapableNodesFirst(t *testing.T) {
 	const nodes, strong = 443, 15
 	self := membership.NewNode("192.0.2.1:1", "a")
@@ -49,6 +49,6 @@
 		}
 	}
 	if len(named) < strong {
-		t.Errorf("%d strong nodes named, want %d", len(named), strong)
+		t.Errorf("%d capable nodes named, want %d", len(named), strong)
 	}
 }
--- a/internal/dissemination/startup_test.go
+++ b/internal/dissemination/startup_test.go
@@ -20,14 +20,15 @@
 	"ploverjunction.example/ploverjunction/internal/wire"
 )
 
-// halls is how many data halls the nodes of a hallFleet are divided over.
+// halls is the number of data halls of a hallFleet.
 const halls = 5
 
-// hallFleet is a fleet whose nodes tell each other their digests, as datagrams do.
+// hallFleet is a fleet whose nodes also exchange digests, as datagrams do.
 type hallFleet struct {
 	*fleet
 	list []membership.Node
-	// crossHallBytes are the bytes that crossed data halls, largest those of the greatest message.
+	// crossHallBytes is the size of all messages between data halls, largestMessage that of the
+	// largest message, in bytes.
 	crossHallBytes int
 	largestMessage int
 }
@@ -48,7 +49,7 @@
 	return f
 }
 
-// start begins an incarnation of a node, which knows nothing but the others.
+// start starts an incarnation of a node without values; it has the list of nodes.
 func (f *hallFleet) start(node membership.Node) *peer {
 	table := membership.NewTable(node)
 	table.List(f.list, nil)
@@ -93,7 +94,7 @@
 	}
 }
 
-// run starts all nodes and the datagrams between them.
+// run runs all nodes and the datagrams between them.
 func (f *hallFleet) run(ctx context.Context) *task.Group {
 	g := f.fleet.run(ctx)
 	for _, p := range f.peers {
@@ -102,7 +103,7 @@
 	return g
 }
 
-// datagrams has a node learn the digests of others, mostly of its data hall.
+// datagrams passes the digests of others, mostly of its data hall, to a node.
 func (f *hallFleet) datagrams(ctx context.Context, p *peer) error {
 	tick := time.NewTicker(200 * time.Millisecond)
 	defer tick.Stop()
@@ -138,20 +139,20 @@
 	return true
 }
 
-// awaitConvergence waits until all nodes agree, and returns how long that took.
+// awaitConvergence waits until all nodes have the same values, and returns how long that took.
 func (f *hallFleet) awaitConvergence(t *testing.T) time.Duration {
 	t.Helper()
 	start := time.Now()
 	for !f.converged() {
 		if time.Since(start) > time.Minute {
-			t.Fatal("the nodes don't agree")
+			t.Fatal("values still differ between nodes after 1 min")
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
 	return time.Since(start)
 }
 
-// register has two nodes of different data halls read targets from the source, part after part.
+// register has two nodes of different data halls read targets from the source in ten batches.
 func (f *hallFleet) register(targets int) {
 	const parts = 10
 	entries := manyValues(targets)
@@ -164,13 +165,13 @@
 	}
 }
 
-// Guards against a start whose messages, or bytes for each target, grow with the targets: links that
-// are full lose what tells that nodes live.
+// Guards against a start whose messages, or bytes per target, grow with the number of targets:
+// saturated links lose the messages that show that nodes are alive.
 func TestStartupBytesAreProportionalToTargets(t *testing.T) {
 	const (
 		nodes = 60
-		// maxBytesPerTarget is the most bytes that a node may exchange for each target, a registration of
-		// some 130 bytes, and mostLarge the most bytes of a message.
+		// maxBytesPerTarget limits the bytes that a node exchanges per target, a registration of some
+		// 130 bytes; maxMessage limits the bytes of a message.
 		maxBytesPerTarget = 120
 		maxMessage        = 72 << 10
 		maxTime           = 3 * time.Second
@@ -184,10 +185,10 @@
 			took := f.awaitConvergence(t)
 			f.mu.Lock()
 			each := float64(f.bytes) / nodes / float64(targets)
-			t.Logf("%d targets: %.0f bytes a node and target, %.0f between data halls, %d the largest message, %v after the last one",
+			t.Logf("%d targets: %.0f bytes per node and target, %.0f between data halls, largest message %d, converged %v after the last one",
 				targets, each, float64(f.crossHallBytes)/nodes/float64(targets), f.largestMessage, took)
 			if each > maxBytesPerTarget || f.largestMessage > maxMessage || took > maxTime {
-				t.Errorf("%d targets: %.0f bytes a node and target, largest message %d, %v", targets, each, f.largestMessage, took)
+				t.Errorf("%d targets: %.0f bytes per node and target, largest message %d, converged after %v", targets, each, f.largestMessage, took)
 			}
 			f.mu.Unlock()
 			cancel()
@@ -198,7 +199,7 @@
 	}
 }
 
-// Guards against a node that begins anew and fetches all values several times, or from other data halls.
+// Guards against a restarted node that fetches all values several times, or from other data halls.
 func TestNewNodeFetchesOnceFromItsDataHall(t *testing.T) {
 	const (
 		nodes, targets    = 30, 3000
@@ -223,7 +224,7 @@
 		}
 		f.mu.Unlock()
 		if newNode.gossip.Compared() == 0 {
-			t.Error("the node has compared with nobody")
+			t.Error("the restarted node has finished no comparison")
 		}
 		cancel()
 		if err := g.Wait(); err != nil {
@@ -232,7 +233,7 @@
 	})
 }
 
-// Guards against batches that are sent again after a value in them has changed.
+// Guards against cached batches that are sent after a value in them has changed.
 func TestPulledBatchesAreCurrent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const targets = 2000
@@ -277,7 +278,7 @@
 	})
 }
 
-// Guards against nodes that never become ready because they compare with the few others of their data hall only.
+// Guards against nodes that never become ready because they compare only with the few others of their data hall.
 func TestNodesOfSmallDataHallsCompareWithOthers(t *testing.T) {
 	const enough = 3
 	for _, each := range []int{2, 3, 4} {
@@ -291,7 +292,7 @@
 			time.Sleep(8 * time.Second)
 			for _, p := range f.peers {
 				if n := p.gossip.Compared(); n < enough {
-					t.Errorf("%d nodes a data hall: %s has compared with %d others", each, p.name, n)
+					t.Errorf("%d nodes per data hall: %s has compared with %d others", each, p.name, n)
 				}
 			}
 			cancel()
--- a/internal/dissemination/upgrade_test.go
+++ b/internal/dissemination/upgrade_test.go
@@ -22,7 +22,7 @@
 	return e
 }
 
-// withoutEras returns an entry as a node of a version before eras sends it.
+// withoutEras returns an entry as sent by a node of the version before eras.
 func withoutEras(e *wire.Entry) *wire.Entry {
 	out := proto.CloneOf(e)
 	out.Era, out.Stamp, out.Written, out.Gone = 0, nil, nil, false
@@ -48,8 +48,8 @@
 	return out
 }
 
-// mixVersions has the first half of a fleet be of the version before eras: what such nodes send and get
-// lacks the fields that they don't know.
+// mixVersions gives the nodes up to half the version before eras: their messages, in both directions,
+// lack the fields of the later version.
 func (f *fleet) mixVersions(half int) {
 	for _, p := range f.peers {
 		isOld := func(name string) bool { return name < f.name(half) }
@@ -74,7 +74,7 @@
 
 func (f *fleet) name(i int) string { return "192.0.2." + string(rune('0'+i)) + ":1" }
 
-// Guards against nodes of two versions that undo each other's values.
+// Guards against nodes of two versions that overwrite each other's values.
 func TestNodesWithAndWithoutErasInteroperate(t *testing.T) {
 	const half, settle = 4, 8 * time.Second
 	synctest.Test(t, func(t *testing.T) {
@@ -113,7 +113,7 @@
 		for i := range 2 * half {
 			inForce("revisions have passed the lost ones", i, 45)
 		}
-		// What only old nodes read is not in force at new ones, which can't order it.
+		// A value read by old nodes only is not in force at new ones, which can't order it.
 		f.peers[f.name(0)].gossip.Publish([]*wire.Entry{withoutEras(at(2, 46, 31))})
 		time.Sleep(settle)
 		inForce("read by an old node after a restore", 1, 46)
--- a/internal/fleetconfig/bench_test.go
+++ b/internal/fleetconfig/bench_test.go
@@ -11,8 +11,8 @@
 	"ploverjunction.example/ploverjunction/internal/wire"
 )
 
-// largeFleet returns a store that holds targets which registered themselves one by one,
-// and one value with three services and their routes.
+// largeFleet returns a store with registrations of targets, and one value with three
+// services and their routes.
 func largeFleet(targets, routes int) *fleetconfig.Store {
 	var list []string
 	for i := range routes {
@@ -42,7 +42,7 @@
 	}
 }
 
-// BenchmarkOffer measures what one change of one of 720 targets costs each node, the
+// BenchmarkOffer measures the cost of one change among 720 targets on each node, the
 // digest included.
 func BenchmarkOffer(b *testing.B) {
 	s := largeFleet(720, 60)
--- a/internal/fleetconfig/fleetconfig_test.go
+++ b/internal/fleetconfig/fleetconfig_test.go
@@ -282,7 +282,7 @@
 	}
 }
 
-// step is one value that some source offers.
+// step is one value that a source offers.
 type step struct {
 	key      int
 	revision int
@@ -301,8 +301,8 @@
 	}
 }
 
-// steps makes a random history: a value is bad or good by its revision alone, as
-// one revision has one value.
+// steps makes a random history: whether a value is valid depends only on its
+// revision, because one revision has one value.
 func steps(codes []int) []step {
 	out := make([]step, len(codes))
 	for i, c := range codes {
@@ -319,7 +319,7 @@
 func TestStoreProperties(t *testing.T) {
 	p := gopter.NewProperties(nil)
 	codes := gen.SliceOfN(30, gen.IntRange(0, 60))
-	p.Property("no revision in force ever falls", prop.ForAll(
+	p.Property("revisions in force never decrease", prop.ForAll(
 		func(codes []int) bool {
 			s := fleetconfig.NewStore()
 			last := map[string]order.Position{}
@@ -335,7 +335,7 @@
 			return true
 		}, codes,
 	))
-	p.Property("the order of values doesn't matter", prop.ForAll(
+	p.Property("the result is independent of the order of values", prop.ForAll(
 		func(codes []int, seed int64) bool {
 			a, b := fleetconfig.NewStore(), fleetconfig.NewStore()
 			list := steps(codes)
@@ -350,7 +350,7 @@
 			return a.Digest() == b.Digest() && fmt.Sprint(a.InForce()) == fmt.Sprint(b.InForce())
 		}, codes, gen.Int64(),
 	))
-	p.Property("what is in force is the greatest good revision", prop.ForAll(
+	p.Property("the greatest valid revision is in force", prop.ForAll(
 		func(codes []int) bool {
 			s := fleetconfig.NewStore()
 			want := map[string]order.Position{}
@@ -380,7 +380,7 @@
 		Deleted:  true,
 	}})
 	if s.Config().Workspaces() != 0 {
-		t.Fatal("still there after the deletion")
+		t.Fatal("workspace still in force after the deletion of its key")
 	}
 	s.Offer([]*wire.Entry{e})
 	if s.Config().Workspaces() != 0 {
@@ -406,14 +406,14 @@
 	if len(s.Refusals()) != 0 || s.Config().Routes() != 1 {
 		t.Fatalf("refusals %v, %d routes", s.Refusals(), s.Config().Routes())
 	}
-	// Taking the service away while a route needs it is refused.
+	// Deletion of a service that a route refers to is refused.
 	s.Offer([]*wire.Entry{{
 		Key:      "pool",
 		Revision: 3,
 		Deleted:  true,
 	}})
 	if len(s.Refusals()) != 1 || s.Config().Service("s") == nil {
-		t.Fatal("a needed service was deleted")
+		t.Fatal("a service that a route refers to was deleted")
 	}
 }
 
@@ -446,11 +446,11 @@
 	few, many := configWithRoutes(t, 10), configWithRoutes(t, 7100)
 	allocs := testing.AllocsPerRun(1000, func() { many.Route("host", "/a/b7/c/d", "GET") })
 	if allocs != 0 {
-		t.Fatalf("%v allocations a lookup", allocs)
+		t.Fatalf("%v allocations per lookup, want 0", allocs)
 	}
 	small, large := lookupTime(few), lookupTime(many)
 	t.Logf("10 routes %.0f ns, 7100 routes %.0f ns", small, large)
 	if large > 3*small {
-		t.Fatalf("a lookup among 7100 routes takes %.1f times one among 10", large/small)
+		t.Fatalf("a lookup among 7100 routes takes %.1f times as long as among 10, want at most 3", large/small)
 	}
 }
--- a/internal/fleetconfig/registration_test.go
+++ b/internal/fleetconfig/registration_test.go
@@ -13,8 +13,8 @@
 	"ploverjunction.example/ploverjunction/internal/wire"
 )
 
-// randomEntry returns a value of one of a few keys: registrations, some of them of the same target,
-// of services that may be missing, and documents, some of which are not valid.
+// randomEntry returns a value of one of a few keys: a registration, perhaps of a target under another
+// key too or of a missing service, or a document, perhaps invalid.
 func randomEntry(rng *rand.Rand, revision uint64) *wire.Entry {
 	e := &wire.Entry{
 		Key:      fmt.Sprintf("targets/%d", rng.IntN(8)),
@@ -33,7 +33,7 @@
 	return e
 }
 
-// describeTargets describes the targets of all services, by each of the ways to find them.
+// describeTargets returns a text of the targets of all services, with the results of all lookups.
 func describeTargets(c *fleetconfig.Config) string {
 	var b strings.Builder
 	for i := range 3 {
@@ -50,7 +50,7 @@
 	return b.String()
 }
 
-// Guards against targets that are lost, or stay, because of what happened before.
+// Guards against targets that are lost, or remain, depending on earlier values.
 func TestTargetsInForceMatchNewestValues(t *testing.T) {
 	for seed := range uint64(150) {
 		rng := rand.New(rand.NewPCG(seed, 42))
@@ -79,7 +79,7 @@
 	}
 }
 
-// Guards against a change of one target that costs as much as all of them.
+// Guards against a change of one target whose cost grows with the number of targets.
 func TestCostOfOneTargetIsIndependentOfFleetSize(t *testing.T) {
 	cost := func(targets int) float64 {
 		s := largeFleet(targets, 60)
@@ -97,7 +97,7 @@
 	}
 }
 
-// Guards against values that are searched for among all to find those behind a position.
+// Guards against faults of the history, which finds the entries after a position without a scan of all keys.
 func TestAfterReturnsWhatChangedSince(t *testing.T) {
 	s := largeFleet(500, 3)
 	for i := range 40 {
@@ -116,15 +116,15 @@
 			break
 		}
 		if rounds > 100 {
-			t.Fatal("no end")
+			t.Fatal("After still reports more values after 100 rounds")
 		}
 	}
 	if s.Digest() != other.Digest() {
-		t.Error("what was read by parts is not all")
+		t.Error("values read in batches differ from those of the store")
 	}
 }
 
-// Guards against a history that grows with each change of the same targets.
+// Guards against a history that grows with the number of changes of the same targets.
 func TestHistoryIsBounded(t *testing.T) {
 	const targets = 50
 	s := largeFleet(targets, 3)
@@ -132,9 +132,9 @@
 		s.Offer([]*wire.Entry{registration(int(n%targets), 1000+n)})
 	}
 	if n, maxLen := s.HistoryLen(), 2*(targets+1)+64; n > maxLen {
-		t.Errorf("%d places of %d targets, want at most %d", n, targets, maxLen)
+		t.Errorf("%d changes of %d targets, want at most %d", n, targets, maxLen)
 	}
 	if got, _, _ := s.After(order.Position{}, 1<<20); len(got) != targets+1 {
-		t.Errorf("%d values behind the first position", len(got))
+		t.Errorf("%d values after the zero position", len(got))
 	}
 }
--- a/internal/fleetconfig/restore_test.go
+++ b/internal/fleetconfig/restore_test.go
@@ -16,7 +16,7 @@
 	"ploverjunction.example/ploverjunction/internal/wire"
 )
 
-// stampedEntry returns a value of a key as a store holds it: at a position, with its writer's count.
+// stampedEntry returns a value of a key at a position, with the sequence number of its writer.
 func stampedEntry(key string, era, revision, count uint64) *wire.Entry {
 	e := &wire.Entry{
 		Key:   key,
@@ -30,7 +30,7 @@
 	return fleetconfig.Removal(key, order.At(era, revision), order.StampOf(0, count))
 }
 
-// Guards against a value of a later era that is dropped, or that replaces a later one of its writer.
+// Guards against a value of a later era that is dropped, or that replaces a later value of its writer.
 func TestValuesOfSeveralEras(t *testing.T) {
 	tests := []struct {
 		name    string
@@ -160,7 +160,7 @@
 }
 
 // history makes entries of three keys, three eras and nine revisions each. One position has one
-// value; half of the writers count.
+// value; half of the writers number their values.
 func history(codes []int, removals, bad bool) []*wire.Entry {
 	out := make([]*wire.Entry, len(codes))
 	for i, c := range codes {
@@ -181,7 +181,7 @@
 	return out
 }
 
-// storeState returns all that a store holds and has in force.
+// storeState returns a text of all values that a store holds and has in force.
 func storeState(s *fleetconfig.Store) string {
 	text := fmt.Sprint(s.Digest(), s.Config().Position(), s.Ahead())
 	for _, kr := range s.Revisions() {
@@ -214,7 +214,7 @@
 	p.Property("values and removals", prop.ForAll(
 		func(codes []int, seed int64) bool { return same(codes, seed, true, false) }, codes, gen.Int64(),
 	))
-	p.Property("peers that pass on what they joined", prop.ForAll(
+	p.Property("peers that send joined values", prop.ForAll(
 		func(codes []int, cut int) bool {
 			all, left, right := fleetconfig.NewStore(), fleetconfig.NewStore(), fleetconfig.NewStore()
 			list := history(codes, true, false)
@@ -230,7 +230,7 @@
 			return storeState(all) == storeState(left) && storeState(all) == storeState(right)
 		}, codes, gen.IntRange(0, 24),
 	))
-	p.Property("the greatest good value by its writer's order is in force", prop.ForAll(
+	p.Property("the greatest valid value by its writer's order is in force", prop.ForAll(
 		func(codes []int) bool {
 			s := fleetconfig.NewStore()
 			best := map[string]*wire.Entry{}
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -47,7 +47,7 @@
 	first := tab.View(start).Role("x", "b", 1)[0]
 	tab.Failed(start, first.Address())
 	if got := tab.View(start).Role("x", "b", 1)[0]; got != first {
-		t.Fatal("one failed call was enough")
+		t.Fatal("a node lost its role after one failed call")
 	}
 	tab.Failed(start, first.Address())
 	second := tab.View(start).Role("x", "b", 1)[0]
@@ -56,7 +56,7 @@
 	}
 	tab.Heard(start, first, 1, false)
 	if got := tab.View(start).Role("x", "b", 1)[0]; got != first {
-		t.Fatal("a node that is heard again doesn't get its role back")
+		t.Fatal("a node that sends again doesn't get its role back")
 	}
 }
 
@@ -65,10 +65,10 @@
 	tab.Failed(start, list[1].Address())
 	tab.Failed(start, list[1].Address())
 	if n := len(tab.View(start).Live()); n != 2 {
-		t.Fatalf("%d live", n)
+		t.Fatalf("%d live nodes, want 2", n)
 	}
 	if n := len(tab.View(start.Add(membership.SuspectTime)).Live()); n != 3 {
-		t.Fatalf("%d live after the suspicion", n)
+		t.Fatalf("%d live nodes after the suspicion ended, want 3", n)
 	}
 }
 
@@ -77,15 +77,15 @@
 	tab.Heard(start, list[1], 5, true)
 	tab.List(list, nil)
 	if n := tab.View(start).Nodes(); n != 2 {
-		t.Fatalf("an old list takes back that a node leaves: %d nodes", n)
+		t.Fatalf("an old list undoes the draining of a node: %d nodes, want 2", n)
 	}
 	tab.Heard(start, list[1], 4, false)
 	if n := tab.View(start).Nodes(); n != 2 {
-		t.Fatalf("a message of an earlier life counts: %d nodes", n)
+		t.Fatalf("a message of an earlier incarnation is applied: %d nodes, want 2", n)
 	}
 	tab.Heard(start, list[1], 6, false)
 	if n := tab.View(start).Nodes(); n != 3 {
-		t.Fatalf("a new process at the address counts as leaving: %d nodes", n)
+		t.Fatalf("a new process at the address counts as draining: %d nodes, want 3", n)
 	}
 }
 
@@ -94,16 +94,16 @@
 	stray := membership.NewNode("192.0.2.99:1", "c")
 	tab.Mentioned(start, stray)
 	if n := tab.View(start).Nodes(); n != 3 {
-		t.Fatalf("%d nodes", n)
+		t.Fatalf("%d nodes, want 3", n)
 	}
 	tab.Failed(start.Add(2*membership.ForgetTime), stray.Address())
 	if n := tab.View(start).Nodes(); n != 2 {
-		t.Fatalf("%d nodes after the stray one was forgotten", n)
+		t.Fatalf("%d nodes after the unlisted one failed, want 2", n)
 	}
 }
 
-// Nodes with different views agree on roles wherever their views agree on the
-// first ranks, and every view names someone.
+// Guards against a role without a holder, and a role that moves although only
+// nodes behind the first rank are suspected.
 func TestRoleProperty(t *testing.T) {
 	p := gopter.NewProperties(nil)
 	p.Property("a role always has a holder, and suspecting others doesn't move it", prop.ForAll(
--- a/internal/membership/rumor_test.go
+++ b/internal/membership/rumor_test.go
@@ -9,33 +9,33 @@
 	"ploverjunction.example/ploverjunction/internal/membership"
 )
 
-// The datagrams of requests carry no news of nodes that just live; a suspicion travels
-// on each of them.
+// Guards against datagrams of requests that carry updates on live nodes, or lack
+// suspicions and their refutations.
 func TestOnlyUrgentUpdatesAreSentWithRequests(t *testing.T) {
 	tab := tableOf(30)
 	if updates := tab.Tell(4, false); len(updates) != 0 {
-		t.Errorf("news of nodes that live: %v", updates)
+		t.Errorf("updates on live nodes: %v", updates)
 	}
 	tab.Suspect(begin, peer(7).Address())
 	if updates := tab.Tell(4, false); len(updates) != 1 || updates[0].Node != peer(7) {
-		t.Errorf("news %v, want the suspicion", updates)
+		t.Errorf("updates %v, want the suspicion", updates)
 	}
 	tab.Heard(begin, peer(7), 1, false)
 	if updates := tab.Tell(4, false); len(updates) != 1 || updates[0].Opinion != membership.OpinionAlive {
-		t.Errorf("news %v, want that the suspicion is refuted", updates)
+		t.Errorf("updates %v, want the refutation of the suspicion", updates)
 	}
 }
 
-// Urgent news goes before the joins of a fleet that starts.
+// Guards against suspicions that are delayed by the joins of a starting fleet.
 func TestSuspicionIsSentBeforeJoins(t *testing.T) {
 	tab := tableOf(30)
 	tab.Suspect(begin, peer(7).Address())
 	if updates := tab.Tell(4, true); len(updates) != 4 || updates[0].Node != peer(7) {
-		t.Errorf("news %v, want the suspicion first", updates)
+		t.Errorf("updates %v, want the suspicion first", updates)
 	}
 }
 
-// What doesn't change a view asks for none: each datagram says again who its sender is.
+// Guards against new views without a change: each datagram repeats the state of its sender.
 func TestRepeatedUpdateDoesNotChangeTheView(t *testing.T) {
 	tab := tableOf(30)
 	tab.Weigh(peer(3).Address(), 160)
@@ -47,7 +47,7 @@
 		Incarnation: 9,
 	}, 1)
 	if tab.Changed() {
-		t.Error("the table says that its view changed")
+		t.Error("the table reports a change after repeated updates")
 	}
 	tab.Take(begin, membership.News{
 		Node:        peer(4),
@@ -55,20 +55,20 @@
 		Leaving:     true,
 	}, 1)
 	if !tab.Changed() {
-		t.Error("a node that leaves changes nothing")
+		t.Error("the table reports no change after a node began to drain")
 	}
 	tab.Take(begin, membership.News{
 		Node:        peer(4),
 		Incarnation: 10,
 	}, 1)
 	if !tab.Changed() {
-		t.Error("a node that left and started again changes nothing")
+		t.Error("the table reports no change after a drained node restarted")
 	}
 }
 
-// With as many rumors as a fleet of 443 has while it starts, before and after they were
-// kept by kind and looked at once instead of sorted: 85 and 13 us on a datagram of a
-// probe, and 85 us and 20 ns on one of a request.
+// BenchmarkTell measures the choice of updates with as many rumors as a starting fleet of 443
+// nodes has. Two queues examined once, instead of one that is sorted, reduced it from 85 to
+// 13 us for a datagram of a probe, and from 85 us to 20 ns for one of a request.
 func BenchmarkTell(b *testing.B) {
 	for _, joins := range []bool{true, false} {
 		b.Run(fmt.Sprintf("joins=%v", joins), func(b *testing.B) {
@@ -85,8 +85,8 @@
 	}
 }
 
-// A view of 443 nodes, before and after the table kept its nodes in order: 150 and
-// 11 us.
+// BenchmarkView measures a view of 443 nodes. Keeping the table in order reduced it from
+// 150 to 11 us.
 func BenchmarkView(b *testing.B) {
 	tab := tableOf(443)
 	for b.Loop() {
--- a/internal/membership/update_test.go
+++ b/internal/membership/update_test.go
@@ -16,7 +16,7 @@
 	return membership.NewNode(fmt.Sprintf("192.0.2.%d:1", n), "a")
 }
 
-// tableOf returns the table of node 0, which has heard n others.
+// tableOf returns the table of node 0, which has received messages of n others.
 func tableOf(n int) *membership.Table {
 	t := membership.NewTable(peer(0))
 	for i := 1; i <= n; i++ {
@@ -34,7 +34,8 @@
 	return false
 }
 
-// A suspicion that nobody refutes takes a node out of its roles within a second.
+// Guards against a node that keeps its roles although a suspicion was not refuted within
+// RefuteTime, or loses them before.
 func TestUnrefutedSuspicionDeclaresDead(t *testing.T) {
 	tab := tableOf(3)
 	tab.Suspect(begin, peer(1).Address())
@@ -47,7 +48,7 @@
 	}
 }
 
-// A word of the node itself ends a suspicion and a death.
+// Guards against a node that stays suspected or dead although it sends messages.
 func TestMessageRefutesSuspicionAndDeath(t *testing.T) {
 	tab := tableOf(3)
 	tab.Suspect(begin, peer(1).Address())
@@ -61,12 +62,12 @@
 	tab.Advance(now)
 	tab.Heard(now, peer(1), 1, false)
 	if !live(tab, now, peer(1)) {
-		t.Error("a node that speaks is taken for dead")
+		t.Error("a node that sends messages is still declared dead")
 	}
 }
 
-// News of a greater incarnation refutes a suspicion that came from elsewhere; news
-// of an older one changes nothing.
+// Guards against a received suspicion that a greater incarnation doesn't refute, and
+// against updates of an older incarnation that are applied.
 func TestGreaterIncarnationRefutes(t *testing.T) {
 	tab := tableOf(3)
 	apply := func(o membership.Opinion, incarnation uint64) {
@@ -84,15 +85,15 @@
 	}
 	apply(membership.OpinionDead, 1)
 	if !live(tab, now, peer(1)) {
-		t.Error("old news killed a node")
+		t.Error("an update of an older incarnation declared a node dead")
 	}
 	apply(membership.OpinionDead, 2)
 	if live(tab, now, peer(1)) {
-		t.Error("news of a death was not taken")
+		t.Error("the update that a node is dead was not applied")
 	}
 }
 
-// A node that hears of its own death must be told to refute it.
+// Guards against a node that doesn't refute an update that declares it dead.
 func TestOwnDeathIsRefuted(t *testing.T) {
 	tab := tableOf(3)
 	n := membership.News{
@@ -101,15 +102,15 @@
 		Opinion:     membership.OpinionDead,
 	}
 	if !tab.Take(begin, n, 5) {
-		t.Error("news of the own death was not refuted")
+		t.Error("an update that declares this node dead was not refuted")
 	}
 	if tab.Take(begin, n, 6) {
-		t.Error("news that was refuted already was refuted again")
+		t.Error("an update was refuted again")
 	}
 }
 
-// A process whose clock was set back starts with a smaller incarnation. It is told
-// of the greater one and takes it up.
+// Guards against a process that restarts with a smaller incarnation, because its clock
+// was set back, and never receives the greater one.
 func TestRestartWithAnOlderClock(t *testing.T) {
 	tab := tableOf(3)
 	tab.Heard(begin, peer(1), 100, false)
@@ -119,15 +120,16 @@
 	tab.Heard(begin, peer(1), 50, false)
 	updates := tab.Tell(10, true)
 	if len(updates) != 1 || updates[0].Incarnation != 100 {
-		t.Fatalf("told %v", updates)
+		t.Fatalf("updates %v, want the greater incarnation", updates)
 	}
 	own := membership.NewTable(peer(1))
 	if !own.Take(begin, updates[0], 50) {
-		t.Error("the process does not take a greater incarnation")
+		t.Error("the process does not choose a greater incarnation")
 	}
 }
 
-// A node that stood still itself gives the others their whole time again.
+// Guards against a node that was paused and then declares others dead whose time to
+// refute passed meanwhile.
 func TestOwnPauseDeclaresNobodyDead(t *testing.T) {
 	tab := tableOf(3)
 	tab.Suspect(begin, peer(1).Address())
@@ -138,19 +140,19 @@
 	}
 }
 
-// News is passed on a bounded number of times.
+// Guards against updates that are sent forever.
 func TestUpdatesAreSentABoundedNumberOfTimes(t *testing.T) {
 	tab := tableOf(30)
 	n := 0
 	for len(tab.Tell(4, true)) > 0 {
 		if n++; n > 1000 {
-			t.Fatal("news never ends")
+			t.Fatal("updates are still sent after 1000 messages")
 		}
 	}
 }
 
-// Nodes that can carry more get more of the roles, and weak ones none as long as
-// there are others.
+// Guards against roles that are not proportional to weights, and against roles on weak
+// nodes while there are stronger ones.
 func TestRolesFollowWeights(t *testing.T) {
 	tab := tableOf(9)
 	tab.Weigh(peer(0).Address(), 100)
@@ -175,12 +177,12 @@
 	}
 	tab.Advance(begin.Add(membership.RefuteTime))
 	if c := count(); len(c) != 8 {
-		t.Errorf("without the strong ones %d nodes get roles, want 8", len(c))
+		t.Errorf("without the strong nodes %d nodes get roles, want 8", len(c))
 	}
 }
 
-// Nodes that know a peer only by name give roles as those do that have heard it:
-// a weight that isn't known doesn't make it the strongest.
+// Guards against roles that differ between nodes with and without a peer's weight:
+// an unknown weight must not make the peer the strongest.
 func TestUnknownWeightGivesTheSameRoles(t *testing.T) {
 	observed, discovered := tableOf(9), membership.NewTable(peer(0))
 	for _, tab := range []*membership.Table{
@@ -207,7 +209,7 @@
 	}
 }
 
-// News that began before a node's weight was known carries the weight once it is.
+// Guards against queued updates that lack a node's weight once it is known.
 func TestUpdateCarriesTheWeight(t *testing.T) {
 	tab := tableOf(1)
 	for range 3 {
@@ -215,6 +217,6 @@
 	}
 	tab.Weigh(peer(1).Address(), 320)
 	if updates := tab.Tell(1, true); len(updates) != 1 || updates[0].Weight != 320 {
-		t.Errorf("news: %+v, want the weight 320", updates)
+		t.Errorf("updates %+v, want the weight 320", updates)
 	}
 }
--- a/internal/source/source_test.go
+++ b/internal/source/source_test.go
@@ -31,7 +31,7 @@
 	}
 }
 
-// read expects one change and returns it.
+// read returns the only change of a directory and fails if there isn't exactly one.
 func read(t *testing.T, d *source.Directory) *wire.Entry {
 	t.Helper()
 	got, err := d.Read(time.Now())
@@ -54,7 +54,7 @@
 	if got, err := d.Read(time.Now()); err != nil || len(got) != 0 {
 		t.Fatalf("%d changes without any, err %v", len(got), err)
 	}
-	// An older file in its place is a change, with a greater revision.
+	// Replacement by an older file is a change with a greater revision.
 	write(t, dir, "a.json", "0", at.Add(-time.Hour))
 	second := read(t, d)
 	if string(second.GetValue()) != "0" || second.GetRevision() <= first.GetRevision() {
@@ -67,7 +67,7 @@
 	if !third.GetDeleted() || third.GetRevision() <= second.GetRevision() {
 		t.Fatalf("got %v", third)
 	}
-	// A process that starts anew gives the same file the same revision.
+	// A restarted process gives the same file the same revision.
 	write(t, dir, "b.json", "1", at)
 	one, two := read(t, source.NewDirectory(dir)), read(t, source.NewDirectory(dir))
 	if one.GetRevision() != two.GetRevision() {
@@ -83,7 +83,7 @@
 	}
 }
 
-// follower runs a platform source and keeps what it delivers.
+// follower runs a platform source and holds the newest entries that it delivers.
 type follower struct {
 	mu      sync.Mutex
 	entries map[string]*wire.Entry
@@ -132,7 +132,7 @@
 	f.changed <- struct{}{}
 }
 
-// until waits until cond holds; every change is looked at.
+// until waits until cond holds, which is checked after every delivery and failure.
 func (f *follower) until(t *testing.T, cond func() bool) {
 	t.Helper()
 	end := time.After(30 * time.Second)
@@ -146,7 +146,7 @@
 		select {
 		case <-f.changed:
 		case <-end:
-			t.Fatal("not in time")
+			t.Fatal("condition not met within 30 s")
 		}
 	}
 }
@@ -171,12 +171,12 @@
 	f.until(t, func() bool { return f.entries["a"].GetRevision() == first })
 	second := p.Publish("a", "2")
 	f.until(t, func() bool { return f.entries["a"].GetRevision() == second })
-	// A change that the platform shows late comes all the same.
+	// A change that the platform shows late is delivered too.
 	p.SetLag(200 * time.Millisecond)
 	second = p.Publish("a", "2b")
 	f.until(t, func() bool { return f.entries["a"].GetRevision() == second })
 	p.SetLag(0)
-	// A replica that is behind doesn't bring the watch back.
+	// A stale replica doesn't move the watch back.
 	p.SetModeAt(platform.ModeStale, first)
 	p.SetMode(platform.ModeDown)
 	f.until(t, func() bool { return f.failed > 0 })
@@ -185,7 +185,7 @@
 	f.until(t, func() bool { return f.entries["a"].GetRevision() == third && f.entries["a"].GetDeleted() })
 }
 
-// Guards against a watch that waits for revisions of a former era.
+// Guards against a watch that waits for revisions of an earlier era after a restore.
 func TestFullReadAfterPlatformRestore(t *testing.T) {
 	p, url := serve(t)
 	p.Publish("a", "1")
