--- a/internal/fleetconfig/digest.go
+++ b/internal/fleetconfig/digest.go
@@ -95,9 +95,9 @@
 }
 
 // In returns the versions of the newest values in some buckets.
-func (s *Store) In(parts []uint32) []*wire.KeyRevision {
+func (s *Store) In(buckets []uint32) []*wire.KeyRevision {
 	var out []*wire.KeyRevision
-	for _, b := range slices.Compact(slices.Sorted(slices.Values(parts))) {
+	for _, b := range slices.Compact(slices.Sorted(slices.Values(buckets))) {
 		out = s.revisions(out, b)
 	}
 	return out
