--- a/internal/fleetconfig/digest.go
+++ b/internal/fleetconfig/digest.go
@@ -104,11 +104,11 @@
 }
 
 // revisions appends the versions of the newest values in a bucket.
-func (s *Store) revisions(out []*wire.KeyRevision, part uint32) []*wire.KeyRevision {
-	if part >= Buckets {
+func (s *Store) revisions(out []*wire.KeyRevision, bucket uint32) []*wire.KeyRevision {
+	if bucket >= Buckets {
 		return out
 	}
-	for _, k := range s.buckets[part].keys {
+	for _, k := range s.buckets[bucket].keys {
 		out = append(out, KeyRevision(k, s.records[k].newest.version))
 	}
 	return out
