--- a/internal/fleetconfig/history.go
+++ b/internal/fleetconfig/history.go
@@ -41,11 +41,11 @@
 }
 
 // compact drops stale changes once there are too many of them.
-func (h *history) compact(keys int, effective func(change) bool) {
+func (h *history) compact(keys int, isLatest func(change) bool) {
 	if len(h.changes) <= keys*(1+historyStalePerKey)+historyMinStale {
 		return
 	}
-	h.changes = slices.DeleteFunc(h.changes, func(p change) bool { return !effective(p) })
+	h.changes = slices.DeleteFunc(h.changes, func(p change) bool { return !isLatest(p) })
 }
 
 // isLatest reports whether a change is the last one of its key.
