--- a/internal/fleetconfig/history.go
+++ b/internal/fleetconfig/history.go
@@ -45,7 +45,7 @@
 	if len(h.changes) <= keys*(1+historyStalePerKey)+historyMinStale {
 		return
 	}
-	h.changes = slices.DeleteFunc(h.changes, func(p change) bool { return !isLatest(p) })
+	h.changes = slices.DeleteFunc(h.changes, func(c change) bool { return !isLatest(c) })
 }
 
 // isLatest reports whether a change is the last one of its key.
