--- a/internal/fleetconfig/history.go
+++ b/internal/fleetconfig/history.go
@@ -49,8 +49,8 @@
 }
 
 // isLatest reports whether a change is the last one of its key.
-func (s *Store) isLatest(at change) bool {
-	return s.records[at.key].newest.version.Position() == at.position
+func (s *Store) isLatest(c change) bool {
+	return s.records[c.key].newest.version.Position() == c.position
 }
 
 // After returns the newest entries of the keys that changed after a position, in order of position,
