--- a/internal/fleetconfig/history.go
+++ b/internal/fleetconfig/history.go
@@ -57,8 +57,8 @@
 // up to most bytes. The result is complete up to upTo; more is set if later changes were left out.
 func (s *Store) After(p order.Position, most int) (out []*wire.Entry, upTo order.Position, more bool) {
 	changes := s.history.changes
-	from, _ := slices.BinarySearchFunc(changes, p, func(at change, p order.Position) int {
-		if at.position.Compare(p) <= 0 {
+	from, _ := slices.BinarySearchFunc(changes, p, func(c change, p order.Position) int {
+		if c.position.Compare(p) <= 0 {
 			return -1
 		}
 		return 1
