--- a/internal/fleetconfig/history.go
+++ b/internal/fleetconfig/history.go
@@ -55,7 +55,7 @@
 
 // After returns the newest entries of the keys that changed after a position, in order of position,
 // up to most bytes. The result is complete up to upTo; more is set if later changes were left out.
-func (s *Store) After(p order.Position, most int) (out []*wire.Entry, upTo order.Position, more bool) {
+func (s *Store) After(p order.Position, maxBytes int) (out []*wire.Entry, upTo order.Position, more bool) {
 	changes := s.history.changes
 	from, _ := slices.BinarySearchFunc(changes, p, func(c change, p order.Position) int {
 		if c.position.Compare(p) <= 0 {
@@ -72,7 +72,7 @@
 		for _, e := range entries {
 			size += len(e.GetKey()) + len(e.GetValue())
 		}
-		if size > most && len(out) > 0 && changes[i].position != upTo {
+		if size > maxBytes && len(out) > 0 && changes[i].position != upTo {
 			return out, upTo, true
 		}
 		out = append(out, entries...)
