--- a/internal/fleetconfig/validate_route.go
+++ b/internal/fleetconfig/validate_route.go
@@ -44,7 +44,7 @@
 			},
 		}
 	}
-	var parts []splitService
+	var services []splitService
 	sum := uint64(0)
 	for _, p := range split {
 		s := c.services[p.GetService()]
@@ -55,7 +55,7 @@
 			continue
 		}
 		sum += uint64(p.GetWeight())
-		parts = append(parts, splitService{
+		services = append(services, splitService{
 			service:          s,
 			cumulativeWeight: sum,
 		})
@@ -63,7 +63,7 @@
 	if sum == 0 {
 		return nil, fault(KindRange, "a weight above 0", "route %s", w.GetName())
 	}
-	return parts, nil
+	return services, nil
 }
 
 func newRoute(w *wire.Route, parts []splitService) (*Route, error) {
