--- a/internal/fleetconfig/validate_route.go
+++ b/internal/fleetconfig/validate_route.go
@@ -14,11 +14,11 @@
 		if err := checkName("route", w.GetName()); err != nil {
 			return err
 		}
-		parts, err := c.splitServices(w)
+		split, err := c.splitServices(w)
 		if err != nil {
 			return err
 		}
-		r, err := newRoute(w, parts)
+		r, err := newRoute(w, split)
 		if err != nil {
 			return err
 		}
