--- a/internal/fleetconfig/validate_route.go
+++ b/internal/fleetconfig/validate_route.go
@@ -66,7 +66,7 @@
 	return services, nil
 }
 
-func newRoute(w *wire.Route, parts []splitService) (*Route, error) {
+func newRoute(w *wire.Route, split []splitService) (*Route, error) {
 	if !strings.HasPrefix(w.GetPathPrefix(), "/") {
 		return nil, fault(KindRange, "path_prefix begins with /", "route %s", w.GetName())
 	}
@@ -87,14 +87,14 @@
 	}
 	class := w.GetClass()
 	if class == "" {
-		class = parts[0].service.name
+		class = split[0].service.name
 	}
 	r := &Route{
 		name:          w.GetName(),
 		host:          strings.ToLower(w.GetHost()),
 		prefix:        strings.TrimRight(w.GetPathPrefix(), "/"),
 		methods:       w.GetMethods(),
-		service:       parts[0].service,
+		service:       split[0].service,
 		class:         class,
 		repeatable:    w.GetRepeatable(),
 		deadline:      deadline,
@@ -107,8 +107,8 @@
 		public:        w.GetPublic(),
 		regions:       w.GetRegions(),
 	}
-	if len(parts) > 1 {
-		r.split = parts
+	if len(split) > 1 {
+		r.split = split
 	}
 	return r, nil
 }
