--- a/internal/dissemination/buckets.go
+++ b/internal/dissemination/buckets.go
@@ -24,8 +24,8 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	parts := r.store.Differing(digests)
-	return parts, r.store.In(parts)
+	buckets := r.store.Differing(digests)
+	return buckets, r.store.In(buckets)
 }
 
 // otherRevisions returns this replica's revisions of the keys in some buckets that a peer holds
