--- a/internal/dissemination/buckets.go
+++ b/internal/dissemination/buckets.go
@@ -30,12 +30,12 @@
 
 // otherRevisions returns this replica's revisions of the keys in some buckets that a peer holds
 // at other revisions, 0 for keys that only the peer has.
-func (r *Replica) otherRevisions(parts []uint32, theirs []*wire.KeyRevision) []*wire.KeyRevision {
+func (r *Replica) otherRevisions(buckets []uint32, theirs []*wire.KeyRevision) []*wire.KeyRevision {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	theirVersions := versions(theirs)
 	var out []*wire.KeyRevision
-	for _, kr := range r.store.In(parts) {
+	for _, kr := range r.store.In(buckets) {
 		if theirVersions[kr.GetKey()] != fleetconfig.MarkOf(kr) {
 			out = append(out, kr)
 		}
