--- a/internal/dissemination/exchange.go
+++ b/internal/dissemination/exchange.go
@@ -162,8 +162,8 @@
 	if !compare {
 		return nil
 	}
-	if parts := reply.GetDiffering(); len(parts) > 0 {
-		next.Revisions = g.replica.otherRevisions(parts, reply.GetRevisions())
+	if buckets := reply.GetDiffering(); len(buckets) > 0 {
+		next.Revisions = g.replica.otherRevisions(buckets, reply.GetRevisions())
 		if len(next.Revisions) == 0 {
 			// The peer's values have arrived from elsewhere meanwhile.
 			return nil
