--- a/internal/dissemination/gossip.go
+++ b/internal/dissemination/gossip.go
@@ -287,7 +287,7 @@
 	})
 	// Read before the digest: the reported position must not be newer than the digest.
 	readTo := g.ReadTo()
-	parts, revisions := g.replica.differing(in.GetBuckets())
+	buckets, revisions := g.replica.differing(in.GetBuckets())
 	lacks, wanted := g.replica.Compare(time.Now(), in.GetRevisions(), in.GetComplete())
 	if in.GetDigest() != g.replica.Digest() && fleetconfig.PositionOf(in.GetReadTo()).Compare(fleetconfig.PositionOf(readTo)) > 0 {
 		g.queueCompare(in.GetFrom().GetAddress())
@@ -299,7 +299,7 @@
 		Wanted:        wanted,
 		PlatformAgeMs: uint64(g.PlatformAge(time.Now()).Milliseconds()),
 		Nodes:         g.sampleNodes(int(in.GetKnown())),
-		Differing:     parts,
+		Differing:     buckets,
 		Revisions:     revisions,
 		ReadTo:        readTo,
 	}
