--- a/internal/dissemination/exchange.go
+++ b/internal/dissemination/exchange.go
@@ -13,13 +13,13 @@
 
 // push sends new values to a few random peers. If they are large in total, or this node pulled them
 // itself, it only announces within the data hall that there are some.
-func (g *Gossip) push(ctx context.Context, exchanges *task.Group, l update) {
+func (g *Gossip) push(ctx context.Context, exchanges *task.Group, u update) {
 	req := g.request()
-	whole := !g.pullsByPosition() || !l.pulled && sizeOf(l.entries) <= maxPushedBytes
+	whole := !g.pullsByPosition() || !u.pulled && sizeOf(u.entries) <= maxPushedBytes
 	if whole {
-		g.addValues(req, l.entries)
+		g.addValues(req, u.entries)
 	}
-	near, far := g.pushPeers(l.ownRead)
+	near, far := g.pushPeers(u.ownRead)
 	if !whole && g.cfg.Announce != nil {
 		for _, peer := range near {
 			g.cfg.Announce(peer)
