--- a/internal/dissemination/gossip.go
+++ b/internal/dissemination/gossip.go
@@ -233,13 +233,13 @@
 
 // enqueue passes new values to Run. If the queue is full they are left to the
 // comparisons.
-func (g *Gossip) enqueue(l update) {
-	if len(l.entries) == 0 {
+func (g *Gossip) enqueue(u update) {
+	if len(u.entries) == 0 {
 		return
 	}
-	g.recordRecent(l.entries)
+	g.recordRecent(u.entries)
 	select {
-	case g.fresh <- l:
+	case g.fresh <- u:
 	default:
 	}
 }
