--- a/internal/dissemination/gossip.go
+++ b/internal/dissemination/gossip.go
@@ -255,8 +255,8 @@
 		select {
 		case <-ctx.Done():
 			return exchanges.Wait()
-		case l := <-g.fresh:
-			g.push(ctx, &exchanges, l)
+		case u := <-g.fresh:
+			g.push(ctx, &exchanges, u)
 		case peer := <-g.differs:
 			if time.Since(asked) >= minDifferInterval {
 				asked = time.Now()
