--- a/internal/dissemination/pack.go
+++ b/internal/dissemination/pack.go
@@ -46,8 +46,8 @@
 }
 
 // inflate decompresses at most one byte more than most.
-func inflate(packed []byte, most int64) ([]byte, error) {
-	return io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(packed)), most+1))
+func inflate(packed []byte, maxBytes int64) ([]byte, error) {
+	return io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(packed)), maxBytes+1))
 }
 
 // packBatch compresses entries together: those of targets differ little and shrink to a
