--- a/internal/dissemination/pack.go
+++ b/internal/dissemination/pack.go
@@ -70,12 +70,12 @@
 	if len(batch) == 0 {
 		return nil, nil
 	}
-	const most = maxBatch
-	plain, err := inflate(batch, most)
+	const maxBytes = maxBatch
+	plain, err := inflate(batch, maxBytes)
 	if err != nil {
 		return nil, fmt.Errorf("dissemination: unpack: %w", err)
 	}
-	if len(plain) > most {
+	if len(plain) > maxBytes {
 		return nil, &BatchError{}
 	}
 	list := &wire.EntryList{}
