--- a/internal/dissemination/peers.go
+++ b/internal/dissemination/peers.go
@@ -12,14 +12,14 @@
 // pushPeers returns the peers, of the own data hall and of others, to which this node pushes a new
 // value; first is set on the node that read it. In each data hall a few other nodes also push it to
 // other data halls, in case the first node's messages were lost.
-func (g *Gossip) pushPeers(first bool) (near, far []string) {
+func (g *Gossip) pushPeers(ownRead bool) (near, far []string) {
 	if !g.cfg.Near {
 		return nil, g.choosePeers(fanout)
 	}
 	ours, others := g.cfg.View().Halls()
 	near = randomAddresses(ours, fanout)
 	switch {
-	case first:
+	case ownRead:
 		return near, addressesPerHall(others, fanoutFar)
 	case crossesHalls(len(ours)):
 		return near, randomAddresses(others, 1)
