--- a/internal/dissemination/startup_test.go
+++ b/internal/dissemination/startup_test.go
@@ -154,10 +154,10 @@
 
 // register has two nodes of different data halls read targets from the source in ten batches.
 func (f *hallFleet) register(targets int) {
-	const parts = 10
+	const batches = 10
 	entries := manyValues(targets)
-	for i := range parts {
-		part := entries[i*len(entries)/parts : (i+1)*len(entries)/parts]
+	for i := range batches {
+		part := entries[i*len(entries)/batches : (i+1)*len(entries)/batches]
 		for _, reader := range f.list[:2] {
 			f.peers[reader.Address()].gossip.PublishTo(part, order.At(0, part[len(part)-1].GetRevision()))
 			time.Sleep(200 * time.Millisecond)
