--- a/internal/dissemination/startup_test.go
+++ b/internal/dissemination/startup_test.go
@@ -157,9 +157,9 @@
 	const batches = 10
 	entries := manyValues(targets)
 	for i := range batches {
-		part := entries[i*len(entries)/batches : (i+1)*len(entries)/batches]
+		batch := entries[i*len(entries)/batches : (i+1)*len(entries)/batches]
 		for _, reader := range f.list[:2] {
-			f.peers[reader.Address()].gossip.PublishTo(part, order.At(0, part[len(part)-1].GetRevision()))
+			f.peers[reader.Address()].gossip.PublishTo(batch, order.At(0, batch[len(batch)-1].GetRevision()))
 			time.Sleep(200 * time.Millisecond)
 		}
 	}
