--- a/internal/membership/rumor.go
+++ b/internal/membership/rumor.go
@@ -24,7 +24,7 @@
 // next appends updates to out until it has n entries, the least often sent first, and
 // drops those that have been sent most times. It examines each rumor once, without a sort:
 // while a fleet starts there are as many as nodes, and a datagram carries few.
-func (r rumors) next(out []News, n, most int) []News {
+func (r rumors) next(out []News, n, maxSent int) []News {
 	var first []*rumor
 	for _, candidate := range r {
 		at := len(first)
@@ -39,7 +39,7 @@
 	}
 	for _, f := range first {
 		out = append(out, f.update)
-		if f.sent++; f.sent >= most {
+		if f.sent++; f.sent >= maxSent {
 			delete(r, f.update.Node.address)
 		}
 	}
