--- a/internal/membership/table.go
+++ b/internal/membership/table.go
@@ -93,7 +93,7 @@
 
 // List applies the platform's list of nodes: live and draining ones. A node that
 // reported itself that it drains stays draining, even if the list is older.
-func (t *Table) List(live, leaving []Node) {
+func (t *Table) List(live, draining []Node) {
 	t.changed = true
 	for _, s := range t.nodes {
 		s.listed = false
@@ -101,7 +101,7 @@
 	for _, n := range live {
 		t.find(n).listed = true
 	}
-	for _, n := range leaving {
+	for _, n := range draining {
 		s := t.find(n)
 		s.listed = true
 		s.draining = true
