--- a/internal/membership/table.go
+++ b/internal/membership/table.go
@@ -145,7 +145,7 @@
 
 // Heard records a message of a node. A greater incarnation is a new process at the
 // address, which isn't draining because the one before it was.
-func (t *Table) Heard(now time.Time, n Node, incarnation uint64, leaving bool) {
+func (t *Table) Heard(now time.Time, n Node, incarnation uint64, draining bool) {
 	if n.address == t.self.address || n.address == "" {
 		return
 	}
@@ -160,9 +160,9 @@
 	if incarnation > s.incarnation {
 		s.draining = false
 	}
-	t.recordAlive(s, incarnation, leaving)
+	t.recordAlive(s, incarnation, draining)
 	s.incarnation = incarnation
-	s.draining = s.draining || leaving
+	s.draining = s.draining || draining
 	t.changed = t.changed || s.draining != before || !s.noRoleUntil.IsZero()
 	s.lastReceived = now
 	s.failures = 0
