--- a/internal/membership/update.go
+++ b/internal/membership/update.go
@@ -43,12 +43,12 @@
 )
 
 // recordAlive records that a node is alive in the given incarnation.
-func (t *Table) recordAlive(s *state, incarnation uint64, leaving bool) {
+func (t *Table) recordAlive(s *state, incarnation uint64, draining bool) {
 	refuted := s.dead || !s.suspected.IsZero()
-	if refuted || s.lastReceived.IsZero() || incarnation > s.incarnation || leaving != s.draining {
-		t.changed = t.changed || s.dead || leaving && !s.draining
+	if refuted || s.lastReceived.IsZero() || incarnation > s.incarnation || draining != s.draining {
+		t.changed = t.changed || s.dead || draining && !s.draining
 		s.incarnation = incarnation
-		s.draining = s.draining || leaving
+		s.draining = s.draining || draining
 		t.enqueue(s, OpinionAlive, refuted || s.draining)
 	}
 	s.dead = false
