--- a/internal/source/follow.go
+++ b/internal/source/follow.go
@@ -67,7 +67,7 @@
 			pause(ctx, b.Role)
 			continue
 		}
-		begun := time.Now()
+		start := time.Now()
 		err := step(ctx)
 		if err != nil {
 			if ctx.Err() == nil {
@@ -78,7 +78,7 @@
 			continue
 		}
 		wait = b.RetryFirst
-		pause(ctx, b.Pace-time.Since(begun))
+		pause(ctx, b.Pace-time.Since(start))
 	}
 	return nil
 }
