--- a/internal/dissemination/pack.go
+++ b/internal/dissemination/pack.go
@@ -45,7 +45,7 @@
 	return b.Bytes(), nil
 }
 
-// inflate decompresses at most one byte more than most.
+// inflate decompresses at most one byte more than maxBytes.
 func inflate(packed []byte, maxBytes int64) ([]byte, error) {
 	return io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(packed)), maxBytes+1))
 }
@@ -89,7 +89,7 @@
 type BatchError struct{}
 
 // Error returns the message.
-func (*BatchError) Error() string { return "dissemination: unpack: too large" }
+func (*BatchError) Error() string { return "dissemination: unpack: batch too large" }
 
 // maxBatch is the greatest size of an unpacked batch in bytes: the values of one message, one of
 // which may have the greatest size, and their keys and versions.
--- a/internal/dissemination/peers.go
+++ b/internal/dissemination/peers.go
@@ -10,8 +10,8 @@
 )
 
 // pushPeers returns the peers, of the own data hall and of others, to which this node pushes a new
-// value; first is set on the node that read it. In each data hall a few other nodes also push it to
-// other data halls, in case the first node's messages were lost.
+// value; ownRead is set on the node that read it. In each data hall a few other nodes also push it
+// to other data halls, in case that node's messages were lost.
 func (g *Gossip) pushPeers(ownRead bool) (near, far []string) {
 	if !g.cfg.Near {
 		return nil, g.choosePeers(fanout)
--- a/internal/fleetconfig/history.go
+++ b/internal/fleetconfig/history.go
@@ -53,8 +53,9 @@
 	return s.records[c.key].newest.version.Position() == c.position
 }
 
-// After returns the newest entries of the keys that changed after a position, in order of position,
-// up to most bytes. The result is complete up to upTo; more is set if later changes were left out.
+// After returns the newest entries of the keys that changed after a position, in order of position, up
+// to maxBytes unless the first position holds more. The result is complete up to upTo; more is set if
+// later changes were left out.
 func (s *Store) After(p order.Position, maxBytes int) (out []*wire.Entry, upTo order.Position, more bool) {
 	changes := s.history.changes
 	from, _ := slices.BinarySearchFunc(changes, p, func(c change, p order.Position) int {
--- a/internal/fleetconfig/restore_test.go
+++ b/internal/fleetconfig/restore_test.go
@@ -48,7 +48,7 @@
 			want: stampedEntry("k", 2, 41, 25),
 		},
 		{
-			name: "copy with an older value",
+			name: "restored source with an older value",
 			entries: []*wire.Entry{
 				stampedEntry("k", 1, 44, 21),
 				stampedEntry("k", 2, 40, 19),
@@ -66,7 +66,7 @@
 			want: stampedEntry("k", 2, 41, 21),
 		},
 		{
-			name: "value of the former era comes late",
+			name: "value of an earlier era arrives late",
 			entries: []*wire.Entry{
 				stampedEntry("k", 2, 41, 25),
 				stampedEntry("k", 1, 99, 23),
@@ -74,7 +74,7 @@
 			want: stampedEntry("k", 2, 41, 25),
 		},
 		{
-			name: "lost value of a node that was cut off",
+			name: "lost value from a node that was cut off",
 			entries: []*wire.Entry{
 				stampedEntry("k", 2, 40, 19),
 				stampedEntry("k", 1, 44, 21),
@@ -93,7 +93,7 @@
 			ahead: true,
 		},
 		{
-			name: "writer that counts nothing",
+			name: "writer without sequence numbers",
 			entries: []*wire.Entry{
 				stampedEntry("k", 1, 44, 0),
 				stampedEntry("k", 2, 40, 0),
@@ -108,21 +108,21 @@
 			},
 		},
 		{
-			name: "copy of what was removed",
+			name: "restored source with a value older than the removed one",
 			entries: []*wire.Entry{
 				removedAt("k", 1, 60, 21),
 				stampedEntry("k", 2, 41, 19),
 			},
 		},
 		{
-			name: "copy of just what was removed",
+			name: "restored source with the removed value",
 			entries: []*wire.Entry{
 				removedAt("k", 1, 60, 21),
 				stampedEntry("k", 2, 41, 21),
 			},
 		},
 		{
-			name: "removal of a former era",
+			name: "value later than a removal of an earlier era",
 			entries: []*wire.Entry{
 				removedAt("k", 1, 60, 21),
 				stampedEntry("k", 2, 41, 25),
--- a/internal/membership/rumor.go
+++ b/internal/membership/rumor.go
@@ -22,8 +22,8 @@
 type rumors map[string]*rumor
 
 // next appends updates to out until it has n entries, the least often sent first, and
-// drops those that have been sent most times. It examines each rumor once, without a sort:
-// while a fleet starts there are as many as nodes, and a datagram carries few.
+// drops those that have been sent maxSent times. It examines each rumor once, without a
+// sort: while a fleet starts there are as many as nodes, and a datagram carries few.
 func (r rumors) next(out []News, n, maxSent int) []News {
 	var first []*rumor
 	for _, candidate := range r {
