--- a/internal/dissemination/exchange.go
+++ b/internal/dissemination/exchange.go
@@ -11,8 +11,8 @@
 	"ploverjunction.example/ploverjunction/internal/wire"
 )
 
-// push sends new values to a few random peers. If they are large in total, or this node pulled them
-// itself, it only announces within the data hall that there are some.
+// push sends new values to a few random peers. A node that pulls by position only announces that
+// there are some if it pulled them itself or the small ones exceed maxPushedBytes.
 func (g *Gossip) push(ctx context.Context, exchanges *task.Group, u update) {
 	req := g.request()
 	whole := !g.pullsByPosition() || !u.pulled && sizeOf(u.entries) <= maxPushedBytes
--- a/internal/dissemination/gossip.go
+++ b/internal/dissemination/gossip.go
@@ -93,10 +93,12 @@
 
 // Gossip spreads the values of a replica. It may be used concurrently.
 type Gossip struct {
-	cfg         Config
-	replica     *Replica
-	fresh       chan update
-	startedAt   time.Time
+	cfg       Config
+	replica   *Replica
+	fresh     chan update
+	startedAt time.Time
+	// lastContact is when any node last received an answer of the platform, as uptime; 0 if
+	// this node has received of none.
 	lastContact atomic.Int64
 	// lastAgreement is when a peer last had the same values, as uptime.
 	lastAgreement atomic.Int64
--- a/internal/source/platform.go
+++ b/internal/source/platform.go
@@ -28,8 +28,9 @@
 	// roleInterval is the interval at which a process that isn't a reader checks whether it is.
 	roleInterval = 500 * time.Millisecond
 	// retryFirst and retryMax bound the mean wait after failures.
-	retryFirst     = 250 * time.Millisecond
-	retryMax       = 15 * time.Second
+	retryFirst = 250 * time.Millisecond
+	retryMax   = 15 * time.Second
+	// maxAnswerBytes is the greatest size of an answer in bytes.
 	maxAnswerBytes = 512 << 20
 )
 
