--- a/internal/dissemination/recent.go
+++ b/internal/dissemination/recent.go
@@ -47,9 +47,9 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	var keys []string
-	for _, l := range g.recentValues {
-		if now.Sub(l.at) <= recentRetention && !slices.Contains(keys, l.key) {
-			keys = append(keys, l.key)
+	for _, v := range g.recentValues {
+		if now.Sub(v.at) <= recentRetention && !slices.Contains(keys, v.key) {
+			keys = append(keys, v.key)
 		}
 	}
 	return keys
