--- a/internal/dissemination/age_test.go
+++ b/internal/dissemination/age_test.go
@@ -10,15 +10,15 @@
 	"ploverjunction.example/ploverjunction/internal/dissemination"
 )
 
-// Nodes that tell each other all the time how long ago the platform was heard don't keep
-// it young: what is old for one stays old for all.
-func TestAgeIsNotHeldByEchoes(t *testing.T) {
+// Guards against an age of the last platform contact that stays constant while nodes exchange it:
+// each would keep accepting the other's age if a hop added less than its latency.
+func TestPlatformAgeGrowsDespiteGossip(t *testing.T) {
 	const (
-		silent = 4 * time.Second
-		// way is how long a message is under way, gap the time between two of a node.
-		way   = 2 * time.Millisecond
-		gap   = time.Millisecond
-		nodes = 5
+		silence = 4 * time.Second
+		// latency is that of a message, interval the time between two messages.
+		latency  = 2 * time.Millisecond
+		interval = time.Millisecond
+		nodes    = 5
 	)
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(nodes)
@@ -27,24 +27,24 @@
 			order = append(order, p)
 		}
 		order[0].gossip.PlatformHeard(time.Now())
-		begun := time.Now()
-		for n := 0; time.Since(begun) < silent; n++ {
+		start := time.Now()
+		for n := 0; time.Since(start) < silence; n++ {
 			from, to := order[n%nodes], order[(n+1+n/nodes%(nodes-1))%nodes]
 			age := from.gossip.PlatformAge(time.Now())
-			time.Sleep(gap)
-			time.AfterFunc(way-gap, func() { to.gossip.LearnAge(time.Now(), age) })
+			time.Sleep(interval)
+			time.AfterFunc(latency-interval, func() { to.gossip.LearnAge(time.Now(), age) })
 		}
 		for _, p := range order {
-			if age := p.gossip.PlatformAge(time.Now()); age < silent-time.Millisecond {
-				t.Errorf("heard %v ago, it was %v", age, silent)
+			if age := p.gossip.PlatformAge(time.Now()); age < silence-time.Millisecond {
+				t.Errorf("age of the last contact %v, want %v", age, silence)
 			}
 		}
 	})
 }
 
-// A machine that was suspended wakes with what it heard before: that is as old as for any
-// other node, though the clock by which it measures ages stood still.
-func TestSuspendedTimeCounts(t *testing.T) {
+// Guards against ages that leave out the time for which the machine was suspended: the clock by
+// which they are measured stands still meanwhile.
+func TestAgesIncludeSuspendedTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var suspended time.Duration
 		g := dissemination.New(dissemination.Config{
@@ -56,15 +56,15 @@
 		time.Sleep(time.Second)
 		suspended = 5 * time.Second
 		if got := g.PlatformAge(time.Now()); got != 6*time.Second {
-			t.Errorf("the platform was heard %v ago, it was 6 s", got)
+			t.Errorf("age of the last contact %v, want 6 s", got)
 		}
 		if got := g.AgreedAge(time.Now()); got != 6*time.Second {
-			t.Errorf("a peer agreed %v ago, it was 6 s", got)
+			t.Errorf("age of the last agreement %v, want 6 s", got)
 		}
-		// What is heard after it is new.
+		// A contact after the suspension has the age 0.
 		g.PlatformHeard(time.Now())
 		if got := g.PlatformAge(time.Now()); got != 0 {
-			t.Errorf("heard %v ago, it was just now", got)
+			t.Errorf("age of a new contact %v, want 0", got)
 		}
 	})
 }
--- a/internal/dissemination/buckets_test.go
+++ b/internal/dissemination/buckets_test.go
@@ -35,12 +35,12 @@
 	}
 }
 
-// One value of 720 that differs is found, whoever has the newer one, with few bytes: two
-// comparisons take 39.7 kB with lists of all revisions and 3.3 kB by parts.
-func TestOneDifferenceTakesFewBytes(t *testing.T) {
+// Guards against comparisons that list all revisions to find one of 720 values that differs,
+// whichever node has the newer one: two take 39.7 kB with lists, and 3.3 kB with buckets.
+func TestComparisonOfOneDifferenceIsSmall(t *testing.T) {
 	const (
-		values = 720
-		most   = 4000
+		values   = 720
+		maxBytes = 4000
 	)
 	tests := []struct {
 		name  string
@@ -85,8 +85,8 @@
 					f.mu.Lock()
 					defer f.mu.Unlock()
 					t.Logf("%d bytes", f.bytes)
-					if f.bytes > most {
-						t.Errorf("%d bytes, want at most %d", f.bytes, most)
+					if f.bytes > maxBytes {
+						t.Errorf("%d bytes, want at most %d", f.bytes, maxBytes)
 					}
 				})
 			})
--- a/internal/dissemination/dissemination_test.go
+++ b/internal/dissemination/dissemination_test.go
@@ -31,22 +31,22 @@
 type fleet struct {
 	mu    sync.Mutex
 	peers map[string]*peer
-	// cut tells which way messages are lost.
-	cut   func(from, to string) bool
+	// drops reports whether messages from one node to another are lost.
+	drops func(from, to string) bool
 	calls int
-	// bytes is the size of all messages.
+	// bytes is the total size of all messages.
 	bytes int
 }
 
 type lostError struct{}
 
-// Error says that a message was lost.
+// Error returns the message.
 func (lostError) Error() string { return "lost" }
 
 func newFleet(n int) *fleet {
 	f := &fleet{
 		peers: map[string]*peer{},
-		cut:   func(string, string) bool { return false },
+		drops: func(string, string) bool { return false },
 	}
 	var list []membership.Node
 	for i := range n {
@@ -80,12 +80,12 @@
 	return f
 }
 
-// call hangs for two seconds where a message is lost, as a real one does.
+// call hangs for two seconds if the request is lost, like a real call.
 func (f *fleet) call(ctx context.Context, from, to string, in *wire.SyncRequest) (*wire.SyncReply, error) {
 	f.mu.Lock()
 	f.calls++
 	f.bytes += proto.Size(in)
-	lost := f.cut(from, to)
+	lost := f.drops(from, to)
 	f.mu.Unlock()
 	if lost {
 		select {
@@ -102,7 +102,7 @@
 	time.Sleep(time.Millisecond)
 	f.mu.Lock()
 	f.bytes += proto.Size(reply)
-	lost = f.cut(to, from)
+	lost = f.drops(to, from)
 	f.mu.Unlock()
 	if lost {
 		return nil, lostError{}
@@ -126,8 +126,8 @@
 	}
 }
 
-// have counts the nodes that have a revision in force.
-func (f *fleet) have(rev uint64) int {
+// countInForce counts the nodes that have a revision in force.
+func (f *fleet) countInForce(rev uint64) int {
 	n := 0
 	for _, p := range f.peers {
 		if p.replica.InForce()["key"].Revision() >= rev {
@@ -139,47 +139,47 @@
 
 func TestSpread(t *testing.T) {
 	cases := []struct {
-		name string
-		size int
-		cut  func(from, to string) bool
-		most time.Duration
+		name    string
+		size    int
+		cut     func(from, to string) bool
+		maxTime time.Duration
 	}{
 		{
-			name: "small value",
-			size: 10,
-			cut:  func(string, string) bool { return false },
-			most: 3 * time.Second,
+			name:    "small value",
+			size:    10,
+			cut:     func(string, string) bool { return false },
+			maxTime: 3 * time.Second,
 		},
 		{
-			name: "large value",
-			size: 100_000,
-			cut:  func(string, string) bool { return false },
-			most: 3 * time.Second,
+			name:    "large value",
+			size:    100_000,
+			cut:     func(string, string) bool { return false },
+			maxTime: 3 * time.Second,
 		},
 		{
-			name: "a node that can only be reached",
-			size: 10,
-			cut:  func(from, _ string) bool { return from == "192.0.2.7:1" },
-			most: 30 * time.Second,
+			name:    "a node that can only be reached",
+			size:    10,
+			cut:     func(from, _ string) bool { return from == "192.0.2.7:1" },
+			maxTime: 30 * time.Second,
 		},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				f := newFleet(60)
-				f.cut = c.cut
+				f.drops = c.cut
 				ctx, cancel := context.WithCancel(t.Context())
 				g := f.run(ctx)
 				time.Sleep(3 * time.Second)
-				begun := time.Now()
+				start := time.Now()
 				f.peers["192.0.2.0:1"].gossip.Publish([]*wire.Entry{value(1, c.size)})
-				for f.have(1) < len(f.peers) && time.Since(begun) < time.Minute {
+				for f.countInForce(1) < len(f.peers) && time.Since(start) < time.Minute {
 					time.Sleep(5 * time.Millisecond)
 				}
-				took := time.Since(begun)
+				took := time.Since(start)
 				t.Logf("on all nodes after %v", took)
-				if took > c.most {
-					t.Errorf("on %d of %d nodes after %v", f.have(1), len(f.peers), took)
+				if took > c.maxTime {
+					t.Errorf("on %d of %d nodes after %v", f.countInForce(1), len(f.peers), took)
 				}
 				cancel()
 				if err := g.Wait(); err != nil {
@@ -190,13 +190,13 @@
 	}
 }
 
-// A node to which nothing comes through, though its own messages arrive, can't
-// learn anything: it must know that.
-func TestDeafNodeKnowsThatItIsCutOff(t *testing.T) {
+// Guards against a node that sends but receives nothing, and doesn't detect that
+// it is cut off.
+func TestDeafNodeReportsCutOff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const deaf = "192.0.2.7:1"
 		f := newFleet(20)
-		f.cut = func(_, to string) bool { return to == deaf }
+		f.drops = func(_, to string) bool { return to == deaf }
 		ctx, cancel := context.WithCancel(t.Context())
 		g := f.run(ctx)
 		time.Sleep(30 * time.Second)
@@ -212,7 +212,8 @@
 	})
 }
 
-// A quiet fleet costs about one call a node and tick, however large it is.
+// Guards against calls of an idle fleet that grow with its size: about one per node
+// and interval is expected.
 func TestQuietCost(t *testing.T) {
 	for _, n := range []int{10, 40, 160} {
 		synctest.Test(t, func(t *testing.T) {
@@ -224,9 +225,9 @@
 			f.mu.Lock()
 			each := float64(f.calls) / float64(n) / seconds
 			f.mu.Unlock()
-			t.Logf("%d nodes: %.2f calls a second and node", n, each)
+			t.Logf("%d nodes: %.2f calls per second and node", n, each)
 			if each > 1.3 {
-				t.Errorf("%d nodes: %.2f calls a second and node", n, each)
+				t.Errorf("%d nodes: %.2f calls per second and node, want at most 1.3", n, each)
 			}
 			cancel()
 			if err := g.Wait(); err != nil {
@@ -236,25 +237,25 @@
 	}
 }
 
-func TestHealedPartsAgreeOnTheGreatest(t *testing.T) {
+func TestHealedPartitionsConverge(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(20)
 		side := func(name string) bool { return len(name) == len("192.0.2.1:1") }
-		f.cut = func(from, to string) bool { return side(from) != side(to) }
+		f.drops = func(from, to string) bool { return side(from) != side(to) }
 		ctx, cancel := context.WithCancel(t.Context())
 		g := f.run(ctx)
 		f.peers["192.0.2.1:1"].gossip.Publish([]*wire.Entry{value(7, 0)})
 		f.peers["192.0.2.11:1"].gossip.Publish([]*wire.Entry{value(9, 0)})
 		time.Sleep(10 * time.Second)
-		if a, b := f.have(7), f.have(9); a != 20 || b != 10 {
-			t.Errorf("during the cut %d nodes have 7 and %d have 9", a, b)
+		if a, b := f.countInForce(7), f.countInForce(9); a != 20 || b != 10 {
+			t.Errorf("during the partition %d nodes have 7 and %d have 9, want 20 and 10", a, b)
 		}
 		f.mu.Lock()
-		f.cut = func(string, string) bool { return false }
+		f.drops = func(string, string) bool { return false }
 		f.mu.Unlock()
 		time.Sleep(10 * time.Second)
-		if n := f.have(9); n != 20 {
-			t.Errorf("after the cut %d nodes have 9", n)
+		if n := f.countInForce(9); n != 20 {
+			t.Errorf("after the partition %d nodes have 9, want 20", n)
 		}
 		cancel()
 		if err := g.Wait(); err != nil {
@@ -263,24 +264,24 @@
 	})
 }
 
-// A node whose answers are lost, and to which nobody has pushed a value, is told of it by
-// the peers that compare with it.
-func TestUnansweredPeerIsTold(t *testing.T) {
+// Guards against a node whose answers are lost, and that missed the push of a value, without
+// receiving the value from peers that try to compare with it.
+func TestUnresponsivePeerGetsRecentValues(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const reached = "192.0.2.1:1"
 		f := newFleet(2)
-		f.cut = func(_, to string) bool { return to == reached }
+		f.drops = func(_, to string) bool { return to == reached }
 		ctx, cancel := context.WithCancel(t.Context())
 		g := f.run(ctx)
 		f.peers["192.0.2.0:1"].gossip.Publish([]*wire.Entry{value(1, 10)})
-		// The push is lost; from here on only answers are.
+		// The push is lost; from now on only answers are.
 		time.Sleep(100 * time.Millisecond)
 		f.mu.Lock()
-		f.cut = func(from, _ string) bool { return from == reached }
+		f.drops = func(from, _ string) bool { return from == reached }
 		f.mu.Unlock()
 		time.Sleep(10 * time.Second)
-		if f.have(1) != len(f.peers) {
-			t.Error("the value is not on the node that can only be reached")
+		if f.countInForce(1) != len(f.peers) {
+			t.Error("the node whose answers are lost does not have the value")
 		}
 		cancel()
 		if err := g.Wait(); err != nil {
--- a/internal/dissemination/talk.go
+++ b/internal/dissemination/exchange.go
@@ -11,15 +11,15 @@
 	"ploverjunction.example/ploverjunction/internal/wire"
 )
 
-// push tells a few random peers of new values: of few by themselves, of many, or those that this
-// node asked for itself, that there are some.
-func (g *Gossip) push(ctx context.Context, talks *task.Group, l learned) {
+// push sends new values to a few random peers. A node that pulls by position only announces that
+// there are some if it pulled them itself or the small ones exceed maxPushedBytes.
+func (g *Gossip) push(ctx context.Context, exchanges *task.Group, u update) {
 	req := g.request()
-	whole := !g.pulls() || !l.pulled && sizeOf(l.entries) <= pushBatch
+	whole := !g.pullsByPosition() || !u.pulled && sizeOf(u.entries) <= maxPushedBytes
 	if whole {
-		g.fill(req, l.entries)
+		g.addValues(req, u.entries)
 	}
-	near, far := g.pushTo(l.first)
+	near, far := g.pushPeers(u.ownRead)
 	if !whole && g.cfg.Announce != nil {
 		for _, peer := range near {
 			g.cfg.Announce(peer)
@@ -27,28 +27,28 @@
 		near = nil
 	}
 	for _, peer := range append(near, far...) {
-		talks.Go(ctx, "push", func(ctx context.Context) error {
-			g.converse(ctx, peer, req, false)
+		exchanges.Go(ctx, "push", func(ctx context.Context) error {
+			g.exchange(ctx, peer, req, false)
 			return nil
 		})
 	}
 }
 
-// sizeOf returns how many bytes the small values among some take.
+// sizeOf returns the size in bytes of the small values among entries, with their keys.
 func sizeOf(entries []*wire.Entry) int {
 	size := 0
 	for _, e := range entries {
-		if len(e.GetValue()) <= pushWhole {
+		if len(e.GetValue()) <= maxPushedValue {
 			size += len(e.GetKey()) + len(e.GetValue())
 		}
 	}
 	return size
 }
 
-// fill puts values into a request: small ones whole, the marks of others.
-func (g *Gossip) fill(req *wire.SyncRequest, entries []*wire.Entry) {
+// addValues adds small values and the versions of others to a request.
+func (g *Gossip) addValues(req *wire.SyncRequest, entries []*wire.Entry) {
 	for _, e := range entries {
-		if len(e.GetValue()) <= pushWhole {
+		if len(e.GetValue()) <= maxPushedValue {
 			req.Entries = append(req.Entries, e)
 			continue
 		}
@@ -56,16 +56,16 @@
 	}
 }
 
-// compare exchanges digests with the first of some peers, and with the next one
-// when it doesn't answer soon.
-func (g *Gossip) compare(ctx context.Context, talks *task.Group, peers []string) {
-	if talks.Len() > maxTalks {
+// compare compares with the first peer, and also with the next one each time none has
+// answered within compareMaxWait.
+func (g *Gossip) compare(ctx context.Context, exchanges *task.Group, peers []string) {
+	if exchanges.Len() > maxExchanges {
 		return
 	}
-	talks.Go(ctx, "compare", func(ctx context.Context) error {
+	exchanges.Go(ctx, "compare", func(ctx context.Context) error {
 		var tries task.Group
-		patience := time.NewTicker(comparePatience)
-		defer patience.Stop()
+		ticker := time.NewTicker(compareMaxWait)
+		defer ticker.Stop()
 		for _, peer := range peers {
 			answered := make(chan struct{})
 			tries.Go(ctx, "compare with one", func(ctx context.Context) error {
@@ -73,34 +73,35 @@
 					close(answered)
 					return nil
 				}
-				g.tell(ctx, peer)
+				g.sendRecent(ctx, peer)
 				return nil
 			})
 			select {
 			case <-answered:
 				return tries.Wait()
-			case <-patience.C:
+			case <-ticker.C:
 			}
 		}
 		return tries.Wait()
 	})
 }
 
-// converse sends req to a peer and goes on until the peer wants nothing more or,
-// to compare, neither side lacks anything that the other has. It reports whether the peer answered to the end.
-func (g *Gossip) converse(ctx context.Context, peer string, req *wire.SyncRequest, compare bool) bool {
+// exchange sends req to a peer and goes on until the peer requests nothing more or,
+// to compare, neither side lacks values of the other. It reports whether all calls
+// were answered.
+func (g *Gossip) exchange(ctx context.Context, peer string, req *wire.SyncRequest, compare bool) bool {
 	for range maxRounds {
 		reply, err := g.call(ctx, peer, req)
 		if err != nil {
 			return false
 		}
-		g.spread(learned{
+		g.enqueue(update{
 			entries: g.replica.Offer(reply.GetEntries()),
 		})
-		req = g.follow(req, reply, compare)
+		req = g.nextMessage(req, reply, compare)
 		if req == nil {
 			if compare {
-				g.compared(peer)
+				g.recordCompared(peer)
 			}
 			return true
 		}
@@ -108,24 +109,24 @@
 	return true
 }
 
-// call makes one call to a peer and learns what each reply tells.
+// call makes one call to a peer and processes the reply.
 func (g *Gossip) call(ctx context.Context, peer string, req *wire.SyncRequest) (*wire.SyncReply, error) {
 	reply, err := g.cfg.Call(ctx, peer, req)
-	g.called(err == nil)
+	g.recordCall(err == nil)
 	if err != nil {
 		g.cfg.Failed(peer)
 		return nil, err
 	}
-	g.learn(reply)
+	g.processReply(reply)
 	return reply, nil
 }
 
-// compareWith brings this node to what a peer has, and reports whether the peer answered to the end.
-// Where both know positions what is behind them is pulled, by each from the other; digests of
-// parts find what may still differ.
+// compareWith brings this node up to date with a peer, and reports whether all calls were answered.
+// If both have positions, each pulls the values after its own; digests of buckets find remaining
+// differences.
 func (g *Gossip) compareWith(ctx context.Context, peer string) bool {
-	if !g.pulls() {
-		return g.converse(ctx, peer, g.request(), true)
+	if !g.pullsByPosition() {
+		return g.exchange(ctx, peer, g.request(), true)
 	}
 	if !g.claimPull(time.Now()) {
 		return true
@@ -137,17 +138,17 @@
 	ahead := g.replica.ReadTo().Compare(fleetconfig.PositionOf(reply.GetReadTo()))
 	if reply.GetDigest() == g.replica.Digest() || reply.GetReadTo() != nil && ahead > 0 {
 		// A peer that is behind pulls what it lacks itself.
-		g.compared(peer)
+		g.recordCompared(peer)
 		return true
 	}
-	if req = g.follow(req, reply, true); req == nil {
+	if req = g.nextMessage(req, reply, true); req == nil {
 		return true
 	}
-	return g.converse(ctx, peer, req, true)
+	return g.exchange(ctx, peer, req, true)
 }
 
-// follow returns the next message to a peer, or nil if all is said.
-func (g *Gossip) follow(sent *wire.SyncRequest, reply *wire.SyncReply, compare bool) *wire.SyncRequest {
+// nextMessage returns the next message of an exchange, or nil if it is complete.
+func (g *Gossip) nextMessage(sent *wire.SyncRequest, reply *wire.SyncReply, compare bool) *wire.SyncRequest {
 	next := g.request()
 	if len(reply.GetWanted()) > 0 {
 		next.Entries = g.replica.Entries(reply.GetWanted())
@@ -156,31 +157,31 @@
 	if reply.GetDigest() == next.GetDigest() {
 		return nil
 	}
-	// While a value spreads digests differ everywhere: only comparisons look for
-	// the reason.
+	// While a value spreads, digests differ everywhere: only comparisons search for
+	// the difference.
 	if !compare {
 		return nil
 	}
-	if parts := reply.GetDiffering(); len(parts) > 0 {
-		next.Revisions = g.replica.against(parts, reply.GetRevisions())
+	if buckets := reply.GetDiffering(); len(buckets) > 0 {
+		next.Revisions = g.replica.otherRevisions(buckets, reply.GetRevisions())
 		if len(next.Revisions) == 0 {
-			// The peer's news has come by another way meanwhile.
+			// The peer's values have arrived from elsewhere meanwhile.
 			return nil
 		}
 		return next
 	}
-	// If nothing came of a list the rest is left to the next tick.
+	// If a list brought no values the rest is left to the next tick.
 	named := len(sent.GetRevisions()) > 0 || sent.GetComplete()
 	if named && len(reply.GetEntries()) == 0 {
 		return nil
 	}
-	g.replica.look(sent, next)
+	g.replica.addComparison(sent, next)
 	return next
 }
 
-func (g *Gossip) learn(reply *wire.SyncReply) {
-	g.learnAge(reply.GetPlatformAgeMs())
-	g.learnReadTo(reply.GetReadTo())
+func (g *Gossip) processReply(reply *wire.SyncReply) {
+	g.observeAgeMillis(reply.GetPlatformAgeMs())
+	g.observeReadTo(reply.GetReadTo())
 	g.cfg.Heard(reply.GetFrom())
 	for _, n := range reply.GetNodes() {
 		g.cfg.Mentioned(n)
--- a/internal/dissemination/pack.go
+++ b/internal/dissemination/pack.go
@@ -14,20 +14,20 @@
 	"ploverjunction.example/ploverjunction/internal/wire"
 )
 
-// packFrom is the size in bytes from which on values travel compressed: JSON of
-// many routes shrinks to a tenth, and narrow links carry it to several peers.
-const packFrom = 2 << 10
+// minPackSize is the least size in bytes of values that are sent compressed: JSON of
+// many routes shrinks to a tenth, and slow links carry it to several peers.
+const minPackSize = 2 << 10
 
-// pack returns an entry as it travels.
+// pack returns an entry in the form in which it is sent.
 func pack(e *wire.Entry) (*wire.Entry, error) {
-	if len(e.GetValue()) < packFrom {
+	if len(e.GetValue()) < minPackSize {
 		return e, nil
 	}
 	packed, err := deflate(e.GetValue())
 	if err != nil {
 		return nil, err
 	}
-	return with(e, nil, packed), nil
+	return withValue(e, nil, packed), nil
 }
 
 func deflate(value []byte) ([]byte, error) {
@@ -45,13 +45,13 @@
 	return b.Bytes(), nil
 }
 
-// inflate returns what was compressed, at most most bytes and one more.
-func inflate(packed []byte, most int64) ([]byte, error) {
-	return io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(packed)), most+1))
+// inflate decompresses at most one byte more than maxBytes.
+func inflate(packed []byte, maxBytes int64) ([]byte, error) {
+	return io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(packed)), maxBytes+1))
 }
 
-// packBatch returns entries as they travel together: those of targets differ in little and
-// shrink to a quarter.
+// packBatch compresses entries together: those of targets differ little and shrink to a
+// quarter.
 func packBatch(entries []*wire.Entry) ([]byte, error) {
 	if len(entries) == 0 {
 		return nil, nil
@@ -65,18 +65,17 @@
 	return deflate(plain)
 }
 
-// unpackBatch returns the entries of a batch. What claims to be larger than a batch may be is a
-// fault.
+// unpackBatch returns the entries of a batch. A batch of more than maxBatch bytes is a *BatchError.
 func unpackBatch(batch []byte) ([]*wire.Entry, error) {
 	if len(batch) == 0 {
 		return nil, nil
 	}
-	const most = maxBatch
-	plain, err := inflate(batch, most)
+	const maxBytes = maxBatch
+	plain, err := inflate(batch, maxBytes)
 	if err != nil {
 		return nil, fmt.Errorf("dissemination: unpack: %w", err)
 	}
-	if len(plain) > most {
+	if len(plain) > maxBytes {
 		return nil, &BatchError{}
 	}
 	list := &wire.EntryList{}
@@ -86,18 +85,18 @@
 	return list.GetEntries(), nil
 }
 
-// BatchError is a batch that is larger than any may be.
+// BatchError reports a batch of more than maxBatch bytes.
 type BatchError struct{}
 
-// Error says so.
-func (*BatchError) Error() string { return "dissemination: unpack: too large" }
+// Error returns the message.
+func (*BatchError) Error() string { return "dissemination: unpack: batch too large" }
 
-// maxBatch bounds what is unpacked of one batch: the values of one message, one of which may be as
-// large as any, and what else belongs to them.
+// maxBatch is the greatest size of an unpacked batch in bytes: the values of one message, one of
+// which may have the greatest size, and their keys and versions.
 const maxBatch = 2*fleetconfig.MaxValue + 4*maxReply
 
-// unpack returns an entry as it is kept. What claims to be larger than a value may
-// be is a fault.
+// unpack returns an entry in the form in which it is stored. Decompression stops one byte
+// after MaxValue; the store refuses so large a value.
 func unpack(e *wire.Entry) (*wire.Entry, error) {
 	if len(e.GetPacked()) == 0 {
 		return e, nil
@@ -106,11 +105,11 @@
 	if err != nil {
 		return nil, fmt.Errorf("dissemination: unpack %s: %w", e.GetKey(), err)
 	}
-	return with(e, value, nil), nil
+	return withValue(e, value, nil), nil
 }
 
-// with returns a copy of an entry with another form of its value.
-func with(e *wire.Entry, value, packed []byte) *wire.Entry {
+// withValue returns a copy of an entry with another form of its value.
+func withValue(e *wire.Entry, value, packed []byte) *wire.Entry {
 	out := &wire.Entry{
 		Key:     e.GetKey(),
 		Value:   value,
--- a/internal/dissemination/peers.go
+++ b/internal/dissemination/peers.go
@@ -9,44 +9,44 @@
 	"ploverjunction.example/ploverjunction/internal/membership"
 )
 
-// pushTo returns the peers of the own data hall and of others that learn of a new value from this
-// node; first is set on the node that read it. In each data hall a few others carry it on to
-// other data halls, in case that the first one's messages were lost.
-func (g *Gossip) pushTo(first bool) (near, far []string) {
+// pushPeers returns the peers, of the own data hall and of others, to which this node pushes a new
+// value; ownRead is set on the node that read it. In each data hall a few other nodes also push it
+// to other data halls, in case that node's messages were lost.
+func (g *Gossip) pushPeers(ownRead bool) (near, far []string) {
 	if !g.cfg.Near {
-		return nil, g.choose(fanout)
+		return nil, g.choosePeers(fanout)
 	}
 	ours, others := g.cfg.View().Halls()
-	near = some(ours, fanout)
+	near = randomAddresses(ours, fanout)
 	switch {
-	case first:
-		return near, eachHall(others, fanoutFar)
-	case crosses(len(ours)):
-		return near, some(others, 1)
+	case ownRead:
+		return near, addressesPerHall(others, fanoutFar)
+	case crossesHalls(len(ours)):
+		return near, randomAddresses(others, 1)
 	default:
 		return near, nil
 	}
 }
 
-// crosses reports by chance whether one of the nodes of a data hall with near others talks to
-// another data hall: about fanoutFar of all do.
-func crosses(near int) bool { return rand.IntN(near+1) < fanoutFar }
+// crossesHalls reports, at random, whether a node with near others in its data hall sends to other
+// data halls: on average fanoutFar nodes of each data hall do.
+func crossesHalls(near int) bool { return rand.IntN(near+1) < fanoutFar }
 
-// eachHall returns up to n nodes of each data hall among far.
-func eachHall(far []membership.Node, n int) []string {
+// addressesPerHall returns up to n nodes of each data hall among far.
+func addressesPerHall(far []membership.Node, n int) []string {
 	byHall := map[string][]membership.Node{}
 	for _, p := range far {
 		byHall[p.DataHall()] = append(byHall[p.DataHall()], p)
 	}
 	var out []string
 	for _, peers := range byHall {
-		out = append(out, some(peers, n)...)
+		out = append(out, randomAddresses(peers, n)...)
 	}
 	return out
 }
 
-// some returns the addresses of up to n different random nodes of a list.
-func some(list []membership.Node, n int) []string {
+// randomAddresses returns the addresses of up to n different random nodes of a list.
+func randomAddresses(list []membership.Node, n int) []string {
 	n = min(n, len(list))
 	picked := make([]int, 0, n)
 	out := make([]string, 0, n)
@@ -59,37 +59,37 @@
 	return out
 }
 
-// strangers returns the nodes of a list with which this node has not compared yet.
-func (g *Gossip) strangers(list []membership.Node) []membership.Node {
+// notCompared returns the nodes of a list with which this node has not compared yet.
+func (g *Gossip) notCompared(list []membership.Node) []membership.Node {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	var out []membership.Node
 	for _, n := range list {
-		if !g.compares[n.Address()] {
+		if !g.comparedWith[n.Address()] {
 			out = append(out, n)
 		}
 	}
 	return out
 }
 
-// choose returns up to n different random peers, mostly of the own data hall. Until this node has
-// compared with some it takes only others than those, of its data hall first.
-// Seeds are candidates while fewer than n peers are known, and later by chance: without them two
-// parts of the fleet that know nothing of each other would stay apart.
-func (g *Gossip) choose(n int) []string {
+// choosePeers returns up to n different random peers, mostly of the own data hall. Until this node has
+// compared with startCompares peers it takes only new ones, of its data hall first.
+// Seeds are candidates while fewer than n peers are known, and later at random: without them two
+// partitions of the fleet without contact would never merge.
+func (g *Gossip) choosePeers(n int) []string {
 	from := g.cfg.View().Peers()
 	if g.cfg.Near {
 		near, far := g.cfg.View().Halls()
-		begins := g.Compared() < startCompares
-		if begins {
-			near, far = g.strangers(near), g.strangers(far)
+		starting := g.Compared() < startCompares
+		if starting {
+			near, far = g.notCompared(near), g.notCompared(far)
 		}
 		from = far
-		if len(near) > 0 && (begins || rand.IntN(10) < ownHallOdds || rand.IntN(len(near)+len(far)) < len(near)) {
+		if len(near) > 0 && (starting || rand.IntN(10) < ownHallTenths || rand.IntN(len(near)+len(far)) < len(near)) {
 			from = near
 		}
 	}
-	out := some(from, n)
+	out := randomAddresses(from, n)
 	const seedOdds = 10
 	if len(out) < n || rand.IntN(seedOdds) == 0 {
 		self := g.cfg.Self().GetAddress()
--- a/internal/dissemination/start_test.go
+++ b/internal/dissemination/startup_test.go
@@ -20,23 +20,24 @@
 	"ploverjunction.example/ploverjunction/internal/wire"
 )
 
-// halls is how many data halls the nodes of a hallFleet are divided over.
+// halls is the number of data halls of a hallFleet.
 const halls = 5
 
-// hallFleet is a fleet whose nodes tell each other their digests, as datagrams do.
+// hallFleet is a fleet whose nodes also exchange digests, as datagrams do.
 type hallFleet struct {
 	*fleet
 	list []membership.Node
-	// between are the bytes that crossed data halls, largest those of the greatest message.
-	between int
-	largest int
+	// crossHallBytes is the size of all messages between data halls, largestMessage that of the
+	// largest message, in bytes.
+	crossHallBytes int
+	largestMessage int
 }
 
 func newHallFleet(n int) *hallFleet {
 	f := &hallFleet{
 		fleet: &fleet{
 			peers: map[string]*peer{},
-			cut:   func(string, string) bool { return false },
+			drops: func(string, string) bool { return false },
 		},
 	}
 	for i := range n {
@@ -48,7 +49,7 @@
 	return f
 }
 
-// start begins an incarnation of a node, which knows nothing but the others.
+// start starts an incarnation of a node without values; it has the list of nodes.
 func (f *hallFleet) start(node membership.Node) *peer {
 	table := membership.NewTable(node)
 	table.List(f.list, nil)
@@ -86,14 +87,14 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, n := range sizes {
-		f.largest = max(f.largest, n)
+		f.largestMessage = max(f.largestMessage, n)
 		if !near {
-			f.between += n
+			f.crossHallBytes += n
 		}
 	}
 }
 
-// run starts all nodes and the datagrams between them.
+// run runs all nodes and the datagrams between them.
 func (f *hallFleet) run(ctx context.Context) *task.Group {
 	g := f.fleet.run(ctx)
 	for _, p := range f.peers {
@@ -102,7 +103,7 @@
 	return g
 }
 
-// datagrams has a node learn the digests of others, mostly of its data hall.
+// datagrams passes the digests of others, mostly of its data hall, to a node.
 func (f *hallFleet) datagrams(ctx context.Context, p *peer) error {
 	tick := time.NewTicker(200 * time.Millisecond)
 	defer tick.Stop()
@@ -125,8 +126,8 @@
 	}
 }
 
-// agreed reports whether all nodes have the same values.
-func (f *hallFleet) agreed() bool {
+// converged reports whether all nodes have the same values.
+func (f *hallFleet) converged() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	digest := f.peers[f.list[0].Address()].replica.Digest()
@@ -138,42 +139,42 @@
 	return true
 }
 
-// await waits until all nodes agree, and returns how long that took.
-func (f *hallFleet) await(t *testing.T) time.Duration {
+// awaitConvergence waits until all nodes have the same values, and returns how long that took.
+func (f *hallFleet) awaitConvergence(t *testing.T) time.Duration {
 	t.Helper()
-	begun := time.Now()
-	for !f.agreed() {
-		if time.Since(begun) > time.Minute {
-			t.Fatal("the nodes don't agree")
+	start := time.Now()
+	for !f.converged() {
+		if time.Since(start) > time.Minute {
+			t.Fatal("values still differ between nodes after 1 min")
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
-	return time.Since(begun)
+	return time.Since(start)
 }
 
-// register has two nodes of different data halls read targets from the source, part after part.
+// register has two nodes of different data halls read targets from the source in ten batches.
 func (f *hallFleet) register(targets int) {
-	const parts = 10
+	const batches = 10
 	entries := manyValues(targets)
-	for i := range parts {
-		part := entries[i*len(entries)/parts : (i+1)*len(entries)/parts]
+	for i := range batches {
+		batch := entries[i*len(entries)/batches : (i+1)*len(entries)/batches]
 		for _, reader := range f.list[:2] {
-			f.peers[reader.Address()].gossip.PublishTo(part, order.At(0, part[len(part)-1].GetRevision()))
+			f.peers[reader.Address()].gossip.PublishTo(batch, order.At(0, batch[len(batch)-1].GetRevision()))
 			time.Sleep(200 * time.Millisecond)
 		}
 	}
 }
 
-// Guards against a start whose messages, or bytes for each target, grow with the targets: links that
-// are full lose what tells that nodes live.
-func TestBytesOfAStartGoByTheTargets(t *testing.T) {
+// Guards against a start whose messages, or bytes per target, grow with the number of targets:
+// saturated links lose the messages that show that nodes are alive.
+func TestStartupBytesAreProportionalToTargets(t *testing.T) {
 	const (
 		nodes = 60
-		// mostEach is the most bytes that a node may exchange for each target, a registration of
-		// some 130 bytes, and mostLarge the most bytes of a message.
-		mostEach  = 120
-		mostLarge = 72 << 10
-		mostTime  = 3 * time.Second
+		// maxBytesPerTarget limits the bytes that a node exchanges per target, a registration of some
+		// 130 bytes; maxMessage limits the bytes of a message.
+		maxBytesPerTarget = 120
+		maxMessage        = 72 << 10
+		maxTime           = 3 * time.Second
 	)
 	for _, targets := range []int{1500, 3000} {
 		synctest.Test(t, func(t *testing.T) {
@@ -181,13 +182,13 @@
 			ctx, cancel := context.WithCancel(t.Context())
 			g := f.run(ctx)
 			f.register(targets)
-			took := f.await(t)
+			took := f.awaitConvergence(t)
 			f.mu.Lock()
 			each := float64(f.bytes) / nodes / float64(targets)
-			t.Logf("%d targets: %.0f bytes a node and target, %.0f between data halls, %d the largest message, %v after the last one",
-				targets, each, float64(f.between)/nodes/float64(targets), f.largest, took)
-			if each > mostEach || f.largest > mostLarge || took > mostTime {
-				t.Errorf("%d targets: %.0f bytes a node and target, largest message %d, %v", targets, each, f.largest, took)
+			t.Logf("%d targets: %.0f bytes per node and target, %.0f between data halls, largest message %d, converged %v after the last one",
+				targets, each, float64(f.crossHallBytes)/nodes/float64(targets), f.largestMessage, took)
+			if each > maxBytesPerTarget || f.largestMessage > maxMessage || took > maxTime {
+				t.Errorf("%d targets: %.0f bytes per node and target, largest message %d, converged after %v", targets, each, f.largestMessage, took)
 			}
 			f.mu.Unlock()
 			cancel()
@@ -198,12 +199,12 @@
 	}
 }
 
-// Guards against a node that begins anew and fetches all values several times, or from other data halls.
-func TestNodeThatBeginsFetchesOnceFromItsDataHall(t *testing.T) {
+// Guards against a restarted node that fetches all values several times, or from other data halls.
+func TestNewNodeFetchesOnceFromItsDataHall(t *testing.T) {
 	const (
-		nodes, targets = 30, 3000
-		most           = 200 << 10
-		mostBetween    = 20 << 10
+		nodes, targets    = 30, 3000
+		maxBytes          = 200 << 10
+		maxCrossHallBytes = 20 << 10
 	)
 	synctest.Test(t, func(t *testing.T) {
 		f := newHallFleet(nodes)
@@ -211,19 +212,19 @@
 			p.replica.Offer(manyValues(targets))
 			p.replica.NoteRead(order.At(0, targets+1))
 		}
-		anew := f.start(f.list[7])
+		newNode := f.start(f.list[7])
 		ctx, cancel := context.WithCancel(t.Context())
 		g := f.run(ctx)
-		took := f.await(t)
+		took := f.awaitConvergence(t)
 		time.Sleep(time.Second)
 		f.mu.Lock()
-		t.Logf("%d bytes, %d of them between data halls, in %v", f.bytes, f.between, took)
-		if f.bytes > most || f.between > mostBetween {
-			t.Errorf("%d bytes, %d of them between data halls", f.bytes, f.between)
+		t.Logf("%d bytes, %d of them between data halls, in %v", f.bytes, f.crossHallBytes, took)
+		if f.bytes > maxBytes || f.crossHallBytes > maxCrossHallBytes {
+			t.Errorf("%d bytes, %d of them between data halls", f.bytes, f.crossHallBytes)
 		}
 		f.mu.Unlock()
-		if anew.gossip.Compared() == 0 {
-			t.Error("the node has compared with nobody")
+		if newNode.gossip.Compared() == 0 {
+			t.Error("the restarted node has finished no comparison")
 		}
 		cancel()
 		if err := g.Wait(); err != nil {
@@ -232,18 +233,18 @@
 	})
 }
 
-// Guards against batches that are sent again after a value in them has changed.
-func TestPulledBatchesAreTheNewest(t *testing.T) {
+// Guards against cached batches that are sent after a value in them has changed.
+func TestPulledBatchesAreCurrent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const targets = 2000
 		f := newHallFleet(3 * halls)
-		giver := f.peers[f.list[0].Address()]
-		giver.gossip.PublishTo(manyValues(targets), order.At(0, targets+1))
+		sender := f.peers[f.list[0].Address()]
+		sender.gossip.PublishTo(manyValues(targets), order.At(0, targets+1))
 		pull := func() []*wire.Entry {
 			var out []*wire.Entry
 			since := &wire.Position{}
 			for {
-				reply, err := giver.gossip.Sync(t.Context(), &wire.SyncRequest{
+				reply, err := sender.gossip.Sync(t.Context(), &wire.SyncRequest{
 					From:  &wire.Node{},
 					Pull:  true,
 					Since: since,
@@ -267,7 +268,7 @@
 		}
 		fresh := targetValue(3, targets+10)
 		fresh.Value = []byte(`{"targets":[{"service":"quotes","address":"192.0.2.1:9","dataHall":"b","slots":1,"id":"i-0000000003"}]}`)
-		giver.gossip.PublishTo([]*wire.Entry{fresh}, order.At(0, targets+10))
+		sender.gossip.PublishTo([]*wire.Entry{fresh}, order.At(0, targets+10))
 		for range 2 {
 			got := pull()
 			if last := got[len(got)-1]; len(got) != targets+1 || string(last.GetValue()) != string(fresh.GetValue()) {
@@ -277,7 +278,7 @@
 	})
 }
 
-// Guards against nodes that never become ready because they compare with the few others of their data hall only.
+// Guards against nodes that never become ready because they compare only with the few others of their data hall.
 func TestNodesOfSmallDataHallsCompareWithOthers(t *testing.T) {
 	const enough = 3
 	for _, each := range []int{2, 3, 4} {
@@ -291,7 +292,7 @@
 			time.Sleep(8 * time.Second)
 			for _, p := range f.peers {
 				if n := p.gossip.Compared(); n < enough {
-					t.Errorf("%d nodes a data hall: %s has compared with %d others", each, p.name, n)
+					t.Errorf("%d nodes per data hall: %s has compared with %d others", each, p.name, n)
 				}
 			}
 			cancel()
--- a/internal/dissemination/upgrade_test.go
+++ b/internal/dissemination/upgrade_test.go
@@ -22,14 +22,14 @@
 	return e
 }
 
-// old returns an entry as a node of a version before eras sends it.
-func old(e *wire.Entry) *wire.Entry {
+// withoutEras returns an entry as sent by a node of the version before eras.
+func withoutEras(e *wire.Entry) *wire.Entry {
 	out := proto.CloneOf(e)
 	out.Era, out.Stamp, out.Written, out.Gone = 0, nil, nil, false
 	return out
 }
 
-func oldList(list []*wire.KeyRevision) []*wire.KeyRevision {
+func revisionsWithoutEras(list []*wire.KeyRevision) []*wire.KeyRevision {
 	var out []*wire.KeyRevision
 	for _, kr := range list {
 		out = append(out, &wire.KeyRevision{
@@ -40,17 +40,17 @@
 	return out
 }
 
-func oldEntries(list []*wire.Entry) []*wire.Entry {
+func entriesWithoutEras(list []*wire.Entry) []*wire.Entry {
 	var out []*wire.Entry
 	for _, e := range list {
-		out = append(out, old(e))
+		out = append(out, withoutEras(e))
 	}
 	return out
 }
 
-// upgrade has the first half of a fleet be of the version before eras: what such nodes send and get
-// lacks the fields that they don't know.
-func (f *fleet) upgrade(half int) {
+// mixVersions gives the nodes up to half the version before eras: their messages, in both directions,
+// lack the fields of the later version.
+func (f *fleet) mixVersions(half int) {
 	for _, p := range f.peers {
 		isOld := func(name string) bool { return name < f.name(half) }
 		call := f.call
@@ -58,13 +58,13 @@
 			mixed := isOld(p.name) || isOld(to)
 			if mixed {
 				in = proto.CloneOf(in)
-				in.Entries, in.Revisions = oldEntries(in.GetEntries()), oldList(in.GetRevisions())
+				in.Entries, in.Revisions = entriesWithoutEras(in.GetEntries()), revisionsWithoutEras(in.GetRevisions())
 				in.ReadTo, in.Pull, in.Since = nil, false, nil
 			}
 			reply, err := call(ctx, p.name, to, in)
 			if mixed && err == nil {
 				reply = proto.CloneOf(reply)
-				reply.Entries, reply.Revisions = oldEntries(reply.GetEntries()), oldList(reply.GetRevisions())
+				reply.Entries, reply.Revisions = entriesWithoutEras(reply.GetEntries()), revisionsWithoutEras(reply.GetRevisions())
 				reply.ReadTo, reply.Batch, reply.UpTo, reply.More = nil, nil, nil, false
 			}
 			return reply, err
@@ -74,12 +74,12 @@
 
 func (f *fleet) name(i int) string { return "192.0.2." + string(rune('0'+i)) + ":1" }
 
-// Guards against nodes of two versions that undo each other's values.
-func TestNodesWithoutErasBesideNodesWithThem(t *testing.T) {
+// Guards against nodes of two versions that overwrite each other's values.
+func TestNodesWithAndWithoutErasInteroperate(t *testing.T) {
 	const half, settle = 4, 8 * time.Second
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(2 * half)
-		f.upgrade(half)
+		f.mixVersions(half)
 		ctx, cancel := context.WithCancel(t.Context())
 		g := f.run(ctx)
 		inForce := func(what string, i int, want uint64) {
@@ -88,7 +88,7 @@
 				t.Errorf("%s: node %d has revision %d, want %d", what, i, got, want)
 			}
 		}
-		f.peers[f.name(0)].gossip.Publish([]*wire.Entry{old(at(0, 40, 19))})
+		f.peers[f.name(0)].gossip.Publish([]*wire.Entry{withoutEras(at(0, 40, 19))})
 		time.Sleep(settle)
 		for i := range 2 * half {
 			inForce("read by an old node", i, 40)
@@ -113,8 +113,8 @@
 		for i := range 2 * half {
 			inForce("revisions have passed the lost ones", i, 45)
 		}
-		// What only old nodes read is not in force at new ones, which can't order it.
-		f.peers[f.name(0)].gossip.Publish([]*wire.Entry{old(at(2, 46, 31))})
+		// A value read by old nodes only is not in force at new ones, which can't order it.
+		f.peers[f.name(0)].gossip.Publish([]*wire.Entry{withoutEras(at(2, 46, 31))})
 		time.Sleep(settle)
 		inForce("read by an old node after a restore", 1, 46)
 		inForce("read by an old node after a restore", half, 45)
--- a/internal/fleetconfig/link.go
+++ b/internal/fleetconfig/attach.go
@@ -9,64 +9,64 @@
 	"strings"
 )
 
-// registeredIn returns the services of registrations in force that documents may replace.
-func registeredIn(records map[string]*record) []string {
+// replaceableServices returns the services whose registrations in force may be replaced by documents.
+func replaceableServices(records map[string]*record) []string {
 	var out []string
 	for _, r := range records {
-		if r.joint() && r.inForce != nil && r.inForce.target != nil {
-			out = append(out, r.inForce.target.service)
+		if r.hasDocument() && r.inForce != nil && r.inForce.registration != nil {
+			out = append(out, r.inForce.registration.service)
 		}
 	}
 	return out
 }
 
-// link makes the configuration in force of the documents and all registrations in force. A service
-// keeps its targets where neither it nor its documents say anything else of them; changed are
-// services where they may.
-func (s *Store) link(changed []string) {
+// attachRegistrations builds the configuration from the documents and registrations in force. A
+// service keeps its targets unless its connections changed, documents list targets, or it is among
+// changed.
+func (s *Store) attachRegistrations(changed []string) {
 	c := *s.base
 	c.position = s.config.position
 	c.services = make(map[string]*Service, len(s.base.services))
-	var anew []string
+	var rebuilt []string
 	for name, svc := range s.base.services {
 		out := *svc
 		old := s.config.services[name]
-		if old != nil && old.connections == svc.connections && old.documented+svc.documented == 0 && !slices.Contains(changed, name) {
+		if old != nil && old.connections == svc.connections && old.documentTargets+svc.documentTargets == 0 && !slices.Contains(changed, name) {
 			out.targets, out.keyed, out.halls, out.slots = old.targets, old.keyed, old.halls, old.slots
 		} else {
-			anew = append(anew, name)
+			rebuilt = append(rebuilt, name)
 		}
 		c.services[name] = &out
 	}
 	s.config = &c
-	if len(anew) > 0 {
-		s.relink(anew)
+	if len(rebuilt) > 0 {
+		s.attachTo(rebuilt)
 	}
 }
 
-// relink gives some services the targets that are registered for them.
-func (s *Store) relink(services []string) {
+// attachTo adds the registered targets to some services.
+func (s *Store) attachTo(services []string) {
 	var list []*record
 	for _, r := range s.records {
-		if r.inForce != nil && r.inForce.target != nil && slices.Contains(services, r.inForce.target.service) {
+		if r.inForce != nil && r.inForce.registration != nil && slices.Contains(services, r.inForce.registration.service) {
 			list = append(list, r)
 		}
 	}
 	e := edits{}
-	slices.SortFunc(list, inOrder)
+	slices.SortFunc(list, byPosition)
 	for _, r := range list {
 		v := r.inForce
 		r.inForce = nil
 		if r.refusal = e.put(s.config, r, v); r.refusal != nil {
-			s.unsettled[r.newest.entry.GetKey()] = r
+			s.inactive[r.newest.entry.GetKey()] = r
 		}
 	}
 	e.apply(s.config)
 }
 
-// settleRegistrations puts in force what can be of the targets that register themselves. Each
-// depends on its service and on the keys of that service's targets only.
-func (s *Store) settleRegistrations() {
+// activateRegistrations puts valid registrations in force. Each depends only on its service and the
+// keys of that service's targets.
+func (s *Store) activateRegistrations() {
 	pending := s.pending(false)
 	if len(pending) == 0 {
 		return
@@ -93,24 +93,24 @@
 	e.apply(s.config)
 }
 
-// inOrder orders records by revisions.
-func inOrder(a, b *record) int {
+// byPosition orders records by the position of the newest value, then by key.
+func byPosition(a, b *record) int {
 	return cmp.Or(
-		a.newest.mark.Position().Compare(b.newest.mark.Position()),
+		a.newest.version.Position().Compare(b.newest.version.Position()),
 		strings.Compare(a.newest.entry.GetKey(), b.newest.entry.GetKey()),
 	)
 }
 
-// edit is what changes of the targets of one service.
+// edit is a change of the targets of one service.
 type edit struct {
 	removed map[*Target]bool
 	added   map[string]*Target
 }
 
-// edits are the changes of services by their names.
+// edits are the changes by service name.
 type edits map[string]*edit
 
-func (e edits) of(service string) *edit {
+func (e edits) forService(service string) *edit {
 	if e[service] == nil {
 		e[service] = &edit{
 			removed: map[*Target]bool{},
@@ -120,20 +120,20 @@
 	return e[service]
 }
 
-// put puts a version of a record in force in place of the one that is.
-func (e edits) put(c *Config, r *record, v *version) error {
+// put replaces the value of a record in force by v.
+func (e edits) put(c *Config, r *record, v *parsedValue) error {
 	if v.err != nil {
 		return v.err
 	}
 	var old *Target
-	if r.inForce != nil && r.inForce.target != nil {
-		old = r.inForce.target.target
+	if r.inForce != nil && r.inForce.registration != nil {
+		old = r.inForce.registration.target
 	}
 	var t *Target
-	if reg := v.target; reg != nil && c.services[reg.service] != nil {
-		svc, to := c.services[reg.service], e.of(reg.service)
+	if reg := v.registration; reg != nil && c.services[reg.service] != nil {
+		svc, to := c.services[reg.service], e.forService(reg.service)
 		var err error
-		if t, err = reg.of(svc); err != nil {
+		if t, err = reg.targetFor(svc); err != nil {
 			return err
 		}
 		holder := svc.Target(t.key)
@@ -149,7 +149,7 @@
 	}
 	e.remove(c, old)
 	if t != nil {
-		e.of(t.service).added[t.key] = t
+		e.forService(t.service).added[t.key] = t
 	}
 	r.inForce = v
 	return nil
@@ -159,7 +159,7 @@
 	if t == nil || c.services[t.service] == nil {
 		return
 	}
-	from := e.of(t.service)
+	from := e.forService(t.service)
 	if from.added[t.key] == t {
 		delete(from.added, t.key)
 	} else if c.services[t.service].Target(t.key) == t {
@@ -167,12 +167,12 @@
 	}
 }
 
-// apply makes the changed services of a configuration that nobody else has yet.
+// apply replaces the changed services of c, which must not be shared yet.
 func (e edits) apply(c *Config) {
 	for name, change := range e {
 		if len(change.removed)+len(change.added) == 0 {
 			continue
 		}
-		c.services[name] = c.services[name].with(slices.Collect(maps.Keys(change.removed)), slices.Collect(maps.Values(change.added)))
+		c.services[name] = c.services[name].withTargets(slices.Collect(maps.Keys(change.removed)), slices.Collect(maps.Values(change.added)))
 	}
 }
--- a/internal/fleetconfig/digest.go
+++ b/internal/fleetconfig/digest.go
@@ -11,14 +11,14 @@
 	"ploverjunction.example/ploverjunction/internal/wire"
 )
 
-// Buckets is into how many parts the keys of a store are divided for comparisons. Their
+// Buckets is the number of buckets of keys in a store, each with its own digest. The
 // digests take 512 bytes; a list of the revisions of 720 targets takes 18 kB.
 const Buckets = 64
 
-// bucketOf returns the part of a key.
+// bucketOf returns the bucket of a key.
 func bucketOf(key string) int { return int(xxhash.Sum64String(key) % Buckets) }
 
-// hashOf returns what a key with the mark of its newest value adds to a digest.
+// hashOf returns the hash of an entry's key and version; a digest is the XOR of these hashes.
 func hashOf(e *wire.Entry) uint64 {
 	m := MarkOf(e)
 	b := append([]byte(e.GetKey()), 0)
@@ -38,16 +38,16 @@
 	return xxhash.Sum64(b)
 }
 
-// bucket is one part of the keys.
+// bucket is a subset of the keys, chosen by hash.
 type bucket struct {
 	digest uint64
 	// keys are sorted.
 	keys []string
 }
 
-// note takes a newer entry of a key into the digests; old is nil for a new key.
-func (s *Store) note(old, newest *wire.Entry) {
-	b := &s.parts[bucketOf(newest.GetKey())]
+// index updates digests, era and history with a key's newest entry; old is nil for a new key.
+func (s *Store) index(old, newest *wire.Entry) {
+	b := &s.buckets[bucketOf(newest.GetKey())]
 	if old != nil {
 		b.digest ^= hashOf(old)
 	} else {
@@ -60,56 +60,56 @@
 	s.history.add(position, newest.GetKey())
 }
 
-// Digest returns a hash over the marks of all keys. Two stores
-// with equal digests hold the same newest values.
+// Digest returns a hash over the versions of all keys. Stores with equal digests hold
+// the same newest values.
 func (s *Store) Digest() uint64 {
 	sum := uint64(0)
-	for i := range s.parts {
-		sum ^= s.parts[i].digest
+	for i := range s.buckets {
+		sum ^= s.buckets[i].digest
 	}
 	return sum
 }
 
-// BucketDigests returns the digests of the parts. The slice is the caller's.
+// BucketDigests returns a new slice with the digests of the buckets.
 func (s *Store) BucketDigests() []uint64 {
 	out := make([]uint64, Buckets)
-	for i := range s.parts {
-		out[i] = s.parts[i].digest
+	for i := range s.buckets {
+		out[i] = s.buckets[i].digest
 	}
 	return out
 }
 
-// Differing returns the parts whose digests are not the given ones, none if there is
-// another number of digests than Buckets.
+// Differing returns the buckets whose digests are not the given ones, none if the
+// number of digests is not Buckets.
 func (s *Store) Differing(digests []uint64) []uint32 {
 	if len(digests) != Buckets {
 		return nil
 	}
 	var out []uint32
-	for i := range s.parts {
-		if digests[i] != s.parts[i].digest {
+	for i := range s.buckets {
+		if digests[i] != s.buckets[i].digest {
 			out = append(out, uint32(i))
 		}
 	}
 	return out
 }
 
-// In returns the marks of the newest values, by key, in some parts.
-func (s *Store) In(parts []uint32) []*wire.KeyRevision {
+// In returns the versions of the newest values in some buckets.
+func (s *Store) In(buckets []uint32) []*wire.KeyRevision {
 	var out []*wire.KeyRevision
-	for _, b := range slices.Compact(slices.Sorted(slices.Values(parts))) {
+	for _, b := range slices.Compact(slices.Sorted(slices.Values(buckets))) {
 		out = s.revisions(out, b)
 	}
 	return out
 }
 
-// revisions appends the marks of the newest values in a part.
-func (s *Store) revisions(out []*wire.KeyRevision, part uint32) []*wire.KeyRevision {
-	if part >= Buckets {
+// revisions appends the versions of the newest values in a bucket.
+func (s *Store) revisions(out []*wire.KeyRevision, bucket uint32) []*wire.KeyRevision {
+	if bucket >= Buckets {
 		return out
 	}
-	for _, k := range s.parts[part].keys {
-		out = append(out, KeyRevision(k, s.records[k].newest.mark))
+	for _, k := range s.buckets[bucket].keys {
+		out = append(out, KeyRevision(k, s.records[k].newest.version))
 	}
 	return out
 }
--- a/internal/fleetconfig/history.go
+++ b/internal/fleetconfig/history.go
@@ -9,73 +9,75 @@
 	"ploverjunction.example/ploverjunction/internal/wire"
 )
 
-// historySlack is how many places without effect a history keeps for each key, and at the least.
+// A history is compacted when it has more stale changes than historyStalePerKey for each key plus
+// historyMinStale.
 const (
-	historySlack = 1
-	historyLeast = 64
+	historyStalePerKey = 1
+	historyMinStale    = 64
 )
 
-// history lists where the source told of keys, by position: what lies behind a position is found
-// without a look at all keys. A key may stand at earlier places too, without effect.
+// history lists the changes of keys by position, so that changes after a position are found without
+// a scan of all keys. Earlier changes of a key are stale and ignored.
 type history struct {
-	places []place
+	changes []change
 }
 
-type place struct {
+// change is a position at which the source reported a value or removal of a key.
+type change struct {
 	position order.Position
 	key      string
 }
 
-// add notes that the source told of a key. Most places are later than all before them.
+// add inserts a change. Most changes are later than all before them.
 func (h *history) add(p order.Position, key string) {
-	at := len(h.places)
-	for at > 0 && h.places[at-1].position.Compare(p) > 0 {
+	at := len(h.changes)
+	for at > 0 && h.changes[at-1].position.Compare(p) > 0 {
 		at--
 	}
-	h.places = slices.Insert(h.places, at, place{
+	h.changes = slices.Insert(h.changes, at, change{
 		position: p,
 		key:      key,
 	})
 }
 
-// compact drops the places that have no effect once there are as many of them as keys.
-func (h *history) compact(keys int, effective func(place) bool) {
-	if len(h.places) <= keys*(1+historySlack)+historyLeast {
+// compact drops stale changes once there are too many of them.
+func (h *history) compact(keys int, isLatest func(change) bool) {
+	if len(h.changes) <= keys*(1+historyStalePerKey)+historyMinStale {
 		return
 	}
-	h.places = slices.DeleteFunc(h.places, func(p place) bool { return !effective(p) })
+	h.changes = slices.DeleteFunc(h.changes, func(c change) bool { return !isLatest(c) })
 }
 
-// effective reports whether a place is the last one at which the source told of its key.
-func (s *Store) effective(at place) bool {
-	return s.records[at.key].newest.mark.Position() == at.position
+// isLatest reports whether a change is the last one of its key.
+func (s *Store) isLatest(c change) bool {
+	return s.records[c.key].newest.version.Position() == c.position
 }
 
-// After returns the newest entries of the keys of which the source told behind a position, in the
-// order of positions, until they take most bytes. upTo is up to where nothing is left out; more is set
-// where it isn't the last position.
-func (s *Store) After(p order.Position, most int) (out []*wire.Entry, upTo order.Position, more bool) {
-	places := s.history.places
-	from, _ := slices.BinarySearchFunc(places, p, func(at place, p order.Position) int {
-		if at.position.Compare(p) <= 0 {
+// After returns the newest entries of the keys that changed after a position, in order of position, up
+// to maxBytes unless the first position holds more. The result is complete up to upTo; more is set if
+// later changes were left out.
+func (s *Store) After(p order.Position, maxBytes int) (out []*wire.Entry, upTo order.Position, more bool) {
+	changes := s.history.changes
+	from, _ := slices.BinarySearchFunc(changes, p, func(c change, p order.Position) int {
+		if c.position.Compare(p) <= 0 {
 			return -1
 		}
 		return 1
 	})
 	size := 0
-	for i := from; i < len(places); i++ {
-		if !s.effective(places[i]) || i > 0 && places[i-1] == places[i] {
+	for i := from; i < len(changes); i++ {
+		if !s.isLatest(changes[i]) || i > 0 && changes[i-1] == changes[i] {
 			continue
 		}
-		entries := s.Entries(places[i].key)
+		entries := s.Entries(changes[i].key)
 		for _, e := range entries {
 			size += len(e.GetKey()) + len(e.GetValue())
 		}
-		if size > most && len(out) > 0 && places[i].position != upTo {
+		if size > maxBytes && len(out) > 0 && changes[i].position != upTo {
 			return out, upTo, true
 		}
 		out = append(out, entries...)
-		upTo = places[i].position
+		upTo = changes[i].position
 	}
 	return out, upTo, false
 }
--- a/internal/fleetconfig/pool.go
+++ b/internal/fleetconfig/pool.go
@@ -10,31 +10,31 @@
 
 // hall counts the targets of a service in one data hall.
 type hall struct {
-	name string
-	all  int
-	// staying are those that are not leaving.
-	staying int
+	name  string
+	total int
+	// notDraining counts the targets that are not draining.
+	notDraining int
 }
 
-// Halls returns the data halls with targets that are not leaving, sorted.
+// Halls returns the data halls with targets that are not draining, sorted.
 func (s *Service) Halls() []string {
 	out := make([]string, 0, len(s.halls))
 	for _, h := range s.halls {
-		if h.staying > 0 {
+		if h.notDraining > 0 {
 			out = append(out, h.name)
 		}
 	}
 	return out
 }
 
-// Slots returns how many requests all targets together work on at once.
+// Slots returns how many requests all targets together process concurrently.
 func (s *Service) Slots() int { return s.slots }
 
-// HallSizes returns how many targets each data hall has, leaving ones included.
+// HallSizes returns the number of targets by data hall, draining ones included.
 func (s *Service) HallSizes() map[string]int {
 	out := make(map[string]int, len(s.halls))
 	for _, h := range s.halls {
-		out[h.name] = h.all
+		out[h.name] = h.total
 	}
 	return out
 }
@@ -45,18 +45,18 @@
 
 func byKey(a, b *Target) int { return strings.Compare(a.key, b.key) }
 
-// setTargets gives the service its targets.
+// setTargets replaces the targets of the service.
 func (s *Service) setTargets(list []*Target) {
 	s.targets = slices.SortedFunc(slices.Values(list), byAddress)
 	s.keyed = slices.SortedFunc(slices.Values(list), byKey)
 	s.halls, s.slots = nil, 0
 	for _, t := range list {
-		s.count(t, 1)
+		s.countTarget(t, 1)
 	}
 }
 
-// count adds n to the number of targets like t.
-func (s *Service) count(t *Target, n int) {
+// countTarget adds n to the count of targets in t's data hall and n times t's slots.
+func (s *Service) countTarget(t *Target, n int) {
 	at, ok := slices.BinarySearchFunc(s.halls, t.dataHall, func(h hall, name string) int { return strings.Compare(h.name, name) })
 	if !ok {
 		s.halls = slices.Insert(s.halls, at, hall{
@@ -65,32 +65,32 @@
 	}
 	s.slots += n * t.slots
 	h := &s.halls[at]
-	h.all += n
-	if !t.leaving {
-		h.staying += n
+	h.total += n
+	if !t.draining {
+		h.notDraining += n
 	}
-	if h.all == 0 {
+	if h.total == 0 {
 		s.halls = slices.Delete(s.halls, at, at+1)
 	}
 }
 
-// with returns a copy of the service without some of its targets and with others. Its cost in
-// comparisons goes by the targets that change.
-func (s *Service) with(removed, added []*Target) *Service {
+// withTargets returns a copy of the service with targets removed and added. The number of
+// comparisons grows with the targets that change, not with all.
+func (s *Service) withTargets(removed, added []*Target) *Service {
 	out := *s
 	out.targets = splice(s.targets, removed, added, byAddress)
 	out.keyed = splice(s.keyed, removed, added, byKey)
 	out.halls = slices.Clone(s.halls)
 	for _, t := range removed {
-		out.count(t, -1)
+		out.countTarget(t, -1)
 	}
 	for _, t := range added {
-		out.count(t, 1)
+		out.countTarget(t, 1)
 	}
 	return &out
 }
 
-// splice returns a copy of a sorted list without some of its entries and with others.
+// splice returns a copy of a sorted list with entries removed and added.
 func splice(list, removed, added []*Target, compare func(a, b *Target) int) []*Target {
 	removed, added = slices.Clone(removed), slices.Clone(added)
 	slices.SortFunc(removed, compare)
@@ -112,8 +112,8 @@
 	return append(out, list[from:]...)
 }
 
-// Changes returns the targets of s that before does not have, and those that only before has. Both
-// are compared by identity: a target that is published unchanged stays the same one.
+// Changes returns the targets that only s has, and those that only before has. They are compared by
+// identity: an unchanged target keeps its pointer.
 func (s *Service) Changes(before *Service) (added, removed []*Target) {
 	a, b := s.keyed, before.keyed
 	for len(a) > 0 || len(b) > 0 {
--- a/internal/fleetconfig/registration.go
+++ b/internal/fleetconfig/registration.go
@@ -6,17 +6,17 @@
 	"ploverjunction.example/ploverjunction/internal/wire"
 )
 
-// registration is a target that registers itself, apart from the configuration of its service:
-// such targets come and go one by one.
+// registration is a target that registered itself, independently of the document of its service:
+// such targets are added and removed one by one.
 type registration struct {
 	service string
 	target  *Target
-	// connections is what the target states itself, 0 if nothing.
+	// connections is the number stated by the target itself, 0 if none.
 	connections int
 }
 
-// registers reports whether a document is the registration of a target.
-func registers(d *wire.Document) bool {
+// isRegistration reports whether a document is the registration of a target.
+func isRegistration(d *wire.Document) bool {
 	return len(d.GetTargets()) == 1 && d.GetTargets()[0].GetId() != "" &&
 		len(d.GetServices())+len(d.GetRoutes())+len(d.GetWorkspaces())+len(d.GetInstances())+len(d.GetEvacuations()) == 0 &&
 		d.GetLimits() == nil
@@ -37,8 +37,9 @@
 	}, nil
 }
 
-// of returns the target as one of a service. It is the same as before while the service is.
-func (r *registration) of(s *Service) (*Target, error) {
+// targetFor returns the target as one of a service. The pointer stays the same while the number of
+// connections does.
+func (r *registration) targetFor(s *Service) (*Target, error) {
 	want := r.connections
 	if want == 0 {
 		want = s.connections
--- a/internal/fleetconfig/restore_test.go
+++ b/internal/fleetconfig/restore_test.go
@@ -16,8 +16,8 @@
 	"ploverjunction.example/ploverjunction/internal/wire"
 )
 
-// counted returns a value of a key as a store holds it: at a position, with its writer's count.
-func counted(key string, era, revision, count uint64) *wire.Entry {
+// stampedEntry returns a value of a key at a position, with the sequence number of its writer.
+func stampedEntry(key string, era, revision, count uint64) *wire.Entry {
 	e := &wire.Entry{
 		Key:   key,
 		Value: fmt.Appendf(nil, `{"workspaces":[{"id":"%s-%d-%d-%d"}]}`, key, era, revision, count),
@@ -30,7 +30,7 @@
 	return fleetconfig.Removal(key, order.At(era, revision), order.StampOf(0, count))
 }
 
-// Guards against a value of a later era that is dropped, or that replaces a later one of its writer.
+// Guards against a value of a later era that is dropped, or that replaces a later value of its writer.
 func TestValuesOfSeveralEras(t *testing.T) {
 	tests := []struct {
 		name    string
@@ -42,92 +42,92 @@
 		{
 			name: "later era, lower revision",
 			entries: []*wire.Entry{
-				counted("k", 1, 44, 21),
-				counted("k", 2, 41, 25),
+				stampedEntry("k", 1, 44, 21),
+				stampedEntry("k", 2, 41, 25),
 			},
-			want: counted("k", 2, 41, 25),
+			want: stampedEntry("k", 2, 41, 25),
 		},
 		{
-			name: "copy with an older value",
+			name: "restored source with an older value",
 			entries: []*wire.Entry{
-				counted("k", 1, 44, 21),
-				counted("k", 2, 40, 19),
+				stampedEntry("k", 1, 44, 21),
+				stampedEntry("k", 2, 40, 19),
 			},
-			want:  counted("k", 1, 44, 21),
+			want:  stampedEntry("k", 1, 44, 21),
 			ahead: true,
 		},
 		{
 			name: "written again after the restore",
 			entries: []*wire.Entry{
-				counted("k", 1, 44, 21),
-				counted("k", 2, 40, 19),
-				counted("k", 2, 41, 21),
+				stampedEntry("k", 1, 44, 21),
+				stampedEntry("k", 2, 40, 19),
+				stampedEntry("k", 2, 41, 21),
 			},
-			want: counted("k", 2, 41, 21),
+			want: stampedEntry("k", 2, 41, 21),
 		},
 		{
-			name: "value of the former era comes late",
+			name: "value of an earlier era arrives late",
 			entries: []*wire.Entry{
-				counted("k", 2, 41, 25),
-				counted("k", 1, 99, 23),
+				stampedEntry("k", 2, 41, 25),
+				stampedEntry("k", 1, 99, 23),
 			},
-			want: counted("k", 2, 41, 25),
+			want: stampedEntry("k", 2, 41, 25),
 		},
 		{
-			name: "lost value of a node that was cut off",
+			name: "lost value from a node that was cut off",
 			entries: []*wire.Entry{
-				counted("k", 2, 40, 19),
-				counted("k", 1, 44, 21),
+				stampedEntry("k", 2, 40, 19),
+				stampedEntry("k", 1, 44, 21),
 			},
-			want:  counted("k", 1, 44, 21),
+			want:  stampedEntry("k", 1, 44, 21),
 			ahead: true,
 		},
 		{
 			name: "two restores",
 			entries: []*wire.Entry{
-				counted("k", 1, 44, 21),
-				counted("k", 2, 40, 19),
-				counted("k", 3, 38, 17),
+				stampedEntry("k", 1, 44, 21),
+				stampedEntry("k", 2, 40, 19),
+				stampedEntry("k", 3, 38, 17),
 			},
-			want:  counted("k", 1, 44, 21),
+			want:  stampedEntry("k", 1, 44, 21),
 			ahead: true,
 		},
 		{
-			name: "writer that counts nothing",
+			name: "writer without sequence numbers",
 			entries: []*wire.Entry{
-				counted("k", 1, 44, 0),
-				counted("k", 2, 40, 0),
+				stampedEntry("k", 1, 44, 0),
+				stampedEntry("k", 2, 40, 0),
 			},
-			want: counted("k", 2, 40, 0),
+			want: stampedEntry("k", 2, 40, 0),
 		},
 		{
 			name: "removed after the restore",
 			entries: []*wire.Entry{
-				counted("k", 1, 44, 21),
+				stampedEntry("k", 1, 44, 21),
 				removedAt("k", 2, 41, 21),
 			},
 		},
 		{
-			name: "copy of what was removed",
+			name: "restored source with a value older than the removed one",
 			entries: []*wire.Entry{
 				removedAt("k", 1, 60, 21),
-				counted("k", 2, 41, 19),
+				stampedEntry("k", 2, 41, 19),
 			},
 		},
 		{
-			name: "copy of just what was removed",
+			name: "restored source with the removed value",
 			entries: []*wire.Entry{
 				removedAt("k", 1, 60, 21),
-				counted("k", 2, 41, 21),
+				stampedEntry("k", 2, 41, 21),
 			},
 		},
 		{
-			name: "removal of a former era",
+			name: "value later than a removal of an earlier era",
 			entries: []*wire.Entry{
 				removedAt("k", 1, 60, 21),
-				counted("k", 2, 41, 25),
+				stampedEntry("k", 2, 41, 25),
 			},
-			want: counted("k", 2, 41, 25),
+			want: stampedEntry("k", 2, 41, 25),
 		},
 	}
 	for _, tt := range tests {
@@ -160,7 +160,7 @@
 }
 
 // history makes entries of three keys, three eras and nine revisions each. One position has one
-// value; half of the writers count.
+// value; half of the writers number their values.
 func history(codes []int, removals, bad bool) []*wire.Entry {
 	out := make([]*wire.Entry, len(codes))
 	for i, c := range codes {
@@ -170,7 +170,7 @@
 		if c%2 == 0 {
 			count = 1 + rng.Uint64N(12)
 		}
-		out[i] = counted(key, era, revision, count)
+		out[i] = stampedEntry(key, era, revision, count)
 		switch {
 		case removals && rng.IntN(4) == 0:
 			out[i] = removedAt(key, era, revision, count)
@@ -181,8 +181,8 @@
 	return out
 }
 
-// state returns all that a store holds and has in force.
-func state(s *fleetconfig.Store) string {
+// storeState returns a text of all values that a store holds and has in force.
+func storeState(s *fleetconfig.Store) string {
 	text := fmt.Sprint(s.Digest(), s.Config().Position(), s.Ahead())
 	for _, kr := range s.Revisions() {
 		e := s.Newest(kr.GetKey())
@@ -209,12 +209,12 @@
 			b.Offer(list[:n])
 			list = list[n:]
 		}
-		return state(a) == state(b)
+		return storeState(a) == storeState(b)
 	}
 	p.Property("values and removals", prop.ForAll(
 		func(codes []int, seed int64) bool { return same(codes, seed, true, false) }, codes, gen.Int64(),
 	))
-	p.Property("peers that pass on what they joined", prop.ForAll(
+	p.Property("peers that send joined values", prop.ForAll(
 		func(codes []int, cut int) bool {
 			all, left, right := fleetconfig.NewStore(), fleetconfig.NewStore(), fleetconfig.NewStore()
 			list := history(codes, true, false)
@@ -227,10 +227,10 @@
 			for _, kr := range right.Revisions() {
 				left.Offer(right.Entries(kr.GetKey()))
 			}
-			return state(all) == state(left) && state(all) == state(right)
+			return storeState(all) == storeState(left) && storeState(all) == storeState(right)
 		}, codes, gen.IntRange(0, 24),
 	))
-	p.Property("the greatest good value by its writer's order is in force", prop.ForAll(
+	p.Property("the greatest valid value by its writer's order is in force", prop.ForAll(
 		func(codes []int) bool {
 			s := fleetconfig.NewStore()
 			best := map[string]*wire.Entry{}
--- a/internal/fleetconfig/validate_route.go
+++ b/internal/fleetconfig/validate_route.go
@@ -14,11 +14,11 @@
 		if err := checkName("route", w.GetName()); err != nil {
 			return err
 		}
-		parts, err := c.routeParts(w)
+		split, err := c.splitServices(w)
 		if err != nil {
 			return err
 		}
-		r, err := newRoute(w, parts)
+		r, err := newRoute(w, split)
 		if err != nil {
 			return err
 		}
@@ -29,9 +29,9 @@
 	return nil
 }
 
-// routeParts returns the services of a route, one with weight 1 where the route
-// does not split its traffic.
-func (c *Config) routeParts(w *wire.Route) ([]part, error) {
+// splitServices returns the services of a route with their weights; a route without a
+// split has one with weight 1.
+func (c *Config) splitServices(w *wire.Route) ([]splitService, error) {
 	split := w.GetSplit()
 	if len(split) > 0 && w.GetService() != "" {
 		return nil, fault(KindRange, "either service or split", "route %s", w.GetName())
@@ -44,7 +44,7 @@
 			},
 		}
 	}
-	var parts []part
+	var services []splitService
 	sum := uint64(0)
 	for _, p := range split {
 		s := c.services[p.GetService()]
@@ -55,18 +55,18 @@
 			continue
 		}
 		sum += uint64(p.GetWeight())
-		parts = append(parts, part{
-			service: s,
-			upTo:    sum,
+		services = append(services, splitService{
+			service:          s,
+			cumulativeWeight: sum,
 		})
 	}
 	if sum == 0 {
 		return nil, fault(KindRange, "a weight above 0", "route %s", w.GetName())
 	}
-	return parts, nil
+	return services, nil
 }
 
-func newRoute(w *wire.Route, parts []part) (*Route, error) {
+func newRoute(w *wire.Route, split []splitService) (*Route, error) {
 	if !strings.HasPrefix(w.GetPathPrefix(), "/") {
 		return nil, fault(KindRange, "path_prefix begins with /", "route %s", w.GetName())
 	}
@@ -87,14 +87,14 @@
 	}
 	class := w.GetClass()
 	if class == "" {
-		class = parts[0].service.name
+		class = split[0].service.name
 	}
 	r := &Route{
 		name:          w.GetName(),
 		host:          strings.ToLower(w.GetHost()),
 		prefix:        strings.TrimRight(w.GetPathPrefix(), "/"),
 		methods:       w.GetMethods(),
-		service:       parts[0].service,
+		service:       split[0].service,
 		class:         class,
 		repeatable:    w.GetRepeatable(),
 		deadline:      deadline,
@@ -107,8 +107,8 @@
 		public:        w.GetPublic(),
 		regions:       w.GetRegions(),
 	}
-	if len(parts) > 1 {
-		r.parts = parts
+	if len(split) > 1 {
+		r.split = split
 	}
 	return r, nil
 }
--- a/internal/membership/rumor.go
+++ b/internal/membership/rumor.go
@@ -7,24 +7,24 @@
 	"slices"
 )
 
-// rumor is news that this node still passes on.
+// rumor is an update that this node still sends, and how often it was sent.
 type rumor struct {
-	news News
-	told int
+	update News
+	sent   int
 }
 
-// before reports whether a rumor should be told before another one.
+// before reports whether a rumor should be sent before another one.
 func (r *rumor) before(o *rumor) bool {
-	return cmp.Or(cmp.Compare(r.told, o.told), cmp.Compare(r.news.Node.address, o.news.Node.address)) < 0
+	return cmp.Or(cmp.Compare(r.sent, o.sent), cmp.Compare(r.update.Node.address, o.update.Node.address)) < 0
 }
 
-// rumors are those of one kind, by the address of the node that they are about.
+// rumors are rumors of one kind, by the address of the node that they are about.
 type rumors map[string]*rumor
 
-// tell appends rumors to out until it has n entries, the least told first, and drops
-// those that have been told most times. It looks at each rumor once: there are as many
-// as nodes while a fleet starts, and a datagram carries few.
-func (r rumors) tell(out []News, n, most int) []News {
+// next appends updates to out until it has n entries, the least often sent first, and
+// drops those that have been sent maxSent times. It examines each rumor once, without a
+// sort: while a fleet starts there are as many as nodes, and a datagram carries few.
+func (r rumors) next(out []News, n, maxSent int) []News {
 	var first []*rumor
 	for _, candidate := range r {
 		at := len(first)
@@ -38,55 +38,56 @@
 		first = first[:min(len(first), n-len(out))]
 	}
 	for _, f := range first {
-		out = append(out, f.news)
-		if f.told++; f.told >= most {
-			delete(r, f.news.Node.address)
+		out = append(out, f.update)
+		if f.sent++; f.sent >= maxSent {
+			delete(r, f.update.Node.address)
 		}
 	}
 	return out
 }
 
-// news is what this node passes on. Urgent news changes roles at once; a fleet that
-// starts has joins of all its nodes, which must not hold up the rest.
-type news struct {
+// rumorQueues holds the rumors to send. Urgent ones change roles at once; a starting fleet
+// has joins of all its nodes, which must not delay them.
+type rumorQueues struct {
 	urgent rumors
 	joins  rumors
 }
 
-func newNews() news {
-	return news{
+func newRumorQueues() rumorQueues {
+	return rumorQueues{
 		urgent: rumors{},
 		joins:  rumors{},
 	}
 }
 
-func (n *news) drop(address string) {
+func (n *rumorQueues) drop(address string) {
 	delete(n.urgent, address)
 	delete(n.joins, address)
 }
 
-// weigh notes another weight of a node: what was told so far had the old one, or none.
-func (n *news) weigh(address string, weight uint32) {
+// setWeight changes the weight in queued updates on a node, and sends them from the start:
+// those sent so far carried the old weight, or none.
+func (n *rumorQueues) setWeight(address string, weight uint32) {
 	for _, r := range [...]rumors{n.urgent, n.joins} {
 		if rumor := r[address]; rumor != nil {
-			rumor.news.Weight = weight
-			rumor.told = 0
+			rumor.update.Weight = weight
+			rumor.sent = 0
 		}
 	}
 }
 
-// spread begins to pass on what this node believes of s.
-func (t *Table) spread(s *state, o Opinion, urgent bool) {
-	t.news.drop(s.node.address)
-	to := t.news.joins
+// enqueue replaces the queued updates on s by a new one.
+func (t *Table) enqueue(s *state, o Opinion, urgent bool) {
+	t.rumors.drop(s.node.address)
+	to := t.rumors.joins
 	if urgent {
-		to = t.news.urgent
+		to = t.rumors.urgent
 	}
 	to[s.node.address] = &rumor{
-		news: News{
+		update: News{
 			Node:        s.node,
 			Incarnation: s.incarnation,
-			Leaving:     s.leaving,
+			Leaving:     s.draining,
 			Opinion:     o,
 			Weight:      s.weight,
 		},
--- /dev/null
+++ b/internal/membership/update.go
@@ -0,0 +1,154 @@
+// SPDX-License-Identifier: Apache-2.0
+
+package membership
+
+import (
+	"math/bits"
+	"time"
+)
+
+// Opinion is the status of a node as estimated by another.
+type Opinion uint8
+
+// Opinions.
+const (
+	OpinionAlive Opinion = iota
+	// OpinionSuspect means that probes went unanswered; the node can refute it.
+	OpinionSuspect
+	// OpinionDead means that a suspicion was not refuted in time.
+	OpinionDead
+)
+
+// News is a status update that nodes exchange.
+type News struct {
+	Node        Node
+	Incarnation uint64
+	Leaving     bool
+	Opinion     Opinion
+	// Weight is the node's capacity for roles; 0 if it isn't known.
+	Weight uint32
+}
+
+// Times and counts of updates.
+const (
+	// RefuteTime is how long a node has to refute a suspicion: several probe
+	// intervals, so that the suspicion reaches it and its answer returns.
+	RefuteTime = 500 * time.Millisecond
+	// urgentFactor is how often an urgent update is sent, as a multiple of the logarithm
+	// of the number of nodes (Das, Gupta and Motivala, "SWIM", DSN 2002).
+	urgentFactor = 3
+	// joinFactor is the same for updates on live nodes. Replies to comparisons name
+	// nodes too, so a node that misses such an update still discovers the other.
+	joinFactor = 2
+)
+
+// recordAlive records that a node is alive in the given incarnation.
+func (t *Table) recordAlive(s *state, incarnation uint64, draining bool) {
+	refuted := s.dead || !s.suspected.IsZero()
+	if refuted || s.lastReceived.IsZero() || incarnation > s.incarnation || draining != s.draining {
+		t.changed = t.changed || s.dead || draining && !s.draining
+		s.incarnation = incarnation
+		s.draining = s.draining || draining
+		t.enqueue(s, OpinionAlive, refuted || s.draining)
+	}
+	s.dead = false
+	s.suspected = time.Time{}
+}
+
+// Suspect records that a node answered neither this node's probe nor those that
+// others sent on its behalf.
+func (t *Table) Suspect(now time.Time, address string) {
+	s := t.nodes[address]
+	if s == nil || s.dead || !s.suspected.IsZero() {
+		return
+	}
+	s.suspected = now
+	t.enqueue(s, OpinionSuspect, true)
+}
+
+// Take applies an update of a peer; own is this node's incarnation. It returns true if
+// the update is about this node itself and wrong, so that this node must refute it with
+// an incarnation greater than the update's.
+func (t *Table) Take(now time.Time, n News, own uint64) (refute bool) {
+	if n.Node.address == t.self.address {
+		return n.Incarnation > own || n.Opinion != OpinionAlive && n.Incarnation == own
+	}
+	if n.Node.address == "" {
+		return false
+	}
+	known := t.nodes[n.Node.address] != nil
+	s := t.find(n.Node)
+	t.Weigh(n.Node.address, n.Weight)
+	switch {
+	case n.Incarnation < s.incarnation:
+	case n.Opinion == OpinionAlive:
+		if !known || n.Incarnation > s.incarnation || n.Leaving && !s.draining {
+			if n.Incarnation > s.incarnation {
+				t.changed = t.changed || s.draining
+				s.draining = false
+			}
+			t.recordAlive(s, n.Incarnation, n.Leaving)
+			s.lastReceived = now
+		}
+	case s.dead:
+	case n.Opinion == OpinionDead:
+		s.incarnation = n.Incarnation
+		t.declareDead(s)
+	case s.suspected.IsZero():
+		s.incarnation = n.Incarnation
+		t.Suspect(now, n.Node.address)
+	}
+	return false
+}
+
+func (t *Table) declareDead(s *state) {
+	s.dead = true
+	t.changed = true
+	t.enqueue(s, OpinionDead, true)
+}
+
+// Advance declares nodes dead that did not refute a suspicion in time, and returns
+// them.
+func (t *Table) Advance(now time.Time) []Node {
+	var out []Node
+	for _, s := range t.nodes {
+		if !s.dead && !s.suspected.IsZero() && now.Sub(s.suspected) >= RefuteTime {
+			t.declareDead(s)
+			out = append(out, s.node)
+		}
+	}
+	return out
+}
+
+// Calm restarts the time to refute of all suspected nodes, because this node itself
+// was paused.
+func (t *Table) Calm(now time.Time) {
+	for _, s := range t.nodes {
+		if !s.dead && !s.suspected.IsZero() {
+			s.suspected = now
+		}
+	}
+}
+
+// Tell returns up to n updates to send, the least often sent first: on nodes that are
+// suspected, refuted, dead or draining, and, only if joins is set, on other live nodes.
+func (t *Table) Tell(n int, joins bool) []News {
+	scale := bits.Len(uint(len(t.nodes) + 1))
+	out := t.rumors.urgent.next(nil, n, urgentFactor*scale)
+	if joins {
+		out = t.rumors.joins.next(out, n, joinFactor*scale)
+	}
+	return out
+}
+
+// Dead returns the nodes that are declared dead and not draining. They are probed now
+// and then to find those that are back.
+func (t *Table) Dead() []Node {
+	var out []Node
+	for _, s := range t.nodes {
+		if s.dead && !s.draining {
+			out = append(out, s.node)
+		}
+	}
+	return out
+}
--- a/internal/source/error.go
+++ b/internal/source/error.go
@@ -6,7 +6,7 @@
 
 import "fmt"
 
-// Kind says what failed when a source was read.
+// Kind is the kind of failure when a source was read.
 type Kind string
 
 // Kinds of failures.
@@ -20,15 +20,15 @@
 
 // Error is a failure of a source.
 type Error struct {
-	kind  Kind
-	place string
-	cause error
-	code  int
+	kind     Kind
+	location string
+	cause    error
+	code     int
 }
 
-// Error names the place and the failure.
+// Error returns the location, the failure and its cause.
 func (e *Error) Error() string {
-	s := fmt.Sprintf("source: %s: %s", e.place, e.kind)
+	s := fmt.Sprintf("source: %s: %s", e.location, e.kind)
 	if e.code != 0 {
 		s += fmt.Sprintf(": status %d", e.code)
 	}
@@ -38,8 +38,8 @@
 	return s
 }
 
-// Unwrap returns the error beneath, or nil.
+// Unwrap returns the cause, or nil.
 func (e *Error) Unwrap() error { return e.cause }
 
-// Kind returns what failed.
+// Kind returns the kind of failure.
 func (e *Error) Kind() Kind { return e.kind }
--- a/internal/source/platform.go
+++ b/internal/source/platform.go
@@ -19,18 +19,19 @@
 
 // Times and sizes of calls to the platform.
 const (
-	// watchTime is how long a watch waits for a change.
-	watchTime = 25 * time.Second
-	// watchGrace is how much longer than that an answer may take.
+	// watchTimeout is how long a watch waits for a change.
+	watchTimeout = 25 * time.Second
+	// watchGrace is how much longer than watchTimeout an answer may take.
 	watchGrace = 3 * time.Second
-	// readTime bounds a read of all values.
-	readTime = 10 * time.Second
-	// roleInterval is how often a process that isn't a reader asks whether it is.
+	// readTimeout is the longest time of a full read.
+	readTimeout = 10 * time.Second
+	// roleInterval is the interval at which a process that isn't a reader checks whether it is.
 	roleInterval = 500 * time.Millisecond
-	// Times between calls after failures.
+	// retryFirst and retryMax bound the mean wait after failures.
 	retryFirst = 250 * time.Millisecond
-	retryMost  = 15 * time.Second
-	maxAnswer  = 512 << 20
+	retryMax   = 15 * time.Second
+	// maxAnswerBytes is the greatest size of an answer in bytes.
+	maxAnswerBytes = 512 << 20
 )
 
 // Platform reads values from the platform's configuration service: GET
@@ -65,7 +66,7 @@
 	return Follow(ctx, cfg, Intervals{
 		Role:       roleInterval,
 		RetryFirst: retryFirst,
-		RetryMost:  retryMost,
+		RetryMost:  retryMax,
 	}, func(ctx context.Context) error {
 		entries, err := p.next(ctx, cfg)
 		if err != nil {
@@ -77,38 +78,38 @@
 	})
 }
 
-// next makes one call: a read at first, then watches. An answer older than one
-// before it comes from a stale replica: its values are still handed on, for each
-// counts by its own position, but the watch doesn't go back. Where the platform was restored
-// all is read again at once: a watch leaves out what was changed before its revision.
+// next makes one call: a full read at first, then watches. An answer older than one
+// before it comes from a stale replica: its values are still delivered, because each
+// has its own position, but the watch doesn't go back. If the platform was restored
+// all values are read again at once: a watch omits changes before its revision.
 func (p *Platform) next(ctx context.Context, cfg Config) ([]*wire.Entry, error) {
 	if p.position == (order.Position{}) {
-		return p.read(ctx, cfg, reasonFirst)
+		return p.readAll(ctx, cfg, reasonFirst)
 	}
-	url := fmt.Sprintf("%s/v1/watch?era=%d&after=%d&wait=%s", p.base, p.position.Era(), p.position.Revision(), watchTime)
-	list, err := p.get(ctx, url, watchTime+watchGrace)
+	url := fmt.Sprintf("%s/v1/watch?era=%d&after=%d&wait=%s", p.base, p.position.Era(), p.position.Revision(), watchTimeout)
+	list, err := p.get(ctx, url, watchTimeout+watchGrace)
 	if err != nil {
 		return nil, err
 	}
 	if list.GetEra() > p.position.Era() {
-		return p.read(ctx, cfg, reasonRestored)
+		return p.readAll(ctx, cfg, reasonRestored)
 	}
-	return p.take(list), nil
+	return p.convert(list), nil
 }
 
-// Reasons to read all values.
+// Reasons for a full read.
 const (
 	reasonFirst    = "first read"
 	reasonRestored = "platform was restored"
 )
 
-func (p *Platform) read(ctx context.Context, cfg Config, reason string) ([]*wire.Entry, error) {
-	list, err := p.get(ctx, p.base+"/v1/values", readTime)
+func (p *Platform) readAll(ctx context.Context, cfg Config, reason string) ([]*wire.Entry, error) {
+	list, err := p.get(ctx, p.base+"/v1/values", readTimeout)
 	if err != nil {
 		return nil, err
 	}
 	before := p.position
-	out := p.take(list)
+	out := p.convert(list)
 	cfg.Reread(Reread{
 		Reason: reason,
 		Before: before,
@@ -117,8 +118,8 @@
 	return out, nil
 }
 
-// take returns the values of an answer and notes up to where it goes.
-func (p *Platform) take(list *wire.ValueList) []*wire.Entry {
+// convert returns the values of an answer as entries and advances the position to the answer's.
+func (p *Platform) convert(list *wire.ValueList) []*wire.Entry {
 	p.position = order.Max(p.position, fleetconfig.PositionOf(list))
 	out := make([]*wire.Entry, 0, len(list.GetValues()))
 	for _, v := range list.GetValues() {
@@ -150,7 +151,7 @@
 		e.code = res.StatusCode
 		return nil, e
 	}
-	body, err := io.ReadAll(io.LimitReader(res.Body, maxAnswer))
+	body, err := io.ReadAll(io.LimitReader(res.Body, maxAnswerBytes))
 	if err != nil {
 		return nil, p.fault(KindAnswer, err)
 	}
@@ -165,8 +166,8 @@
 
 func (p *Platform) fault(kind Kind, cause error) *Error {
 	return &Error{
-		kind:  kind,
-		place: p.base,
-		cause: cause,
+		kind:     kind,
+		location: p.base,
+		cause:    cause,
 	}
 }
