--- a/internal/node/targetlimits.go
+++ b/internal/node/targetlimits.go
@@ -134,14 +134,14 @@
 	if p.alone {
 		return min(alonePart, 1/float64(p.nodes))
 	}
-	part := math.Pow(standbyPart, float64(p.rank))
+	share := math.Pow(standbyPart, float64(p.rank))
 	if p.among < joinTime {
-		part *= joinPart
+		share *= joinPart
 	}
 	if live := float64(p.live) / float64(p.nodes); 1-live > wholeFrom {
-		part *= live
+		share *= live
 	}
-	return part
+	return share
 }
 
 // place returns that of this node among the holders of a dispatcher's role.
