--- a/internal/node/targetlimits.go
+++ b/internal/node/targetlimits.go
@@ -174,11 +174,11 @@
 
 // rate returns the node's part of a limit, in requests a second, among all nodes known.
 func (s *shares) rate(l signal.Limit, nodes int) float64 {
-	part := aloneOnly
+	share := aloneOnly
 	if s.beside {
-		part = aloneBeside
+		share = aloneBeside
 	}
-	return part * dispatch.LimitRate(l) / float64(nodes)
+	return share * dispatch.LimitRate(l) / float64(nodes)
 }
 
 // wait returns after how long the node may send a request to a target; 0 is now.
