--- a/internal/node/targetlimits.go
+++ b/internal/node/targetlimits.go
@@ -107,8 +107,8 @@
 		if hall != "" && t.DataHall() != hall {
 			continue
 		}
-		if said := b.standing(now, t); said.Limit.Set {
-			out = append(out, limitTo(now, limitOfStanding(t.Key(), said)))
+		if standing := b.standing(now, t); standing.Limit.Set {
+			out = append(out, limitTo(now, limitOfStanding(t.Key(), standing)))
 		}
 	}
 	if len(out) > dispatch.MaxLimits {
