--- a/internal/node/targetlimits.go
+++ b/internal/node/targetlimits.go
@@ -230,8 +230,8 @@
 		Paced: true,
 		At:    now,
 	}
-	said := b.standing(now, t)
-	return permit, !said.Barred() && b.shares.take(now, t.Key(), said.Limit, b.nodes())
+	standing := b.standing(now, t)
+	return permit, !standing.Barred() && b.shares.take(now, t.Key(), standing.Limit, b.nodes())
 }
 
 // overShare returns the keys of a part's targets whose limit leaves nothing for this node now.
