--- a/internal/node/targetlimits.go
+++ b/internal/node/targetlimits.go
@@ -265,12 +265,12 @@
 func (b *Board) shareWait(now time.Time, s *fleetconfig.Service) time.Duration {
 	least := time.Duration(0)
 	for _, t := range s.Targets() {
-		said := b.standing(now, t)
-		if s.Drained(t) || said.Draining {
+		standing := b.standing(now, t)
+		if s.Drained(t) || standing.Draining {
 			continue
 		}
-		wait := min(b.shares.wait(now, t.Key(), said.Limit, b.nodes()), b.shares.turn(said.Limit))
-		wait = max(wait, said.Backoff)
+		wait := min(b.shares.wait(now, t.Key(), standing.Limit, b.nodes()), b.shares.turn(standing.Limit))
+		wait = max(wait, standing.Backoff)
 		if least == 0 || wait < least {
 			least = wait
 		}
