--- a/internal/node/signals.go
+++ b/internal/node/signals.go
@@ -71,13 +71,13 @@
 		if s.Drained(t) {
 			continue
 		}
-		said := b.standing(now, t)
+		standing := b.standing(now, t)
 		switch {
-		case said.Draining:
-		case !said.Barred():
+		case standing.Draining:
+		case !standing.Barred():
 			return first, false
-		case !all || said.Backoff < first.Backoff:
-			first, all = said, true
+		case !all || standing.Backoff < first.Backoff:
+			first, all = standing, true
 		}
 	}
 	return first, all
