--- a/internal/node/signals.go
+++ b/internal/node/signals.go
@@ -101,12 +101,12 @@
 	var out []operator.SignalStatus
 	for _, s := range c.Services() {
 		for _, t := range s.Targets() {
-			if said := b.standing(now, t); said.Barred() {
+			if standing := b.standing(now, t); standing.Barred() {
 				out = append(out, operator.SignalStatus{
 					Service: s.Name(),
 					Target:  t.Key(),
-					Leaving: said.Draining,
-					RestMS:  said.Backoff.Milliseconds(),
+					Leaving: standing.Draining,
+					RestMS:  standing.Backoff.Milliseconds(),
 				})
 			}
 		}
