--- a/internal/node/limitstatus.go
+++ b/internal/node/limitstatus.go
@@ -27,16 +27,16 @@
 	}
 	for _, s := range c.Services() {
 		for _, t := range s.Targets() {
-			said := n.board.standing(now, t)
-			if !said.Limit.Set || granting[t.Key()] {
+			standing := n.board.standing(now, t)
+			if !standing.Limit.Set || granting[t.Key()] {
 				continue
 			}
 			out = append(out, operator.TargetLimitStatus{
 				Service: s.Name(),
 				Target:  t.Key(),
-				Rate:    said.Limit.Rate,
+				Rate:    standing.Limit.Rate,
 				By:      n.address(),
-				AgeMS:   now.Sub(said.LimitAt).Milliseconds(),
+				AgeMS:   now.Sub(standing.LimitAt).Milliseconds(),
 			})
 		}
 	}
