--- a/internal/node/prober.go
+++ b/internal/node/prober.go
@@ -83,8 +83,8 @@
 		}
 		for _, t := range s.Targets() {
 			now := time.Now()
-			said := p.board.standing(now, t)
-			if said.Backoff > 0 || !p.board.shares.take(now, t.Key(), said.Limit, p.board.nodes()) {
+			standing := p.board.standing(now, t)
+			if standing.Backoff > 0 || !p.board.shares.take(now, t.Key(), standing.Limit, p.board.nodes()) {
 				continue
 			}
 			slots <- struct{}{}
