--- a/internal/node/prober.go
+++ b/internal/node/prober.go
@@ -109,15 +109,15 @@
 		return fmt.Errorf("node: probe: %w", err)
 	}
 	_ = res.Body.Close()
-	said, err := forward.SignalOf(p.contract, res)
-	if p.board.signals.Observe(time.Now(), incarnationOf(t), said) {
-		p.log.WithField("service", s.Name()).WithField("target", t.Key()).WithField("leaving", said.Draining).
-			WithField("rest_ms", said.Backoff.Milliseconds()).Info("target says what it wants")
+	sig, err := forward.SignalOf(p.contract, res)
+	if p.board.signals.Observe(time.Now(), incarnationOf(t), sig) {
+		p.log.WithField("service", s.Name()).WithField("target", t.Key()).WithField("leaving", sig.Draining).
+			WithField("rest_ms", sig.Backoff.Milliseconds()).Info("target says what it wants")
 	}
 	if err != nil {
 		p.log.WithField("service", s.Name()).WithField("target", t.Key()).WithError(err).Warn("target asks for what can't be read")
 	}
-	if !said.Draining {
+	if !sig.Draining {
 		return nil
 	}
 	p.report(time.Now(), []outlier.Evidence{
