--- a/internal/node/grant.go
+++ b/internal/node/grant.go
@@ -73,14 +73,14 @@
 		permit.Paced = true
 		d.board.learn(now, d.newest(q.Service), l)
 	}
-	if said := d.board.standing(now, t); !said.Permits(now, permit) {
+	if standing := d.board.standing(now, t); !standing.Permits(now, permit) {
 		// The target told this node, and whoever chose may not have heard it.
 		done := doneOf(p, g, wire.Done_IGNORED, 0)
-		done.Leaving = said.Draining
+		done.Leaving = standing.Draining
 		d.tell(peer, done)
 		d.log.WithField("service", p.service).WithField("target", t.Key()).WithField("by", peer).
-			WithField("leaving", said.Draining).WithField("rest_ms", said.Backoff.Milliseconds()).
-			WithField("limited", said.Limit.Set).Info("granted target wants no request")
+			WithField("leaving", standing.Draining).WithField("rest_ms", standing.Backoff.Milliseconds()).
+			WithField("limited", standing.Limit.Set).Info("granted target wants no request")
 		return reply{
 			barred: true,
 		}
