--- a/internal/node/done.go
+++ b/internal/node/done.go
@@ -25,14 +25,14 @@
 // endOf returns the message about the end of an attempt that was sent, with what its target said
 // of itself to this node. A target that backs off or limits what it gets is well: what it turns
 // away isn't held against it.
-func endOf(p part, g granted, end outlier.End, said signal.Standing, took time.Duration) *wire.Done {
+func endOf(p part, g granted, end outlier.End, standing signal.Standing, took time.Duration) *wire.Done {
 	done := doneOf(p, g, resultOf(end), took)
 	done.Lost = end.Lost
-	done.Leaving = said.Draining
-	done.Limit = limitTo(time.Now(), limitOfStanding(done.GetTarget(), said))
-	if end.Shed && (said.Backoff > 0 || said.Limit.Set) {
+	done.Leaving = standing.Draining
+	done.Limit = limitTo(time.Now(), limitOfStanding(done.GetTarget(), standing))
+	if end.Shed && (standing.Backoff > 0 || standing.Limit.Set) {
 		done.Result = wire.Done_RESTING
-		done.RestMs = uint32(said.Backoff.Milliseconds())
+		done.RestMs = uint32(standing.Backoff.Milliseconds())
 	}
 	return done
 }
