--- a/internal/node/limits.go
+++ b/internal/node/limits.go
@@ -123,7 +123,7 @@
 // admit takes a request of a workspace, which waits for the others up to patience while
 // this node meets them. It returns nil if the request may go on, which must be given back
 // if it has not run.
-func (l *limiting) admit(ctx context.Context, w *fleetconfig.Workspace, patience time.Duration) *entry.LimitError {
+func (l *limiting) admit(ctx context.Context, w *fleetconfig.Workspace, maxWait time.Duration) *entry.LimitError {
 	limit, limited := limitOf(w)
 	if !limited {
 		return nil
@@ -139,7 +139,7 @@
 	v, wait := l.limiter.Take(time.Now(), w.ID(), limit)
 	by := byLastWord
 	if v == ratelimit.Ask {
-		v, wait, by = l.ask(ctx, w.ID(), limit, time.Now().Add(patience))
+		v, wait, by = l.ask(ctx, w.ID(), limit, time.Now().Add(maxWait))
 	}
 	if v == ratelimit.Admitted {
 		return nil
