--- a/internal/node/limits.go
+++ b/internal/node/limits.go
@@ -204,12 +204,12 @@
 	if l.pausing.Add(1) > maxPausing {
 		return false
 	}
-	again := time.NewTimer(meetAgain)
-	defer again.Stop()
+	timer := time.NewTimer(meetAgain)
+	defer timer.Stop()
 	select {
 	case <-ctx.Done():
 		return false
-	case <-again.C:
+	case <-timer.C:
 		return true
 	}
 }
