--- a/internal/node/tokenrequest.go
+++ b/internal/node/tokenrequest.go
@@ -78,8 +78,8 @@
 		})
 	}
 	send()
-	again := time.NewTicker(drawAgain)
-	defer again.Stop()
+	resend := time.NewTicker(drawAgain)
+	defer resend.Stop()
 	limit := time.NewTimer(drawGiveUp)
 	defer limit.Stop()
 	for {
@@ -88,7 +88,7 @@
 			return nil
 		case in := <-answers:
 			return in.GetAllot()
-		case <-again.C:
+		case <-resend.C:
 			send()
 		case <-limit.C:
 			l.log.WithField("peer", peer).Debug("allocator did not answer")
