--- a/internal/node/evidence.go
+++ b/internal/node/evidence.go
@@ -128,21 +128,21 @@
 
 // run reports and judges at each tick until the context ends.
 func (o *observing) run(ctx context.Context) error {
-	var talks task.Group
+	var calls task.Group
 	tick := time.NewTicker(observeInterval)
 	defer tick.Stop()
 	for {
 		select {
 		case <-ctx.Done():
-			return talks.Wait()
+			return calls.Wait()
 		case <-tick.C:
 		}
 		now := time.Now()
-		o.send(ctx, &talks, o.due(now), false)
+		o.send(ctx, &calls, o.due(now), false)
 		summaries, verdicts := o.advance(now)
-		o.send(ctx, &talks, summaries, true)
-		o.announce(ctx, &talks, now, verdicts)
-		if err := talks.Reap(); err != nil {
+		o.send(ctx, &calls, summaries, true)
+		o.announce(ctx, &calls, now, verdicts)
+		if err := calls.Reap(); err != nil {
 			o.log.WithError(err).Debug("not all reached")
 		}
 	}
