--- a/internal/node/evidence.go
+++ b/internal/node/evidence.go
@@ -212,7 +212,7 @@
 
 // send takes reports to their observers and waits for none of them. What is for
 // this node itself takes the short way.
-func (o *observing) send(ctx context.Context, talks *task.Group, reports map[string][]*wire.Report, summary bool) {
+func (o *observing) send(ctx context.Context, calls *task.Group, reports map[string][]*wire.Report, summary bool) {
 	self := o.link.self()
 	for peer, list := range reports {
 		batch := &wire.ReportBatch{
@@ -225,7 +225,7 @@
 			continue
 		}
 		o.setBusy(peer, true)
-		talks.Go(ctx, "report", func(ctx context.Context) error {
+		calls.Go(ctx, "report", func(ctx context.Context) error {
 			defer o.setBusy(peer, false)
 			err := o.link.observe(ctx, peer, batch)
 			if err == nil {
