--- a/internal/node/verdicts.go
+++ b/internal/node/verdicts.go
@@ -14,7 +14,7 @@
 
 // announce takes new verdicts to all nodes of the data hall. Verdicts are rare;
 // a lost one is found by the node's own evidence.
-func (o *observing) announce(ctx context.Context, talks *task.Group, now time.Time, verdicts []outlier.Verdict) {
+func (o *observing) announce(ctx context.Context, calls *task.Group, now time.Time, verdicts []outlier.Verdict) {
 	if len(verdicts) == 0 {
 		return
 	}
@@ -31,7 +31,7 @@
 			Leaving: v.Leaving,
 		})
 	}
-	o.spread(ctx, talks, batch)
+	o.spread(ctx, calls, batch)
 }
 
 func (o *observing) spread(ctx context.Context, talks *task.Group, batch *wire.VerdictBatch) {
