--- a/internal/node/verdicts.go
+++ b/internal/node/verdicts.go
@@ -34,13 +34,13 @@
 	o.spread(ctx, calls, batch)
 }
 
-func (o *observing) spread(ctx context.Context, talks *task.Group, batch *wire.VerdictBatch) {
+func (o *observing) spread(ctx context.Context, calls *task.Group, batch *wire.VerdictBatch) {
 	view := o.board.view.Load()
 	for _, n := range view.Peers() {
 		if n.DataHall() != view.Self().DataHall() {
 			continue
 		}
-		talks.Go(ctx, "verdict", func(ctx context.Context) error {
+		calls.Go(ctx, "verdict", func(ctx context.Context) error {
 			err := o.link.judge(ctx, n.Address(), batch)
 			if err != nil {
 				o.link.failed(n.Address())
