--- a/internal/node/stop.go
+++ b/internal/node/stop.go
@@ -77,10 +77,10 @@
 	for _, p := range near {
 		out = append(out, p.Address())
 	}
-	told := map[string]int{}
+	sent := map[string]int{}
 	rand.Shuffle(len(far), func(i, j int) { far[i], far[j] = far[j], far[i] })
 	for _, p := range far {
-		if told[p.DataHall()]++; told[p.DataHall()] <= leaveFar {
+		if sent[p.DataHall()]++; sent[p.DataHall()] <= leaveFar {
 			out = append(out, p.Address())
 		}
 	}
