--- a/internal/node/allocator.go
+++ b/internal/node/allocator.go
@@ -16,11 +16,11 @@
 // holder returns the node that should allocate the limit of a workspace.
 func (l *limiting) holder(workspace string) membership.Node {
 	view := l.board.view.Load()
-	part := uint64(0)
+	role := uint64(0)
 	if view.Nodes() > limitWhole {
-		part = xxhash.Sum64String(workspace) % limitParts
+		role = xxhash.Sum64String(workspace) % limitParts
 	}
-	if nodes := view.Role(limitRoles[part], "", 1); len(nodes) > 0 {
+	if nodes := view.Role(limitRoles[role], "", 1); len(nodes) > 0 {
 		return nodes[0]
 	}
 	return view.Self()
