--- a/internal/node/fallback.go
+++ b/internal/node/fallback.go
@@ -16,7 +16,7 @@
 func (d *dispatching) chooseAlone(q *entry.Query, p part) (entry.Choice, error) {
 	now := time.Now()
 	self := d.board.view.Load().Self()
-	barred := d.board.unavailable(now, d.newest(q.Service), p.hall)
+	unavailable := d.board.unavailable(now, d.newest(q.Service), p.hall)
 	a := &dispatch.Ask{
 		ID: dispatch.ID{
 			Node:   self.Address(),
@@ -32,8 +32,8 @@
 		Aim:        q.Aim,
 		Deadline:   q.Deadline,
 		Tried:      q.Tried,
-		Barred:     append(barred.backingOff, d.board.overShare(now, d.newest(q.Service), p.hall)...),
-		Draining:   barred.draining,
+		Barred:     append(unavailable.backingOff, d.board.overShare(now, d.newest(q.Service), p.hall)...),
+		Draining:   unavailable.draining,
 		Closed:     d.board.closedHalls(q),
 		Route:      q.Route,
 	}
