--- a/internal/node/grantrequest.go
+++ b/internal/node/grantrequest.go
@@ -255,7 +255,7 @@
 func (d *dispatching) sendAsk(peer string, id uint64, q *entry.Query, p part, passing bool, refused int) {
 	now := time.Now()
 	spent := d.elsewhere(peer, p)
-	barred := d.board.unavailable(now, d.newest(q.Service), p.hall)
+	unavailable := d.board.unavailable(now, d.newest(q.Service), p.hall)
 	out := &wire.Datagram{
 		Call: id,
 		Body: &wire.Datagram_Ask{
@@ -272,8 +272,8 @@
 				AimMs:       uint32(max(q.Aim.Sub(now).Milliseconds(), 0)),
 				DeadlineMs:  uint32(max(q.Deadline.Sub(now).Milliseconds(), 0)),
 				Tried:       q.Tried,
-				Barred:      barred.backingOff[:min(len(barred.backingOff), mostTried)],
-				Leaving:     barred.draining[:min(len(barred.draining), mostTried)],
+				Barred:      unavailable.backingOff[:min(len(unavailable.backingOff), mostTried)],
+				Leaving:     unavailable.draining[:min(len(unavailable.draining), mostTried)],
 				Route:       q.Route,
 				Refused:     uint32(refused),
 				ClosedHalls: d.board.closedHalls(q),
