--- a/internal/node/independent.go
+++ b/internal/node/independent.go
@@ -38,8 +38,8 @@
 		return entry.Choice{}, err
 	}
 	unavailable := a.board.unavailable(now, q.Service, "")
-	barred := slices.Concat(unavailable.keys(), a.board.overShare(now, q.Service, ""), a.board.closedTargets(q))
-	pick, ok := pool.Pick(rand.Uint64, q.Tried, barred)
+	excluded := slices.Concat(unavailable.keys(), a.board.overShare(now, q.Service, ""), a.board.closedTargets(q))
+	pick, ok := pool.Pick(rand.Uint64, q.Tried, excluded)
 	if !ok {
 		return entry.Choice{}, entry.NewNoTargetError(attempt.ReasonTargets, a.board.shareWait(now, q.Service))
 	}
