--- a/internal/node/grantrequest.go
+++ b/internal/node/grantrequest.go
@@ -189,7 +189,7 @@
 	refused := d.takeRefused(p.service)
 	send := func() { d.sendAsk(peer, id, q, p, passing, refused) }
 	send()
-	heard := time.Now()
+	lastAnswer := time.Now()
 	resend := time.NewTicker(resendAfter)
 	defer resend.Stop()
 	limit := giveUpAfter
@@ -206,11 +206,11 @@
 					number: id,
 				}, true
 			}
-			heard = time.Now()
+			lastAnswer = time.Now()
 			limit = queuedSilence
 			resend.Reset(queuedInterval)
 		case now := <-resend.C:
-			if now.Sub(heard) >= limit {
+			if now.Sub(lastAnswer) >= limit {
 				d.cancel(peer, p, id)
 				return granted{}, false
 			}
