--- a/internal/node/failuredetector.go
+++ b/internal/node/failuredetector.go
@@ -104,12 +104,12 @@
 
 // probe pings a peer, and has others ping it if it doesn't answer.
 func (p *pinging) probe(ctx context.Context, peer string) {
-	begun := p.since(time.Now())
+	started := p.since(time.Now())
 	if p.messenger.ping(ctx, peer, pingWait) {
 		p.answered <- struct{}{}
 		return
 	}
-	if p.since(time.Now())-begun > pingWait+lateInterval {
+	if p.since(time.Now())-started > pingWait+lateInterval {
 		// This node slept itself.
 		return
 	}
@@ -117,7 +117,7 @@
 		p.answered <- struct{}{}
 		return
 	}
-	if ctx.Err() == nil && p.since(time.Now())-begun <= pingWait+viaWait+2*lateInterval {
+	if ctx.Err() == nil && p.since(time.Now())-started <= pingWait+viaWait+2*lateInterval {
 		p.failed <- peer
 	}
 }
