--- a/internal/node/dispatch.go
+++ b/internal/node/dispatch.go
@@ -165,8 +165,8 @@
 	if len(d.pending) > 0 {
 		return true
 	}
-	for _, dk := range d.desks {
-		if dk.Busy() {
+	for _, s := range d.desks {
+		if s.Busy() {
 			return true
 		}
 	}
