--- a/internal/node/dispatcher.go
+++ b/internal/node/dispatcher.go
@@ -21,8 +21,8 @@
 func (d *dispatching) advance(now time.Time) {
 	d.mu.Lock()
 	grants := map[part][]dispatch.Grant{}
-	for p, dk := range d.desks {
-		if now.Sub(dk.used) > deskForget {
+	for p, s := range d.desks {
+		if now.Sub(s.used) > deskForget {
 			delete(d.desks, p)
 			continue
 		}
