--- a/internal/node/dispatcher.go
+++ b/internal/node/dispatcher.go
@@ -26,8 +26,8 @@
 			delete(d.desks, p)
 			continue
 		}
-		if dk := d.current(now, p); dk != nil {
-			grants[p] = dk.Advance(now)
+		if current := d.current(now, p); current != nil {
+			grants[p] = current.Advance(now)
 		}
 	}
 	d.mu.Unlock()
