--- a/internal/node/dispatcher.go
+++ b/internal/node/dispatcher.go
@@ -44,18 +44,18 @@
 	d.reported = now
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	for p, dk := range d.desks {
-		if dk.Asked(now) < reportLeast {
-			if dk.reported {
+	for p, sched := range d.desks {
+		if sched.Asked(now) < reportLeast {
+			if sched.reported {
 				// Another node has the role now, or nobody asks.
-				dk.reported = false
+				sched.reported = false
 				d.short(p, 0)
 				d.limited(p, 0)
 			}
 			continue
 		}
-		dk.reported = true
-		s := dk.Status(now)
+		sched.reported = true
+		s := sched.Status(now)
 		d.short(p, s.Short)
 		failing := map[string]float64{}
 		limits := map[string]string{}
