--- a/internal/node/dispatcher.go
+++ b/internal/node/dispatcher.go
@@ -93,11 +93,11 @@
 // desk returns the desk of a part for something that is asked or told now, or nil if
 // there is no such service. d.mu is held.
 func (d *dispatching) desk(now time.Time, p part) *desk {
-	dk := d.current(now, p)
-	if dk != nil {
-		dk.used = now
+	s := d.current(now, p)
+	if s != nil {
+		s.used = now
 	}
-	return dk
+	return s
 }
 
 // current returns the desk of a part in the newest configuration of its service, or nil
