--- a/internal/node/dispatcher.go
+++ b/internal/node/dispatcher.go
@@ -110,23 +110,23 @@
 		return nil
 	}
 	sc := c.Service(p.service)
-	dk := d.desks[p]
-	if dk == nil {
-		dk = &desk{
+	s := d.desks[p]
+	if s == nil {
+		s = &desk{
 			Desk: dispatch.NewDesk(now, d.budgetOf(p, sc), rand.Float64),
 			used: now,
 		}
-		d.desks[p] = dk
+		d.desks[p] = s
 	}
-	if dk.Limited(now) {
+	if s.Limited(now) {
 		view := d.board.view.Load()
-		dk.Lead(d.place(now, view, p.holders(view)).part())
+		s.Lead(d.place(now, view, p.holders(view)).part())
 	}
-	if dk.config != sc {
-		p.configure(now, dk, sc)
-		dk.Keep(max(d.floor, floorOf(sc)))
+	if s.config != sc {
+		p.configure(now, s, sc)
+		s.Keep(max(d.floor, floorOf(sc)))
 	}
-	return dk
+	return s
 }
 
 // configure brings a desk of the part to another configuration of its service.
