--- a/internal/node/dispatcher.go
+++ b/internal/node/dispatcher.go
@@ -130,11 +130,11 @@
 }
 
 // configure brings a desk of the part to another configuration of its service.
-func (p part) configure(now time.Time, dk *desk, sc *fleetconfig.Service) {
-	before := dk.config
-	dk.config = sc
+func (p part) configure(now time.Time, s *desk, sc *fleetconfig.Service) {
+	before := s.config
+	s.config = sc
 	if before == nil || !sc.SameEvacuations(before) || sc.WarmupRate() != before.WarmupRate() {
-		dk.Configure(now, p.targets(sc, sc.Targets()))
+		s.Configure(now, p.targets(sc, sc.Targets()))
 		return
 	}
 	added, removed := sc.Changes(before)
@@ -144,7 +144,7 @@
 			gone = append(gone, t.Key())
 		}
 	}
-	dk.Change(now, p.targets(sc, added), gone)
+	s.Change(now, p.targets(sc, added), gone)
 }
 
 // budgetOf returns the retry budget of a part. The share goes by the part's own first
