--- a/internal/node/dispatcher.go
+++ b/internal/node/dispatcher.go
@@ -224,14 +224,14 @@
 		hall:    w.GetDataHall(),
 	}
 	d.mu.Lock()
-	dk := d.desk(now, p)
+	s := d.desk(now, p)
 	var g dispatch.Grant
-	if dk != nil {
-		g = dk.Ask(now, a)
+	if s != nil {
+		g = s.Ask(now, a)
 	}
 	d.mu.Unlock()
 	d.work()
-	if dk == nil {
+	if s == nil {
 		d.answer(in.GetFrom().GetAddress(), in.GetCall(), &wire.Grant{
 			Verdict: wire.Grant_UNKNOWN,
 		})
