--- a/internal/node/dispatcher.go
+++ b/internal/node/dispatcher.go
@@ -330,24 +330,24 @@
 		hall:    w.GetDataHall(),
 	}
 	d.mu.Lock()
-	dk := d.desk(now, p)
+	s := d.desk(now, p)
 	var out []dispatch.Grant
-	if dk != nil && w.GetTarget() == "" {
-		out = dk.Cancel(now, id)
-	} else if dk != nil {
+	if s != nil && w.GetTarget() == "" {
+		out = s.Cancel(now, id)
+	} else if s != nil {
 		if w.GetLeaving() {
-			dk.MarkDraining(now, w.GetTarget())
+			s.MarkDraining(now, w.GetTarget())
 		}
 		if w.GetLost() {
-			dk.Lost(w.GetTarget(), id)
+			s.Lost(w.GetTarget(), id)
 		}
 		if l := w.GetLimit(); l != nil {
-			dk.Observe(now, node, limitFrom(now, l))
+			s.Observe(now, node, limitFrom(now, l))
 		}
 		if rest := w.GetRestMs(); rest > 0 {
-			dk.BackOff(now, w.GetTarget(), id, time.Duration(rest)*time.Millisecond)
+			s.BackOff(now, w.GetTarget(), id, time.Duration(rest)*time.Millisecond)
 		}
-		out = dk.Done(now, id, w.GetTarget(), dispatch.Result(w.GetResult()), time.Duration(w.GetTookMs())*time.Millisecond)
+		out = s.Done(now, id, w.GetTarget(), dispatch.Result(w.GetResult()), time.Duration(w.GetTookMs())*time.Millisecond)
 	}
 	d.mu.Unlock()
 	d.deliver(p, out)
