--- a/internal/node/fallback.go
+++ b/internal/node/fallback.go
@@ -41,23 +41,23 @@
 	defer d.mu.Unlock()
 	ledger := d.ledger(p)
 	a.Elsewhere = ledger.Elsewhere(now, self.Address())
-	dk := d.desk(now, p)
-	if dk == nil {
+	s := d.desk(now, p)
+	if s == nil {
 		return entry.Choice{}, entry.NewNoTargetError(attempt.ReasonTargets, 0)
 	}
-	g := dk.AskAlone(now, a, 1/float64(d.board.nodes()))
+	g := s.AskAlone(now, a, 1/float64(d.board.nodes()))
 	if g.Verdict == dispatch.Spent {
 		return entry.Choice{}, entry.NewNoTargetError(attempt.ReasonBudget, 0)
 	}
 	ledger.Took(now, self.Address(), q.Again)
 	d.work()
-	t := dk.config.Target(g.Target)
+	t := s.config.Target(g.Target)
 	if t == nil {
 		return entry.Choice{}, entry.NewNoTargetError(attempt.ReasonTargets, d.board.shareWait(now, d.newest(q.Service)))
 	}
 	permit, ok := d.board.shared(now, t)
 	if !ok {
-		d.deliver(p, dk.Cancel(now, a.ID))
+		d.deliver(p, s.Cancel(now, a.ID))
 		return entry.Choice{}, entry.NewNoTargetError(attempt.ReasonTargets, d.board.shareWait(now, d.newest(q.Service)))
 	}
 	own := granted{
