--- a/internal/node/grant.go
+++ b/internal/node/grant.go
@@ -116,7 +116,7 @@
 		// This node chooses alone among the targets of its own part.
 		return
 	}
-	if dk := d.desk(now, p); dk != nil {
-		dk.Note(now, done.GetTarget(), q.Route, dispatch.Result(done.GetResult()), time.Duration(done.GetTookMs())*time.Millisecond)
+	if s := d.desk(now, p); s != nil {
+		s.Note(now, done.GetTarget(), q.Route, dispatch.Result(done.GetResult()), time.Duration(done.GetTookMs())*time.Millisecond)
 	}
 }
