--- a/internal/node/limitstatus.go
+++ b/internal/node/limitstatus.go
@@ -48,11 +48,11 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	var out []operator.TargetLimitStatus
-	for p, dk := range d.desks {
-		if !dk.Limited(now) || now.Sub(dk.used) > reportInterval {
+	for p, s := range d.desks {
+		if !s.Limited(now) || now.Sub(s.used) > reportInterval {
 			continue
 		}
-		for _, t := range dk.Status(now).Targets {
+		for _, t := range s.Status(now).Targets {
 			if !t.Limit.Set {
 				continue
 			}
