--- a/internal/node/dispatch.go
+++ b/internal/node/dispatch.go
@@ -56,9 +56,9 @@
 // byItself names a choice that a node made without a dispatcher.
 const byItself = "alone"
 
-// dispatching chooses targets jointly and plays this node's role as a dispatcher.
+// dispatchController chooses targets jointly and plays this node's role as a dispatcher.
 // It may be used concurrently.
-type dispatching struct {
+type dispatchController struct {
 	board     *Board
 	messenger *messenger
 	budget    dispatch.Budget
@@ -105,8 +105,8 @@
 	reported bool
 }
 
-func newDispatching(board *Board, m *messenger, b dispatch.Budget, log *logrus.Entry) *dispatching {
-	d := &dispatching{
+func newDispatching(board *Board, m *messenger, b dispatch.Budget, log *logrus.Entry) *dispatchController {
+	d := &dispatchController{
 		board:     board,
 		messenger: m,
 		budget:    b,
@@ -131,7 +131,7 @@
 
 // run serves the queues and repeats what was not confirmed, until the context ends. While there
 // is nothing to do it wakes up once a second only.
-func (d *dispatching) run(ctx context.Context) error {
+func (d *dispatchController) run(ctx context.Context) error {
 	tick := time.NewTimer(deskInterval)
 	defer tick.Stop()
 	busy := true
@@ -159,7 +159,7 @@
 }
 
 // busy reports whether anything waits, is under way or not confirmed.
-func (d *dispatching) busy() bool {
+func (d *dispatchController) busy() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if len(d.pending) > 0 {
@@ -174,14 +174,14 @@
 }
 
 // unserved notes that a request for a service was refused before a target was asked for.
-func (d *dispatching) unserved(service string) {
+func (d *dispatchController) unserved(service string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.refused[service]++
 }
 
 // takeRefused returns how many such requests there were since the last call.
-func (d *dispatching) takeRefused(service string) int {
+func (d *dispatchController) takeRefused(service string) int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	n := d.refused[service]
@@ -190,7 +190,7 @@
 }
 
 // work makes run look at what there is to do now.
-func (d *dispatching) work() {
+func (d *dispatchController) work() {
 	select {
 	case d.wake <- struct{}{}:
 	default:
--- a/internal/node/dispatcher.go
+++ b/internal/node/dispatcher.go
@@ -18,7 +18,7 @@
 // This file is the side of a dispatcher: what a node does for the requests of
 // others.
 
-func (d *dispatching) advance(now time.Time) {
+func (d *dispatchController) advance(now time.Time) {
 	d.mu.Lock()
 	grants := map[part][]dispatch.Grant{}
 	for p, s := range d.desks {
@@ -37,7 +37,7 @@
 }
 
 // report writes a line about each desk that has work, at a slow tick.
-func (d *dispatching) report(now time.Time) {
+func (d *dispatchController) report(now time.Time) {
 	if now.Sub(d.reported) < reportInterval {
 		return
 	}
@@ -92,7 +92,7 @@
 
 // desk returns the desk of a part for something that is asked or told now, or nil if
 // there is no such service. d.mu is held.
-func (d *dispatching) desk(now time.Time, p part) *desk {
+func (d *dispatchController) desk(now time.Time, p part) *desk {
 	s := d.current(now, p)
 	if s != nil {
 		s.used = now
@@ -102,7 +102,7 @@
 
 // current returns the desk of a part in the newest configuration of its service, or nil
 // if there is no such service. d.mu is held.
-func (d *dispatching) current(now time.Time, p part) *desk {
+func (d *dispatchController) current(now time.Time, p part) *desk {
 	c := d.board.currentConfig()
 	if c == nil || c.Service(p.service) == nil {
 		delete(d.desks, p)
@@ -149,7 +149,7 @@
 
 // budgetOf returns the retry budget of a part. The share goes by the part's own first
 // attempts; the reserve is divided, so that all parts together keep the service's.
-func (d *dispatching) budgetOf(p part, sc *fleetconfig.Service) dispatch.Budget {
+func (d *dispatchController) budgetOf(p part, sc *fleetconfig.Service) dispatch.Budget {
 	b := d.budget
 	if p.hall != "" {
 		b.Reserve /= float64(max(len(d.divided.halls(sc)), 2))
@@ -187,7 +187,7 @@
 }
 
 // asked answers the ask of a peer.
-func (d *dispatching) asked(in *wire.Datagram) {
+func (d *dispatchController) asked(in *wire.Datagram) {
 	now := time.Now()
 	w := in.GetAsk()
 	a := &dispatch.Ask{
@@ -279,7 +279,7 @@
 	})
 }
 
-func (d *dispatching) answer(peer string, call uint64, g *wire.Grant) {
+func (d *dispatchController) answer(peer string, call uint64, g *wire.Grant) {
 	out := &wire.Datagram{
 		Call: call,
 		Body: &wire.Datagram_Grant{
@@ -294,7 +294,7 @@
 }
 
 // deliver sends grants that became possible later.
-func (d *dispatching) deliver(p part, grants []dispatch.Grant) {
+func (d *dispatchController) deliver(p part, grants []dispatch.Grant) {
 	for _, g := range grants {
 		d.log.WithFields(logrus.Fields{
 			"service": p.service,
@@ -307,7 +307,7 @@
 }
 
 // told takes the end of an attempt from a peer.
-func (d *dispatching) told(in *wire.Datagram) {
+func (d *dispatchController) told(in *wire.Datagram) {
 	w := in.GetDone()
 	d.end(in.GetFrom().GetAddress(), w)
 	d.messenger.send(in.GetFrom().GetAddress(), &wire.Datagram{
@@ -319,7 +319,7 @@
 }
 
 // end takes the end of an attempt of any node.
-func (d *dispatching) end(node string, w *wire.Done) {
+func (d *dispatchController) end(node string, w *wire.Done) {
 	now := time.Now()
 	id := dispatch.ID{
 		Node:   node,
--- a/internal/node/donereport.go
+++ b/internal/node/donereport.go
@@ -17,7 +17,7 @@
 }
 
 // tell tells a dispatcher how an attempt ended, until it confirms.
-func (d *dispatching) tell(peer string, w *wire.Done) {
+func (d *dispatchController) tell(peer string, w *wire.Done) {
 	if peer == d.board.view.Load().Self().Address() {
 		d.end(peer, w)
 		return
@@ -34,7 +34,7 @@
 	d.sendDone(time.Now(), id, u)
 }
 
-func (d *dispatching) sendDone(now time.Time, id uint64, u *unconfirmed) {
+func (d *dispatchController) sendDone(now time.Time, id uint64, u *unconfirmed) {
 	d.mu.Lock()
 	u.tries++
 	u.at = now
@@ -47,7 +47,7 @@
 	})
 }
 
-func (d *dispatching) repeat(now time.Time) {
+func (d *dispatchController) repeat(now time.Time) {
 	d.mu.Lock()
 	due := map[uint64]*unconfirmed{}
 	for id, u := range d.pending {
@@ -66,7 +66,7 @@
 }
 
 // confirmed notes that a dispatcher took the end of an attempt.
-func (d *dispatching) confirmed(call uint64) {
+func (d *dispatchController) confirmed(call uint64) {
 	d.mu.Lock()
 	delete(d.pending, call)
 	d.mu.Unlock()
--- a/internal/node/export_targetlimits_test.go
+++ b/internal/node/export_targetlimits_test.go
@@ -25,7 +25,7 @@
 	board       *Board
 	members     *members
 	messenger   *messenger
-	dispatching *dispatching
+	dispatching *dispatchController
 	pinging     *pinging
 	service     *fleetconfig.Service
 	// mu is held while a datagram is handled.
--- a/internal/node/export_test.go
+++ b/internal/node/export_test.go
@@ -49,7 +49,7 @@
 
 // Chooser is the joint choice of a node that is the only one of its fleet.
 type Chooser struct {
-	dispatching *dispatching
+	dispatching *dispatchController
 	service     *fleetconfig.Service
 	store       *fleetconfig.Store
 	asked       map[string]int
--- a/internal/node/grantrequest.go
+++ b/internal/node/grantrequest.go
@@ -18,7 +18,7 @@
 
 // dispatcher returns the node that should be asked for a part: the first in rank of
 // those that are trusted.
-func (d *dispatching) dispatcher(p part) (membership.Node, bool) {
+func (d *dispatchController) dispatcher(p part) (membership.Node, bool) {
 	now := time.Now()
 	view := d.board.view.Load()
 	d.mu.Lock()
@@ -31,7 +31,7 @@
 	return membership.Node{}, false
 }
 
-func (d *dispatching) doubt(peer string) {
+func (d *dispatchController) doubt(peer string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.distrust[peer] = time.Now().Add(distrustTime)
@@ -39,7 +39,7 @@
 
 // choose takes a target for an attempt: from the dispatcher of this node's part of the
 // service, from that of another part where no target of the own one is free, else alone.
-func (d *dispatching) choose(ctx context.Context, q *entry.Query) (entry.Choice, error) {
+func (d *dispatchController) choose(ctx context.Context, q *entry.Query) (entry.Choice, error) {
 	ctx, cancel := context.WithDeadline(ctx, q.Deadline)
 	defer cancel()
 	q.Tried = d.avoid(q)
@@ -63,7 +63,7 @@
 
 // whenServed returns the refusal of a request with the time that this node knows: all targets may
 // have come to rest while it waited.
-func (d *dispatching) whenServed(q *entry.Query, refusal error) error {
+func (d *dispatchController) whenServed(q *entry.Query, refusal error) error {
 	if err := d.board.refuseClosed(q); err != nil {
 		return err
 	}
@@ -75,7 +75,7 @@
 
 // chooseJointly takes a target that another node may have chosen. Where that one had told this
 // node that it wants no request, the reply is barred: the next ask names the target.
-func (d *dispatching) chooseJointly(ctx context.Context, q *entry.Query) reply {
+func (d *dispatchController) chooseJointly(ctx context.Context, q *entry.Query) reply {
 	home, others := d.ways(time.Now(), q)
 	first := d.askPart(ctx, q, home, dispatchers, len(others) > 0 && passes(q))
 	r := first
@@ -130,7 +130,7 @@
 
 // askPart asks the dispatcher of a part, and those behind it in rank if it doesn't
 // answer.
-func (d *dispatching) askPart(ctx context.Context, q *entry.Query, p part, tries int, passing bool) reply {
+func (d *dispatchController) askPart(ctx context.Context, q *entry.Query, p part, tries int, passing bool) reply {
 	for range tries {
 		node, ok := d.dispatcher(p)
 		if !ok {
@@ -153,7 +153,7 @@
 
 // avoid returns the targets that this node should not get: those that can't be reached
 // from here and, after them, those that the request was sent to.
-func (d *dispatching) avoid(q *entry.Query) []string {
+func (d *dispatchController) avoid(q *entry.Query) []string {
 	now := time.Now()
 	var out []string
 	d.mu.Lock()
@@ -183,7 +183,7 @@
 }
 
 // askOne asks one dispatcher and waits for its final grant.
-func (d *dispatching) askOne(ctx context.Context, peer string, q *entry.Query, p part, passing bool) (granted, bool) {
+func (d *dispatchController) askOne(ctx context.Context, peer string, q *entry.Query, p part, passing bool) (granted, bool) {
 	id, answers, end := d.messenger.call()
 	defer end()
 	refused := d.takeRefused(p.service)
@@ -220,7 +220,7 @@
 }
 
 // cancel tells a dispatcher that an ask has ended without an attempt.
-func (d *dispatching) cancel(peer string, p part, id uint64) {
+func (d *dispatchController) cancel(peer string, p part, id uint64) {
 	d.tell(peer, &wire.Done{
 		Service:  p.service,
 		DataHall: p.hall,
@@ -229,21 +229,21 @@
 }
 
 // took notes what a dispatcher, or this node alone, gave for an attempt.
-func (d *dispatching) took(by string, q *entry.Query, p part) {
+func (d *dispatchController) took(by string, q *entry.Query, p part) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.ledger(p).Took(time.Now(), by, q.Again)
 }
 
 // elsewhere returns what this node got from other dispatchers than the one named.
-func (d *dispatching) elsewhere(by string, p part) dispatch.Spending {
+func (d *dispatchController) elsewhere(by string, p part) dispatch.Spending {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.ledger(p).Elsewhere(time.Now(), by)
 }
 
 // ledger returns the ledger of a part. d.mu is held.
-func (d *dispatching) ledger(p part) *dispatch.Ledger {
+func (d *dispatchController) ledger(p part) *dispatch.Ledger {
 	l := d.ledgers[p]
 	if l == nil {
 		l = dispatch.NewLedger(time.Now(), d.budget)
@@ -252,7 +252,7 @@
 	return l
 }
 
-func (d *dispatching) sendAsk(peer string, id uint64, q *entry.Query, p part, passing bool, refused int) {
+func (d *dispatchController) sendAsk(peer string, id uint64, q *entry.Query, p part, passing bool, refused int) {
 	now := time.Now()
 	spent := d.elsewhere(peer, p)
 	unavailable := d.board.unavailable(now, d.newest(q.Service), p.hall)
--- a/internal/node/limitstatus.go
+++ b/internal/node/limitstatus.go
@@ -44,7 +44,7 @@
 }
 
 // limitStatus lists the targets with a limit of the parts that this node dispatches.
-func (d *dispatching) limitStatus(now time.Time) []operator.TargetLimitStatus {
+func (d *dispatchController) limitStatus(now time.Time) []operator.TargetLimitStatus {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	var out []operator.TargetLimitStatus
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -63,7 +63,7 @@
 	messenger *messenger
 	pinging   *pinging
 	// dispatching is nil where each node chooses targets alone.
-	dispatching *dispatching
+	dispatching *dispatchController
 	platform    *source.Platform
 	directory   *source.Directory
 	judging     *judging
--- a/internal/node/partition.go
+++ b/internal/node/partition.go
@@ -72,11 +72,13 @@
 }
 
 // newest returns a service as it is in force now, or as the request knows it.
-func (d *dispatching) newest(s *fleetconfig.Service) *fleetconfig.Service { return d.board.newest(s) }
+func (d *dispatchController) newest(s *fleetconfig.Service) *fleetconfig.Service {
+	return d.board.newest(s)
+}
 
 // open returns the data halls by which the service of a request is divided and that may serve
 // it, or nil if the service isn't divided. d.mu is held.
-func (d *dispatching) open(q *entry.Query) []string {
+func (d *dispatchController) open(q *entry.Query) []string {
 	halls := d.divided.halls(d.newest(q.Service))
 	closed := d.board.closedHalls(q)
 	if len(closed) == 0 {
@@ -90,7 +92,7 @@
 }
 
 // home returns the part of a service that this node asks first. d.mu is held.
-func (d *dispatching) home(q *entry.Query) part {
+func (d *dispatchController) home(q *entry.Query) part {
 	p := part{
 		service: q.Service.Name(),
 	}
@@ -109,7 +111,7 @@
 }
 
 // homeOf is home for who doesn't hold d.mu.
-func (d *dispatching) homeOf(q *entry.Query) part {
+func (d *dispatchController) homeOf(q *entry.Query) part {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.home(q)
@@ -117,7 +119,7 @@
 
 // ways returns the part to ask first and those that may be asked for a free target after
 // it. A second attempt beside one that goes on is decided where that was.
-func (d *dispatching) ways(now time.Time, q *entry.Query) (home part, others []part) {
+func (d *dispatchController) ways(now time.Time, q *entry.Query) (home part, others []part) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	home = d.home(q)
@@ -140,7 +142,7 @@
 // passes reports whether a request may be passed on to another data hall at once.
 func passes(q *entry.Query) bool { return q.Kilobytes <= passMost }
 
-func (d *dispatching) noteFull(now time.Time, p part) {
+func (d *dispatchController) noteFull(now time.Time, p part) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.full[p] = now.Add(fullTime)
--- a/internal/node/targetlimits.go
+++ b/internal/node/targetlimits.go
@@ -145,7 +145,7 @@
 }
 
 // place returns that of this node among the holders of a dispatcher's role.
-func (d *dispatching) place(now time.Time, view *membership.View, holders []membership.Node) place {
+func (d *dispatchController) place(now time.Time, view *membership.View, holders []membership.Node) place {
 	p := place{
 		nodes: view.Nodes(),
 		live:  len(view.Live()),
