--- a/internal/node/allocator.go
+++ b/internal/node/allocator.go
@@ -14,7 +14,7 @@
 // This file is the side of an allocator: what a node does for the limits of others.
 
 // holder returns the node that should allocate the limit of a workspace.
-func (l *limiting) holder(workspace string) membership.Node {
+func (l *limitController) holder(workspace string) membership.Node {
 	view := l.board.view.Load()
 	role := uint64(0)
 	if view.Nodes() > limitWhole {
@@ -35,7 +35,7 @@
 }()
 
 // allot answers the draw of a node in one of its lives.
-func (l *limiting) allot(now time.Time, node string, life uint64, in *wire.Draw) *wire.Allot {
+func (l *limitController) allot(now time.Time, node string, life uint64, in *wire.Draw) *wire.Allot {
 	out := &wire.Allot{
 		By: l.life,
 	}
@@ -60,7 +60,7 @@
 
 // able reports whether this node may allocate: a part of the fleet that lost most of the
 // others must not give out the whole limit once more.
-func (l *limiting) able(now time.Time) bool {
+func (l *limitController) able(now time.Time) bool {
 	view := l.board.view.Load()
 	if len(view.Peers()) == 0 {
 		return l.seeds == 0
@@ -72,7 +72,7 @@
 }
 
 // drawn answers the draw of a peer.
-func (l *limiting) drawn(in *wire.Datagram) {
+func (l *limitController) drawn(in *wire.Datagram) {
 	now := time.Now()
 	key := drawKey{
 		node: in.GetFrom().GetAddress(),
@@ -99,10 +99,10 @@
 }
 
 // touched notes that a peer was heard.
-func (l *limiting) touched(now time.Time) { l.heard.Store(int64(now.Sub(l.begun))) }
+func (l *limitController) touched(now time.Time) { l.heard.Store(int64(now.Sub(l.begun))) }
 
 // began notes a node's incarnation. With a new one it holds nothing of what it had.
-func (l *limiting) began(node string, incarnation uint64) {
+func (l *limitController) began(node string, incarnation uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if incarnation <= l.lives[node] {
@@ -117,7 +117,7 @@
 
 // renew tells the allocator which part of the fleet is lost and drops what is out of use;
 // buckets only now and then.
-func (l *limiting) renew(now time.Time, buckets bool) {
+func (l *limitController) renew(now time.Time, buckets bool) {
 	view := l.board.view.Load()
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/node/export_test.go
+++ b/internal/node/export_test.go
@@ -65,7 +65,7 @@
 // LimitedNode is the part of a node that keeps the limits of workspaces, with a network
 // that a test makes.
 type LimitedNode struct {
-	limiting *limiting
+	limiting *limitController
 	members  *members
 	self     membership.Node
 }
--- a/internal/node/limits.go
+++ b/internal/node/limits.go
@@ -53,9 +53,9 @@
 	forgetInterval = 10 * time.Second
 )
 
-// limiting keeps the limits of workspaces together with the other nodes. It may be used
+// limitController keeps the limits of workspaces together with the other nodes. It may be used
 // concurrently.
-type limiting struct {
+type limitController struct {
 	board     *Board
 	messenger *messenger
 	limiter   *ratelimit.Limiter
@@ -95,8 +95,8 @@
 	allot *wire.Allot
 }
 
-func newLimiting(board *Board, begun time.Time, life uint64, t ratelimit.Tolerance, log *logrus.Entry) *limiting {
-	return &limiting{
+func newLimiting(board *Board, begun time.Time, life uint64, t ratelimit.Tolerance, log *logrus.Entry) *limitController {
+	return &limitController{
 		board:     board,
 		limiter:   ratelimit.NewLimiter(begun),
 		equal:     admission.NewLimiter(),
@@ -123,7 +123,7 @@
 // admit takes a request of a workspace, which waits for the others up to patience while
 // this node meets them. It returns nil if the request may go on, which must be given back
 // if it has not run.
-func (l *limiting) admit(ctx context.Context, w *fleetconfig.Workspace, maxWait time.Duration) *entry.LimitError {
+func (l *limitController) admit(ctx context.Context, w *fleetconfig.Workspace, maxWait time.Duration) *entry.LimitError {
 	limit, limited := limitOf(w)
 	if !limited {
 		return nil
@@ -155,7 +155,7 @@
 	byEqualParts = "equal parts"
 )
 
-func (l *limiting) limitError(w *fleetconfig.Workspace, limit ratelimit.Limit, wait time.Duration, by string) *entry.LimitError {
+func (l *limitController) limitError(w *fleetconfig.Workspace, limit ratelimit.Limit, wait time.Duration, by string) *entry.LimitError {
 	told, at := l.limiter.Told(w.ID())
 	e := &entry.LimitError{
 		Wait:  wait,
@@ -171,7 +171,7 @@
 }
 
 // giveBack returns what a request took that has not run.
-func (l *limiting) giveBack(w *fleetconfig.Workspace) {
+func (l *limitController) giveBack(w *fleetconfig.Workspace) {
 	if _, limited := limitOf(w); limited && l.messenger != nil {
 		l.limiter.GiveBack(w.ID())
 	}
@@ -179,7 +179,7 @@
 
 // ask asks the allocator for a token, and decides alone if it doesn't answer; while this
 // node meets the others it asks until a time. by says who decided.
-func (l *limiting) ask(ctx context.Context, workspace string, limit ratelimit.Limit, until time.Time) (v ratelimit.Verdict, wait time.Duration, by string) {
+func (l *limitController) ask(ctx context.Context, workspace string, limit ratelimit.Limit, until time.Time) (v ratelimit.Verdict, wait time.Duration, by string) {
 	for {
 		holder := l.holder(workspace)
 		admitted, answered := l.draw(ctx, holder, l.with(workspace, holder), 1)
@@ -199,7 +199,7 @@
 
 // pause waits until a node that starts should ask again. It returns false if that is no
 // use: the caller has left, or as many requests wait as may.
-func (l *limiting) pause(ctx context.Context) bool {
+func (l *limitController) pause(ctx context.Context) bool {
 	defer l.pausing.Add(-1)
 	if l.pausing.Add(1) > maxPausing {
 		return false
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -69,7 +69,7 @@
 	judging     *judging
 	observing   *observing
 	probing     *probing
-	limiting    *limiting
+	limiting    *limitController
 	// quarantining keeps requests away from targets that end under them.
 	quarantining *quarantining
 	lifecycle    *lifecycle
--- a/internal/node/tokenrequest.go
+++ b/internal/node/tokenrequest.go
@@ -15,7 +15,7 @@
 
 // with returns a workspace together with others that the same allocator should be told of
 // soon.
-func (l *limiting) with(workspace string, holder membership.Node) []string {
+func (l *limitController) with(workspace string, holder membership.Node) []string {
 	out := []string{workspace}
 	if l.limiter.Len() > withMost {
 		return out
@@ -31,7 +31,7 @@
 // draw reports some workspaces to a node and takes its answer. waiting is how many
 // requests wait for a token of the first one; it returns how many of them may go on, and
 // whether the node allocates.
-func (l *limiting) draw(ctx context.Context, holder membership.Node, workspaces []string, waiting int) (admitted int, answered bool) {
+func (l *limitController) draw(ctx context.Context, holder membership.Node, workspaces []string, waiting int) (admitted int, answered bool) {
 	now := time.Now()
 	if holder == l.board.view.Load().Self() {
 		out := l.usages(now, workspaces, waiting, l.life)
@@ -53,20 +53,20 @@
 }
 
 // known returns the life of a node as an allocator, 0 if it isn't known.
-func (l *limiting) known(peer string) uint64 {
+func (l *limitController) known(peer string) uint64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.allocators[peer]
 }
 
-func (l *limiting) know(peer string, life uint64) {
+func (l *limitController) know(peer string, life uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.allocators[peer] = life
 }
 
 // call sends a draw until it is answered, and returns nil if it is not.
-func (l *limiting) call(ctx context.Context, peer string, out *wire.Draw) *wire.Allot {
+func (l *limitController) call(ctx context.Context, peer string, out *wire.Draw) *wire.Allot {
 	id, answers, end := l.messenger.call()
 	defer end()
 	send := func() {
@@ -97,20 +97,20 @@
 	}
 }
 
-func (l *limiting) distrusted(now time.Time, peer string) bool {
+func (l *limitController) distrusted(now time.Time, peer string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return now.Before(l.distrust[peer])
 }
 
-func (l *limiting) doubt(peer string) {
+func (l *limitController) doubt(peer string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.distrust[peer] = time.Now().Add(drawDistrust)
 }
 
 // usages returns the reports of workspaces to the allocator whose life is to.
-func (l *limiting) usages(now time.Time, workspaces []string, waiting int, to uint64) *wire.Draw {
+func (l *limitController) usages(now time.Time, workspaces []string, waiting int, to uint64) *wire.Draw {
 	out := &wire.Draw{}
 	for _, w := range workspaces {
 		if r, _, known := l.limiter.Report(now, w, waiting); known {
@@ -122,7 +122,7 @@
 }
 
 // take takes an allocator's answer to a draw, of whose first workspace some requests wait.
-func (l *limiting) take(now time.Time, out *wire.Draw, in *wire.Allot, waiting int) (admitted int, answered bool) {
+func (l *limitController) take(now time.Time, out *wire.Draw, in *wire.Allot, waiting int) (admitted int, answered bool) {
 	if len(in.GetAllotments()) != len(out.GetUsages()) {
 		return 0, false
 	}
@@ -143,7 +143,7 @@
 
 // run reports to allocators until the context ends. Where nothing is limited it looks
 // once a second, as a dispatcher without work does.
-func (l *limiting) run(ctx context.Context) error {
+func (l *limitController) run(ctx context.Context) error {
 	var draws task.Group
 	tick := time.NewTimer(limitInterval)
 	defer tick.Stop()
@@ -171,14 +171,14 @@
 }
 
 // idle reports whether no workspace with a limit has callers here or its bucket.
-func (l *limiting) idle() bool {
+func (l *limitController) idle() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.limiter.Len() == 0 && l.allocator.Len() == 0
 }
 
 // report tells allocators of the workspaces that are due, several in one datagram.
-func (l *limiting) report(ctx context.Context, draws *task.Group, now time.Time) {
+func (l *limitController) report(ctx context.Context, draws *task.Group, now time.Time) {
 	byHolder := map[membership.Node][]string{}
 	for _, w := range l.limiter.Due(now) {
 		h := l.holder(w)
--- a/internal/node/usage.go
+++ b/internal/node/usage.go
@@ -13,7 +13,7 @@
 // This file translates reports about limits into messages and for operators.
 
 // status tells operators of the limits of the workspaces that have callers here.
-func (l *limiting) status(now time.Time) []operator.LimitStatus {
+func (l *limitController) status(now time.Time) []operator.LimitStatus {
 	var out []operator.LimitStatus
 	for _, s := range l.limiter.Standings(now) {
 		w := operator.LimitStatus{
