--- a/internal/node/export_quarantine_test.go
+++ b/internal/node/export_quarantine_test.go
@@ -17,7 +17,7 @@
 // QuarantineNode is the part of a node that keeps requests away from targets that end under
 // them, with a network that a test makes.
 type QuarantineNode struct {
-	quarantining *quarantining
+	quarantining *quarantineController
 	messenger    *messenger
 }
 
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -71,7 +71,7 @@
 	probing     *probing
 	limiting    *limitController
 	// quarantining keeps requests away from targets that end under them.
-	quarantining *quarantining
+	quarantining *quarantineController
 	lifecycle    *lifecycle
 	metrics      *metrics.Metrics
 	entry        *entry.Server
--- a/internal/node/quarantine.go
+++ b/internal/node/quarantine.go
@@ -38,9 +38,9 @@
 	forgetEvery = 10 * time.Second
 )
 
-// quarantining keeps requests away from targets that end under them, together with the other
+// quarantineController keeps requests away from targets that end under them, together with the other
 // nodes. It may be used concurrently.
-type quarantining struct {
+type quarantineController struct {
 	board *Board
 	// messenger is nil where nodes exchange no datagrams: each one goes by what it saw itself.
 	messenger *messenger
@@ -59,8 +59,8 @@
 	forgot   time.Time
 }
 
-func newQuarantining(board *Board, begun time.Time, log *logrus.Entry) *quarantining {
-	return &quarantining{
+func newQuarantining(board *Board, begun time.Time, log *logrus.Entry) *quarantineController {
+	return &quarantineController{
 		board:   board,
 		answers: quarantine.NewAnswers(begun),
 		log:     log,
@@ -70,7 +70,7 @@
 }
 
 // check returns what is known of a request.
-func (q *quarantining) check(prints quarantine.Prints) quarantine.Standing {
+func (q *quarantineController) check(prints quarantine.Prints) quarantine.Standing {
 	if q.known.Load() == 0 {
 		return quarantine.Standing{}
 	}
@@ -83,7 +83,7 @@
 
 // tidy drops what is of no use any more, now and then, and tells of what is left. q.mu is
 // held.
-func (q *quarantining) tidy(now time.Time) {
+func (q *quarantineController) tidy(now time.Time) {
 	if now.Sub(q.forgot) >= forgetEvery {
 		q.forgot = now
 		q.ledger.Forget(now)
@@ -93,7 +93,7 @@
 }
 
 // ended notes that a target ended under a request, and returns what is known of it then.
-func (q *quarantining) ended(prints quarantine.Prints, target string) quarantine.Standing {
+func (q *quarantineController) ended(prints quarantine.Prints, target string) quarantine.Standing {
 	now := time.Now()
 	for _, p := range prints.All() {
 		if q.answers.Lately(now, p) {
@@ -105,7 +105,7 @@
 }
 
 // answered notes that a target answered a request.
-func (q *quarantining) answered(prints quarantine.Prints) {
+func (q *quarantineController) answered(prints quarantine.Prints) {
 	now := time.Now()
 	q.answers.Note(now, prints)
 	if q.known.Load() == 0 {
@@ -118,7 +118,7 @@
 
 // change applies fn to the ledger and tells the others of the records that changed. from is
 // the peer that told of them, "" where this node saw it itself.
-func (q *quarantining) change(now time.Time, from string, fn func() []quarantine.Record) {
+func (q *quarantineController) change(now time.Time, from string, fn func() []quarantine.Record) {
 	q.mu.Lock()
 	changed := fn()
 	q.tidy(now)
@@ -134,7 +134,7 @@
 
 // tell takes a record that changed to whom it concerns: one that all should know to some
 // nodes, which pass it on, another one to those that add up.
-func (q *quarantining) tell(now time.Time, r quarantine.Record, from string) {
+func (q *quarantineController) tell(now time.Time, r quarantine.Record, from string) {
 	if q.messenger == nil {
 		return
 	}
@@ -153,13 +153,13 @@
 }
 
 // holders returns the nodes that add up what is known of a request.
-func (q *quarantining) holders(p quarantine.Print) []membership.Node {
+func (q *quarantineController) holders(p quarantine.Print) []membership.Node {
 	role := "quarantine/" + strconv.Itoa(int(p[0])%quarantineParts)
 	return q.board.view.Load().Role(role, "", quarantineHolders)
 }
 
 // some returns a few live nodes at random.
-func (q *quarantining) some() []membership.Node {
+func (q *quarantineController) some() []membership.Node {
 	live := q.board.view.Load().Live()
 	if len(live) <= quarantineFan+1 {
 		return live
@@ -173,7 +173,7 @@
 
 // compare looks at the digest of a peer: if it knows other than this node, it gets what this
 // one knows.
-func (q *quarantining) compare(peer string, digest uint64) {
+func (q *quarantineController) compare(peer string, digest uint64) {
 	if digest == q.digest.Load() {
 		return
 	}
@@ -187,7 +187,7 @@
 
 // due returns what all nodes should know, where it may be sent again. Each datagram of a peer
 // that knows other asks for it.
-func (q *quarantining) due(now time.Time) []quarantine.Record {
+func (q *quarantineController) due(now time.Time) []quarantine.Record {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	// Else a node that hasn't forgotten yet would tell one that has, again and again.
@@ -203,7 +203,7 @@
 }
 
 // send sends as many records as fit.
-func (q *quarantining) send(now time.Time, peer string, records []quarantine.Record) {
+func (q *quarantineController) send(now time.Time, peer string, records []quarantine.Record) {
 	out := &wire.Quarantine{}
 	size := 0
 	for i := range records {
@@ -236,7 +236,7 @@
 }
 
 // learn merges what a peer knows.
-func (q *quarantining) learn(peer string, in *wire.Quarantine) {
+func (q *quarantineController) learn(peer string, in *wire.Quarantine) {
 	now := time.Now()
 	for _, w := range in.GetRecords() {
 		r, ok := recordOf(now, w)
@@ -269,7 +269,7 @@
 }
 
 // status tells operators of the requests that all nodes know of.
-func (q *quarantining) status(now time.Time) []operator.QuarantineStatus {
+func (q *quarantineController) status(now time.Time) []operator.QuarantineStatus {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	var out []operator.QuarantineStatus
@@ -286,7 +286,7 @@
 }
 
 // logChange writes a line about what this node believes of a request now.
-func (q *quarantining) logChange(now time.Time, r *quarantine.Record, from string) {
+func (q *quarantineController) logChange(now time.Time, r *quarantine.Record, from string) {
 	l := q.log.WithFields(logrus.Fields{
 		"fingerprint": r.Print.String(),
 		"ends":        r.Count(),
