--- a/internal/node/ejection.go
+++ b/internal/node/ejection.go
@@ -27,9 +27,9 @@
 	byKey    map[uint32]string
 }
 
-// judging turns evidence and verdicts into pools. One goroutine runs it; verdict
+// ejectionController turns evidence and verdicts into pools. One goroutine runs it; verdict
 // may be called concurrently.
-type judging struct {
+type ejectionController struct {
 	board     *Board
 	collector *outlier.Collector
 	// passive is set where a dispatcher judges the targets: targets are then looked at only
@@ -45,8 +45,8 @@
 	dirty    bool
 }
 
-func newJudging(board *Board, collector *outlier.Collector, log *logrus.Entry) *judging {
-	return &judging{
+func newJudging(board *Board, collector *outlier.Collector, log *logrus.Entry) *ejectionController {
+	return &ejectionController{
 		board:     board,
 		collector: collector,
 		log:       log,
@@ -55,7 +55,7 @@
 }
 
 // run judges at each tick and at each change of the configuration.
-func (j *judging) run(ctx context.Context) error {
+func (j *ejectionController) run(ctx context.Context) error {
 	tick := time.NewTicker(judgeInterval)
 	defer tick.Stop()
 	for {
@@ -73,7 +73,7 @@
 
 // refresh takes a new configuration or view and rebuilds the pools if anything
 // changed.
-func (j *judging) refresh(now time.Time) {
+func (j *ejectionController) refresh(now time.Time) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	if !j.passive {
@@ -84,7 +84,7 @@
 }
 
 // renew takes what is new and makes pools of it. j.mu is held.
-func (j *judging) renew(now time.Time) {
+func (j *ejectionController) renew(now time.Time) {
 	if c := j.board.currentConfig(); c != nil && c != j.config {
 		j.configure(now, c)
 	}
@@ -95,7 +95,7 @@
 }
 
 // look takes the newest view if it has another number of nodes. j.mu is held.
-func (j *judging) look() {
+func (j *ejectionController) look() {
 	if v := j.board.view.Load(); j.view == nil || v.Nodes() != j.view.Nodes() {
 		j.view = v
 		j.dirty = true
@@ -103,7 +103,7 @@
 }
 
 // pools returns the pools as they stand now, or nil before the first ones.
-func (j *judging) pools(now time.Time) *pools {
+func (j *ejectionController) pools(now time.Time) *pools {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	if j.passive && j.board.currentConfig() != nil {
@@ -112,7 +112,7 @@
 	return j.board.pools.Load()
 }
 
-func (j *judging) configure(now time.Time, c *fleetconfig.Config) {
+func (j *ejectionController) configure(now time.Time, c *fleetconfig.Config) {
 	j.config = c
 	j.dirty = true
 	for name, sc := range c.Services() {
@@ -168,7 +168,7 @@
 }
 
 // tick evaluates the evidence of the last tick.
-func (j *judging) tick(now time.Time) {
+func (j *ejectionController) tick(now time.Time) {
 	evidence := j.collector.Drain(now)
 	if j.passive {
 		return
@@ -184,7 +184,7 @@
 	j.report(now, evidence)
 }
 
-func (j *judging) evidence(now time.Time, evidence []outlier.Evidence) {
+func (j *ejectionController) evidence(now time.Time, evidence []outlier.Evidence) {
 	ticks := map[string][]outlier.Counts{}
 	for _, e := range evidence {
 		s := j.services[e.Service]
@@ -211,7 +211,7 @@
 
 // judge ejects a target on this node's own evidence. A node alone can only say
 // so for itself.
-func (j *judging) judge(now time.Time, s *service, target string) {
+func (j *ejectionController) judge(now time.Time, s *service, target string) {
 	r := s.detector.Read(target)
 	if r.Score == 0 {
 		return
@@ -227,7 +227,7 @@
 }
 
 // verdict takes an observer's word.
-func (j *judging) verdict(now time.Time, v outlier.Verdict, key uint32) {
+func (j *ejectionController) verdict(now time.Time, v outlier.Verdict, key uint32) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	s := j.services[v.Service]
@@ -250,7 +250,7 @@
 
 // publish writes the pools. The floor is checked here, at the last step of each
 // node, whatever the verdicts say.
-func (j *judging) publish(now time.Time) {
+func (j *ejectionController) publish(now time.Time) {
 	j.dirty = false
 	out := &pools{
 		services: map[string]*poolState{},
@@ -261,7 +261,7 @@
 	j.board.pools.Store(out)
 }
 
-func (j *judging) poolOf(now time.Time, s *service) *poolState {
+func (j *ejectionController) poolOf(now time.Time, s *service) *poolState {
 	p := &poolState{}
 	var members []balance.Member
 	capacity := 0
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -66,7 +66,7 @@
 	dispatching *dispatchController
 	platform    *source.Platform
 	directory   *source.Directory
-	judging     *judging
+	judging     *ejectionController
 	observing   *observing
 	probing     *probing
 	limiting    *limitController
