--- a/internal/node/evidence.go
+++ b/internal/node/evidence.go
@@ -51,9 +51,9 @@
 	sent    time.Time
 }
 
-// observing sends this node's evidence to the observers and does this node's own
+// evidenceController sends this node's evidence to the observers and does this node's own
 // role as one. It may be used concurrently.
-type observing struct {
+type evidenceController struct {
 	board   *Board
 	link    peerLink
 	deliver func(now time.Time, v outlier.Verdict, key uint32)
@@ -65,8 +65,8 @@
 	busy map[string]bool
 }
 
-func newObserving(board *Board, link peerLink, deliver func(time.Time, outlier.Verdict, uint32), log *logrus.Entry) *observing {
-	return &observing{
+func newObserving(board *Board, link peerLink, deliver func(time.Time, outlier.Verdict, uint32), log *logrus.Entry) *evidenceController {
+	return &evidenceController{
 		board:   board,
 		link:    link,
 		deliver: deliver,
@@ -78,7 +78,7 @@
 }
 
 // collect takes the evidence of one tick of this node.
-func (o *observing) collect(_ time.Time, evidence []outlier.Evidence) {
+func (o *evidenceController) collect(_ time.Time, evidence []outlier.Evidence) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	for _, e := range evidence {
@@ -93,7 +93,7 @@
 }
 
 // add adds evidence to what will be reported.
-func (o *observing) add(service string, e *wire.TargetEvidence) {
+func (o *evidenceController) add(service string, e *wire.TargetEvidence) {
 	p := o.pending[service]
 	if p == nil {
 		p = &pending{
@@ -116,7 +116,7 @@
 }
 
 // back takes up the evidence of reports that weren't taken, for the next one.
-func (o *observing) back(reports []*wire.Report) {
+func (o *evidenceController) back(reports []*wire.Report) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	for _, r := range reports {
@@ -127,7 +127,7 @@
 }
 
 // run reports and judges at each tick until the context ends.
-func (o *observing) run(ctx context.Context) error {
+func (o *evidenceController) run(ctx context.Context) error {
 	var calls task.Group
 	tick := time.NewTicker(observeInterval)
 	defer tick.Stop()
@@ -149,7 +149,7 @@
 }
 
 // due returns the reports that should go out now, by observer.
-func (o *observing) due(now time.Time) map[string][]*wire.Report {
+func (o *evidenceController) due(now time.Time) map[string][]*wire.Report {
 	view := o.board.view.Load()
 	slow := slowInterval(view.Nodes())
 	o.mu.Lock()
@@ -212,7 +212,7 @@
 
 // send takes reports to their observers and waits for none of them. What is for
 // this node itself takes the short way.
-func (o *observing) send(ctx context.Context, calls *task.Group, reports map[string][]*wire.Report, summary bool) {
+func (o *evidenceController) send(ctx context.Context, calls *task.Group, reports map[string][]*wire.Report, summary bool) {
 	self := o.link.self()
 	for peer, list := range reports {
 		batch := &wire.ReportBatch{
@@ -240,7 +240,7 @@
 	}
 }
 
-func (o *observing) setBusy(peer string, busy bool) {
+func (o *evidenceController) setBusy(peer string, busy bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if busy {
--- a/internal/node/export_test.go
+++ b/internal/node/export_test.go
@@ -22,7 +22,7 @@
 
 // Reporter is the part of a node that reports evidence, without a network.
 type Reporter struct {
-	observing *observing
+	observing *evidenceController
 }
 
 // NewReporter returns the reporter of a node that knows others.
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -67,7 +67,7 @@
 	platform    *source.Platform
 	directory   *source.Directory
 	judging     *ejectionController
-	observing   *observing
+	observing   *evidenceController
 	probing     *probing
 	limiting    *limitController
 	// quarantining keeps requests away from targets that end under them.
--- a/internal/node/observer.go
+++ b/internal/node/observer.go
@@ -22,7 +22,7 @@
 
 // observe takes the reports of one node as an observer. Any node that reports
 // come to serves as one: the sender may know the fleet better.
-func (o *observing) observe(now time.Time, in *wire.ReportBatch) {
+func (o *evidenceController) observe(now time.Time, in *wire.ReportBatch) {
 	cfg := o.board.currentConfig()
 	if cfg == nil {
 		return
@@ -62,7 +62,7 @@
 }
 
 // observed returns the state for a service, in its newest configuration.
-func (o *observing) observed(sc *fleetconfig.Service) *observed {
+func (o *evidenceController) observed(sc *fleetconfig.Service) *observed {
 	s := o.served[sc.Name()]
 	if s != nil && s.config == sc {
 		return s
@@ -92,7 +92,7 @@
 
 // advance judges all observed services. It returns the summaries for the
 // observers of the other data halls and the new verdicts.
-func (o *observing) advance(now time.Time) (map[string][]*wire.Report, []outlier.Verdict) {
+func (o *evidenceController) advance(now time.Time) (map[string][]*wire.Report, []outlier.Verdict) {
 	view := o.board.view.Load()
 	halls := view.DataHalls()
 	o.mu.Lock()
--- a/internal/node/verdicts.go
+++ b/internal/node/verdicts.go
@@ -14,7 +14,7 @@
 
 // announce takes new verdicts to all nodes of the data hall. Verdicts are rare;
 // a lost one is found by the node's own evidence.
-func (o *observing) announce(ctx context.Context, calls *task.Group, now time.Time, verdicts []outlier.Verdict) {
+func (o *evidenceController) announce(ctx context.Context, calls *task.Group, now time.Time, verdicts []outlier.Verdict) {
 	if len(verdicts) == 0 {
 		return
 	}
@@ -34,7 +34,7 @@
 	o.spread(ctx, calls, batch)
 }
 
-func (o *observing) spread(ctx context.Context, calls *task.Group, batch *wire.VerdictBatch) {
+func (o *evidenceController) spread(ctx context.Context, calls *task.Group, batch *wire.VerdictBatch) {
 	view := o.board.view.Load()
 	for _, n := range view.Peers() {
 		if n.DataHall() != view.Self().DataHall() {
@@ -52,7 +52,7 @@
 
 // judged takes the verdicts of an observer. Only an observer of this node's data
 // hall, by this node's own view of the fleet, is believed.
-func (o *observing) judged(now time.Time, in *wire.VerdictBatch) {
+func (o *evidenceController) judged(now time.Time, in *wire.VerdictBatch) {
 	for _, v := range in.GetVerdicts() {
 		if !o.hasRole(in.GetFrom(), v.GetService()) {
 			continue
@@ -70,7 +70,7 @@
 // differ by the nodes that just one of them suspects.
 const trustedRanks = 3
 
-func (o *observing) hasRole(from *wire.Node, service string) bool {
+func (o *evidenceController) hasRole(from *wire.Node, service string) bool {
 	view := o.board.view.Load()
 	for _, n := range view.Role(role(service), view.Self().DataHall(), trustedRanks) {
 		if n == membership.NewNode(from.GetAddress(), from.GetDataHall()) {
