--- a/internal/node/export_signals_test.go
+++ b/internal/node/export_signals_test.go
@@ -38,7 +38,7 @@
 
 // Prober is the part of a node that asks the health endpoints of targets, alone in its fleet.
 type Prober struct {
-	probing *probing
+	probing *prober
 	leaving []string
 }
 
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -68,7 +68,7 @@
 	directory   *source.Directory
 	judging     *ejectionController
 	observing   *evidenceController
-	probing     *probing
+	probing     *prober
 	limiting    *limitController
 	// quarantining keeps requests away from targets that end under them.
 	quarantining *quarantineController
--- a/internal/node/prober.go
+++ b/internal/node/prober.go
@@ -25,11 +25,11 @@
 	probesPerHost = 1
 )
 
-// probing asks the health endpoints of targets whether they are leaving. One
+// prober asks the health endpoints of targets whether they are leaving. One
 // node of the fleet probes the targets of a service. A probe's answer never
 // clears a target and its failure never condemns one: such endpoints answer
 // while real work stalls.
-type probing struct {
+type prober struct {
 	board    *Board
 	report   func(now time.Time, evidence []outlier.Evidence)
 	contract *contract.Contract
@@ -37,8 +37,8 @@
 	log      *logrus.Entry
 }
 
-func newProbing(board *Board, c *contract.Contract, report func(time.Time, []outlier.Evidence), log *logrus.Entry) *probing {
-	return &probing{
+func newProbing(board *Board, c *contract.Contract, report func(time.Time, []outlier.Evidence), log *logrus.Entry) *prober {
+	return &prober{
 		board:    board,
 		report:   report,
 		contract: c,
@@ -54,7 +54,7 @@
 }
 
 // run probes at each tick until the context ends.
-func (p *probing) run(ctx context.Context) error {
+func (p *prober) run(ctx context.Context) error {
 	defer p.client.CloseIdleConnections()
 	tick := time.NewTicker(probeInterval)
 	defer tick.Stop()
@@ -68,7 +68,7 @@
 	}
 }
 
-func (p *probing) probeAll(ctx context.Context) {
+func (p *prober) probeAll(ctx context.Context) {
 	cfg := p.board.currentConfig()
 	if cfg == nil {
 		return
@@ -99,7 +99,7 @@
 	}
 }
 
-func (p *probing) probe(ctx context.Context, s *fleetconfig.Service, t *fleetconfig.Target) error {
+func (p *prober) probe(ctx context.Context, s *fleetconfig.Service, t *fleetconfig.Target) error {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+t.Address()+s.HealthPath(), nil)
 	if err != nil {
 		return fmt.Errorf("node: probe: %w", err)
