--- a/internal/node/export_targetlimits_test.go
+++ b/internal/node/export_targetlimits_test.go
@@ -26,7 +26,7 @@
 	members     *members
 	messenger   *messenger
 	dispatching *dispatchController
-	pinging     *pinging
+	pinging     *failureDetector
 	service     *fleetconfig.Service
 	// mu is held while a datagram is handled.
 	mu sync.Mutex
@@ -83,7 +83,7 @@
 	n.dispatching.floor = 0.7
 	n.dispatching.seeds = len(cfg.Seeds)
 	begun := time.Now()
-	n.pinging = &pinging{
+	n.pinging = &failureDetector{
 		messenger: m,
 		members:   n.members,
 		board:     n.board,
--- a/internal/node/failuredetector.go
+++ b/internal/node/failuredetector.go
@@ -37,8 +37,8 @@
 	doubts = 3
 )
 
-// pinging finds nodes that died.
-type pinging struct {
+// failureDetector finds nodes that died.
+type failureDetector struct {
 	messenger *messenger
 	members   *members
 	board     *Board
@@ -54,7 +54,7 @@
 }
 
 // run pings a peer at each tick until the context ends.
-func (p *pinging) run(ctx context.Context) error {
+func (p *failureDetector) run(ctx context.Context) error {
 	p.failed = make(chan string, 8)
 	p.answered = make(chan struct{}, 8)
 	var pings task.Group
@@ -77,7 +77,7 @@
 	}
 }
 
-func (p *pinging) step(ctx context.Context, pings *task.Group, now time.Time, late bool) {
+func (p *failureDetector) step(ctx context.Context, pings *task.Group, now time.Time, late bool) {
 	if late {
 		// What was not answered meanwhile shows this node's pause.
 		p.unanswered = 0
@@ -103,7 +103,7 @@
 }
 
 // probe pings a peer, and has others ping it if it doesn't answer.
-func (p *pinging) probe(ctx context.Context, peer string) {
+func (p *failureDetector) probe(ctx context.Context, peer string) {
 	started := p.since(time.Now())
 	if p.messenger.ping(ctx, peer, pingWait) {
 		p.answered <- struct{}{}
@@ -122,7 +122,7 @@
 	}
 }
 
-func (p *pinging) noAnswer(peer string) {
+func (p *failureDetector) noAnswer(peer string) {
 	p.unanswered++
 	if p.unanswered >= doubts {
 		// The cause is likelier to lie here than with all of them.
@@ -132,7 +132,7 @@
 }
 
 // helpers returns random live nodes other than a peer.
-func (p *pinging) helpers(peer string) []string {
+func (p *failureDetector) helpers(peer string) []string {
 	live := p.board.view.Load().Live()
 	var out []string
 	for range 3 * helpers {
@@ -145,7 +145,7 @@
 }
 
 // next returns the peer to ping: mostly one of the own data hall.
-func (p *pinging) next() string {
+func (p *failureDetector) next() string {
 	view := p.board.view.Load()
 	if dead := p.members.dead(); len(dead) > 0 && rand.IntN(deadPings) == 0 {
 		return dead[rand.IntN(len(dead))].Address()
@@ -160,7 +160,7 @@
 	return near[rand.IntN(len(near))].Address()
 }
 
-func (p *pinging) seed(self string) string {
+func (p *failureDetector) seed(self string) string {
 	seeds := p.seeds()
 	if len(seeds) == 0 {
 		return ""
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -61,7 +61,7 @@
 	peers     *link.Server
 	adapter   *Adapter
 	messenger *messenger
-	pinging   *pinging
+	pinging   *failureDetector
 	// dispatching is nil where each node chooses targets alone.
 	dispatching *dispatchController
 	platform    *source.Platform
