--- a/internal/node/independent.go
+++ b/internal/node/independent.go
@@ -17,15 +17,15 @@
 	"ploverjunction.example/ploverjunction/internal/outlier"
 )
 
-// alone chooses targets by what this node has in flight and by the verdicts on
+// independentChooser chooses targets by what this node has in flight and by the verdicts on
 // the blackboard. It may be used concurrently.
-type alone struct {
+type independentChooser struct {
 	board   *Board
 	budgets sync.Map
 }
 
 // choose takes a target at once or says why there is none.
-func (a *alone) choose(_ context.Context, q *entry.Query) (entry.Choice, error) {
+func (a *independentChooser) choose(_ context.Context, q *entry.Query) (entry.Choice, error) {
 	pool := a.board.pool(q.Service.Name())
 	if pool == nil {
 		return entry.Choice{}, entry.NewNoTargetError(attempt.ReasonTargets, 0)
@@ -51,7 +51,7 @@
 }
 
 // permitted returns the choice of a pick, if this node's share of the target's limit pays for it.
-func (a *alone) permitted(now time.Time, s *fleetconfig.Service, pick balance.Pick) (entry.Choice, bool) {
+func (a *independentChooser) permitted(now time.Time, s *fleetconfig.Service, pick balance.Pick) (entry.Choice, bool) {
 	c, ok := picked(s, pick)
 	if !ok {
 		return c, false
@@ -64,7 +64,7 @@
 }
 
 // trial takes a target on trial for a copy of a repeatable request.
-func (a *alone) trial(s *fleetconfig.Service) (entry.Choice, bool) {
+func (a *independentChooser) trial(s *fleetconfig.Service) (entry.Choice, bool) {
 	pool := a.board.pool(s.Name())
 	if pool == nil || pool.Trials() == 0 {
 		return entry.Choice{}, false
@@ -100,7 +100,7 @@
 	}
 }
 
-func (a *alone) budget(service string) *admission.Budget {
+func (a *independentChooser) budget(service string) *admission.Budget {
 	if b, ok := a.budgets.Load(service); ok {
 		return b.(*admission.Budget)
 	}
@@ -108,5 +108,5 @@
 	return b.(*admission.Budget)
 }
 
-func (a *alone) first(service string)      { a.budget(service).First() }
-func (a *alone) retry(service string) bool { return a.budget(service).Retry() }
+func (a *independentChooser) first(service string)      { a.budget(service).First() }
+func (a *independentChooser) retry(service string) bool { return a.budget(service).Retry() }
--- a/internal/node/open.go
+++ b/internal/node/open.go
@@ -23,7 +23,7 @@
 	if err := n.openSocket(); err != nil {
 		return err
 	}
-	a := &alone{
+	a := &independentChooser{
 		board: n.board,
 	}
 	choose, trial, retry := a.choose, a.trial, a.retry
