--- a/internal/node/export_test.go
+++ b/internal/node/export_test.go
@@ -326,7 +326,7 @@
 
 // Currency tells how sure a node can be of its configuration.
 type Currency struct {
-	currency *currency
+	currency *freshness
 }
 
 // NewCurrency returns the currency of a node whose platform is usually heard within
@@ -334,7 +334,7 @@
 // values. trust is up to which age keys are believed, 0 for always.
 func NewCurrency(silent, trust time.Duration, age, agreed func(time.Time) time.Duration, ask func()) *Currency {
 	return &Currency{
-		currency: &currency{
+		currency: &freshness{
 			most:   time.Duration(currentShare * float64(silent)),
 			trust:  trust,
 			age:    age,
--- a/internal/node/freshness.go
+++ b/internal/node/freshness.go
@@ -15,9 +15,9 @@
 	currentInterval = 20 * time.Millisecond
 )
 
-// currency tells how sure a node can be that its configuration is the newest one. It may
+// freshness tells how sure a node can be that its configuration is the newest one. It may
 // be used concurrently.
-type currency struct {
+type freshness struct {
 	// most is up to which age the platform's last answer counts as new; 0 means that the
 	// source is never stale.
 	most time.Duration
@@ -35,7 +35,7 @@
 
 // current reports whether this node can know the newest configuration: the fleet heard
 // the platform lately, and what it heard has come here.
-func (c *currency) current() bool {
+func (c *freshness) current() bool {
 	if c.most == 0 {
 		return true
 	}
@@ -45,7 +45,7 @@
 
 // await asks peers and waits until this node can know the newest configuration. It
 // returns false if the context ended before.
-func (c *currency) await(ctx context.Context) bool {
+func (c *freshness) await(ctx context.Context) bool {
 	tick := time.NewTicker(currentInterval)
 	defer tick.Stop()
 	for !c.current() {
@@ -61,10 +61,10 @@
 
 // trusted reports whether keys that this node knows may be believed: later it could have
 // missed that one was taken away.
-func (c *currency) trusted() bool { return c.trust == 0 || c.age(time.Now()) <= c.trust }
+func (c *freshness) trusted() bool { return c.trust == 0 || c.age(time.Now()) <= c.trust }
 
-func (n *Node) currency() *currency {
-	c := &currency{
+func (n *Node) currency() *freshness {
+	c := &freshness{
 		age:    n.gossip.PlatformAge,
 		agreed: n.gossip.AgreedAge,
 		alone:  func() bool { return len(n.board.view.Load().Peers()) == 0 },
