--- a/internal/node/dispatch.go
+++ b/internal/node/dispatch.go
@@ -69,22 +69,22 @@
 	log   *logrus.Entry
 	// short takes the probability that too few working targets of a part got work
 	// lately.
-	short func(p part, short float64)
+	short func(p partition, short float64)
 	// limited takes how many targets of a part have a limit.
-	limited func(p part, targets int)
+	limited func(p partition, targets int)
 
 	mu    sync.Mutex
-	desks map[part]*desk
+	desks map[partition]*desk
 	// divided are the data halls by which the services in force are divided.
 	divided division
 	// full is until when no target of a part is taken for free.
-	full map[part]time.Time
+	full map[partition]time.Time
 	// distrust is until when a dispatcher isn't asked.
 	distrust map[string]time.Time
 	// lost is until when this node doesn't reach a target.
 	lost map[string]time.Time
 	// ledgers are what this node got from each dispatcher of a part.
-	ledgers map[part]*dispatch.Ledger
+	ledgers map[partition]*dispatch.Ledger
 	// refused counts the requests of each service that were refused since the last ask.
 	refused map[string]int
 	// wake holds a value when there is something to do.
@@ -111,16 +111,16 @@
 		messenger: m,
 		budget:    b,
 		log:       log,
-		short:     func(part, float64) {},
-		limited:   func(part, int) {},
-		desks:     map[part]*desk{},
+		short:     func(partition, float64) {},
+		limited:   func(partition, int) {},
+		desks:     map[partition]*desk{},
 		divided:   division{},
-		full:      map[part]time.Time{},
+		full:      map[partition]time.Time{},
 		wake:      make(chan struct{}, 1),
 		distrust:  map[string]time.Time{},
 		lost:      map[string]time.Time{},
 		pending:   map[uint64]*unconfirmed{},
-		ledgers:   map[part]*dispatch.Ledger{},
+		ledgers:   map[partition]*dispatch.Ledger{},
 		refused:   map[string]int{},
 	}
 	m.ask = d.asked
--- a/internal/node/dispatcher.go
+++ b/internal/node/dispatcher.go
@@ -20,7 +20,7 @@
 
 func (d *dispatchController) advance(now time.Time) {
 	d.mu.Lock()
-	grants := map[part][]dispatch.Grant{}
+	grants := map[partition][]dispatch.Grant{}
 	for p, s := range d.desks {
 		if now.Sub(s.used) > deskForget {
 			delete(d.desks, p)
@@ -92,7 +92,7 @@
 
 // desk returns the desk of a part for something that is asked or told now, or nil if
 // there is no such service. d.mu is held.
-func (d *dispatchController) desk(now time.Time, p part) *desk {
+func (d *dispatchController) desk(now time.Time, p partition) *desk {
 	s := d.current(now, p)
 	if s != nil {
 		s.used = now
@@ -102,7 +102,7 @@
 
 // current returns the desk of a part in the newest configuration of its service, or nil
 // if there is no such service. d.mu is held.
-func (d *dispatchController) current(now time.Time, p part) *desk {
+func (d *dispatchController) current(now time.Time, p partition) *desk {
 	c := d.board.currentConfig()
 	if c == nil || c.Service(p.service) == nil {
 		delete(d.desks, p)
@@ -130,7 +130,7 @@
 }
 
 // configure brings a desk of the part to another configuration of its service.
-func (p part) configure(now time.Time, s *desk, sc *fleetconfig.Service) {
+func (p partition) configure(now time.Time, s *desk, sc *fleetconfig.Service) {
 	before := s.config
 	s.config = sc
 	if before == nil || !sc.SameEvacuations(before) || sc.WarmupRate() != before.WarmupRate() {
@@ -149,7 +149,7 @@
 
 // budgetOf returns the retry budget of a part. The share goes by the part's own first
 // attempts; the reserve is divided, so that all parts together keep the service's.
-func (d *dispatchController) budgetOf(p part, sc *fleetconfig.Service) dispatch.Budget {
+func (d *dispatchController) budgetOf(p partition, sc *fleetconfig.Service) dispatch.Budget {
 	b := d.budget
 	if p.hall != "" {
 		b.Reserve /= float64(max(len(d.divided.halls(sc)), 2))
@@ -166,7 +166,7 @@
 }
 
 // targets returns those of some targets of a service that belong to the part.
-func (p part) targets(sc *fleetconfig.Service, list []*fleetconfig.Target) []dispatch.Target {
+func (p partition) targets(sc *fleetconfig.Service, list []*fleetconfig.Target) []dispatch.Target {
 	var out []dispatch.Target
 	for _, t := range list {
 		if p.hall != "" && t.DataHall() != p.hall {
@@ -219,7 +219,7 @@
 	for _, l := range w.GetLimits() {
 		a.Limits = append(a.Limits, limitFrom(now, l))
 	}
-	p := part{
+	p := partition{
 		service: w.GetService(),
 		hall:    w.GetDataHall(),
 	}
@@ -294,7 +294,7 @@
 }
 
 // deliver sends grants that became possible later.
-func (d *dispatchController) deliver(p part, grants []dispatch.Grant) {
+func (d *dispatchController) deliver(p partition, grants []dispatch.Grant) {
 	for _, g := range grants {
 		d.log.WithFields(logrus.Fields{
 			"service": p.service,
@@ -325,7 +325,7 @@
 		Node:   node,
 		Number: w.GetRequest(),
 	}
-	p := part{
+	p := partition{
 		service: w.GetService(),
 		hall:    w.GetDataHall(),
 	}
--- a/internal/node/fallback.go
+++ b/internal/node/fallback.go
@@ -13,7 +13,7 @@
 )
 
 // chooseAlone takes a target of a part by what this node knows itself.
-func (d *dispatchController) chooseAlone(q *entry.Query, p part) (entry.Choice, error) {
+func (d *dispatchController) chooseAlone(q *entry.Query, p partition) (entry.Choice, error) {
 	now := time.Now()
 	self := d.board.view.Load().Self()
 	unavailable := d.board.unavailable(now, d.newest(q.Service), p.hall)
--- a/internal/node/grant.go
+++ b/internal/node/grant.go
@@ -15,7 +15,7 @@
 )
 
 // answered handles the final answer of a dispatcher.
-func (d *dispatchController) answered(peer string, q *entry.Query, p part, g granted) reply {
+func (d *dispatchController) answered(peer string, q *entry.Query, p partition, g granted) reply {
 	d.board.learn(time.Now(), d.newest(q.Service), g.grant.GetLimits()...)
 	switch g.grant.GetVerdict() {
 	case wire.Grant_FULL:
@@ -32,7 +32,7 @@
 
 // take turns an answer into a choice. It isn't usable if this node doesn't know the target,
 // may send it nothing, or the dispatcher doesn't know the service.
-func (d *dispatchController) take(peer string, q *entry.Query, p part, g granted) reply {
+func (d *dispatchController) take(peer string, q *entry.Query, p partition, g granted) reply {
 	switch g.grant.GetVerdict() {
 	case wire.Grant_GRANTED:
 	case wire.Grant_REFUSED:
@@ -102,7 +102,7 @@
 
 // note keeps what this node saw itself of a target that a dispatcher chose, for when
 // it must choose alone. Its own desk has been told already.
-func (d *dispatchController) note(dispatcher string, q *entry.Query, p part, done *wire.Done, end outlier.End) {
+func (d *dispatchController) note(dispatcher string, q *entry.Query, p partition, done *wire.Done, end outlier.End) {
 	now := time.Now()
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/node/grantrequest.go
+++ b/internal/node/grantrequest.go
@@ -18,7 +18,7 @@
 
 // dispatcher returns the node that should be asked for a part: the first in rank of
 // those that are trusted.
-func (d *dispatchController) dispatcher(p part) (membership.Node, bool) {
+func (d *dispatchController) dispatcher(p partition) (membership.Node, bool) {
 	now := time.Now()
 	view := d.board.view.Load()
 	d.mu.Lock()
@@ -130,7 +130,7 @@
 
 // askPart asks the dispatcher of a part, and those behind it in rank if it doesn't
 // answer.
-func (d *dispatchController) askPart(ctx context.Context, q *entry.Query, p part, tries int, passing bool) reply {
+func (d *dispatchController) askPart(ctx context.Context, q *entry.Query, p partition, tries int, passing bool) reply {
 	for range tries {
 		node, ok := d.dispatcher(p)
 		if !ok {
@@ -183,7 +183,7 @@
 }
 
 // askOne asks one dispatcher and waits for its final grant.
-func (d *dispatchController) askOne(ctx context.Context, peer string, q *entry.Query, p part, passing bool) (granted, bool) {
+func (d *dispatchController) askOne(ctx context.Context, peer string, q *entry.Query, p partition, passing bool) (granted, bool) {
 	id, answers, end := d.messenger.call()
 	defer end()
 	refused := d.takeRefused(p.service)
@@ -220,7 +220,7 @@
 }
 
 // cancel tells a dispatcher that an ask has ended without an attempt.
-func (d *dispatchController) cancel(peer string, p part, id uint64) {
+func (d *dispatchController) cancel(peer string, p partition, id uint64) {
 	d.tell(peer, &wire.Done{
 		Service:  p.service,
 		DataHall: p.hall,
@@ -229,21 +229,21 @@
 }
 
 // took notes what a dispatcher, or this node alone, gave for an attempt.
-func (d *dispatchController) took(by string, q *entry.Query, p part) {
+func (d *dispatchController) took(by string, q *entry.Query, p partition) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.ledger(p).Took(time.Now(), by, q.Again)
 }
 
 // elsewhere returns what this node got from other dispatchers than the one named.
-func (d *dispatchController) elsewhere(by string, p part) dispatch.Spending {
+func (d *dispatchController) elsewhere(by string, p partition) dispatch.Spending {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.ledger(p).Elsewhere(time.Now(), by)
 }
 
 // ledger returns the ledger of a part. d.mu is held.
-func (d *dispatchController) ledger(p part) *dispatch.Ledger {
+func (d *dispatchController) ledger(p partition) *dispatch.Ledger {
 	l := d.ledgers[p]
 	if l == nil {
 		l = dispatch.NewLedger(time.Now(), d.budget)
@@ -252,7 +252,7 @@
 	return l
 }
 
-func (d *dispatchController) sendAsk(peer string, id uint64, q *entry.Query, p part, passing bool, refused int) {
+func (d *dispatchController) sendAsk(peer string, id uint64, q *entry.Query, p partition, passing bool, refused int) {
 	now := time.Now()
 	spent := d.elsewhere(peer, p)
 	unavailable := d.board.unavailable(now, d.newest(q.Service), p.hall)
--- a/internal/node/partition.go
+++ b/internal/node/partition.go
@@ -30,16 +30,16 @@
 	deskForget = 30 * time.Second
 )
 
-// part is what one dispatcher has of a service: the targets of a data hall, or all
+// partition is what one dispatcher has of a service: the targets of a data hall, or all
 // where hall is empty.
-type part struct {
+type partition struct {
 	service string
 	hall    string
 }
 
 // holders returns the nodes that have the role for the part, in rank. They are in its
 // data hall, as long as any node of it lives.
-func (p part) holders(view *membership.View) []membership.Node {
+func (p partition) holders(view *membership.View) []membership.Node {
 	role := "dispatcher/" + p.service
 	if p.hall != "" {
 		if nodes := view.Role(role+"/"+p.hall, p.hall, 2*dispatchers); len(nodes) > 0 {
@@ -92,8 +92,8 @@
 }
 
 // home returns the part of a service that this node asks first. d.mu is held.
-func (d *dispatchController) home(q *entry.Query) part {
-	p := part{
+func (d *dispatchController) home(q *entry.Query) partition {
+	p := partition{
 		service: q.Service.Name(),
 	}
 	halls := d.open(q)
@@ -111,7 +111,7 @@
 }
 
 // homeOf is home for who doesn't hold d.mu.
-func (d *dispatchController) homeOf(q *entry.Query) part {
+func (d *dispatchController) homeOf(q *entry.Query) partition {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.home(q)
@@ -119,7 +119,7 @@
 
 // ways returns the part to ask first and those that may be asked for a free target after
 // it. A second attempt beside one that goes on is decided where that was.
-func (d *dispatchController) ways(now time.Time, q *entry.Query) (home part, others []part) {
+func (d *dispatchController) ways(now time.Time, q *entry.Query) (home partition, others []partition) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	home = d.home(q)
@@ -127,7 +127,7 @@
 		return home, nil
 	}
 	for _, hall := range d.open(q) {
-		p := part{
+		p := partition{
 			service: home.service,
 			hall:    hall,
 		}
@@ -142,7 +142,7 @@
 // passes reports whether a request may be passed on to another data hall at once.
 func passes(q *entry.Query) bool { return q.Kilobytes <= passMost }
 
-func (d *dispatchController) noteFull(now time.Time, p part) {
+func (d *dispatchController) noteFull(now time.Time, p partition) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.full[p] = now.Add(fullTime)
--- a/internal/node/socket.go
+++ b/internal/node/socket.go
@@ -47,9 +47,11 @@
 		Window:  window,
 	}, logging.Part(n.log, "dispatch"))
 	d.floor = n.set.Floor()
-	d.short = func(p part, short float64) { n.metrics.PartGauge("coverage_short", p.service, p.hall, short) }
+	d.short = func(p partition, short float64) { n.metrics.PartGauge("coverage_short", p.service, p.hall, short) }
 	d.seeds = n.limiting.seeds
-	d.limited = func(p part, targets int) { n.metrics.PartGauge("limited_targets", p.service, p.hall, float64(targets)) }
+	d.limited = func(p partition, targets int) {
+		n.metrics.PartGauge("limited_targets", p.service, p.hall, float64(targets))
+	}
 	if n.set.Choice() == settings.ChoiceJoint {
 		n.board.shares.beside = true
 		n.dispatching = d
