--- a/internal/node/dispatch.go
+++ b/internal/node/dispatch.go
@@ -76,7 +76,7 @@
 	mu    sync.Mutex
 	desks map[partition]*desk
 	// divided are the data halls by which the services in force are divided.
-	divided division
+	divided partitionings
 	// full is until when no target of a part is taken for free.
 	full map[partition]time.Time
 	// distrust is until when a dispatcher isn't asked.
@@ -114,7 +114,7 @@
 		short:     func(partition, float64) {},
 		limited:   func(partition, int) {},
 		desks:     map[partition]*desk{},
-		divided:   division{},
+		divided:   partitionings{},
 		full:      map[partition]time.Time{},
 		wake:      make(chan struct{}, 1),
 		distrust:  map[string]time.Time{},
--- a/internal/node/partition.go
+++ b/internal/node/partition.go
@@ -55,11 +55,11 @@
 	halls  []string
 }
 
-// division holds that of the services in force, by name.
-type division map[string]divided
+// partitionings holds that of the services in force, by name.
+type partitionings map[string]divided
 
 // halls returns the data halls by which a service is divided, or nil.
-func (d division) halls(sc *fleetconfig.Service) []string {
+func (d partitionings) halls(sc *fleetconfig.Service) []string {
 	known := d[sc.Name()]
 	if known.config != sc {
 		known = divided{
