--- a/internal/node/partition.go
+++ b/internal/node/partition.go
@@ -49,20 +49,20 @@
 	return view.Role(role, "", 2*dispatchers)
 }
 
-// divided is how a service is divided in one of its configurations.
-type divided struct {
+// partitioning is how a service is divided in one of its configurations.
+type partitioning struct {
 	config *fleetconfig.Service
 	halls  []string
 }
 
 // partitionings holds that of the services in force, by name.
-type partitionings map[string]divided
+type partitionings map[string]partitioning
 
 // halls returns the data halls by which a service is divided, or nil.
 func (d partitionings) halls(sc *fleetconfig.Service) []string {
 	known := d[sc.Name()]
 	if known.config != sc {
-		known = divided{
+		known = partitioning{
 			config: sc,
 			halls:  dispatch.Divide(sc.HallSizes()),
 		}
