--- a/internal/node/dispatch.go
+++ b/internal/node/dispatch.go
@@ -74,7 +74,7 @@
 	limited func(p partition, targets int)
 
 	mu    sync.Mutex
-	desks map[partition]*desk
+	desks map[partition]*scheduler
 	// divided are the data halls by which the services in force are divided.
 	divided partitionings
 	// full is until when no target of a part is taken for free.
@@ -95,8 +95,8 @@
 	pending map[uint64]*unconfirmed
 }
 
-// desk is the state of one part on this node.
-type desk struct {
+// scheduler is the state of one part on this node.
+type scheduler struct {
 	*dispatch.Desk
 	config *fleetconfig.Service
 	// used is when the desk was last asked or told of something.
@@ -113,7 +113,7 @@
 		log:       log,
 		short:     func(partition, float64) {},
 		limited:   func(partition, int) {},
-		desks:     map[partition]*desk{},
+		desks:     map[partition]*scheduler{},
 		divided:   partitionings{},
 		full:      map[partition]time.Time{},
 		wake:      make(chan struct{}, 1),
--- a/internal/node/dispatcher.go
+++ b/internal/node/dispatcher.go
@@ -92,7 +92,7 @@
 
 // desk returns the desk of a part for something that is asked or told now, or nil if
 // there is no such service. d.mu is held.
-func (d *dispatchController) desk(now time.Time, p partition) *desk {
+func (d *dispatchController) desk(now time.Time, p partition) *scheduler {
 	s := d.current(now, p)
 	if s != nil {
 		s.used = now
@@ -102,7 +102,7 @@
 
 // current returns the desk of a part in the newest configuration of its service, or nil
 // if there is no such service. d.mu is held.
-func (d *dispatchController) current(now time.Time, p partition) *desk {
+func (d *dispatchController) current(now time.Time, p partition) *scheduler {
 	c := d.board.currentConfig()
 	if c == nil || c.Service(p.service) == nil {
 		delete(d.desks, p)
@@ -112,7 +112,7 @@
 	sc := c.Service(p.service)
 	s := d.desks[p]
 	if s == nil {
-		s = &desk{
+		s = &scheduler{
 			Desk: dispatch.NewDesk(now, d.budgetOf(p, sc), rand.Float64),
 			used: now,
 		}
@@ -130,7 +130,7 @@
 }
 
 // configure brings a desk of the part to another configuration of its service.
-func (p partition) configure(now time.Time, s *desk, sc *fleetconfig.Service) {
+func (p partition) configure(now time.Time, s *scheduler, sc *fleetconfig.Service) {
 	before := s.config
 	s.config = sc
 	if before == nil || !sc.SameEvacuations(before) || sc.WarmupRate() != before.WarmupRate() {
