--- a/internal/node/done.go
+++ b/internal/node/done.go
@@ -11,7 +11,7 @@
 )
 
 // doneOf returns the message that tells a dispatcher of an attempt's end.
-func doneOf(p partition, g granted, r wire.Done_Result, took time.Duration) *wire.Done {
+func doneOf(p partition, g numberedGrant, r wire.Done_Result, took time.Duration) *wire.Done {
 	return &wire.Done{
 		Service:  p.service,
 		DataHall: p.hall,
@@ -25,7 +25,7 @@
 // endOf returns the message about the end of an attempt that was sent, with what its target said
 // of itself to this node. A target that backs off or limits what it gets is well: what it turns
 // away isn't held against it.
-func endOf(p partition, g granted, end outlier.End, standing signal.Standing, took time.Duration) *wire.Done {
+func endOf(p partition, g numberedGrant, end outlier.End, standing signal.Standing, took time.Duration) *wire.Done {
 	done := doneOf(p, g, resultOf(end), took)
 	done.Lost = end.Lost
 	done.Leaving = standing.Draining
--- a/internal/node/fallback.go
+++ b/internal/node/fallback.go
@@ -60,7 +60,7 @@
 		d.deliver(p, s.Cancel(now, a.ID))
 		return entry.Choice{}, entry.NewNoTargetError(attempt.ReasonTargets, d.board.shareWait(now, d.newest(q.Service)))
 	}
-	own := granted{
+	own := numberedGrant{
 		grant: &wire.Grant{
 			Target: t.Key(),
 		},
--- a/internal/node/grant.go
+++ b/internal/node/grant.go
@@ -15,7 +15,7 @@
 )
 
 // answered handles the final answer of a dispatcher.
-func (d *dispatchController) answered(peer string, q *entry.Query, p partition, g granted) reply {
+func (d *dispatchController) answered(peer string, q *entry.Query, p partition, g numberedGrant) reply {
 	d.board.learn(time.Now(), d.newest(q.Service), g.grant.GetLimits()...)
 	switch g.grant.GetVerdict() {
 	case wire.Grant_FULL:
@@ -32,7 +32,7 @@
 
 // take turns an answer into a choice. It isn't usable if this node doesn't know the target,
 // may send it nothing, or the dispatcher doesn't know the service.
-func (d *dispatchController) take(peer string, q *entry.Query, p partition, g granted) reply {
+func (d *dispatchController) take(peer string, q *entry.Query, p partition, g numberedGrant) reply {
 	switch g.grant.GetVerdict() {
 	case wire.Grant_GRANTED:
 	case wire.Grant_REFUSED:
--- a/internal/node/grantrequest.go
+++ b/internal/node/grantrequest.go
@@ -176,14 +176,14 @@
 	return entry.NewNoTargetError(attempt.ReasonCaller, 0)
 }
 
-// granted is an answer with the number of the ask that it answers.
-type granted struct {
+// numberedGrant is an answer with the number of the ask that it answers.
+type numberedGrant struct {
 	grant  *wire.Grant
 	number uint64
 }
 
 // askOne asks one dispatcher and waits for its final grant.
-func (d *dispatchController) askOne(ctx context.Context, peer string, q *entry.Query, p partition, passing bool) (granted, bool) {
+func (d *dispatchController) askOne(ctx context.Context, peer string, q *entry.Query, p partition, passing bool) (numberedGrant, bool) {
 	id, answers, end := d.messenger.call()
 	defer end()
 	refused := d.takeRefused(p.service)
@@ -197,11 +197,11 @@
 		select {
 		case <-ctx.Done():
 			d.cancel(peer, p, id)
-			return granted{}, false
+			return numberedGrant{}, false
 		case in := <-answers:
 			g := in.GetGrant()
 			if g.GetVerdict() != wire.Grant_QUEUED {
-				return granted{
+				return numberedGrant{
 					grant:  g,
 					number: id,
 				}, true
@@ -212,7 +212,7 @@
 		case now := <-resend.C:
 			if now.Sub(lastAnswer) >= limit {
 				d.cancel(peer, p, id)
-				return granted{}, false
+				return numberedGrant{}, false
 			}
 			send()
 		}
