--- a/internal/node/dispatch.go
+++ b/internal/node/dispatch.go
@@ -92,7 +92,7 @@
 	// reported is when the desks were last written to the log; only run uses it.
 	reported time.Time
 	// pending are the ends of attempts that were not confirmed.
-	pending map[uint64]*unconfirmed
+	pending map[uint64]*unconfirmedDone
 }
 
 // scheduler is the state of one part on this node.
@@ -119,7 +119,7 @@
 		wake:      make(chan struct{}, 1),
 		distrust:  map[string]time.Time{},
 		lost:      map[string]time.Time{},
-		pending:   map[uint64]*unconfirmed{},
+		pending:   map[uint64]*unconfirmedDone{},
 		ledgers:   map[partition]*dispatch.Ledger{},
 		refused:   map[string]int{},
 	}
--- a/internal/node/donereport.go
+++ b/internal/node/donereport.go
@@ -8,8 +8,8 @@
 	"ploverjunction.example/ploverjunction/internal/wire"
 )
 
-// unconfirmed is the end of an attempt that its dispatcher hasn't confirmed.
-type unconfirmed struct {
+// unconfirmedDone is the end of an attempt that its dispatcher hasn't confirmed.
+type unconfirmedDone struct {
 	peer  string
 	done  *wire.Done
 	tries int
@@ -22,7 +22,7 @@
 		d.end(peer, w)
 		return
 	}
-	u := &unconfirmed{
+	u := &unconfirmedDone{
 		peer: peer,
 		done: w,
 	}
@@ -34,7 +34,7 @@
 	d.sendDone(time.Now(), id, u)
 }
 
-func (d *dispatchController) sendDone(now time.Time, id uint64, u *unconfirmed) {
+func (d *dispatchController) sendDone(now time.Time, id uint64, u *unconfirmedDone) {
 	d.mu.Lock()
 	u.tries++
 	u.at = now
@@ -49,7 +49,7 @@
 
 func (d *dispatchController) repeat(now time.Time) {
 	d.mu.Lock()
-	due := map[uint64]*unconfirmed{}
+	due := map[uint64]*unconfirmedDone{}
 	for id, u := range d.pending {
 		switch {
 		case now.Sub(u.at) < doneInterval:
