--- a/internal/node/export_targetlimits_test.go
+++ b/internal/node/export_targetlimits_test.go
@@ -139,7 +139,7 @@
 // Part returns the part of targets' limits that a node may grant which so many holders of the
 // role rank before, of so many nodes.
 func Part(nodes, live, rank int, alone bool, among time.Duration) float64 {
-	return place{
+	return holderRank{
 		nodes: nodes,
 		live:  live,
 		rank:  rank,
--- a/internal/node/targetlimits.go
+++ b/internal/node/targetlimits.go
@@ -118,8 +118,8 @@
 	return out
 }
 
-// place is that of a node among those that may grant the same targets.
-type place struct {
+// holderRank is that of a node among those that may grant the same targets.
+type holderRank struct {
 	// nodes is how many nodes are known, live how many of them are taken for live.
 	nodes, live int
 	// rank is how many holders of the dispatcher's role come before this node.
@@ -130,7 +130,7 @@
 }
 
 // part returns the part of targets' limits that a node may grant as a dispatcher.
-func (p place) part() float64 {
+func (p holderRank) part() float64 {
 	if p.alone {
 		return min(alonePart, 1/float64(p.nodes))
 	}
@@ -145,8 +145,8 @@
 }
 
 // place returns that of this node among the holders of a dispatcher's role.
-func (d *dispatchController) place(now time.Time, view *membership.View, holders []membership.Node) place {
-	p := place{
+func (d *dispatchController) place(now time.Time, view *membership.View, holders []membership.Node) holderRank {
+	p := holderRank{
 		nodes: view.Nodes(),
 		live:  len(view.Live()),
 		rank:  slices.Index(holders, view.Self()),
