--- a/internal/node/allocator.go
+++ b/internal/node/allocator.go
@@ -74,7 +74,7 @@
 // drawn answers the draw of a peer.
 func (l *limitController) drawn(in *wire.Datagram) {
 	now := time.Now()
-	key := drawKey{
+	key := tokenRequestKey{
 		node: in.GetFrom().GetAddress(),
 		call: in.GetCall(),
 	}
--- a/internal/node/limits.go
+++ b/internal/node/limits.go
@@ -75,7 +75,7 @@
 	allocator *ratelimit.Allocator
 	// answered are the answers to draws lately: one that is repeated must not take tokens
 	// twice.
-	answered map[drawKey]*answeredDraw
+	answered map[tokenRequestKey]*answeredDraw
 	// distrust is until when an allocator isn't asked.
 	distrust map[string]time.Time
 	// lives are the newest incarnations of nodes, allocators the lives that these gave as
@@ -84,8 +84,8 @@
 	allocators map[string]uint64
 }
 
-// drawKey names a draw.
-type drawKey struct {
+// tokenRequestKey names a draw.
+type tokenRequestKey struct {
 	node string
 	call uint64
 }
@@ -104,7 +104,7 @@
 		begun:     begun,
 		log:       log,
 		allocator: ratelimit.NewAllocator(life, begun, t),
-		answered:  map[drawKey]*answeredDraw{},
+		answered:  map[tokenRequestKey]*answeredDraw{},
 		distrust:  map[string]time.Time{},
 		lives:     map[string]uint64{},
 
