--- a/internal/node/allocator.go
+++ b/internal/node/allocator.go
@@ -82,7 +82,7 @@
 	known := l.answered[key]
 	l.mu.Unlock()
 	if known == nil {
-		known = &answeredDraw{
+		known = &tokenAnswer{
 			at:    now,
 			allot: l.allot(now, key.node, in.GetFrom().GetIncarnation(), in.GetDraw()),
 		}
--- a/internal/node/limits.go
+++ b/internal/node/limits.go
@@ -75,7 +75,7 @@
 	allocator *ratelimit.Allocator
 	// answered are the answers to draws lately: one that is repeated must not take tokens
 	// twice.
-	answered map[tokenRequestKey]*answeredDraw
+	answered map[tokenRequestKey]*tokenAnswer
 	// distrust is until when an allocator isn't asked.
 	distrust map[string]time.Time
 	// lives are the newest incarnations of nodes, allocators the lives that these gave as
@@ -90,7 +90,7 @@
 	call uint64
 }
 
-type answeredDraw struct {
+type tokenAnswer struct {
 	at    time.Time
 	allot *wire.Allot
 }
@@ -104,7 +104,7 @@
 		begun:     begun,
 		log:       log,
 		allocator: ratelimit.NewAllocator(life, begun, t),
-		answered:  map[tokenRequestKey]*answeredDraw{},
+		answered:  map[tokenRequestKey]*tokenAnswer{},
 		distrust:  map[string]time.Time{},
 		lives:     map[string]uint64{},
 
