--- a/internal/node/ejection.go
+++ b/internal/node/ejection.go
@@ -18,8 +18,8 @@
 // judgeInterval is how often a node judges its targets.
 const judgeInterval = 250 * time.Millisecond
 
-// service is what the judging controller holds of one service.
-type service struct {
+// serviceState is what the judging controller holds of one service.
+type serviceState struct {
 	config   *fleetconfig.Service
 	detector *outlier.Detector
 	judge    *outlier.Judge
@@ -39,7 +39,7 @@
 	report   func(now time.Time, evidence []outlier.Evidence)
 	log      *logrus.Entry
 	mu       sync.Mutex
-	services map[string]*service
+	services map[string]*serviceState
 	config   *fleetconfig.Config
 	view     *membership.View
 	dirty    bool
@@ -50,7 +50,7 @@
 		board:     board,
 		collector: collector,
 		log:       log,
-		services:  map[string]*service{},
+		services:  map[string]*serviceState{},
 	}
 }
 
@@ -132,8 +132,8 @@
 
 // newService returns the state of a service. Of an old state all but the
 // detector is kept.
-func newService(old *service, sc *fleetconfig.Service) *service {
-	s := &service{
+func newService(old *serviceState, sc *fleetconfig.Service) *serviceState {
+	s := &serviceState{
 		detector: outlier.NewDetector(sc.Threshold()),
 		judge:    outlier.NewJudge(),
 		gauges:   map[string]*balance.Gauge{},
@@ -145,7 +145,7 @@
 	return s
 }
 
-func (s *service) configure(now time.Time, sc *fleetconfig.Service) {
+func (s *serviceState) configure(now time.Time, sc *fleetconfig.Service) {
 	s.config = sc
 	s.byKey = map[uint32]string{}
 	known := map[string]bool{}
@@ -211,7 +211,7 @@
 
 // judge ejects a target on this node's own evidence. A node alone can only say
 // so for itself.
-func (j *ejectionController) judge(now time.Time, s *service, target string) {
+func (j *ejectionController) judge(now time.Time, s *serviceState, target string) {
 	r := s.detector.Read(target)
 	if r.Score == 0 {
 		return
@@ -261,7 +261,7 @@
 	j.board.pools.Store(out)
 }
 
-func (j *ejectionController) poolOf(now time.Time, s *service) *poolState {
+func (j *ejectionController) poolOf(now time.Time, s *serviceState) *poolState {
 	p := &poolState{}
 	var members []balance.Member
 	capacity := 0
