--- a/internal/node/evidence.go
+++ b/internal/node/evidence.go
@@ -60,7 +60,7 @@
 	log     *logrus.Entry
 	mu      sync.Mutex
 	pending map[string]*pending
-	served  map[string]*observed
+	served  map[string]*observedService
 	// busy are the observers with a report on its way.
 	busy map[string]bool
 }
@@ -72,7 +72,7 @@
 		deliver: deliver,
 		log:     log,
 		pending: map[string]*pending{},
-		served:  map[string]*observed{},
+		served:  map[string]*observedService{},
 		busy:    map[string]bool{},
 	}
 }
--- a/internal/node/observer.go
+++ b/internal/node/observer.go
@@ -10,8 +10,8 @@
 	"ploverjunction.example/ploverjunction/internal/wire"
 )
 
-// observed is one service that this node observes for its data hall.
-type observed struct {
+// observedService is one service that this node observes for its data hall.
+type observedService struct {
 	observer *outlier.Observer
 	config   *fleetconfig.Service
 	byKey    map[uint32]string
@@ -52,7 +52,7 @@
 	}
 }
 
-func (s *observed) take(now time.Time, in *wire.ReportBatch, c outlier.Counts) {
+func (s *observedService) take(now time.Time, in *wire.ReportBatch, c outlier.Counts) {
 	from := in.GetFrom()
 	if in.GetSummary() {
 		s.observer.Summary(now, from.GetDataHall(), c)
@@ -62,7 +62,7 @@
 }
 
 // observed returns the state for a service, in its newest configuration.
-func (o *evidenceController) observed(sc *fleetconfig.Service) *observed {
+func (o *evidenceController) observed(sc *fleetconfig.Service) *observedService {
 	s := o.served[sc.Name()]
 	if s != nil && s.config == sc {
 		return s
@@ -78,7 +78,7 @@
 		byKey[outlier.Key(t.Key())] = t.Key()
 	}
 	if s == nil {
-		s = &observed{
+		s = &observedService{
 			observer: outlier.NewObserver(info),
 		}
 		o.served[sc.Name()] = s
@@ -121,7 +121,7 @@
 
 // summary returns what the other data halls should know, or nil if that can wait
 // for the slow tick.
-func (s *observed) summary(now time.Time, slow time.Duration) *wire.Report {
+func (s *observedService) summary(now time.Time, slow time.Duration) *wire.Report {
 	if !s.observer.Urgent() && now.Sub(s.summed) < slow {
 		return nil
 	}
