--- a/internal/node/evidence.go
+++ b/internal/node/evidence.go
@@ -44,8 +44,8 @@
 	self    func() *wire.Node
 }
 
-// pending is the evidence about one service that hasn't been reported yet.
-type pending struct {
+// pendingEvidence is the evidence about one service that hasn't been reported yet.
+type pendingEvidence struct {
 	targets map[uint32]*wire.TargetEvidence
 	urgent  bool
 	sent    time.Time
@@ -59,7 +59,7 @@
 	deliver func(now time.Time, v outlier.Verdict, key uint32)
 	log     *logrus.Entry
 	mu      sync.Mutex
-	pending map[string]*pending
+	pending map[string]*pendingEvidence
 	served  map[string]*observedService
 	// busy are the observers with a report on its way.
 	busy map[string]bool
@@ -71,7 +71,7 @@
 		link:    link,
 		deliver: deliver,
 		log:     log,
-		pending: map[string]*pending{},
+		pending: map[string]*pendingEvidence{},
 		served:  map[string]*observedService{},
 		busy:    map[string]bool{},
 	}
@@ -96,7 +96,7 @@
 func (o *evidenceController) add(service string, e *wire.TargetEvidence) {
 	p := o.pending[service]
 	if p == nil {
-		p = &pending{
+		p = &pendingEvidence{
 			targets: map[uint32]*wire.TargetEvidence{},
 		}
 		o.pending[service] = p
@@ -164,7 +164,7 @@
 			// A report that hangs must not hold more than itself up.
 			continue
 		}
-		o.pending[name] = &pending{
+		o.pending[name] = &pendingEvidence{
 			targets: map[uint32]*wire.TargetEvidence{},
 			sent:    now,
 		}
@@ -186,7 +186,7 @@
 
 // report returns the report of a service, or nil if its turn is left out. What is
 // urgent is always reported, as it is.
-func (p *pending) report(service string, weight int) *wire.Report {
+func (p *pendingEvidence) report(service string, weight int) *wire.Report {
 	if p.urgent {
 		weight = 1
 	}
