--- a/internal/node/evidence.go
+++ b/internal/node/evidence.go
@@ -36,8 +36,8 @@
 	observerForget = 2 * time.Minute
 )
 
-// peerLink is how an observer reaches other nodes.
-type peerLink struct {
+// observerLink is how an observer reaches other nodes.
+type observerLink struct {
 	observe func(ctx context.Context, peer string, in *wire.ReportBatch) error
 	judge   func(ctx context.Context, peer string, in *wire.VerdictBatch) error
 	failed  func(peer string)
@@ -55,7 +55,7 @@
 // role as one. It may be used concurrently.
 type evidenceController struct {
 	board   *Board
-	link    peerLink
+	link    observerLink
 	deliver func(now time.Time, v outlier.Verdict, key uint32)
 	log     *logrus.Entry
 	mu      sync.Mutex
@@ -65,7 +65,7 @@
 	busy map[string]bool
 }
 
-func newObserving(board *Board, link peerLink, deliver func(time.Time, outlier.Verdict, uint32), log *logrus.Entry) *evidenceController {
+func newObserving(board *Board, link observerLink, deliver func(time.Time, outlier.Verdict, uint32), log *logrus.Entry) *evidenceController {
 	return &evidenceController{
 		board:   board,
 		link:    link,
