--- a/internal/node/dispatch.go
+++ b/internal/node/dispatch.go
@@ -105,7 +105,7 @@
 	reported bool
 }
 
-func newDispatching(board *Board, m *messenger, b dispatch.Budget, log *logrus.Entry) *dispatchController {
+func newDispatchController(board *Board, m *messenger, b dispatch.Budget, log *logrus.Entry) *dispatchController {
 	d := &dispatchController{
 		board:     board,
 		messenger: m,
--- a/internal/node/export_targetlimits_test.go
+++ b/internal/node/export_targetlimits_test.go
@@ -75,7 +75,7 @@
 		return nil
 	}
 	log := logging.Part(logging.New(io.Discard, "error", "text"), "dispatch")
-	n.dispatching = newDispatching(n.board, m, dispatch.Budget{
+	n.dispatching = newDispatchController(n.board, m, dispatch.Budget{
 		Share:   0.2,
 		Reserve: 10,
 		Window:  10 * time.Second,
--- a/internal/node/export_test.go
+++ b/internal/node/export_test.go
@@ -206,7 +206,7 @@
 		return nil
 	}
 	log := logging.Part(logging.New(io.Discard, "error", "text"), "dispatch")
-	c.dispatching = newDispatching(board, m, dispatch.Budget{
+	c.dispatching = newDispatchController(board, m, dispatch.Budget{
 		Share:   0.2,
 		Reserve: 10,
 		Window:  10 * time.Second,
--- a/internal/node/socket.go
+++ b/internal/node/socket.go
@@ -41,7 +41,7 @@
 	n.quarantining.messenger = m
 	m.quarantined, m.quarantine, m.compare = n.quarantining.digest.Load, n.quarantining.learn, n.quarantining.compare
 	share, reserve, window := n.set.Retries()
-	d := newDispatching(n.board, m, dispatch.Budget{
+	d := newDispatchController(n.board, m, dispatch.Budget{
 		Share:   share,
 		Reserve: reserve,
 		Window:  window,
