--- a/internal/node/export_test.go
+++ b/internal/node/export_test.go
@@ -85,7 +85,7 @@
 		self:    self,
 	}
 	begun := time.Now()
-	n.limiting = newLimiting(board, begun, xxhash.Sum64String(self.Address()), ratelimit.Tolerance{
+	n.limiting = newLimitController(board, begun, xxhash.Sum64String(self.Address()), ratelimit.Tolerance{
 		Window: 5 * time.Second,
 		Excess: 0.25,
 		Slack:  20,
--- a/internal/node/limits.go
+++ b/internal/node/limits.go
@@ -95,7 +95,7 @@
 	allot *wire.Allot
 }
 
-func newLimiting(board *Board, begun time.Time, life uint64, t ratelimit.Tolerance, log *logrus.Entry) *limitController {
+func newLimitController(board *Board, begun time.Time, life uint64, t ratelimit.Tolerance, log *logrus.Entry) *limitController {
 	return &limitController{
 		board:     board,
 		limiter:   ratelimit.NewLimiter(begun),
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -206,7 +206,7 @@
 		settled: n.adapter.Silent > 0,
 	}
 	window, excess, slack := n.set.Workspaces().Tolerance()
-	n.limiting = newLimiting(n.board, n.begun, uint64(n.begun.UnixNano()), ratelimit.Tolerance{
+	n.limiting = newLimitController(n.board, n.begun, uint64(n.begun.UnixNano()), ratelimit.Tolerance{
 		Window: window,
 		Excess: excess,
 		Slack:  slack,
