--- a/internal/node/export_quarantine_test.go
+++ b/internal/node/export_quarantine_test.go
@@ -33,7 +33,7 @@
 		})
 	}
 	members.renew()
-	q := newQuarantining(board, time.Now(), logging.Part(logging.New(io.Discard, "error", "text"), "quarantine"))
+	q := newQuarantineController(board, time.Now(), logging.Part(logging.New(io.Discard, "error", "text"), "quarantine"))
 	m := newMessenger()
 	m.members = members
 	m.replica = dissemination.NewReplica(nil)
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -212,7 +212,7 @@
 		Slack:  slack,
 	}, logging.Part(n.log, "limits"))
 	n.limiting.seeds = len(slices.DeleteFunc(n.seeds(), func(s string) bool { return s == n.address() }))
-	n.quarantining = newQuarantining(n.board, n.begun, logging.Part(n.log, "quarantine"))
+	n.quarantining = newQuarantineController(n.board, n.begun, logging.Part(n.log, "quarantine"))
 	n.quarantining.shared = func(shared int) { n.metrics.Gauge("quarantined_requests", float64(shared)) }
 	switch {
 	case n.adapter.Read != nil:
--- a/internal/node/quarantine.go
+++ b/internal/node/quarantine.go
@@ -59,7 +59,7 @@
 	forgot   time.Time
 }
 
-func newQuarantining(board *Board, begun time.Time, log *logrus.Entry) *quarantineController {
+func newQuarantineController(board *Board, begun time.Time, log *logrus.Entry) *quarantineController {
 	return &quarantineController{
 		board:   board,
 		answers: quarantine.NewAnswers(begun),
