--- a/internal/node/ejection.go
+++ b/internal/node/ejection.go
@@ -45,7 +45,7 @@
 	dirty    bool
 }
 
-func newJudging(board *Board, collector *outlier.Collector, log *logrus.Entry) *ejectionController {
+func newEjectionController(board *Board, collector *outlier.Collector, log *logrus.Entry) *ejectionController {
 	return &ejectionController{
 		board:     board,
 		collector: collector,
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -186,7 +186,7 @@
 // control makes the controllers.
 func (n *Node) control() {
 	collector := outlier.NewCollector(judgeInterval)
-	n.judging = newJudging(n.board, collector, logging.Part(n.log, "judging"))
+	n.judging = newEjectionController(n.board, collector, logging.Part(n.log, "judging"))
 	n.observing = newObserving(n.board, observerLink{
 		observe: n.dialer.Observe,
 		judge:   n.dialer.Judge,
