--- a/internal/node/evidence.go
+++ b/internal/node/evidence.go
@@ -65,7 +65,7 @@
 	busy map[string]bool
 }
 
-func newObserving(board *Board, link observerLink, deliver func(time.Time, outlier.Verdict, uint32), log *logrus.Entry) *evidenceController {
+func newEvidenceController(board *Board, link observerLink, deliver func(time.Time, outlier.Verdict, uint32), log *logrus.Entry) *evidenceController {
 	return &evidenceController{
 		board:   board,
 		link:    link,
--- a/internal/node/export_test.go
+++ b/internal/node/export_test.go
@@ -33,7 +33,7 @@
 	board.view.Store(table.View(time.Now()))
 	log := logging.Part(logging.New(io.Discard, "error", "text"), "observing")
 	return &Reporter{
-		observing: newObserving(board, observerLink{}, nil, log),
+		observing: newEvidenceController(board, observerLink{}, nil, log),
 	}
 }
 
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -187,7 +187,7 @@
 func (n *Node) control() {
 	collector := outlier.NewCollector(judgeInterval)
 	n.judging = newEjectionController(n.board, collector, logging.Part(n.log, "judging"))
-	n.observing = newObserving(n.board, observerLink{
+	n.observing = newEvidenceController(n.board, observerLink{
 		observe: n.dialer.Observe,
 		judge:   n.dialer.Judge,
 		failed:  n.members.failed,
