--- a/internal/node/export_signals_test.go
+++ b/internal/node/export_signals_test.go
@@ -53,7 +53,7 @@
 		config: store.Config(),
 	})
 	p := &Prober{}
-	p.probing = newProbing(board, contract.Plover(), func(_ time.Time, evidence []outlier.Evidence) {
+	p.probing = newProber(board, contract.Plover(), func(_ time.Time, evidence []outlier.Evidence) {
 		for _, e := range evidence {
 			if e.Counts.Leaving {
 				p.leaving = append(p.leaving, e.Counts.Target)
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -194,7 +194,7 @@
 		self:    n.self,
 	}, n.judging.verdict, logging.Part(n.log, "observing"))
 	n.judging.report = n.observing.collect
-	n.probing = newProbing(n.board, n.adapter.Contract, n.observing.collect, logging.Part(n.log, "probing"))
+	n.probing = newProber(n.board, n.adapter.Contract, n.observing.collect, logging.Part(n.log, "probing"))
 	n.lifecycle = &lifecycle{
 		board:       n.board,
 		begun:       n.begun,
--- a/internal/node/prober.go
+++ b/internal/node/prober.go
@@ -37,7 +37,7 @@
 	log      *logrus.Entry
 }
 
-func newProbing(board *Board, c *contract.Contract, report func(time.Time, []outlier.Evidence), log *logrus.Entry) *prober {
+func newProber(board *Board, c *contract.Contract, report func(time.Time, []outlier.Evidence), log *logrus.Entry) *prober {
 	return &prober{
 		board:    board,
 		report:   report,
