--- a/internal/node/ejection.go
+++ b/internal/node/ejection.go
@@ -118,7 +118,7 @@
 	for name, sc := range c.Services() {
 		s := j.services[name]
 		if s == nil || s.detector.Threshold() != sc.Threshold() {
-			s = newService(s, sc)
+			s = newServiceState(s, sc)
 			j.services[name] = s
 		}
 		s.configure(now, sc)
@@ -130,9 +130,9 @@
 	}
 }
 
-// newService returns the state of a service. Of an old state all but the
+// newServiceState returns the state of a service. Of an old state all but the
 // detector is kept.
-func newService(old *serviceState, sc *fleetconfig.Service) *serviceState {
+func newServiceState(old *serviceState, sc *fleetconfig.Service) *serviceState {
 	s := &serviceState{
 		detector: outlier.NewDetector(sc.Threshold()),
 		judge:    outlier.NewJudge(),
