--- a/internal/node/dispatch.go
+++ b/internal/node/dispatch.go
@@ -15,9 +15,9 @@
 
 // Times and counts of the joint choice.
 const (
-	// resendAfter is after how long an ask is sent again: datagrams are lost now
+	// resendInterval is after how long an ask is sent again: datagrams are lost now
 	// and then, and an answer takes a few milliseconds.
-	resendAfter = 25 * time.Millisecond
+	resendInterval = 25 * time.Millisecond
 	// giveUpAfter is after how long without an answer another dispatcher is asked.
 	giveUpAfter = 70 * time.Millisecond
 	// queuedInterval is how often an ask that waits is repeated, queuedSilence after
--- a/internal/node/grantrequest.go
+++ b/internal/node/grantrequest.go
@@ -190,7 +190,7 @@
 	send := func() { d.sendAsk(peer, id, q, p, passing, refused) }
 	send()
 	lastAnswer := time.Now()
-	resend := time.NewTicker(resendAfter)
+	resend := time.NewTicker(resendInterval)
 	defer resend.Stop()
 	limit := giveUpAfter
 	for {
