--- a/internal/node/dispatch.go
+++ b/internal/node/dispatch.go
@@ -18,8 +18,8 @@
 	// resendInterval is after how long an ask is sent again: datagrams are lost now
 	// and then, and an answer takes a few milliseconds.
 	resendInterval = 25 * time.Millisecond
-	// giveUpAfter is after how long without an answer another dispatcher is asked.
-	giveUpAfter = 70 * time.Millisecond
+	// answerTimeout is after how long without an answer another dispatcher is asked.
+	answerTimeout = 70 * time.Millisecond
 	// queuedInterval is how often an ask that waits is repeated, queuedSilence after
 	// how long without an answer its dispatcher counts as lost.
 	queuedInterval = 100 * time.Millisecond
--- a/internal/node/grantrequest.go
+++ b/internal/node/grantrequest.go
@@ -192,7 +192,7 @@
 	lastAnswer := time.Now()
 	resend := time.NewTicker(resendInterval)
 	defer resend.Stop()
-	limit := giveUpAfter
+	limit := answerTimeout
 	for {
 		select {
 		case <-ctx.Done():
