--- a/internal/node/dispatch.go
+++ b/internal/node/dispatch.go
@@ -23,7 +23,7 @@
 	// queuedInterval is how often an ask that waits is repeated, queuedSilence after
 	// how long without an answer its dispatcher counts as lost.
 	queuedInterval = 100 * time.Millisecond
-	queuedSilence  = 350 * time.Millisecond
+	queuedTimeout  = 350 * time.Millisecond
 	// distrustTime is how long a dispatcher that did not answer isn't asked.
 	distrustTime = time.Second
 	// reportInterval is how often a dispatcher writes a line about each of its desks,
--- a/internal/node/grantrequest.go
+++ b/internal/node/grantrequest.go
@@ -207,7 +207,7 @@
 				}, true
 			}
 			lastAnswer = time.Now()
-			limit = queuedSilence
+			limit = queuedTimeout
 			resend.Reset(queuedInterval)
 		case now := <-resend.C:
 			if now.Sub(lastAnswer) >= limit {
