--- a/internal/node/dispatch.go
+++ b/internal/node/dispatch.go
@@ -24,8 +24,8 @@
 	// how long without an answer its dispatcher counts as lost.
 	queuedInterval = 100 * time.Millisecond
 	queuedTimeout  = 350 * time.Millisecond
-	// distrustTime is how long a dispatcher that did not answer isn't asked.
-	distrustTime = time.Second
+	// dispatcherBackoff is how long a dispatcher that did not answer isn't asked.
+	dispatcherBackoff = time.Second
 	// reportInterval is how often a dispatcher writes a line about each of its desks,
 	// reportLeast how many asks in the window of the retry budget make that worth
 	// it, and reportFailing from which belief on a failing target is named.
--- a/internal/node/grantrequest.go
+++ b/internal/node/grantrequest.go
@@ -34,7 +34,7 @@
 func (d *dispatchController) doubt(peer string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.distrust[peer] = time.Now().Add(distrustTime)
+	d.distrust[peer] = time.Now().Add(dispatcherBackoff)
 }
 
 // choose takes a target for an attempt: from the dispatcher of this node's part of the
