--- a/internal/node/dispatcher.go
+++ b/internal/node/dispatcher.go
@@ -45,7 +45,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for p, sched := range d.desks {
-		if sched.Asked(now) < reportLeast {
+		if sched.Asked(now) < reportMinRequests {
 			if sched.reported {
 				// Another node has the role now, or nobody asks.
 				sched.reported = false
