--- a/internal/node/dispatch.go
+++ b/internal/node/dispatch.go
@@ -29,9 +29,9 @@
 	// reportInterval is how often a dispatcher writes a line about each of its desks,
 	// reportLeast how many asks in the window of the retry budget make that worth
 	// it, and reportFailing from which belief on a failing target is named.
-	reportInterval    = time.Second
-	reportMinRequests = 10
-	reportFailing     = 0.1
+	reportInterval       = time.Second
+	reportMinRequests    = 10
+	reportMinProbability = 0.1
 	// lostTime is how long a node doesn't use a target to which it could open no
 	// connection: paths between two machines come back after some seconds.
 	lostTime = 4 * time.Second
--- a/internal/node/dispatcher.go
+++ b/internal/node/dispatcher.go
@@ -63,7 +63,7 @@
 			if t.Limit.Set {
 				limits[t.Key] = fmt.Sprintf("%g/s, %d in 4 s", t.Limit.Rate, t.Granted)
 			}
-			if t.Failing > reportFailing {
+			if t.Failing > reportMinProbability {
 				failing[t.Key] = math.Round(t.Failing*100) / 100
 			}
 		}
