--- a/internal/node/dispatch.go
+++ b/internal/node/dispatch.go
@@ -32,9 +32,9 @@
 	reportInterval       = time.Second
 	reportMinRequests    = 10
 	reportMinProbability = 0.1
-	// lostTime is how long a node doesn't use a target to which it could open no
+	// unreachableTime is how long a node doesn't use a target to which it could open no
 	// connection: paths between two machines come back after some seconds.
-	lostTime = 4 * time.Second
+	unreachableTime = 4 * time.Second
 	// mostTried bounds the targets that an ask names, in keys of 20 bytes or so.
 	mostTried = 24
 	// mostBarred is how often a target is asked for again because the one that was granted
