--- a/internal/node/dispatch.go
+++ b/internal/node/dispatch.go
@@ -35,8 +35,8 @@
 	// unreachableTime is how long a node doesn't use a target to which it could open no
 	// connection: paths between two machines come back after some seconds.
 	unreachableTime = 4 * time.Second
-	// mostTried bounds the targets that an ask names, in keys of 20 bytes or so.
-	mostTried = 24
+	// maxTried bounds the targets that an ask names, in keys of 20 bytes or so.
+	maxTried = 24
 	// mostBarred is how often a target is asked for again because the one that was granted
 	// wants no request: each ask names the targets of which that is known by then.
 	mostBarred = 3
--- a/internal/node/grantrequest.go
+++ b/internal/node/grantrequest.go
@@ -161,7 +161,7 @@
 	for key, until := range d.lost {
 		if now.After(until) {
 			delete(d.lost, key)
-		} else if q.Service.Target(key) != nil && len(out)+len(q.Tried) < mostTried {
+		} else if q.Service.Target(key) != nil && len(out)+len(q.Tried) < maxTried {
 			out = append(out, key)
 		}
 	}
@@ -272,8 +272,8 @@
 				AimMs:       uint32(max(q.Aim.Sub(now).Milliseconds(), 0)),
 				DeadlineMs:  uint32(max(q.Deadline.Sub(now).Milliseconds(), 0)),
 				Tried:       q.Tried,
-				Barred:      unavailable.backingOff[:min(len(unavailable.backingOff), mostTried)],
-				Leaving:     unavailable.draining[:min(len(unavailable.draining), mostTried)],
+				Barred:      unavailable.backingOff[:min(len(unavailable.backingOff), maxTried)],
+				Leaving:     unavailable.draining[:min(len(unavailable.draining), maxTried)],
 				Route:       q.Route,
 				Refused:     uint32(refused),
 				ClosedHalls: d.board.closedHalls(q),
