--- a/internal/node/dispatch.go
+++ b/internal/node/dispatch.go
@@ -37,9 +37,9 @@
 	unreachableTime = 4 * time.Second
 	// maxTried bounds the targets that an ask names, in keys of 20 bytes or so.
 	maxTried = 24
-	// mostBarred is how often a target is asked for again because the one that was granted
+	// maxUnavailableGrants is how often a target is asked for again because the one that was granted
 	// wants no request: each ask names the targets of which that is known by then.
-	mostBarred = 3
+	maxUnavailableGrants = 3
 	// dispatchers is how many nodes are asked, one after another, before a node
 	// chooses alone.
 	dispatchers = 2
--- a/internal/node/grantrequest.go
+++ b/internal/node/grantrequest.go
@@ -43,7 +43,7 @@
 	ctx, cancel := context.WithDeadline(ctx, q.Deadline)
 	defer cancel()
 	q.Tried = d.avoid(q)
-	for range mostBarred {
+	for range maxUnavailableGrants {
 		if err := d.board.refuseClosed(q); err != nil {
 			return entry.Choice{}, err
 		}
