--- a/internal/node/dispatch.go
+++ b/internal/node/dispatch.go
@@ -43,8 +43,8 @@
 	// dispatchers is how many nodes are asked, one after another, before a node
 	// chooses alone.
 	dispatchers = 2
-	// deskInterval is how often the desks look at their queues.
-	deskInterval = 50 * time.Millisecond
+	// serveInterval is how often the desks look at their queues.
+	serveInterval = 50 * time.Millisecond
 	// restInterval is the same while there is nothing to do.
 	restInterval = time.Second
 	// doneTries is how often the end of an attempt is sent, every doneInterval, until
@@ -132,7 +132,7 @@
 // run serves the queues and repeats what was not confirmed, until the context ends. While there
 // is nothing to do it wakes up once a second only.
 func (d *dispatchController) run(ctx context.Context) error {
-	tick := time.NewTimer(deskInterval)
+	tick := time.NewTimer(serveInterval)
 	defer tick.Stop()
 	busy := true
 	for {
@@ -142,7 +142,7 @@
 		case <-d.wake:
 			if !busy {
 				busy = true
-				tick.Reset(deskInterval)
+				tick.Reset(serveInterval)
 			}
 		case now := <-tick.C:
 			d.advance(now)
@@ -150,7 +150,7 @@
 			d.report(now)
 			busy = d.busy()
 			if busy {
-				tick.Reset(deskInterval)
+				tick.Reset(serveInterval)
 			} else {
 				tick.Reset(restInterval)
 			}
