--- a/internal/node/dispatch.go
+++ b/internal/node/dispatch.go
@@ -45,8 +45,8 @@
 	dispatchers = 2
 	// serveInterval is how often the desks look at their queues.
 	serveInterval = 50 * time.Millisecond
-	// restInterval is the same while there is nothing to do.
-	restInterval = time.Second
+	// idleServeInterval is the same while there is nothing to do.
+	idleServeInterval = time.Second
 	// doneTries is how often the end of an attempt is sent, every doneInterval, until
 	// it is confirmed.
 	doneTries    = 4
@@ -152,7 +152,7 @@
 			if busy {
 				tick.Reset(serveInterval)
 			} else {
-				tick.Reset(restInterval)
+				tick.Reset(idleServeInterval)
 			}
 		}
 	}
--- a/internal/node/tokenrequest.go
+++ b/internal/node/tokenrequest.go
@@ -162,7 +162,7 @@
 				return err
 			}
 			if l.idle() {
-				tick.Reset(restInterval)
+				tick.Reset(idleServeInterval)
 			} else {
 				tick.Reset(limitInterval)
 			}
