--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -43,8 +43,8 @@
 	// startSilent is the same for a node that has just started.
 	startSilent = 2 * time.Second
 	// leaveTimes is how often a leaving node says so.
-	leaveTimes   = 3
-	idleInterval = 10 * time.Second
+	leaveTimes       = 3
+	idleConnInterval = 10 * time.Second
 )
 
 // Node is one process of the fleet. Make it with New and run it once.
@@ -356,7 +356,7 @@
 }
 
 func (n *Node) closeIdle(ctx context.Context) error {
-	tick := time.NewTicker(idleInterval)
+	tick := time.NewTicker(idleConnInterval)
 	defer tick.Stop()
 	for {
 		select {
