--- a/internal/node/dispatch.go
+++ b/internal/node/dispatch.go
@@ -53,8 +53,8 @@
 	doneInterval = 60 * time.Millisecond
 )
 
-// byItself names a choice that a node made without a dispatcher.
-const byItself = "alone"
+// byThisNode names a choice that a node made without a dispatcher.
+const byThisNode = "alone"
 
 // dispatchController chooses targets jointly and plays this node's role as a dispatcher.
 // It may be used concurrently.
--- a/internal/node/independent.go
+++ b/internal/node/independent.go
@@ -84,7 +84,7 @@
 		pick.Release()
 		return entry.Choice{}, false
 	}
-	return choiceOf(t, byItself, func(outlier.End, time.Duration) { pick.Release() }), true
+	return choiceOf(t, byThisNode, func(outlier.End, time.Duration) { pick.Release() }), true
 }
 
 // choiceOf returns the choice of a target; by names the node that chose.
