--- a/internal/node/partition.go
+++ b/internal/node/partition.go
@@ -17,9 +17,9 @@
 
 // Times and counts of parts.
 const (
-	// fullTime is how long a node asks no part again that had no free target: about as
+	// fullBackoff is how long a node asks no part again that had no free target: about as
 	// long as it takes until some slots of a loaded part are free again.
-	fullTime = 100 * time.Millisecond
+	fullBackoff = 100 * time.Millisecond
 	// mostOthers is how many other parts are asked for one attempt, a round trip each.
 	mostOthers = 2
 	// passMost is the greatest size, in KiB, of a request and its answer that is passed
@@ -145,5 +145,5 @@
 func (d *dispatchController) noteFull(now time.Time, p partition) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.full[p] = now.Add(fullTime)
+	d.full[p] = now.Add(fullBackoff)
 }
