--- a/internal/node/partition.go
+++ b/internal/node/partition.go
@@ -20,8 +20,8 @@
 	// fullBackoff is how long a node asks no part again that had no free target: about as
 	// long as it takes until some slots of a loaded part are free again.
 	fullBackoff = 100 * time.Millisecond
-	// mostOthers is how many other parts are asked for one attempt, a round trip each.
-	mostOthers = 2
+	// maxOtherPartitions is how many other parts are asked for one attempt, a round trip each.
+	maxOtherPartitions = 2
 	// passMost is the greatest size, in KiB, of a request and its answer that is passed
 	// on at once; larger ones wait in their own data hall, for bytes between data halls
 	// are dear, and are passed on only when they would be refused there.
@@ -136,7 +136,7 @@
 		}
 	}
 	rand.Shuffle(len(others), func(i, j int) { others[i], others[j] = others[j], others[i] })
-	return home, others[:min(len(others), mostOthers)]
+	return home, others[:min(len(others), maxOtherPartitions)]
 }
 
 // passes reports whether a request may be passed on to another data hall at once.
