--- a/internal/node/partition.go
+++ b/internal/node/partition.go
@@ -22,10 +22,10 @@
 	fullBackoff = 100 * time.Millisecond
 	// maxOtherPartitions is how many other parts are asked for one attempt, a round trip each.
 	maxOtherPartitions = 2
-	// passMost is the greatest size, in KiB, of a request and its answer that is passed
+	// maxPassedOnKiB is the greatest size, in KiB, of a request and its answer that is passed
 	// on at once; larger ones wait in their own data hall, for bytes between data halls
 	// are dear, and are passed on only when they would be refused there.
-	passMost = 3
+	maxPassedOnKiB = 3
 	// deskForget is after how long a desk is dropped that nobody asks or tells anything.
 	deskForget = 30 * time.Second
 )
@@ -140,7 +140,7 @@
 }
 
 // passes reports whether a request may be passed on to another data hall at once.
-func passes(q *entry.Query) bool { return q.Kilobytes <= passMost }
+func passes(q *entry.Query) bool { return q.Kilobytes <= maxPassedOnKiB }
 
 func (d *dispatchController) noteFull(now time.Time, p partition) {
 	d.mu.Lock()
