--- a/internal/node/dispatcher.go
+++ b/internal/node/dispatcher.go
@@ -22,7 +22,7 @@
 	d.mu.Lock()
 	grants := map[partition][]dispatch.Grant{}
 	for p, s := range d.desks {
-		if now.Sub(s.used) > deskForget {
+		if now.Sub(s.used) > schedulerIdleTimeout {
 			delete(d.desks, p)
 			continue
 		}
--- a/internal/node/partition.go
+++ b/internal/node/partition.go
@@ -26,8 +26,8 @@
 	// on at once; larger ones wait in their own data hall, for bytes between data halls
 	// are dear, and are passed on only when they would be refused there.
 	maxPassedOnKiB = 3
-	// deskForget is after how long a desk is dropped that nobody asks or tells anything.
-	deskForget = 30 * time.Second
+	// schedulerIdleTimeout is after how long a desk is dropped that nobody asks or tells anything.
+	schedulerIdleTimeout = 30 * time.Second
 )
 
 // partition is what one dispatcher has of a service: the targets of a data hall, or all
