--- a/internal/node/grantrequest.go
+++ b/internal/node/grantrequest.go
@@ -77,7 +77,7 @@
 // node that it wants no request, the reply is barred: the next ask names the target.
 func (d *dispatchController) chooseJointly(ctx context.Context, q *entry.Query) reply {
 	home, others := d.ways(time.Now(), q)
-	first := d.askPart(ctx, q, home, dispatchers, len(others) > 0 && passes(q))
+	first := d.askPart(ctx, q, home, dispatchers, len(others) > 0 && mayPassOn(q))
 	r := first
 	for _, p := range others {
 		if r.settled() {
--- a/internal/node/partition.go
+++ b/internal/node/partition.go
@@ -139,8 +139,8 @@
 	return home, others[:min(len(others), maxOtherPartitions)]
 }
 
-// passes reports whether a request may be passed on to another data hall at once.
-func passes(q *entry.Query) bool { return q.Kilobytes <= maxPassedOnKiB }
+// mayPassOn reports whether a request may be passed on to another data hall at once.
+func mayPassOn(q *entry.Query) bool { return q.Kilobytes <= maxPassedOnKiB }
 
 func (d *dispatchController) noteFull(now time.Time, p partition) {
 	d.mu.Lock()
