--- a/internal/node/grantrequest.go
+++ b/internal/node/grantrequest.go
@@ -139,7 +139,7 @@
 		g, answered := d.askOne(ctx, node.Address(), q, p, passing)
 		if ctx.Err() != nil {
 			return reply{
-				err: ended(ctx),
+				err: noTargetCause(ctx),
 			}
 		}
 		if answered {
@@ -168,8 +168,8 @@
 	return append(out, q.Tried...)
 }
 
-// ended says why a wait for a target was broken off.
-func ended(ctx context.Context) error {
+// noTargetCause says why a wait for a target was broken off.
+func noTargetCause(ctx context.Context) error {
 	if context.Cause(ctx) == context.DeadlineExceeded {
 		return entry.NewNoTargetError(attempt.ReasonDeadline, 0)
 	}
