--- a/internal/node/dispatcher.go
+++ b/internal/node/dispatcher.go
@@ -237,7 +237,7 @@
 		})
 		return
 	}
-	d.answer(a.ID.Node, a.ID.Number, grantOf(g))
+	d.answer(a.ID.Node, a.ID.Number, wireGrant(g))
 }
 
 // verdicts are the verdicts of desks in messages.
@@ -249,7 +249,7 @@
 	dispatch.Full:    wire.Grant_FULL,
 }
 
-func grantOf(g dispatch.Grant) *wire.Grant {
+func wireGrant(g dispatch.Grant) *wire.Grant {
 	now := time.Now()
 	var limits []*wire.TargetLimit
 	for _, l := range g.Limits {
@@ -302,7 +302,7 @@
 			"verdict": g.Verdict.String(),
 			"target":  g.Target,
 		}).Debug("queued request answered")
-		d.answer(g.ID.Node, g.ID.Number, grantOf(g))
+		d.answer(g.ID.Node, g.ID.Number, wireGrant(g))
 	}
 }
 
