--- a/internal/node/dispatcher.go
+++ b/internal/node/dispatcher.go
@@ -257,7 +257,7 @@
 	}
 	return &wire.Grant{
 		Limits:       limits,
-		Limit:        limitGranted(now, g),
+		Limit:        grantedLimit(now, g),
 		Verdict:      verdicts[g.Verdict],
 		Target:       g.Target,
 		RetryAfterMs: uint32(g.RetryAfter.Milliseconds()),
@@ -267,8 +267,8 @@
 	}
 }
 
-// limitGranted returns the limit of the target that a grant names, or nil.
-func limitGranted(now time.Time, g dispatch.Grant) *wire.TargetLimit {
+// grantedLimit returns the limit of the target that a grant names, or nil.
+func grantedLimit(now time.Time, g dispatch.Grant) *wire.TargetLimit {
 	if !g.Limit.Set {
 		return nil
 	}
