--- a/internal/node/dispatcher.go
+++ b/internal/node/dispatcher.go
@@ -240,8 +240,8 @@
 	d.answer(a.ID.Node, a.ID.Number, wireGrant(g))
 }
 
-// verdicts are the verdicts of desks in messages.
-var verdicts = [...]wire.Grant_Verdict{
+// wireDecisions are the verdicts of desks in messages.
+var wireDecisions = [...]wire.Grant_Verdict{
 	dispatch.Granted: wire.Grant_GRANTED,
 	dispatch.Queued:  wire.Grant_QUEUED,
 	dispatch.Refused: wire.Grant_REFUSED,
@@ -258,7 +258,7 @@
 	return &wire.Grant{
 		Limits:       limits,
 		Limit:        grantedLimit(now, g),
-		Verdict:      verdicts[g.Verdict],
+		Verdict:      wireDecisions[g.Verdict],
 		Target:       g.Target,
 		RetryAfterMs: uint32(g.RetryAfter.Milliseconds()),
 		Doubt:        uint32(1000 * g.Doubt),
