--- a/internal/node/done.go
+++ b/internal/node/done.go
@@ -10,8 +10,8 @@
 	"ploverjunction.example/ploverjunction/internal/wire"
 )
 
-// doneOf returns the message that tells a dispatcher of an attempt's end.
-func doneOf(p partition, g numberedGrant, r wire.Done_Result, took time.Duration) *wire.Done {
+// newDone returns the message that tells a dispatcher of an attempt's end.
+func newDone(p partition, g numberedGrant, r wire.Done_Result, took time.Duration) *wire.Done {
 	return &wire.Done{
 		Service:  p.service,
 		DataHall: p.hall,
@@ -26,7 +26,7 @@
 // of itself to this node. A target that backs off or limits what it gets is well: what it turns
 // away isn't held against it.
 func endOf(p partition, g numberedGrant, end outlier.End, standing signal.Standing, took time.Duration) *wire.Done {
-	done := doneOf(p, g, resultOf(end), took)
+	done := newDone(p, g, resultOf(end), took)
 	done.Lost = end.Lost
 	done.Leaving = standing.Draining
 	done.Limit = limitTo(time.Now(), limitOfStanding(done.GetTarget(), standing))
--- a/internal/node/grant.go
+++ b/internal/node/grant.go
@@ -53,12 +53,12 @@
 		if t != nil {
 			result = wire.Done_GONE
 		}
-		d.tell(peer, doneOf(p, g, result, 0))
+		d.tell(peer, newDone(p, g, result, 0))
 		return reply{}
 	}
 	if slices.Contains(d.board.closedHalls(q), t.DataHall()) {
 		// Whoever chose may not know yet that the data hall is evacuated.
-		d.tell(peer, doneOf(p, g, wire.Done_IGNORED, 0))
+		d.tell(peer, newDone(p, g, wire.Done_IGNORED, 0))
 		d.log.WithField("service", p.service).WithField("target", t.Key()).WithField("by", peer).
 			WithField("hall", t.DataHall()).Info("granted target is in a closed data hall")
 		return reply{
@@ -75,7 +75,7 @@
 	}
 	if standing := d.board.standing(now, t); !standing.Permits(now, permit) {
 		// The target told this node, and whoever chose may not have heard it.
-		done := doneOf(p, g, wire.Done_IGNORED, 0)
+		done := newDone(p, g, wire.Done_IGNORED, 0)
 		done.Leaving = standing.Draining
 		d.tell(peer, done)
 		d.log.WithField("service", p.service).WithField("target", t.Key()).WithField("by", peer).
