--- a/internal/node/done.go
+++ b/internal/node/done.go
@@ -22,10 +22,10 @@
 	}
 }
 
-// endOf returns the message about the end of an attempt that was sent, with what its target said
+// doneOf returns the message about the end of an attempt that was sent, with what its target said
 // of itself to this node. A target that backs off or limits what it gets is well: what it turns
 // away isn't held against it.
-func endOf(p partition, g numberedGrant, end outlier.End, standing signal.Standing, took time.Duration) *wire.Done {
+func doneOf(p partition, g numberedGrant, end outlier.End, standing signal.Standing, took time.Duration) *wire.Done {
 	done := newDone(p, g, resultOf(end), took)
 	done.Lost = end.Lost
 	done.Leaving = standing.Draining
--- a/internal/node/grant.go
+++ b/internal/node/grant.go
@@ -86,7 +86,7 @@
 		}
 	}
 	c := choiceOf(t, peer, func(end outlier.End, took time.Duration) {
-		done := endOf(p, g, end, d.board.standing(time.Now(), t), took)
+		done := doneOf(p, g, end, d.board.standing(time.Now(), t), took)
 		d.tell(peer, done)
 		d.note(peer, q, p, done, end)
 	})
