--- a/internal/node/done.go
+++ b/internal/node/done.go
@@ -26,7 +26,7 @@
 // of itself to this node. A target that backs off or limits what it gets is well: what it turns
 // away isn't held against it.
 func doneOf(p partition, g numberedGrant, end outlier.End, standing signal.Standing, took time.Duration) *wire.Done {
-	done := newDone(p, g, resultOf(end), took)
+	done := newDone(p, g, wireResult(end), took)
 	done.Lost = end.Lost
 	done.Leaving = standing.Draining
 	done.Limit = limitTo(time.Now(), limitOfStanding(done.GetTarget(), standing))
@@ -37,8 +37,8 @@
 	return done
 }
 
-// resultOf returns what an end says of its target.
-func resultOf(end outlier.End) wire.Done_Result {
+// wireResult returns what an end says of its target.
+func wireResult(end outlier.End) wire.Done_Result {
 	switch {
 	case end.Other:
 		return wire.Done_GONE
