--- a/internal/node/targetlimits.go
+++ b/internal/node/targetlimits.go
@@ -20,8 +20,8 @@
 // Parts of a target's limit. Those who may grant it at the same time, without knowing of each
 // other, stay within one and a half times the limit together.
 const (
-	// standbyPart is the part of a dispatcher of that of the one which ranks before it.
-	standbyPart = 0.25
+	// standbyShare is the part of a dispatcher of that of the one which ranks before it.
+	standbyShare = 0.25
 	// wholeFrom is the part of the fleet that must be lost for the rest to use only its own
 	// part of the limit.
 	wholeFrom = 0.4
@@ -134,7 +134,7 @@
 	if p.alone {
 		return min(alonePart, 1/float64(p.nodes))
 	}
-	share := math.Pow(standbyPart, float64(p.rank))
+	share := math.Pow(standbyShare, float64(p.rank))
 	if p.among < joinTime {
 		share *= joinPart
 	}
