--- a/internal/node/targetlimits.go
+++ b/internal/node/targetlimits.go
@@ -22,9 +22,9 @@
 const (
 	// standbyShare is the part of a dispatcher of that of the one which ranks before it.
 	standbyShare = 0.25
-	// wholeFrom is the part of the fleet that must be lost for the rest to use only its own
+	// lossThreshold is the part of the fleet that must be lost for the rest to use only its own
 	// part of the limit.
-	wholeFrom = 0.4
+	lossThreshold = 0.4
 	// joinPart is the part of a node that has been among the others for less than joinTime:
 	// some may not know yet that it is back, and ask another one.
 	joinPart = 0.4
@@ -138,7 +138,7 @@
 	if p.among < joinTime {
 		share *= joinPart
 	}
-	if live := float64(p.live) / float64(p.nodes); 1-live > wholeFrom {
+	if live := float64(p.live) / float64(p.nodes); 1-live > lossThreshold {
 		share *= live
 	}
 	return share
