--- a/internal/node/targetlimits.go
+++ b/internal/node/targetlimits.go
@@ -25,10 +25,10 @@
 	// lossThreshold is the part of the fleet that must be lost for the rest to use only its own
 	// part of the limit.
 	lossThreshold = 0.4
-	// joinPart is the part of a node that has been among the others for less than joinTime:
+	// joinShare is the part of a node that has been among the others for less than joinTime:
 	// some may not know yet that it is back, and ask another one.
-	joinPart = 0.4
-	joinTime = 5 * time.Second
+	joinShare = 0.4
+	joinTime  = 5 * time.Second
 	// alonePart is the most that a node uses which no other answers: it may know few of them.
 	alonePart = 0.05
 	// aloneBeside is the part of all nodes that choose alone while dispatchers grant,
@@ -136,7 +136,7 @@
 	}
 	share := math.Pow(standbyShare, float64(p.rank))
 	if p.among < joinTime {
-		share *= joinPart
+		share *= joinShare
 	}
 	if live := float64(p.live) / float64(p.nodes); 1-live > lossThreshold {
 		share *= live
