--- a/internal/node/targetlimits.go
+++ b/internal/node/targetlimits.go
@@ -29,8 +29,8 @@
 	// some may not know yet that it is back, and ask another one.
 	joinShare = 0.4
 	joinTime  = 5 * time.Second
-	// alonePart is the most that a node uses which no other answers: it may know few of them.
-	alonePart = 0.05
+	// isolatedShare is the most that a node uses which no other answers: it may know few of them.
+	isolatedShare = 0.05
 	// aloneBeside is the part of all nodes that choose alone while dispatchers grant,
 	// aloneOnly the same where all nodes choose alone.
 	aloneBeside = 0.15
@@ -132,7 +132,7 @@
 // part returns the part of targets' limits that a node may grant as a dispatcher.
 func (p holderRank) part() float64 {
 	if p.alone {
-		return min(alonePart, 1/float64(p.nodes))
+		return min(isolatedShare, 1/float64(p.nodes))
 	}
 	share := math.Pow(standbyShare, float64(p.rank))
 	if p.among < joinTime {
