--- a/internal/node/targetlimits.go
+++ b/internal/node/targetlimits.go
@@ -31,10 +31,10 @@
 	joinTime  = 5 * time.Second
 	// isolatedShare is the most that a node uses which no other answers: it may know few of them.
 	isolatedShare = 0.05
-	// aloneBeside is the part of all nodes that choose alone while dispatchers grant,
+	// fallbackShare is the part of all nodes that choose alone while dispatchers grant,
 	// aloneOnly the same where all nodes choose alone.
-	aloneBeside = 0.15
-	aloneOnly   = 0.9
+	fallbackShare = 0.15
+	aloneOnly     = 0.9
 	// shareTime is how long a node may use its turn to send to a target by itself.
 	shareTime = 2 * time.Second
 	// limitWay is by how much a limit's age grows on its way between nodes: a limit that was
@@ -176,7 +176,7 @@
 func (s *shares) rate(l signal.Limit, nodes int) float64 {
 	share := aloneOnly
 	if s.beside {
-		share = aloneBeside
+		share = fallbackShare
 	}
 	return share * dispatch.LimitRate(l) / float64(nodes)
 }
