--- a/internal/node/targetlimits.go
+++ b/internal/node/targetlimits.go
@@ -33,8 +33,8 @@
 	isolatedShare = 0.05
 	// fallbackShare is the part of all nodes that choose alone while dispatchers grant,
 	// aloneOnly the same where all nodes choose alone.
-	fallbackShare = 0.15
-	aloneOnly     = 0.9
+	fallbackShare    = 0.15
+	independentShare = 0.9
 	// shareTime is how long a node may use its turn to send to a target by itself.
 	shareTime = 2 * time.Second
 	// limitWay is by how much a limit's age grows on its way between nodes: a limit that was
@@ -174,7 +174,7 @@
 
 // rate returns the node's part of a limit, in requests a second, among all nodes known.
 func (s *shares) rate(l signal.Limit, nodes int) float64 {
-	share := aloneOnly
+	share := independentShare
 	if s.beside {
 		share = fallbackShare
 	}
