--- a/internal/node/targetlimits.go
+++ b/internal/node/targetlimits.go
@@ -35,8 +35,8 @@
 	// aloneOnly the same where all nodes choose alone.
 	fallbackShare    = 0.15
 	independentShare = 0.9
-	// shareTime is how long a node may use its turn to send to a target by itself.
-	shareTime = 2 * time.Second
+	// shareLifetime is how long a node may use its turn to send to a target by itself.
+	shareLifetime = 2 * time.Second
 	// limitWay is by how much a limit's age grows on its way between nodes: a limit that was
 	// lifted must not be renewed by nodes that tell each other of it.
 	limitWay = 25 * time.Millisecond
@@ -220,7 +220,7 @@
 		s.pacers[key] = p
 	}
 	p.Wait(now, rate, math.Inf(1))
-	p.Lapse(rate * shareTime.Seconds())
+	p.Lapse(rate * shareLifetime.Seconds())
 	return p, p.Wait(now, rate, math.Inf(1))
 }
 
