--- a/internal/node/targetlimits.go
+++ b/internal/node/targetlimits.go
@@ -37,9 +37,9 @@
 	independentShare = 0.9
 	// shareLifetime is how long a node may use its turn to send to a target by itself.
 	shareLifetime = 2 * time.Second
-	// limitWay is by how much a limit's age grows on its way between nodes: a limit that was
+	// limitTransit is by how much a limit's age grows on its way between nodes: a limit that was
 	// lifted must not be renewed by nodes that tell each other of it.
-	limitWay = 25 * time.Millisecond
+	limitTransit = 25 * time.Millisecond
 	// maxShares bounds the targets of which shares are kept.
 	maxShares = 1000
 )
@@ -81,7 +81,7 @@
 func limitFrom(now time.Time, in *wire.TargetLimit) dispatch.TargetLimit {
 	l := dispatch.TargetLimit{
 		Target: in.GetTarget(),
-		At:     now.Add(-time.Duration(in.GetAgeMs())*time.Millisecond - limitWay),
+		At:     now.Add(-time.Duration(in.GetAgeMs())*time.Millisecond - limitTransit),
 	}
 	switch rate := in.GetRate(); {
 	case in.GetLifted():
