--- a/internal/node/dispatcher.go
+++ b/internal/node/dispatcher.go
@@ -253,7 +253,7 @@
 	now := time.Now()
 	var limits []*wire.TargetLimit
 	for _, l := range g.Limits {
-		limits = append(limits, limitTo(now, l))
+		limits = append(limits, wireLimit(now, l))
 	}
 	return &wire.Grant{
 		Limits:       limits,
@@ -272,7 +272,7 @@
 	if !g.Limit.Set {
 		return nil
 	}
-	return limitTo(now, dispatch.TargetLimit{
+	return wireLimit(now, dispatch.TargetLimit{
 		Target: g.Target,
 		Limit:  g.Limit,
 		At:     g.LimitAt,
--- a/internal/node/done.go
+++ b/internal/node/done.go
@@ -29,7 +29,7 @@
 	done := newDone(p, g, wireResult(end), took)
 	done.Lost = end.Lost
 	done.Leaving = standing.Draining
-	done.Limit = limitTo(time.Now(), limitOfStanding(done.GetTarget(), standing))
+	done.Limit = wireLimit(time.Now(), limitOfStanding(done.GetTarget(), standing))
 	if end.Shed && (standing.Backoff > 0 || standing.Limit.Set) {
 		done.Result = wire.Done_RESTING
 		done.RestMs = uint32(standing.Backoff.Milliseconds())
--- a/internal/node/export_targetlimits_test.go
+++ b/internal/node/export_targetlimits_test.go
@@ -150,7 +150,7 @@
 
 // Relayed returns when a target answered with its limit, by a node that another one tells of it.
 func Relayed(sent, received, at time.Time) time.Time {
-	return limitFrom(received, limitTo(sent, dispatch.TargetLimit{
+	return limitFrom(received, wireLimit(sent, dispatch.TargetLimit{
 		At: at,
 	})).At
 }
--- a/internal/node/targetlimits.go
+++ b/internal/node/targetlimits.go
@@ -44,8 +44,8 @@
 	maxShares = 1000
 )
 
-// limitTo returns the message about a target's limit, or nil if none was ever known.
-func limitTo(now time.Time, l dispatch.TargetLimit) *wire.TargetLimit {
+// wireLimit returns the message about a target's limit, or nil if none was ever known.
+func wireLimit(now time.Time, l dispatch.TargetLimit) *wire.TargetLimit {
 	if l.At.IsZero() {
 		return nil
 	}
@@ -108,7 +108,7 @@
 			continue
 		}
 		if standing := b.standing(now, t); standing.Limit.Set {
-			out = append(out, limitTo(now, limitOfStanding(t.Key(), standing)))
+			out = append(out, wireLimit(now, limitOfStanding(t.Key(), standing)))
 		}
 	}
 	if len(out) > dispatch.MaxLimits {
