--- a/internal/node/dispatcher.go
+++ b/internal/node/dispatcher.go
@@ -217,7 +217,7 @@
 		},
 	}
 	for _, l := range w.GetLimits() {
-		a.Limits = append(a.Limits, limitFrom(now, l))
+		a.Limits = append(a.Limits, limitOfWire(now, l))
 	}
 	p := partition{
 		service: w.GetService(),
@@ -342,7 +342,7 @@
 			s.Lost(w.GetTarget(), id)
 		}
 		if l := w.GetLimit(); l != nil {
-			s.Observe(now, node, limitFrom(now, l))
+			s.Observe(now, node, limitOfWire(now, l))
 		}
 		if rest := w.GetRestMs(); rest > 0 {
 			s.BackOff(now, w.GetTarget(), id, time.Duration(rest)*time.Millisecond)
--- a/internal/node/export_targetlimits_test.go
+++ b/internal/node/export_targetlimits_test.go
@@ -150,7 +150,7 @@
 
 // Relayed returns when a target answered with its limit, by a node that another one tells of it.
 func Relayed(sent, received, at time.Time) time.Time {
-	return limitFrom(received, wireLimit(sent, dispatch.TargetLimit{
+	return limitOfWire(received, wireLimit(sent, dispatch.TargetLimit{
 		At: at,
 	})).At
 }
@@ -178,7 +178,7 @@
 
 // Told returns the time that a message gives a limit of a rate.
 func Told(now time.Time, rate float64) time.Time {
-	return limitFrom(now, &wire.TargetLimit{
+	return limitOfWire(now, &wire.TargetLimit{
 		Rate: rate,
 	}).At
 }
--- a/internal/node/targetlimits.go
+++ b/internal/node/targetlimits.go
@@ -70,15 +70,15 @@
 func (b *Board) learn(now time.Time, s *fleetconfig.Service, limits ...*wire.TargetLimit) {
 	for _, in := range limits {
 		if t := s.Target(in.GetTarget()); t != nil {
-			l := limitFrom(now, in)
+			l := limitOfWire(now, in)
 			b.signals.Learn(l.At, incarnationOf(t), l.Limit)
 		}
 	}
 }
 
-// limitFrom returns what a message says of a target's limit. Its time is the zero time, which is
+// limitOfWire returns what a message says of a target's limit. Its time is the zero time, which is
 // older than any, where the message makes no sense.
-func limitFrom(now time.Time, in *wire.TargetLimit) dispatch.TargetLimit {
+func limitOfWire(now time.Time, in *wire.TargetLimit) dispatch.TargetLimit {
 	l := dispatch.TargetLimit{
 		Target: in.GetTarget(),
 		At:     now.Add(-time.Duration(in.GetAgeMs())*time.Millisecond - limitTransit),
