--- a/internal/node/allocator.go
+++ b/internal/node/allocator.go
@@ -18,7 +18,7 @@
 	view := l.board.view.Load()
 	role := uint64(0)
 	if view.Nodes() > limitWhole {
-		role = xxhash.Sum64String(workspace) % limitParts
+		role = xxhash.Sum64String(workspace) % allocatorRoles
 	}
 	if nodes := view.Role(limitRoles[role], "", 1); len(nodes) > 0 {
 		return nodes[0]
@@ -27,7 +27,7 @@
 }
 
 // limitRoles are the names of the allocators' roles.
-var limitRoles = func() (out [limitParts]string) {
+var limitRoles = func() (out [allocatorRoles]string) {
 	for i := range out {
 		out[i] = "limits/" + string(rune('A'+i))
 	}
--- a/internal/node/limits.go
+++ b/internal/node/limits.go
@@ -19,12 +19,12 @@
 
 // Times and counts of limits.
 const (
-	// limitParts is over how many allocators the workspaces of a fleet of more than
+	// allocatorRoles is over how many allocators the workspaces of a fleet of more than
 	// limitWhole nodes are spread: at a thousand nodes each has some thousand asks a second.
 	// In a smaller fleet one has them all, so that a node tells it of several in one
 	// datagram.
-	limitParts = 32
-	limitWhole = 256
+	allocatorRoles = 32
+	limitWhole     = 256
 	// limitInterval is how often a node looks which workspaces it should report.
 	limitInterval = 200 * time.Millisecond
 	// drawAgain is after how long an ask is sent again, drawGiveUp after how long without an
