--- a/internal/node/allocator.go
+++ b/internal/node/allocator.go
@@ -17,7 +17,7 @@
 func (l *limitController) holder(workspace string) membership.Node {
 	view := l.board.view.Load()
 	role := uint64(0)
-	if view.Nodes() > limitWhole {
+	if view.Nodes() > singleAllocatorNodes {
 		role = xxhash.Sum64String(workspace) % allocatorRoles
 	}
 	if nodes := view.Role(limitRoles[role], "", 1); len(nodes) > 0 {
--- a/internal/node/limits.go
+++ b/internal/node/limits.go
@@ -23,8 +23,8 @@
 	// limitWhole nodes are spread: at a thousand nodes each has some thousand asks a second.
 	// In a smaller fleet one has them all, so that a node tells it of several in one
 	// datagram.
-	allocatorRoles = 32
-	limitWhole     = 256
+	allocatorRoles       = 32
+	singleAllocatorNodes = 256
 	// limitInterval is how often a node looks which workspaces it should report.
 	limitInterval = 200 * time.Millisecond
 	// drawAgain is after how long an ask is sent again, drawGiveUp after how long without an
