--- a/internal/node/limits.go
+++ b/internal/node/limits.go
@@ -25,8 +25,8 @@
 	// datagram.
 	allocatorRoles       = 32
 	singleAllocatorNodes = 256
-	// limitInterval is how often a node looks which workspaces it should report.
-	limitInterval = 200 * time.Millisecond
+	// reportCheckInterval is how often a node looks which workspaces it should report.
+	reportCheckInterval = 200 * time.Millisecond
 	// drawAgain is after how long an ask is sent again, drawGiveUp after how long without an
 	// answer the node decides alone. A way between data halls takes a few milliseconds.
 	drawAgain  = 25 * time.Millisecond
--- a/internal/node/tokenrequest.go
+++ b/internal/node/tokenrequest.go
@@ -145,7 +145,7 @@
 // once a second, as a dispatcher without work does.
 func (l *limitController) run(ctx context.Context) error {
 	var draws task.Group
-	tick := time.NewTimer(limitInterval)
+	tick := time.NewTimer(reportCheckInterval)
 	defer tick.Stop()
 	forgot := time.Now()
 	for {
@@ -164,7 +164,7 @@
 			if l.idle() {
 				tick.Reset(idleServeInterval)
 			} else {
-				tick.Reset(limitInterval)
+				tick.Reset(reportCheckInterval)
 			}
 		}
 	}
