--- a/internal/node/tokenrequest.go
+++ b/internal/node/tokenrequest.go
@@ -78,7 +78,7 @@
 		})
 	}
 	send()
-	resend := time.NewTicker(drawAgain)
+	resend := time.NewTicker(tokenResendInterval)
 	defer resend.Stop()
 	limit := time.NewTimer(drawGiveUp)
 	defer limit.Stop()
