--- a/internal/node/limits.go
+++ b/internal/node/limits.go
@@ -30,7 +30,7 @@
 	// tokenResendInterval is after how long an ask is sent again, drawGiveUp after how long without an
 	// answer the node decides alone. A way between data halls takes a few milliseconds.
 	tokenResendInterval = 25 * time.Millisecond
-	drawGiveUp          = 70 * time.Millisecond
+	tokenTimeout        = 70 * time.Millisecond
 	// drawDistrust is how long an allocator that did not answer isn't asked.
 	drawDistrust = 500 * time.Millisecond
 	// meetAgain is after how long a request on a node that starts asks again, maxPausing how
--- a/internal/node/tokenrequest.go
+++ b/internal/node/tokenrequest.go
@@ -80,7 +80,7 @@
 	send()
 	resend := time.NewTicker(tokenResendInterval)
 	defer resend.Stop()
-	limit := time.NewTimer(drawGiveUp)
+	limit := time.NewTimer(tokenTimeout)
 	defer limit.Stop()
 	for {
 		select {
