--- a/internal/node/limits.go
+++ b/internal/node/limits.go
@@ -31,8 +31,8 @@
 	// answer the node decides alone. A way between data halls takes a few milliseconds.
 	tokenResendInterval = 25 * time.Millisecond
 	tokenTimeout        = 70 * time.Millisecond
-	// drawDistrust is how long an allocator that did not answer isn't asked.
-	drawDistrust = 500 * time.Millisecond
+	// allocatorBackoff is how long an allocator that did not answer isn't asked.
+	allocatorBackoff = 500 * time.Millisecond
 	// meetAgain is after how long a request on a node that starts asks again, maxPausing how
 	// many of its requests wait for that at a time: more is more than a node's part of any
 	// usual load in half a second.
--- a/internal/node/tokenrequest.go
+++ b/internal/node/tokenrequest.go
@@ -106,7 +106,7 @@
 func (l *limitController) doubt(peer string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.distrust[peer] = time.Now().Add(drawDistrust)
+	l.distrust[peer] = time.Now().Add(allocatorBackoff)
 }
 
 // usages returns the reports of workspaces to the allocator whose life is to.
