--- a/internal/node/limits.go
+++ b/internal/node/limits.go
@@ -33,11 +33,11 @@
 	tokenTimeout        = 70 * time.Millisecond
 	// allocatorBackoff is how long an allocator that did not answer isn't asked.
 	allocatorBackoff = 500 * time.Millisecond
-	// meetAgain is after how long a request on a node that starts asks again, maxPausing how
+	// startRetryInterval is after how long a request on a node that starts asks again, maxPausing how
 	// many of its requests wait for that at a time: more is more than a node's part of any
 	// usual load in half a second.
-	meetAgain  = 50 * time.Millisecond
-	maxPausing = 64
+	startRetryInterval = 50 * time.Millisecond
+	maxPausing         = 64
 	// contactTime is how long after the last message of any peer a node counts as cut off:
 	// each is pinged several times a second.
 	contactTime = time.Second
@@ -204,7 +204,7 @@
 	if l.pausing.Add(1) > maxPausing {
 		return false
 	}
-	timer := time.NewTimer(meetAgain)
+	timer := time.NewTimer(startRetryInterval)
 	defer timer.Stop()
 	select {
 	case <-ctx.Done():
