--- a/internal/node/limits.go
+++ b/internal/node/limits.go
@@ -37,7 +37,7 @@
 	// many of its requests wait for that at a time: more is more than a node's part of any
 	// usual load in half a second.
 	startRetryInterval = 50 * time.Millisecond
-	maxPausing         = 64
+	maxPaused          = 64
 	// contactTime is how long after the last message of any peer a node counts as cut off:
 	// each is pinged several times a second.
 	contactTime = time.Second
@@ -201,7 +201,7 @@
 // use: the caller has left, or as many requests wait as may.
 func (l *limitController) pause(ctx context.Context) bool {
 	defer l.pausing.Add(-1)
-	if l.pausing.Add(1) > maxPausing {
+	if l.pausing.Add(1) > maxPaused {
 		return false
 	}
 	timer := time.NewTimer(startRetryInterval)
