--- a/internal/node/allocator.go
+++ b/internal/node/allocator.go
@@ -65,7 +65,7 @@
 	if len(view.Peers()) == 0 {
 		return l.seeds == 0
 	}
-	if now.Sub(l.begun)-time.Duration(l.heard.Load()) > contactTime {
+	if now.Sub(l.begun)-time.Duration(l.heard.Load()) > contactTimeout {
 		return false
 	}
 	return 2*len(view.Live()) > view.Nodes()
--- a/internal/node/limits.go
+++ b/internal/node/limits.go
@@ -38,9 +38,9 @@
 	// usual load in half a second.
 	startRetryInterval = 50 * time.Millisecond
 	maxPaused          = 64
-	// contactTime is how long after the last message of any peer a node counts as cut off:
+	// contactTimeout is how long after the last message of any peer a node counts as cut off:
 	// each is pinged several times a second.
-	contactTime = time.Second
+	contactTimeout = time.Second
 	// drawBytes bounds what one datagram tells of workspaces, usageBytes is what it takes for
 	// one of them beside its name.
 	drawBytes  = 1100
--- a/internal/node/messenger.go
+++ b/internal/node/messenger.go
@@ -224,7 +224,7 @@
 // second.
 func (m *messenger) alone(now time.Time) bool {
 	last := m.roundTrip.Load()
-	return last == 0 || now.Sub(m.begun)-time.Duration(last) > contactTime
+	return last == 0 || now.Sub(m.begun)-time.Duration(last) > contactTimeout
 }
 
 // learn takes what travels on each datagram.
