--- a/internal/node/limits.go
+++ b/internal/node/limits.go
@@ -41,10 +41,10 @@
 	// contactTimeout is how long after the last message of any peer a node counts as cut off:
 	// each is pinged several times a second.
 	contactTimeout = time.Second
-	// drawBytes bounds what one datagram tells of workspaces, usageBytes is what it takes for
+	// tokenRequestBytes bounds what one datagram tells of workspaces, usageBytes is what it takes for
 	// one of them beside its name.
-	drawBytes  = 1100
-	usageBytes = 65
+	tokenRequestBytes = 1100
+	usageBytes        = 65
 	// dueSoon is how long before its time a workspace is reported beside another one.
 	dueSoon = 500 * time.Millisecond
 	// withMost is up to how many workspaces a node looks through them with each ask.
--- a/internal/node/tokenrequest.go
+++ b/internal/node/tokenrequest.go
@@ -202,7 +202,7 @@
 	size := 0
 	for i, w := range workspaces {
 		size += usageBytes + len(w)
-		if i > 0 && size > drawBytes {
+		if i > 0 && size > tokenRequestBytes {
 			return i
 		}
 	}
