--- a/internal/node/limits.go
+++ b/internal/node/limits.go
@@ -45,8 +45,8 @@
 	// one of them beside its name.
 	tokenRequestBytes = 1100
 	usageBytes        = 65
-	// dueSoon is how long before its time a workspace is reported beside another one.
-	dueSoon = 500 * time.Millisecond
+	// earlyReportTime is how long before its time a workspace is reported beside another one.
+	earlyReportTime = 500 * time.Millisecond
 	// withMost is up to how many workspaces a node looks through them with each ask.
 	withMost = 300
 	// forgetInterval is how often allocators forget what is out of use.
--- a/internal/node/tokenrequest.go
+++ b/internal/node/tokenrequest.go
@@ -20,7 +20,7 @@
 	if l.limiter.Len() > withMost {
 		return out
 	}
-	for _, w := range l.limiter.Due(time.Now().Add(dueSoon)) {
+	for _, w := range l.limiter.Due(time.Now().Add(earlyReportTime)) {
 		if w != workspace && l.holder(w) == holder {
 			out = append(out, w)
 		}
