--- a/internal/node/limits.go
+++ b/internal/node/limits.go
@@ -47,8 +47,8 @@
 	usageBytes        = 65
 	// earlyReportTime is how long before its time a workspace is reported beside another one.
 	earlyReportTime = 500 * time.Millisecond
-	// withMost is up to how many workspaces a node looks through them with each ask.
-	withMost = 300
+	// maxCombinedWorkspaces is up to how many workspaces a node looks through them with each ask.
+	maxCombinedWorkspaces = 300
 	// forgetInterval is how often allocators forget what is out of use.
 	forgetInterval = 10 * time.Second
 )
--- a/internal/node/tokenrequest.go
+++ b/internal/node/tokenrequest.go
@@ -17,7 +17,7 @@
 // soon.
 func (l *limitController) with(workspace string, holder membership.Node) []string {
 	out := []string{workspace}
-	if l.limiter.Len() > withMost {
+	if l.limiter.Len() > maxCombinedWorkspaces {
 		return out
 	}
 	for _, w := range l.limiter.Due(time.Now().Add(earlyReportTime)) {
