--- a/internal/node/limits.go
+++ b/internal/node/limits.go
@@ -49,8 +49,8 @@
 	earlyReportTime = 500 * time.Millisecond
 	// maxCombinedWorkspaces is up to how many workspaces a node looks through them with each ask.
 	maxCombinedWorkspaces = 300
-	// forgetInterval is how often allocators forget what is out of use.
-	forgetInterval = 10 * time.Second
+	// allocatorPruneInterval is how often allocators forget what is out of use.
+	allocatorPruneInterval = 10 * time.Second
 )
 
 // limitController keeps the limits of workspaces together with the other nodes. It may be used
--- a/internal/node/tokenrequest.go
+++ b/internal/node/tokenrequest.go
@@ -154,8 +154,8 @@
 			return draws.Wait()
 		case now := <-tick.C:
 			l.report(ctx, &draws, now)
-			l.renew(now, now.Sub(forgot) > forgetInterval)
-			if now.Sub(forgot) > forgetInterval {
+			l.renew(now, now.Sub(forgot) > allocatorPruneInterval)
+			if now.Sub(forgot) > allocatorPruneInterval {
 				forgot = now
 			}
 			if err := draws.Reap(); err != nil {
