--- a/internal/node/limits.go
+++ b/internal/node/limits.go
@@ -137,7 +137,7 @@
 		return nil
 	}
 	v, wait := l.limiter.Take(time.Now(), w.ID(), limit)
-	by := byLastWord
+	by := byCachedAnswer
 	if v == ratelimit.Ask {
 		v, wait, by = l.ask(ctx, w.ID(), limit, time.Now().Add(maxWait))
 	}
@@ -149,10 +149,10 @@
 
 // Who refused a request beyond a limit.
 const (
-	byAllocator  = "allocator"
-	byLastWord   = "last word of the allocator"
-	byItselfOnly = "this node alone"
-	byEqualParts = "equal parts"
+	byAllocator    = "allocator"
+	byCachedAnswer = "last word of the allocator"
+	byItselfOnly   = "this node alone"
+	byEqualParts   = "equal parts"
 )
 
 func (l *limitController) limitError(w *fleetconfig.Workspace, limit ratelimit.Limit, wait time.Duration, by string) *entry.LimitError {
