--- a/internal/node/limits.go
+++ b/internal/node/limits.go
@@ -151,7 +151,7 @@
 const (
 	byAllocator    = "allocator"
 	byCachedAnswer = "last word of the allocator"
-	byItselfOnly   = "this node alone"
+	byIsolatedNode = "this node alone"
 	byEqualParts   = "equal parts"
 )
 
@@ -192,7 +192,7 @@
 		case l.limiter.Meeting(now, workspace) && now.Before(until) && l.pause(ctx):
 		default:
 			v, wait = l.limiter.Alone(now, workspace, limit, l.board.nodes())
-			return v, wait, byItselfOnly
+			return v, wait, byIsolatedNode
 		}
 	}
 }
