--- a/internal/node/limits.go
+++ b/internal/node/limits.go
@@ -132,7 +132,7 @@
 		// A node that has just begun knows few others.
 		nodes := max(l.board.nodes(), l.seeds+1)
 		if wait := l.equal.Admit(time.Now(), w.ID(), limit.Rate, limit.Burst, nodes); wait > 0 {
-			return l.limitError(w, limit, wait, byEqualParts)
+			return l.limitError(w, limit, wait, byEqualShares)
 		}
 		return nil
 	}
@@ -152,7 +152,7 @@
 	byAllocator    = "allocator"
 	byCachedAnswer = "last word of the allocator"
 	byIsolatedNode = "this node alone"
-	byEqualParts   = "equal parts"
+	byEqualShares  = "equal parts"
 )
 
 func (l *limitController) limitError(w *fleetconfig.Workspace, limit ratelimit.Limit, wait time.Duration, by string) *entry.LimitError {
