--- a/internal/node/tokenrequest.go
+++ b/internal/node/tokenrequest.go
@@ -114,7 +114,7 @@
 	out := &wire.Draw{}
 	for _, w := range workspaces {
 		if r, _, known := l.limiter.Report(now, w, waiting); known {
-			out.Usages = append(out.Usages, usageOf(w, r, to))
+			out.Usages = append(out.Usages, wireUsage(w, r, to))
 		}
 		waiting = 0
 	}
--- a/internal/node/usage.go
+++ b/internal/node/usage.go
@@ -35,9 +35,9 @@
 	return out
 }
 
-// usageOf returns the report of a workspace to the allocator whose life is known as to, 0
+// wireUsage returns the report of a workspace to the allocator whose life is known as to, 0
 // if it isn't.
-func usageOf(workspace string, r ratelimit.Report, to uint64) *wire.Usage {
+func wireUsage(workspace string, r ratelimit.Report, to uint64) *wire.Usage {
 	u := &wire.Usage{
 		Workspace: workspace,
 		Returned:  r.Returned,
