--- a/internal/node/allocator.go
+++ b/internal/node/allocator.go
@@ -50,7 +50,7 @@
 		if able {
 			if w := c.Workspace(u.GetWorkspace()); w != nil && w.Rate() > 0 {
 				limit, _ := limitOf(w)
-				fillAllotment(a, l.allocator.Report(now, w.ID(), limit, node, life, reportOf(u)))
+				fillAllotment(a, l.allocator.Report(now, w.ID(), limit, node, life, reportOfWire(u)))
 			}
 		}
 		out.Allotments = append(out.Allotments, a)
--- a/internal/node/usage.go
+++ b/internal/node/usage.go
@@ -59,7 +59,7 @@
 	return u
 }
 
-func reportOf(u *wire.Usage) ratelimit.Report {
+func reportOfWire(u *wire.Usage) ratelimit.Report {
 	return ratelimit.Report{
 		Returned: u.GetReturned(),
 		Alone:    u.GetAlone(),
