--- a/internal/node/tokenrequest.go
+++ b/internal/node/tokenrequest.go
@@ -130,7 +130,7 @@
 		if a.GetDeclined() {
 			continue
 		}
-		workspace, share := out.GetUsages()[i].GetWorkspace(), shareOf(in.GetBy(), a)
+		workspace, share := out.GetUsages()[i].GetWorkspace(), shareOfWire(in.GetBy(), a)
 		if i > 0 {
 			l.limiter.Answer(now, workspace, share, 0)
 			continue
--- a/internal/node/usage.go
+++ b/internal/node/usage.go
@@ -90,7 +90,7 @@
 	a.Kept = float32(s.Kept)
 }
 
-func shareOf(by uint64, a *wire.Allotment) ratelimit.Share {
+func shareOfWire(by uint64, a *wire.Allotment) ratelimit.Share {
 	return ratelimit.Share{
 		By:       by,
 		Admitted: int(a.GetAdmitted()),
