--- a/internal/node/tokenrequest.go
+++ b/internal/node/tokenrequest.go
@@ -25,7 +25,7 @@
 			out = append(out, w)
 		}
 	}
-	return out[:fitting(out)]
+	return out[:fittingCount(out)]
 }
 
 // draw reports some workspaces to a node and takes its answer. waiting is how many
@@ -186,7 +186,7 @@
 	}
 	for holder, workspaces := range byHolder {
 		for len(workspaces) > 0 {
-			n := fitting(workspaces)
+			n := fittingCount(workspaces)
 			some := workspaces[:n]
 			workspaces = workspaces[n:]
 			draws.Go(ctx, "report limits", func(ctx context.Context) error {
@@ -197,8 +197,8 @@
 	}
 }
 
-// fitting returns how many of some workspaces, at least one, fit into a datagram.
-func fitting(workspaces []string) int {
+// fittingCount returns how many of some workspaces, at least one, fit into a datagram.
+func fittingCount(workspaces []string) int {
 	size := 0
 	for i, w := range workspaces {
 		size += usageBytes + len(w)
