--- a/internal/node/quarantine.go
+++ b/internal/node/quarantine.go
@@ -20,9 +20,9 @@
 
 // Times and counts of requests under which targets end.
 const (
-	// quarantineParts is over how many nodes the adding up of ends is spread: when a data
+	// quarantineRoles is over how many nodes the adding up of ends is spread: when a data
 	// hall of 1,000 targets is lost, each has some hundred records to take in.
-	quarantineParts = 64
+	quarantineRoles = 64
 	// quarantineHolders is how many nodes add up what is known of a request. One of them may
 	// be lost.
 	quarantineHolders = 2
@@ -154,7 +154,7 @@
 
 // holders returns the nodes that add up what is known of a request.
 func (q *quarantineController) holders(p quarantine.Print) []membership.Node {
-	role := "quarantine/" + strconv.Itoa(int(p[0])%quarantineParts)
+	role := "quarantine/" + strconv.Itoa(int(p[0])%quarantineRoles)
 	return q.board.view.Load().Role(role, "", quarantineHolders)
 }
 
