--- a/internal/node/quarantine.go
+++ b/internal/node/quarantine.go
@@ -26,9 +26,9 @@
 	// quarantineHolders is how many nodes add up what is known of a request. One of them may
 	// be lost.
 	quarantineHolders = 2
-	// quarantineFan is to how many nodes news is passed on by each that learns it: all but a
+	// quarantineFanout is to how many nodes news is passed on by each that learns it: all but a
 	// few in a hundred learn it so, the rest by comparing.
-	quarantineFan = 4
+	quarantineFanout = 4
 	// compareInterval is the least time between two lists that a node sends because a peer knows
 	// other than it does: at most 1.3 kB each time while they differ.
 	compareInterval = 200 * time.Millisecond
@@ -161,11 +161,11 @@
 // some returns a few live nodes at random.
 func (q *quarantineController) some() []membership.Node {
 	live := q.board.view.Load().Live()
-	if len(live) <= quarantineFan+1 {
+	if len(live) <= quarantineFanout+1 {
 		return live
 	}
-	out := make([]membership.Node, 0, quarantineFan)
-	for range quarantineFan {
+	out := make([]membership.Node, 0, quarantineFanout)
+	for range quarantineFanout {
 		out = append(out, live[rand.IntN(len(live))])
 	}
 	return out
