--- a/internal/node/quarantine.go
+++ b/internal/node/quarantine.go
@@ -34,8 +34,8 @@
 	compareInterval = 200 * time.Millisecond
 	// quarantineBytes bounds the records on one datagram, which are of 50 to 170 bytes each.
 	quarantineBytes = 1000
-	// forgetEvery is how often records that are of no use any more are looked for.
-	forgetEvery = 10 * time.Second
+	// quarantinePruneInterval is how often records that are of no use any more are looked for.
+	quarantinePruneInterval = 10 * time.Second
 )
 
 // quarantineController keeps requests away from targets that end under them, together with the other
@@ -84,7 +84,7 @@
 // tidy drops what is of no use any more, now and then, and tells of what is left. q.mu is
 // held.
 func (q *quarantineController) tidy(now time.Time) {
-	if now.Sub(q.forgot) >= forgetEvery {
+	if now.Sub(q.forgot) >= quarantinePruneInterval {
 		q.forgot = now
 		q.ledger.Forget(now)
 	}
