--- a/internal/node/quarantine.go
+++ b/internal/node/quarantine.go
@@ -207,7 +207,7 @@
 	out := &wire.Quarantine{}
 	size := 0
 	for i := range records {
-		w := wireOf(now, &records[i])
+		w := wireRecord(now, &records[i])
 		if size += proto.Size(w); size > quarantineBytes {
 			break
 		}
@@ -220,8 +220,8 @@
 	})
 }
 
-// wireOf returns a record as it travels.
-func wireOf(now time.Time, r *quarantine.Record) *wire.QuarantineRecord {
+// wireRecord returns a record as it travels.
+func wireRecord(now time.Time, r *quarantine.Record) *wire.QuarantineRecord {
 	w := &wire.QuarantineRecord{
 		Print: r.Print[:],
 	}
