--- a/internal/node/quarantine.go
+++ b/internal/node/quarantine.go
@@ -239,7 +239,7 @@
 func (q *quarantineController) learn(peer string, in *wire.Quarantine) {
 	now := time.Now()
 	for _, w := range in.GetRecords() {
-		r, ok := recordOf(now, w)
+		r, ok := recordOfWire(now, w)
 		if !ok {
 			q.log.WithField("peer", peer).Warn("record of a request not understood")
 			continue
@@ -251,8 +251,8 @@
 	}
 }
 
-// recordOf reads a record of a peer.
-func recordOf(now time.Time, w *wire.QuarantineRecord) (quarantine.Record, bool) {
+// recordOfWire reads a record of a peer.
+func recordOfWire(now time.Time, w *wire.QuarantineRecord) (quarantine.Record, bool) {
 	var r quarantine.Record
 	if len(w.GetPrint()) != len(r.Print) {
 		return r, false
