--- a/internal/node/ejection.go
+++ b/internal/node/ejection.go
@@ -15,8 +15,8 @@
 	"ploverjunction.example/ploverjunction/internal/outlier"
 )
 
-// judgeInterval is how often a node judges its targets.
-const judgeInterval = 250 * time.Millisecond
+// ejectionInterval is how often a node judges its targets.
+const ejectionInterval = 250 * time.Millisecond
 
 // serviceState is what the judging controller holds of one service.
 type serviceState struct {
@@ -56,7 +56,7 @@
 
 // run judges at each tick and at each change of the configuration.
 func (j *ejectionController) run(ctx context.Context) error {
-	tick := time.NewTicker(judgeInterval)
+	tick := time.NewTicker(ejectionInterval)
 	defer tick.Stop()
 	for {
 		changed := j.board.config.Watch()
--- a/internal/node/evidence.go
+++ b/internal/node/evidence.go
@@ -20,7 +20,7 @@
 // Intervals of reports.
 const (
 	// observeInterval is how often an observer judges.
-	observeInterval = judgeInterval
+	observeInterval = ejectionInterval
 	// A node reports good requests at a slower tick that grows with the fleet,
 	// so that the cost for each node stays flat; bad ones it reports at once.
 	slowLeast   = 2 * time.Second
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -185,7 +185,7 @@
 
 // control makes the controllers.
 func (n *Node) control() {
-	collector := outlier.NewCollector(judgeInterval)
+	collector := outlier.NewCollector(ejectionInterval)
 	n.judging = newEjectionController(n.board, collector, logging.Part(n.log, "judging"))
 	n.observing = newEvidenceController(n.board, observerLink{
 		observe: n.dialer.Observe,
