--- a/internal/node/evidence.go
+++ b/internal/node/evidence.go
@@ -23,9 +23,9 @@
 	observeInterval = ejectionInterval
 	// A node reports good requests at a slower tick that grows with the fleet,
 	// so that the cost for each node stays flat; bad ones it reports at once.
-	minSlowInterval = 2 * time.Second
-	maxSlowInterval = 30 * time.Second
-	slowPerNode     = 30 * time.Millisecond
+	minSlowInterval     = 2 * time.Second
+	maxSlowInterval     = 30 * time.Second
+	slowIntervalPerNode = 30 * time.Millisecond
 	// Up to sampleFrom nodes all evidence is reported. In a larger fleet good
 	// requests are reported by chance, as many nodes as that at a time, and count
 	// for those that were left out.
@@ -205,7 +205,7 @@
 
 // slowInterval is how often evidence goes out that is not urgent.
 func slowInterval(nodes int) time.Duration {
-	return min(max(slowPerNode*time.Duration(nodes), minSlowInterval), maxSlowInterval)
+	return min(max(slowIntervalPerNode*time.Duration(nodes), minSlowInterval), maxSlowInterval)
 }
 
 func role(service string) string { return "observer/" + service }
