--- a/internal/node/evidence.go
+++ b/internal/node/evidence.go
@@ -29,7 +29,7 @@
 	// Up to sampleFrom nodes all evidence is reported. In a larger fleet good
 	// requests are reported by chance, as many nodes as that at a time, and count
 	// for those that were left out.
-	sampleFrom = 100
+	sampleNodes = 100
 	// observersPerService is how many observers each data hall has for a service.
 	observersPerService = 1
 	// observerForget is after how long without reports an observer's state ends.
@@ -181,7 +181,7 @@
 
 // sampleWeight returns for how many nodes the good evidence of one stands.
 func sampleWeight(nodes int) int {
-	return max((nodes+sampleFrom/2)/sampleFrom, 1)
+	return max((nodes+sampleNodes/2)/sampleNodes, 1)
 }
 
 // report returns the report of a service, or nil if its turn is left out. What is
