--- a/internal/node/evidence.go
+++ b/internal/node/evidence.go
@@ -32,8 +32,8 @@
 	sampleNodes = 100
 	// observersPerService is how many observers each data hall has for a service.
 	observersPerService = 1
-	// observerForget is after how long without reports an observer's state ends.
-	observerForget = 2 * time.Minute
+	// observerTimeout is after how long without reports an observer's state ends.
+	observerTimeout = 2 * time.Minute
 )
 
 // observerLink is how an observer reaches other nodes.
--- a/internal/node/observer.go
+++ b/internal/node/observer.go
@@ -100,7 +100,7 @@
 	summaries := map[string][]*wire.Report{}
 	var verdicts []outlier.Verdict
 	for name, s := range o.served {
-		if now.Sub(s.heard) > observerForget {
+		if now.Sub(s.heard) > observerTimeout {
 			delete(o.served, name)
 			continue
 		}
