--- a/internal/node/evidence.go
+++ b/internal/node/evidence.go
@@ -159,7 +159,7 @@
 		if len(p.targets) == 0 || !p.urgent && now.Sub(p.sent) < slow {
 			continue
 		}
-		observers := view.Role(role(name), view.Self().DataHall(), observersPerService)
+		observers := view.Role(observerRole(name), view.Self().DataHall(), observersPerService)
 		if slices.ContainsFunc(observers, func(n membership.Node) bool { return o.busy[n.Address()] }) {
 			// A report that hangs must not hold more than itself up.
 			continue
@@ -208,7 +208,7 @@
 	return min(max(slowIntervalPerNode*time.Duration(nodes), minSlowInterval), maxSlowInterval)
 }
 
-func role(service string) string { return "observer/" + service }
+func observerRole(service string) string { return "observer/" + service }
 
 // send takes reports to their observers and waits for none of them. What is for
 // this node itself takes the short way.
--- a/internal/node/observer.go
+++ b/internal/node/observer.go
@@ -109,7 +109,7 @@
 				if h == view.Self().DataHall() {
 					continue
 				}
-				for _, n := range view.Role(role(name), h, observersPerService) {
+				for _, n := range view.Role(observerRole(name), h, observersPerService) {
 					summaries[n.Address()] = append(summaries[n.Address()], r)
 				}
 			}
--- a/internal/node/prober.go
+++ b/internal/node/prober.go
@@ -77,7 +77,7 @@
 	slots := make(chan struct{}, probesAtOnce)
 	var all task.Group
 	for _, s := range cfg.Services() {
-		first := view.Role(role(s.Name()), "", 1)
+		first := view.Role(observerRole(s.Name()), "", 1)
 		if s.HealthPath() == "" || len(first) == 0 || first[0] != view.Self() {
 			continue
 		}
--- a/internal/node/verdicts.go
+++ b/internal/node/verdicts.go
@@ -72,7 +72,7 @@
 
 func (o *evidenceController) hasRole(from *wire.Node, service string) bool {
 	view := o.board.view.Load()
-	for _, n := range view.Role(role(service), view.Self().DataHall(), trustedRanks) {
+	for _, n := range view.Role(observerRole(service), view.Self().DataHall(), trustedRanks) {
 		if n == membership.NewNode(from.GetAddress(), from.GetDataHall()) {
 			return true
 		}
