--- a/internal/node/failuredetector.go
+++ b/internal/node/failuredetector.go
@@ -18,8 +18,8 @@
 // second and a half, most of it under one.
 const (
 	pingInterval = 200 * time.Millisecond
-	// pingWait is some ten round trips inside a region.
-	pingWait = 100 * time.Millisecond
+	// pingTimeout is some ten round trips inside a region.
+	pingTimeout = 100 * time.Millisecond
 	// viaWait is the same for two round trips.
 	viaWait = 150 * time.Millisecond
 	// helpers is how many nodes ping on behalf of one that got no answer.
@@ -105,11 +105,11 @@
 // probe pings a peer, and has others ping it if it doesn't answer.
 func (p *failureDetector) probe(ctx context.Context, peer string) {
 	started := p.since(time.Now())
-	if p.messenger.ping(ctx, peer, pingWait) {
+	if p.messenger.ping(ctx, peer, pingTimeout) {
 		p.answered <- struct{}{}
 		return
 	}
-	if p.since(time.Now())-started > pingWait+lateInterval {
+	if p.since(time.Now())-started > pingTimeout+lateInterval {
 		// This node slept itself.
 		return
 	}
@@ -117,7 +117,7 @@
 		p.answered <- struct{}{}
 		return
 	}
-	if ctx.Err() == nil && p.since(time.Now())-started <= pingWait+viaWait+2*lateInterval {
+	if ctx.Err() == nil && p.since(time.Now())-started <= pingTimeout+viaWait+2*lateInterval {
 		p.failed <- peer
 	}
 }
