--- a/internal/node/failuredetector.go
+++ b/internal/node/failuredetector.go
@@ -20,8 +20,8 @@
 	pingInterval = 200 * time.Millisecond
 	// pingTimeout is some ten round trips inside a region.
 	pingTimeout = 100 * time.Millisecond
-	// viaWait is the same for two round trips.
-	viaWait = 150 * time.Millisecond
+	// indirectPingTimeout is the same for two round trips.
+	indirectPingTimeout = 150 * time.Millisecond
 	// helpers is how many nodes ping on behalf of one that got no answer.
 	helpers = 2
 	// farPings is one of how many pings goes to another data hall.
@@ -113,11 +113,11 @@
 		// This node slept itself.
 		return
 	}
-	if p.messenger.pingVia(ctx, p.helpers(peer), peer, viaWait) {
+	if p.messenger.pingVia(ctx, p.helpers(peer), peer, indirectPingTimeout) {
 		p.answered <- struct{}{}
 		return
 	}
-	if ctx.Err() == nil && p.since(time.Now())-started <= pingTimeout+viaWait+2*lateInterval {
+	if ctx.Err() == nil && p.since(time.Now())-started <= pingTimeout+indirectPingTimeout+2*lateInterval {
 		p.failed <- peer
 	}
 }
--- a/internal/node/messenger.go
+++ b/internal/node/messenger.go
@@ -310,7 +310,7 @@
 
 // pingFor pings a node on behalf of a peer.
 func (m *messenger) pingFor(ctx context.Context, peer string, call uint64, address string) {
-	if m.ping(ctx, address, viaWait) {
+	if m.ping(ctx, address, indirectPingTimeout) {
 		m.pong(peer, call)
 	}
 }
