--- a/internal/node/failuredetector.go
+++ b/internal/node/failuredetector.go
@@ -24,8 +24,8 @@
 	indirectPingTimeout = 150 * time.Millisecond
 	// helpers is how many nodes ping on behalf of one that got no answer.
 	helpers = 2
-	// farPings is one of how many pings goes to another data hall.
-	farPings = 4
+	// farPingRatio is one of how many pings goes to another data hall.
+	farPingRatio = 4
 	// deadPings is one of how many pings goes to a node that is taken for dead.
 	deadPings = 8
 	// lateInterval is how late a tick may be before this node distrusts itself: it
@@ -154,7 +154,7 @@
 	if len(near)+len(far) == 0 {
 		return p.seed(view.Self().Address())
 	}
-	if len(near) == 0 || len(far) > 0 && rand.IntN(farPings) == 0 {
+	if len(near) == 0 || len(far) > 0 && rand.IntN(farPingRatio) == 0 {
 		near = far
 	}
 	return near[rand.IntN(len(near))].Address()
