--- a/internal/node/failuredetector.go
+++ b/internal/node/failuredetector.go
@@ -26,8 +26,8 @@
 	helpers = 2
 	// farPingRatio is one of how many pings goes to another data hall.
 	farPingRatio = 4
-	// deadPings is one of how many pings goes to a node that is taken for dead.
-	deadPings = 8
+	// deadPingRatio is one of how many pings goes to a node that is taken for dead.
+	deadPingRatio = 8
 	// lateInterval is how late a tick may be before this node distrusts itself: it
 	// was slow then, not its peers (Dadgar, Phillips and Currey, "Lifeguard", DSN
 	// 2018).
@@ -147,7 +147,7 @@
 // next returns the peer to ping: mostly one of the own data hall.
 func (p *failureDetector) next() string {
 	view := p.board.view.Load()
-	if dead := p.members.dead(); len(dead) > 0 && rand.IntN(deadPings) == 0 {
+	if dead := p.members.dead(); len(dead) > 0 && rand.IntN(deadPingRatio) == 0 {
 		return dead[rand.IntN(len(dead))].Address()
 	}
 	near, far := view.Halls()
