--- a/internal/node/failuredetector.go
+++ b/internal/node/failuredetector.go
@@ -28,10 +28,10 @@
 	farPingRatio = 4
 	// deadPingRatio is one of how many pings goes to a node that is taken for dead.
 	deadPingRatio = 8
-	// lateInterval is how late a tick may be before this node distrusts itself: it
+	// lateTickTolerance is how late a tick may be before this node distrusts itself: it
 	// was slow then, not its peers (Dadgar, Phillips and Currey, "Lifeguard", DSN
 	// 2018).
-	lateInterval = 60 * time.Millisecond
+	lateTickTolerance = 60 * time.Millisecond
 	// doubts is how many pings in a row without an answer from different peers
 	// make a node suspect its own link.
 	doubts = 3
@@ -71,7 +71,7 @@
 			p.noAnswer(peer)
 		case <-tick.C:
 			now := p.since(time.Now())
-			p.step(ctx, &pings, time.Now(), now-last > pingInterval+lateInterval)
+			p.step(ctx, &pings, time.Now(), now-last > pingInterval+lateTickTolerance)
 			last = now
 		}
 	}
@@ -109,7 +109,7 @@
 		p.answered <- struct{}{}
 		return
 	}
-	if p.since(time.Now())-started > pingTimeout+lateInterval {
+	if p.since(time.Now())-started > pingTimeout+lateTickTolerance {
 		// This node slept itself.
 		return
 	}
@@ -117,7 +117,7 @@
 		p.answered <- struct{}{}
 		return
 	}
-	if ctx.Err() == nil && p.since(time.Now())-started <= pingTimeout+indirectPingTimeout+2*lateInterval {
+	if ctx.Err() == nil && p.since(time.Now())-started <= pingTimeout+indirectPingTimeout+2*lateTickTolerance {
 		p.failed <- peer
 	}
 }
