--- a/internal/node/failuredetector.go
+++ b/internal/node/failuredetector.go
@@ -32,9 +32,9 @@
 	// was slow then, not its peers (Dadgar, Phillips and Currey, "Lifeguard", DSN
 	// 2018).
 	lateTickTolerance = 60 * time.Millisecond
-	// doubts is how many pings in a row without an answer from different peers
+	// suspectSelfAfter is how many pings in a row without an answer from different peers
 	// make a node suspect its own link.
-	doubts = 3
+	suspectSelfAfter = 3
 )
 
 // failureDetector finds nodes that died.
@@ -124,7 +124,7 @@
 
 func (p *failureDetector) noAnswer(peer string) {
 	p.unanswered++
-	if p.unanswered >= doubts {
+	if p.unanswered >= suspectSelfAfter {
 		// The cause is likelier to lie here than with all of them.
 		return
 	}
