--- a/internal/node/members.go
+++ b/internal/node/members.go
@@ -16,9 +16,9 @@
 const (
 	// memberInterval is how often the view is renewed for times that have passed.
 	memberInterval = time.Second
-	// viewPause is the least time between two views: while a fleet starts, a view for each
+	// minViewInterval is the least time between two views: while a fleet starts, a view for each
 	// node heard would cost more than all else. Nodes wait longer for each other's answers.
-	viewPause = 20 * time.Millisecond
+	minViewInterval = 20 * time.Millisecond
 )
 
 // members owns the table of nodes and writes its section of the blackboard. It
@@ -56,7 +56,7 @@
 	if !m.table.Changed() {
 		return
 	}
-	if now.Sub(m.published) >= viewPause {
+	if now.Sub(m.published) >= minViewInterval {
 		m.publish(now)
 		return
 	}
@@ -159,7 +159,7 @@
 func (m *members) run(ctx context.Context) error {
 	tick := time.NewTicker(memberInterval)
 	defer tick.Stop()
-	held := time.NewTimer(viewPause)
+	held := time.NewTimer(minViewInterval)
 	defer held.Stop()
 	var listed *fleetconfig.Config
 	for {
@@ -175,7 +175,7 @@
 			case <-changed:
 				waiting = false
 			case <-m.due:
-				held.Reset(viewPause)
+				held.Reset(minViewInterval)
 			case <-held.C:
 				m.renew()
 			case <-tick.C:
