--- a/internal/node/messenger.go
+++ b/internal/node/messenger.go
@@ -19,10 +19,10 @@
 	"ploverjunction.example/ploverjunction/internal/wire"
 )
 
-// newsPerDatagram is how much news of members travels on one datagram: about 50
+// updatesPerDatagram is how much news of members travels on one datagram: about 50
 // bytes each. News of nodes that just live travels on probes only: it is as much as
 // there are nodes while a fleet starts, and there are four datagrams for each request.
-const newsPerDatagram = 4
+const updatesPerDatagram = 4
 
 // messenger sends and receives datagrams and puts on each one what this node
 // believes. It may be used concurrently.
@@ -96,7 +96,7 @@
 		d.SourceAgeMs = uint64(max(age.Milliseconds(), 0)) + 1
 	}
 	d.News = nil
-	for _, n := range m.members.tell(newsPerDatagram, probes(d)) {
+	for _, n := range m.members.tell(updatesPerDatagram, probes(d)) {
 		d.News = append(d.News, &wire.MemberNews{
 			State: wire.MemberNews_State(n.Opinion),
 			Node: &wire.Node{
