--- a/internal/node/messenger.go
+++ b/internal/node/messenger.go
@@ -84,7 +84,7 @@
 // send fills in what travels on each datagram and sends it. Failures show as
 // answers that don't come.
 func (m *messenger) send(peer string, d *wire.Datagram) {
-	if short(d) {
+	if senderOnly(d) {
 		m.hand(peer, d)
 		return
 	}
@@ -126,9 +126,9 @@
 	}
 }
 
-// short reports whether a datagram says only who sent it. Those about limits of workspaces are sent
+// senderOnly reports whether a datagram says only who sent it. Those about limits of workspaces are sent
 // beside the others of each request, which carry what a node believes.
-func short(d *wire.Datagram) bool {
+func senderOnly(d *wire.Datagram) bool {
 	switch d.GetBody().(type) {
 	case *wire.Datagram_Draw, *wire.Datagram_Allot:
 		return true
@@ -242,7 +242,7 @@
 			Weight:      n.GetNode().GetWeight(),
 		})
 	}
-	if short(d) {
+	if senderOnly(d) {
 		return
 	}
 	m.compare(d.GetFrom().GetAddress(), d.GetQuarantine())
