--- a/internal/node/messenger.go
+++ b/internal/node/messenger.go
@@ -96,7 +96,7 @@
 		d.SourceAgeMs = uint64(max(age.Milliseconds(), 0)) + 1
 	}
 	d.News = nil
-	for _, n := range m.members.tell(updatesPerDatagram, probes(d)) {
+	for _, n := range m.members.tell(updatesPerDatagram, isProbe(d)) {
 		d.News = append(d.News, &wire.MemberNews{
 			State: wire.MemberNews_State(n.Opinion),
 			Node: &wire.Node{
@@ -137,8 +137,8 @@
 	}
 }
 
-// probes reports whether a datagram asks whether a node is alive, or answers that.
-func probes(d *wire.Datagram) bool {
+// isProbe reports whether a datagram asks whether a node is alive, or answers that.
+func isProbe(d *wire.Datagram) bool {
 	switch d.GetBody().(type) {
 	case *wire.Datagram_Ping, *wire.Datagram_Pong, *wire.Datagram_PingVia:
 		return true
