--- a/internal/node/messenger.go
+++ b/internal/node/messenger.go
@@ -288,7 +288,7 @@
 			Ping: &wire.Ping{},
 		},
 	})
-	return waitFor(ctx, answers, wait)
+	return awaitAnswer(ctx, answers, wait)
 }
 
 // pingVia asks others to ping a peer.
@@ -305,7 +305,7 @@
 			},
 		})
 	}
-	return waitFor(ctx, answers, wait)
+	return awaitAnswer(ctx, answers, wait)
 }
 
 // pingFor pings a node on behalf of a peer.
@@ -324,7 +324,7 @@
 	})
 }
 
-func waitFor(ctx context.Context, answers <-chan *wire.Datagram, wait time.Duration) bool {
+func awaitAnswer(ctx context.Context, answers <-chan *wire.Datagram, wait time.Duration) bool {
 	t := time.NewTimer(wait)
 	defer t.Stop()
 	select {
