--- a/internal/node/open.go
+++ b/internal/node/open.go
@@ -13,9 +13,9 @@
 	"ploverjunction.example/ploverjunction/internal/settings"
 )
 
-// bodyMemoryPart is which part of its memory a node holds of bodies in each direction: the rest is
+// bodyMemoryDivisor is which part of its memory a node holds of bodies in each direction: the rest is
 // for the kernel's buffers of the same connections, the tables and the collector's slack.
-const bodyMemoryPart = 8
+const bodyMemoryDivisor = 8
 
 // open opens the three listeners.
 func (n *Node) open(keys *link.Keys) error {
@@ -42,7 +42,7 @@
 		MaxBody:         n.set.MaxBody(),
 		MaxHeader:       n.set.MaxHeader(),
 		HoldBody:        n.set.HoldBody(),
-		Memory:          n.set.Memory() / bodyMemoryPart,
+		Memory:          n.set.Memory() / bodyMemoryDivisor,
 		Deadline:        n.set.Deadline(),
 		Stall:           n.set.Stall(),
 		Outgoing:        n.set.Outgoing(),
