--- a/internal/node/freshness.go
+++ b/internal/node/freshness.go
@@ -8,9 +8,9 @@
 )
 
 const (
-	// currentShare is up to how many times the usual greatest age of the platform's last
+	// maxAgeFactor is up to how many times the usual greatest age of the platform's last
 	// word the configuration of a node counts as the newest one.
-	currentShare = 1.5
+	maxAgeFactor = 1.5
 	// currentInterval is how often a request that waits for news looks for it.
 	currentInterval = 20 * time.Millisecond
 )
@@ -71,7 +71,7 @@
 		ask:    n.gossip.Ask,
 	}
 	if n.directory == nil {
-		c.most = time.Duration(currentShare * float64(n.silent()))
+		c.most = time.Duration(maxAgeFactor * float64(n.silent()))
 	}
 	if after, strict := n.set.Workspaces().Strict(); strict && n.directory == nil {
 		c.trust = after
