--- a/internal/node/freshness.go
+++ b/internal/node/freshness.go
@@ -11,8 +11,8 @@
 	// maxAgeFactor is up to how many times the usual greatest age of the platform's last
 	// word the configuration of a node counts as the newest one.
 	maxAgeFactor = 1.5
-	// currentInterval is how often a request that waits for news looks for it.
-	currentInterval = 20 * time.Millisecond
+	// awaitInterval is how often a request that waits for news looks for it.
+	awaitInterval = 20 * time.Millisecond
 )
 
 // freshness tells how sure a node can be that its configuration is the newest one. It may
@@ -46,7 +46,7 @@
 // await asks peers and waits until this node can know the newest configuration. It
 // returns false if the context ended before.
 func (c *freshness) await(ctx context.Context) bool {
-	tick := time.NewTicker(currentInterval)
+	tick := time.NewTicker(awaitInterval)
 	defer tick.Stop()
 	for !c.current() {
 		c.ask()
