--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -37,9 +37,9 @@
 const (
 	// readersPerHall is how many nodes of each data hall watch the platform.
 	readersPerHall = 1
-	// platformSilent is after how long without an answer of the platform to any node
+	// platformTimeout is after how long without an answer of the platform to any node
 	// any node may read it. A watch without changes answers every 25 s.
-	platformSilent = 35 * time.Second
+	platformTimeout = 35 * time.Second
 	// startSilent is the same for a node that has just started.
 	startSilent = 2 * time.Second
 	// leaveTimes is how often a leaving node says so.
--- a/internal/node/source.go
+++ b/internal/node/source.go
@@ -108,7 +108,7 @@
 	if n.adapter.Silent > 0 {
 		return n.adapter.Silent
 	}
-	return platformSilent
+	return platformTimeout
 }
 
 // stepsIn reports, by chance, whether this node reads though others have the role. All
