--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -40,8 +40,8 @@
 	// platformTimeout is after how long without an answer of the platform to any node
 	// any node may read it. A watch without changes answers every 25 s.
 	platformTimeout = 35 * time.Second
-	// startSilent is the same for a node that has just started.
-	startSilent = 2 * time.Second
+	// startPlatformTimeout is the same for a node that has just started.
+	startPlatformTimeout = 2 * time.Second
 	// leaveTimes is how often a leaving node says so.
 	leaveTimes       = 3
 	idleConnInterval = 10 * time.Second
--- a/internal/node/source.go
+++ b/internal/node/source.go
@@ -93,7 +93,7 @@
 	silent := age > n.silent()
 	if n.adapter.Silent == 0 {
 		return hasRole(view, view.Role("reader", n.set.DataHall(), readersPerHall)) ||
-			silent && up > startSilent && stepsIn(view)
+			silent && up > startPlatformTimeout && stepsIn(view)
 	}
 	if silent && slices.Contains(n.seeds(), n.address()) {
 		// When the whole fleet starts the others ask the seeds.
