--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -42,8 +42,8 @@
 	platformTimeout = 35 * time.Second
 	// startPlatformTimeout is the same for a node that has just started.
 	startPlatformTimeout = 2 * time.Second
-	// leaveTimes is how often a leaving node says so.
-	leaveTimes       = 3
+	// drainTries is how often a leaving node says so.
+	drainTries       = 3
 	idleConnInterval = 10 * time.Second
 )
 
--- a/internal/node/stop.go
+++ b/internal/node/stop.go
@@ -89,7 +89,7 @@
 
 func (n *Node) sayLeavingTo(ctx context.Context, peer string) error {
 	var err error
-	for range leaveTimes {
+	for range drainTries {
 		_, err = n.dialer.Sync(ctx, peer, &wire.SyncRequest{
 			From:   n.self(),
 			Digest: n.replica.Digest(),
