--- a/internal/node/source.go
+++ b/internal/node/source.go
@@ -93,13 +93,13 @@
 	silent := age > n.silent()
 	if n.adapter.Silent == 0 {
 		return hasRole(view, view.Role("reader", n.set.DataHall(), readersPerHall)) ||
-			silent && up > startPlatformTimeout && stepsIn(view)
+			silent && up > startPlatformTimeout && readsByChance(view)
 	}
 	if silent && slices.Contains(n.seeds(), n.address()) {
 		// When the whole fleet starts the others ask the seeds.
 		return true
 	}
-	return up > meetTime && (hasRole(view, fleetReaders(view)) || silent && stepsIn(view))
+	return up > meetTime && (hasRole(view, fleetReaders(view)) || silent && readsByChance(view))
 }
 
 // silent returns after how long without an answer of the platform to any node any node may
@@ -111,10 +111,10 @@
 	return platformTimeout
 }
 
-// stepsIn reports, by chance, whether this node reads though others have the role. All
+// readsByChance reports, by chance, whether this node reads though others have the role. All
 // nodes come here when the platform is down for long: as many of them ask at a
 // time, on average, however large the fleet is.
-func stepsIn(view *membership.View) bool { return rand.IntN(len(view.Live())) == 0 }
+func readsByChance(view *membership.View) bool { return rand.IntN(len(view.Live())) == 0 }
 
 // meetTime is how long a node that has just started looks for others before it
 // takes up roles or believes that nobody reads.
