--- a/internal/node/source.go
+++ b/internal/node/source.go
@@ -99,7 +99,7 @@
 		// When the whole fleet starts the others ask the seeds.
 		return true
 	}
-	return up > meetTime && (hasRole(view, fleetReaders(view)) || silent && readsByChance(view))
+	return up > discoveryTime && (hasRole(view, fleetReaders(view)) || silent && readsByChance(view))
 }
 
 // silent returns after how long without an answer of the platform to any node any node may
@@ -116,9 +116,9 @@
 // time, on average, however large the fleet is.
 func readsByChance(view *membership.View) bool { return rand.IntN(len(view.Live())) == 0 }
 
-// meetTime is how long a node that has just started looks for others before it
+// discoveryTime is how long a node that has just started looks for others before it
 // takes up roles or believes that nobody reads.
-const meetTime = 500 * time.Millisecond
+const discoveryTime = 500 * time.Millisecond
 
 func hasRole(view *membership.View, holders []membership.Node) bool {
 	return slices.Contains(holders, view.Self())
