--- a/internal/node/source.go
+++ b/internal/node/source.go
@@ -60,14 +60,14 @@
 		read, kept := fleetconfig.MarkOf(e), fleetconfig.MarkOf(n.replica.Newest(e.GetKey()))
 		switch {
 		case kept.Position().Compare(read.Position()) > 0:
-			logMarks(log, e.GetKey(), read, kept).Info("value read is older than the known one")
+			versionFields(log, e.GetKey(), read, kept).Info("value read is older than the known one")
 		case !e.GetDeleted() && kept.CompareValues(read) > 0:
-			logMarks(log, e.GetKey(), read, kept).Info("platform has an older value than the fleet")
+			versionFields(log, e.GetKey(), read, kept).Info("platform has an older value than the fleet")
 		}
 	}
 }
 
-func logMarks(log logrus.FieldLogger, key string, read, kept order.Mark) *logrus.Entry {
+func versionFields(log logrus.FieldLogger, key string, read, kept order.Mark) *logrus.Entry {
 	return log.WithField("key", key).
 		WithField("read", read.Position().String()).WithField("read_sequence", read.Stamp().Sequence()).
 		WithField("kept", kept.Written().String()).WithField("kept_sequence", kept.Stamp().Sequence())
