--- a/internal/node/lifecycle.go
+++ b/internal/node/lifecycle.go
@@ -14,10 +14,10 @@
 	// enoughPeers is how many peers a starting node compares its configuration
 	// with before it serves: a stale platform alone could give it an old one.
 	enoughPeers = 3
-	// startPatience is after how long a starting node that hears the platform
+	// maxCompareWait is after how long a starting node that hears the platform
 	// but too few peers serves all the same. Until then it waits: most of its
 	// peers may be alive and ahead of the platform's replica.
-	startPatience = 30 * time.Second
+	maxCompareWait = 30 * time.Second
 	// platformFresh is how old the fleet's last answer of the platform may be for
 	// a node that hears too few peers.
 	platformFresh = time.Minute
@@ -96,7 +96,7 @@
 // enough peers.
 func (l *lifecycle) settle(now time.Time) bool {
 	known := max(len(l.board.view.Load().Peers()), l.seeds)
-	if l.compared() >= min(enoughPeers, known) || now.Sub(l.begun) > startPatience {
+	if l.compared() >= min(enoughPeers, known) || now.Sub(l.begun) > maxCompareWait {
 		l.settled = true
 	}
 	return l.settled
