--- a/internal/node/lifecycle.go
+++ b/internal/node/lifecycle.go
@@ -18,9 +18,9 @@
 	// but too few peers serves all the same. Until then it waits: most of its
 	// peers may be alive and ahead of the platform's replica.
 	maxCompareWait = 30 * time.Second
-	// platformFresh is how old the fleet's last answer of the platform may be for
+	// maxPlatformAge is how old the fleet's last answer of the platform may be for
 	// a node that hears too few peers.
-	platformFresh = time.Minute
+	maxPlatformAge = time.Minute
 )
 
 // Reasons for not being ready.
@@ -86,7 +86,7 @@
 	if !l.settled && !l.settle(now) {
 		return reasonPeers
 	}
-	if l.cutOff() && l.platformAge(now) > platformFresh {
+	if l.cutOff() && l.platformAge(now) > maxPlatformAge {
 		return reasonCutOff
 	}
 	return ""
