--- a/internal/node/lifecycle.go
+++ b/internal/node/lifecycle.go
@@ -28,7 +28,7 @@
 	reasonStarting = "starting"
 	reasonConfig   = "no configuration"
 	reasonPeers    = "compared with too few peers"
-	reasonCutOff   = "neither platform nor most peers heard"
+	reasonIsolated = "neither platform nor most peers heard"
 	reasonLeaving  = "leaving"
 )
 
@@ -87,7 +87,7 @@
 		return reasonPeers
 	}
 	if l.cutOff() && l.platformAge(now) > maxPlatformAge {
-		return reasonCutOff
+		return reasonIsolated
 	}
 	return ""
 }
