--- a/internal/node/lifecycle.go
+++ b/internal/node/lifecycle.go
@@ -29,7 +29,7 @@
 	reasonConfig   = "no configuration"
 	reasonPeers    = "compared with too few peers"
 	reasonIsolated = "neither platform nor most peers heard"
-	reasonLeaving  = "leaving"
+	reasonDraining = "leaving"
 )
 
 // lifecycle decides whether the balancer should send callers here, and writes
@@ -74,7 +74,7 @@
 // reason says why the node is not ready, or "".
 func (l *lifecycle) reason(now time.Time) string {
 	if l.leaving.Load() {
-		return reasonLeaving
+		return reasonDraining
 	}
 	cfg := l.board.currentConfig()
 	if cfg == nil || len(cfg.Services()) == 0 {
