--- a/internal/node/stop.go
+++ b/internal/node/stop.go
@@ -45,8 +45,8 @@
 	return nil
 }
 
-// leaveFar is how many nodes of each other data hall a leaving node tells by datagram.
-const leaveFar = 2
+// drainingFarPeers is how many nodes of each other data hall a leaving node tells by datagram.
+const drainingFarPeers = 2
 
 // sayLeaving tells peers: they must give this node's roles to others. Where datagrams carry the
 // news on, those of the own data hall and a few others are enough; a leaving node still fulfils
@@ -80,7 +80,7 @@
 	sent := map[string]int{}
 	rand.Shuffle(len(far), func(i, j int) { far[i], far[j] = far[j], far[i] })
 	for _, p := range far {
-		if sent[p.DataHall()]++; sent[p.DataHall()] <= leaveFar {
+		if sent[p.DataHall()]++; sent[p.DataHall()] <= drainingFarPeers {
 			out = append(out, p.Address())
 		}
 	}
