--- a/internal/node/export_test.go
+++ b/internal/node/export_test.go
@@ -322,7 +322,7 @@
 func (m *Members) View() *membership.View { return m.members.board.view.Load() }
 
 // LeaveTo returns the peers that a leaving node tells.
-func LeaveTo(view *membership.View) []string { return leaveTo(view) }
+func LeaveTo(view *membership.View) []string { return drainingPeers(view) }
 
 // Currency tells how sure a node can be of its configuration.
 type Currency struct {
--- a/internal/node/stop.go
+++ b/internal/node/stop.go
@@ -56,7 +56,7 @@
 		return
 	}
 	if n.messenger != nil {
-		for _, peer := range leaveTo(n.board.view.Load()) {
+		for _, peer := range drainingPeers(n.board.view.Load()) {
 			n.messenger.pong(peer, 0)
 		}
 		return
@@ -70,8 +70,8 @@
 	}
 }
 
-// leaveTo returns the peers that a leaving node tells.
-func leaveTo(view *membership.View) []string {
+// drainingPeers returns the peers that a leaving node tells.
+func drainingPeers(view *membership.View) []string {
 	var out []string
 	near, far := view.Halls()
 	for _, p := range near {
