--- a/internal/node/grant.go
+++ b/internal/node/grant.go
@@ -62,7 +62,7 @@
 		d.log.WithField("service", p.service).WithField("target", t.Key()).WithField("by", peer).
 			WithField("hall", t.DataHall()).Info("granted target is in a closed data hall")
 		return reply{
-			barred: true,
+			unavailable: true,
 		}
 	}
 	now := time.Now()
@@ -82,7 +82,7 @@
 			WithField("leaving", standing.Draining).WithField("rest_ms", standing.Backoff.Milliseconds()).
 			WithField("limited", standing.Limit.Set).Info("granted target wants no request")
 		return reply{
-			barred: true,
+			unavailable: true,
 		}
 	}
 	c := choiceOf(t, peer, func(end outlier.End, took time.Duration) {
--- a/internal/node/grantrequest.go
+++ b/internal/node/grantrequest.go
@@ -54,7 +54,7 @@
 		switch {
 		case r.refused():
 			return entry.Choice{}, d.whenServed(q, r.err)
-		case !r.barred:
+		case !r.unavailable:
 			return r.choice, r.err
 		}
 	}
@@ -95,9 +95,9 @@
 			return r
 		}
 	}
-	if first.barred || r.barred {
+	if first.unavailable || r.unavailable {
 		return reply{
-			barred: true,
+			unavailable: true,
 		}
 	}
 	c, err := d.chooseAlone(q, home)
@@ -115,8 +115,8 @@
 	// usable is set where there is a choice, full where no target is free now.
 	usable bool
 	full   bool
-	// barred is set where the target that was granted wants no request from this node.
-	barred bool
+	// unavailable is set where the target that was granted wants no request from this node.
+	unavailable bool
 }
 
 // settled reports whether no other part need be asked.
