--- a/internal/node/export_targetlimits_test.go
+++ b/internal/node/export_targetlimits_test.go
@@ -54,7 +54,7 @@
 	n.board.config.Store(&configuration{
 		config: cfg.Config,
 	})
-	n.board.shares.beside = true
+	n.board.shares.withDispatchers = true
 	n.members = newMembers(n.board, cfg.Self, membership.DefaultWeight)
 	n.members.incarnation.Store(cfg.Incarnation)
 	m := newMessenger()
--- a/internal/node/socket.go
+++ b/internal/node/socket.go
@@ -53,7 +53,7 @@
 		n.metrics.PartGauge("limited_targets", p.service, p.hall, float64(targets))
 	}
 	if n.set.Choice() == settings.ChoiceJoint {
-		n.board.shares.beside = true
+		n.board.shares.withDispatchers = true
 		n.dispatching = d
 		n.judging.passive = true
 	}
--- a/internal/node/targetlimits.go
+++ b/internal/node/targetlimits.go
@@ -165,8 +165,8 @@
 // shares pace what this node sends to targets with a limit where it chooses alone. The zero
 // value is that of a node which always does. They may be used concurrently.
 type shares struct {
-	// beside is set where nodes choose alone only when they reach no dispatcher.
-	beside bool
+	// withDispatchers is set where nodes choose alone only when they reach no dispatcher.
+	withDispatchers bool
 
 	mu     sync.Mutex
 	pacers map[string]*ratelimit.Pacer
@@ -175,7 +175,7 @@
 // rate returns the node's part of a limit, in requests a second, among all nodes known.
 func (s *shares) rate(l signal.Limit, nodes int) float64 {
 	share := independentShare
-	if s.beside {
+	if s.withDispatchers {
 		share = fallbackShare
 	}
 	return share * dispatch.LimitRate(l) / float64(nodes)
