--- a/internal/node/grant.go
+++ b/internal/node/grant.go
@@ -16,7 +16,7 @@
 
 // answered handles the final answer of a dispatcher.
 func (d *dispatchController) answered(peer string, q *entry.Query, p partition, g numberedGrant) reply {
-	d.board.learn(time.Now(), d.newest(q.Service), g.grant.GetLimits()...)
+	d.board.learnLimits(time.Now(), d.newest(q.Service), g.grant.GetLimits()...)
 	switch g.grant.GetVerdict() {
 	case wire.Grant_FULL:
 		d.noteFull(time.Now(), p)
@@ -71,7 +71,7 @@
 	}
 	if l := g.grant.GetLimit(); l != nil {
 		permit.Paced = true
-		d.board.learn(now, d.newest(q.Service), l)
+		d.board.learnLimits(now, d.newest(q.Service), l)
 	}
 	if standing := d.board.standing(now, t); !standing.Permits(now, permit) {
 		// The target told this node, and whoever chose may not have heard it.
--- a/internal/node/targetlimits.go
+++ b/internal/node/targetlimits.go
@@ -66,8 +66,8 @@
 	}
 }
 
-// learn records limits that a dispatcher told of.
-func (b *Board) learn(now time.Time, s *fleetconfig.Service, limits ...*wire.TargetLimit) {
+// learnLimits records limits that a dispatcher told of.
+func (b *Board) learnLimits(now time.Time, s *fleetconfig.Service, limits ...*wire.TargetLimit) {
 	for _, in := range limits {
 		if t := s.Target(in.GetTarget()); t != nil {
 			l := limitOfWire(now, in)
