--- a/internal/node/fallback.go
+++ b/internal/node/fallback.go
@@ -55,7 +55,7 @@
 	if t == nil {
 		return entry.Choice{}, entry.NewNoTargetError(attempt.ReasonTargets, d.board.shareWait(now, d.newest(q.Service)))
 	}
-	permit, ok := d.board.shared(now, t)
+	permit, ok := d.board.sharePermit(now, t)
 	if !ok {
 		d.deliver(p, s.Cancel(now, a.ID))
 		return entry.Choice{}, entry.NewNoTargetError(attempt.ReasonTargets, d.board.shareWait(now, d.newest(q.Service)))
--- a/internal/node/independent.go
+++ b/internal/node/independent.go
@@ -56,7 +56,7 @@
 	if !ok {
 		return c, false
 	}
-	if c.Permit, ok = a.board.shared(now, s.Target(c.Key)); !ok {
+	if c.Permit, ok = a.board.sharePermit(now, s.Target(c.Key)); !ok {
 		pick.Release()
 		return entry.Choice{}, false
 	}
--- a/internal/node/targetlimits.go
+++ b/internal/node/targetlimits.go
@@ -224,8 +224,8 @@
 	return p, p.Wait(now, rate, math.Inf(1))
 }
 
-// shared returns the permit to send a request to a target by this node's own share of its limit.
-func (b *Board) shared(now time.Time, t *fleetconfig.Target) (signal.Permit, bool) {
+// sharePermit returns the permit to send a request to a target by this node's own share of its limit.
+func (b *Board) sharePermit(now time.Time, t *fleetconfig.Target) (signal.Permit, bool) {
 	permit := signal.Permit{
 		Paced: true,
 		At:    now,
