--- a/internal/node/export_quarantine_test.go
+++ b/internal/node/export_quarantine_test.go
@@ -26,7 +26,7 @@
 	board := &Board{}
 	members := newMembers(board, self, membership.DefaultWeight)
 	for _, o := range others {
-		members.heard(&wire.Node{
+		members.recordMessage(&wire.Node{
 			Address:     o.Address(),
 			Incarnation: 1,
 			Weight:      membership.DefaultWeight,
--- a/internal/node/export_test.go
+++ b/internal/node/export_test.go
@@ -117,7 +117,7 @@
 // Knows has the node know others, all alive.
 func (n *LimitedNode) Knows(others []membership.Node) {
 	for _, o := range others {
-		n.members.heard(&wire.Node{
+		n.members.recordMessage(&wire.Node{
 			Address:     o.Address(),
 			Incarnation: 1,
 			Weight:      membership.DefaultWeight,
@@ -311,7 +311,7 @@
 
 // Heard notes a message of a node.
 func (m *Members) Heard(address, dataHall string) {
-	m.members.heard(&wire.Node{
+	m.members.recordMessage(&wire.Node{
 		Address:     address,
 		DataHall:    dataHall,
 		Incarnation: 1,
--- a/internal/node/members.go
+++ b/internal/node/members.go
@@ -82,7 +82,7 @@
 	m.publish(time.Now())
 }
 
-func (m *members) heard(n *wire.Node) {
+func (m *members) recordMessage(n *wire.Node) {
 	m.change(func(t *membership.Table, now time.Time) {
 		t.Heard(now, membership.NewNode(n.GetAddress(), n.GetDataHall()), n.GetIncarnation(), n.GetLeaving())
 		t.Weigh(n.GetAddress(), n.GetWeight())
--- a/internal/node/messenger.go
+++ b/internal/node/messenger.go
@@ -229,7 +229,7 @@
 
 // learn takes what travels on each datagram.
 func (m *messenger) learn(now time.Time, d *wire.Datagram) {
-	m.members.heard(d.GetFrom())
+	m.members.recordMessage(d.GetFrom())
 	m.touched(now)
 	m.began(d.GetFrom().GetAddress(), d.GetFrom().GetIncarnation())
 	for _, n := range d.GetNews() {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -169,7 +169,7 @@
 		Seeds:     n.seeds,
 		Announce:  n.announce,
 		Call:      n.dialer.Sync,
-		Heard:     n.members.heard,
+		Heard:     n.members.recordMessage,
 		Mentioned: n.members.mentioned,
 		Failed:    n.members.failed,
 		Suspended: n.suspended.Total,
@@ -274,14 +274,14 @@
 
 // Observe serves evidence of peers.
 func (n *Node) Observe(_ context.Context, in *wire.ReportBatch) (*wire.Receipt, error) {
-	n.members.heard(in.GetFrom())
+	n.members.recordMessage(in.GetFrom())
 	n.observing.observe(time.Now(), in)
 	return &wire.Receipt{}, nil
 }
 
 // Judge serves verdicts of observers.
 func (n *Node) Judge(_ context.Context, in *wire.VerdictBatch) (*wire.Receipt, error) {
-	n.members.heard(in.GetFrom())
+	n.members.recordMessage(in.GetFrom())
 	n.observing.judged(time.Now(), in)
 	return &wire.Receipt{}, nil
 }
