--- a/internal/node/members.go
+++ b/internal/node/members.go
@@ -89,7 +89,7 @@
 	})
 }
 
-func (m *members) mentioned(n *wire.Node) {
+func (m *members) recordMention(n *wire.Node) {
 	m.change(func(t *membership.Table, now time.Time) {
 		t.Mentioned(now, membership.NewNode(n.GetAddress(), n.GetDataHall()))
 		t.Weigh(n.GetAddress(), n.GetWeight())
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -170,7 +170,7 @@
 		Announce:  n.announce,
 		Call:      n.dialer.Sync,
 		Heard:     n.members.recordMessage,
-		Mentioned: n.members.mentioned,
+		Mentioned: n.members.recordMention,
 		Failed:    n.members.failed,
 		Suspended: n.suspended.Total,
 	}
