--- a/internal/node/members.go
+++ b/internal/node/members.go
@@ -96,7 +96,7 @@
 	})
 }
 
-func (m *members) failed(peer string) {
+func (m *members) recordFailure(peer string) {
 	m.change(func(t *membership.Table, now time.Time) { t.Failed(now, peer) })
 }
 
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -171,7 +171,7 @@
 		Call:      n.dialer.Sync,
 		Heard:     n.members.recordMessage,
 		Mentioned: n.members.recordMention,
-		Failed:    n.members.failed,
+		Failed:    n.members.recordFailure,
 		Suspended: n.suspended.Total,
 	}
 }
@@ -190,7 +190,7 @@
 	n.observing = newEvidenceController(n.board, observerLink{
 		observe: n.dialer.Observe,
 		judge:   n.dialer.Judge,
-		failed:  n.members.failed,
+		failed:  n.members.recordFailure,
 		self:    n.self,
 	}, n.judging.verdict, logging.Part(n.log, "observing"))
 	n.judging.report = n.observing.collect
