--- a/internal/node/members.go
+++ b/internal/node/members.go
@@ -100,9 +100,9 @@
 	m.change(func(t *membership.Table, now time.Time) { t.Failed(now, peer) })
 }
 
-// take takes the news of a peer. News that takes this node for dead is refuted by
+// applyUpdate takes the news of a peer. News that takes this node for dead is refuted by
 // a greater incarnation.
-func (m *members) take(now time.Time, n membership.News) {
+func (m *members) applyUpdate(now time.Time, n membership.News) {
 	m.change(func(t *membership.Table, _ time.Time) {
 		if t.Take(now, n, m.incarnation.Load()) {
 			m.incarnation.Store(n.Incarnation + 1)
--- a/internal/node/messenger.go
+++ b/internal/node/messenger.go
@@ -234,7 +234,7 @@
 	m.began(d.GetFrom().GetAddress(), d.GetFrom().GetIncarnation())
 	for _, n := range d.GetNews() {
 		m.began(n.GetNode().GetAddress(), n.GetNode().GetIncarnation())
-		m.members.take(now, membership.News{
+		m.members.applyUpdate(now, membership.News{
 			Node:        membership.NewNode(n.GetNode().GetAddress(), n.GetNode().GetDataHall()),
 			Incarnation: n.GetNode().GetIncarnation(),
 			Leaving:     n.GetNode().GetLeaving(),
