--- a/internal/node/failuredetector.go
+++ b/internal/node/failuredetector.go
@@ -84,7 +84,7 @@
 		for len(p.failed) > 0 {
 			<-p.failed
 		}
-		p.members.calm()
+		p.members.clearSuspicions()
 	}
 	for _, n := range p.members.advance(now) {
 		p.log.WithField("peer", n.Address()).WithField("data_hall", n.DataHall()).Warn("node taken for dead")
--- a/internal/node/members.go
+++ b/internal/node/members.go
@@ -121,8 +121,8 @@
 	return out
 }
 
-// calm drops the suspicions that nobody has confirmed yet.
-func (m *members) calm() {
+// clearSuspicions drops the suspicions that nobody has confirmed yet.
+func (m *members) clearSuspicions() {
 	m.change(func(t *membership.Table, now time.Time) { t.Calm(now) })
 }
 
