--- a/internal/node/members.go
+++ b/internal/node/members.go
@@ -126,7 +126,7 @@
 	m.change(func(t *membership.Table, now time.Time) { t.Calm(now) })
 }
 
-func (m *members) tell(n int, joins bool) []membership.News {
+func (m *members) updates(n int, joins bool) []membership.News {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.table.Tell(n, joins)
--- a/internal/node/messenger.go
+++ b/internal/node/messenger.go
@@ -96,7 +96,7 @@
 		d.SourceAgeMs = uint64(max(age.Milliseconds(), 0)) + 1
 	}
 	d.News = nil
-	for _, n := range m.members.tell(updatesPerDatagram, isProbe(d)) {
+	for _, n := range m.members.updates(updatesPerDatagram, isProbe(d)) {
 		d.News = append(d.News, &wire.MemberNews{
 			State: wire.MemberNews_State(n.Opinion),
 			Node: &wire.Node{
