--- a/internal/node/members.go
+++ b/internal/node/members.go
@@ -138,8 +138,8 @@
 	return m.table.Dead()
 }
 
-// list takes the nodes of a configuration's list of instances.
-func (m *members) list(c *fleetconfig.Config) {
+// setListed takes the nodes of a configuration's list of instances.
+func (m *members) setListed(c *fleetconfig.Config) {
 	var live, leaving []membership.Node
 	for _, i := range c.Instances() {
 		if !i.Entry() {
@@ -165,7 +165,7 @@
 	for {
 		changed := m.board.config.Watch()
 		if c := m.board.currentConfig(); c != nil && !c.SameInstances(listed) {
-			m.list(c)
+			m.setListed(c)
 			listed = c
 		}
 		for waiting := true; waiting; {
