--- a/internal/node/failuredetector.go
+++ b/internal/node/failuredetector.go
@@ -147,7 +147,7 @@
 // next returns the peer to ping: mostly one of the own data hall.
 func (p *failureDetector) next() string {
 	view := p.board.view.Load()
-	if dead := p.members.dead(); len(dead) > 0 && rand.IntN(deadPingRatio) == 0 {
+	if dead := p.members.declaredDead(); len(dead) > 0 && rand.IntN(deadPingRatio) == 0 {
 		return dead[rand.IntN(len(dead))].Address()
 	}
 	near, far := view.Halls()
--- a/internal/node/members.go
+++ b/internal/node/members.go
@@ -132,7 +132,7 @@
 	return m.table.Tell(n, joins)
 }
 
-func (m *members) dead() []membership.Node {
+func (m *members) declaredDead() []membership.Node {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.table.Dead()
