--- a/internal/node/messenger.go
+++ b/internal/node/messenger.go
@@ -85,7 +85,7 @@
 // answers that don't come.
 func (m *messenger) send(peer string, d *wire.Datagram) {
 	if senderOnly(d) {
-		m.hand(peer, d)
+		m.deliver(peer, d)
 		return
 	}
 	d.From = m.self()
@@ -108,11 +108,11 @@
 			},
 		})
 	}
-	m.hand(peer, d)
+	m.deliver(peer, d)
 }
 
-// hand sends a datagram with what it holds.
-func (m *messenger) hand(peer string, d *wire.Datagram) {
+// deliver sends a datagram with what it holds.
+func (m *messenger) deliver(peer string, d *wire.Datagram) {
 	if d.From == nil {
 		self := m.self()
 		d.From = &wire.Node{
