--- a/internal/node/messenger.go
+++ b/internal/node/messenger.go
@@ -38,7 +38,7 @@
 	calls    atomic.Uint64
 	// roundTrip is when a peer last answered, joined since when peers do without a pause, as
 	// times since begun; 0 is never.
-	begun     time.Time
+	started   time.Time
 	roundTrip atomic.Int64
 	joined    atomic.Int64
 	// ask and done answer the questions of peers about targets, taken notes the
@@ -66,7 +66,7 @@
 
 func newMessenger() *messenger {
 	m := &messenger{
-		begun:   time.Now(),
+		started: time.Now(),
 		waits:   map[uint64]chan *wire.Datagram{},
 		draw:    func(*wire.Datagram) {},
 		touched: func(time.Time) {},
@@ -208,7 +208,7 @@
 
 // reached notes that a peer answered: both ways to it work.
 func (m *messenger) reached(now time.Time) {
-	since := int64(now.Sub(m.begun))
+	since := int64(now.Sub(m.started))
 	if m.alone(now) {
 		m.joined.Store(since)
 	}
@@ -217,14 +217,14 @@
 
 // among returns for how long peers have answered without a pause.
 func (m *messenger) among(now time.Time) time.Duration {
-	return now.Sub(m.begun) - time.Duration(m.joined.Load())
+	return now.Sub(m.started) - time.Duration(m.joined.Load())
 }
 
 // alone reports whether no peer has answered for contactTime: each is pinged several times a
 // second.
 func (m *messenger) alone(now time.Time) bool {
 	last := m.roundTrip.Load()
-	return last == 0 || now.Sub(m.begun)-time.Duration(last) > contactTimeout
+	return last == 0 || now.Sub(m.started)-time.Duration(last) > contactTimeout
 }
 
 // learn takes what travels on each datagram.
