--- a/internal/node/messenger.go
+++ b/internal/node/messenger.go
@@ -38,9 +38,9 @@
 	calls    atomic.Uint64
 	// roundTrip is when a peer last answered, joined since when peers do without a pause, as
 	// times since begun; 0 is never.
-	started   time.Time
-	roundTrip atomic.Int64
-	joined    atomic.Int64
+	started    time.Time
+	lastAnswer atomic.Int64
+	joined     atomic.Int64
 	// ask and done answer the questions of peers about targets, taken notes the
 	// answer to the end of an attempt.
 	ask   func(*wire.Datagram)
@@ -212,7 +212,7 @@
 	if m.alone(now) {
 		m.joined.Store(since)
 	}
-	m.roundTrip.Store(since)
+	m.lastAnswer.Store(since)
 }
 
 // among returns for how long peers have answered without a pause.
@@ -223,7 +223,7 @@
 // alone reports whether no peer has answered for contactTime: each is pinged several times a
 // second.
 func (m *messenger) alone(now time.Time) bool {
-	last := m.roundTrip.Load()
+	last := m.lastAnswer.Load()
 	return last == 0 || now.Sub(m.started)-time.Duration(last) > contactTimeout
 }
 
