--- a/internal/node/messenger.go
+++ b/internal/node/messenger.go
@@ -38,9 +38,9 @@
 	calls    atomic.Uint64
 	// roundTrip is when a peer last answered, joined since when peers do without a pause, as
 	// times since begun; 0 is never.
-	started    time.Time
-	lastAnswer atomic.Int64
-	joined     atomic.Int64
+	started        time.Time
+	lastAnswer     atomic.Int64
+	connectedSince atomic.Int64
 	// ask and done answer the questions of peers about targets, taken notes the
 	// answer to the end of an attempt.
 	ask   func(*wire.Datagram)
@@ -210,14 +210,14 @@
 func (m *messenger) reached(now time.Time) {
 	since := int64(now.Sub(m.started))
 	if m.alone(now) {
-		m.joined.Store(since)
+		m.connectedSince.Store(since)
 	}
 	m.lastAnswer.Store(since)
 }
 
 // among returns for how long peers have answered without a pause.
 func (m *messenger) among(now time.Time) time.Duration {
-	return now.Sub(m.started) - time.Duration(m.joined.Load())
+	return now.Sub(m.started) - time.Duration(m.connectedSince.Load())
 }
 
 // alone reports whether no peer has answered for contactTime: each is pinged several times a
