--- a/internal/node/dispatch.go
+++ b/internal/node/dispatch.go
@@ -123,7 +123,7 @@
 		ledgers:   map[partition]*dispatch.Ledger{},
 		refused:   map[string]int{},
 	}
-	m.ask = d.asked
+	m.onGrantRequest = d.asked
 	m.done = d.told
 	m.taken = d.confirmed
 	return d
--- a/internal/node/messenger.go
+++ b/internal/node/messenger.go
@@ -41,11 +41,11 @@
 	started        time.Time
 	lastAnswer     atomic.Int64
 	connectedSince atomic.Int64
-	// ask and done answer the questions of peers about targets, taken notes the
+	// onGrantRequest and done answer the questions of peers about targets, taken notes the
 	// answer to the end of an attempt.
-	ask   func(*wire.Datagram)
-	done  func(*wire.Datagram)
-	taken func(call uint64)
+	onGrantRequest func(*wire.Datagram)
+	done           func(*wire.Datagram)
+	taken          func(call uint64)
 	// draw answers the reports of peers about limits, touched notes that one was heard.
 	draw    func(*wire.Datagram)
 	touched func(now time.Time)
@@ -189,7 +189,7 @@
 			return nil
 		})
 	case *wire.Datagram_Ask:
-		m.ask(d)
+		m.onGrantRequest(d)
 	case *wire.Datagram_Done:
 		m.done(d)
 	case *wire.Datagram_Draw:
