--- a/internal/node/dispatch.go
+++ b/internal/node/dispatch.go
@@ -124,7 +124,7 @@
 		refused:   map[string]int{},
 	}
 	m.onGrantRequest = d.asked
-	m.done = d.told
+	m.onDone = d.told
 	m.taken = d.confirmed
 	return d
 }
--- a/internal/node/messenger.go
+++ b/internal/node/messenger.go
@@ -44,7 +44,7 @@
 	// onGrantRequest and done answer the questions of peers about targets, taken notes the
 	// answer to the end of an attempt.
 	onGrantRequest func(*wire.Datagram)
-	done           func(*wire.Datagram)
+	onDone         func(*wire.Datagram)
 	taken          func(call uint64)
 	// draw answers the reports of peers about limits, touched notes that one was heard.
 	draw    func(*wire.Datagram)
@@ -191,7 +191,7 @@
 	case *wire.Datagram_Ask:
 		m.onGrantRequest(d)
 	case *wire.Datagram_Done:
-		m.done(d)
+		m.onDone(d)
 	case *wire.Datagram_Draw:
 		m.draw(d)
 	case *wire.Datagram_QuarantineNews:
