--- a/internal/node/dispatch.go
+++ b/internal/node/dispatch.go
@@ -125,7 +125,7 @@
 	}
 	m.onGrantRequest = d.asked
 	m.onDone = d.told
-	m.taken = d.confirmed
+	m.onTaken = d.confirmed
 	return d
 }
 
--- a/internal/node/messenger.go
+++ b/internal/node/messenger.go
@@ -45,7 +45,7 @@
 	// answer to the end of an attempt.
 	onGrantRequest func(*wire.Datagram)
 	onDone         func(*wire.Datagram)
-	taken          func(call uint64)
+	onTaken        func(call uint64)
 	// draw answers the reports of peers about limits, touched notes that one was heard.
 	draw    func(*wire.Datagram)
 	touched func(now time.Time)
@@ -199,7 +199,7 @@
 	case *wire.Datagram_Announce:
 	case *wire.Datagram_Taken:
 		m.reached(now)
-		m.taken(d.GetCall())
+		m.onTaken(d.GetCall())
 	default:
 		m.reached(now)
 		m.answered(d)
