--- a/internal/node/messenger.go
+++ b/internal/node/messenger.go
@@ -46,9 +46,9 @@
 	onGrantRequest func(*wire.Datagram)
 	onDone         func(*wire.Datagram)
 	onTaken        func(call uint64)
-	// draw answers the reports of peers about limits, touched notes that one was heard.
-	draw    func(*wire.Datagram)
-	touched func(now time.Time)
+	// onTokenRequest answers the reports of peers about limits, touched notes that one was heard.
+	onTokenRequest func(*wire.Datagram)
+	touched        func(now time.Time)
 	// began gets each node's incarnation that a datagram names.
 	began func(node string, incarnation uint64)
 	// quarantined returns the digest of the requests that this node knows to end targets,
@@ -66,11 +66,11 @@
 
 func newMessenger() *messenger {
 	m := &messenger{
-		started: time.Now(),
-		waits:   map[uint64]chan *wire.Datagram{},
-		draw:    func(*wire.Datagram) {},
-		touched: func(time.Time) {},
-		began:   func(string, uint64) {},
+		started:        time.Now(),
+		waits:          map[uint64]chan *wire.Datagram{},
+		onTokenRequest: func(*wire.Datagram) {},
+		touched:        func(time.Time) {},
+		began:          func(string, uint64) {},
 
 		quarantined: func() uint64 { return 0 },
 		quarantine:  func(string, *wire.Quarantine) {},
@@ -193,7 +193,7 @@
 	case *wire.Datagram_Done:
 		m.onDone(d)
 	case *wire.Datagram_Draw:
-		m.draw(d)
+		m.onTokenRequest(d)
 	case *wire.Datagram_QuarantineNews:
 		m.quarantine(d.GetFrom().GetAddress(), b.QuarantineNews)
 	case *wire.Datagram_Announce:
