--- a/internal/node/messenger.go
+++ b/internal/node/messenger.go
@@ -48,7 +48,7 @@
 	onTaken        func(call uint64)
 	// onTokenRequest answers the reports of peers about limits, touched notes that one was heard.
 	onTokenRequest func(*wire.Datagram)
-	touched        func(now time.Time)
+	onReceive      func(now time.Time)
 	// began gets each node's incarnation that a datagram names.
 	began func(node string, incarnation uint64)
 	// quarantined returns the digest of the requests that this node knows to end targets,
@@ -69,7 +69,7 @@
 		started:        time.Now(),
 		waits:          map[uint64]chan *wire.Datagram{},
 		onTokenRequest: func(*wire.Datagram) {},
-		touched:        func(time.Time) {},
+		onReceive:      func(time.Time) {},
 		began:          func(string, uint64) {},
 
 		quarantined: func() uint64 { return 0 },
@@ -230,7 +230,7 @@
 // learn takes what travels on each datagram.
 func (m *messenger) learn(now time.Time, d *wire.Datagram) {
 	m.members.recordMessage(d.GetFrom())
-	m.touched(now)
+	m.onReceive(now)
 	m.began(d.GetFrom().GetAddress(), d.GetFrom().GetIncarnation())
 	for _, n := range d.GetNews() {
 		m.began(n.GetNode().GetAddress(), n.GetNode().GetIncarnation())
