--- a/internal/node/messenger.go
+++ b/internal/node/messenger.go
@@ -49,8 +49,8 @@
 	// onTokenRequest answers the reports of peers about limits, touched notes that one was heard.
 	onTokenRequest func(*wire.Datagram)
 	onReceive      func(now time.Time)
-	// began gets each node's incarnation that a datagram names.
-	began func(node string, incarnation uint64)
+	// onIncarnation gets each node's incarnation that a datagram names.
+	onIncarnation func(node string, incarnation uint64)
 	// quarantined returns the digest of the requests that this node knows to end targets,
 	// quarantine and compare take what peers know of them and the digests of theirs.
 	quarantined func() uint64
@@ -70,7 +70,7 @@
 		waits:          map[uint64]chan *wire.Datagram{},
 		onTokenRequest: func(*wire.Datagram) {},
 		onReceive:      func(time.Time) {},
-		began:          func(string, uint64) {},
+		onIncarnation:  func(string, uint64) {},
 
 		quarantined: func() uint64 { return 0 },
 		quarantine:  func(string, *wire.Quarantine) {},
@@ -231,9 +231,9 @@
 func (m *messenger) learn(now time.Time, d *wire.Datagram) {
 	m.members.recordMessage(d.GetFrom())
 	m.onReceive(now)
-	m.began(d.GetFrom().GetAddress(), d.GetFrom().GetIncarnation())
+	m.onIncarnation(d.GetFrom().GetAddress(), d.GetFrom().GetIncarnation())
 	for _, n := range d.GetNews() {
-		m.began(n.GetNode().GetAddress(), n.GetNode().GetIncarnation())
+		m.onIncarnation(n.GetNode().GetAddress(), n.GetNode().GetIncarnation())
 		m.members.applyUpdate(now, membership.News{
 			Node:        membership.NewNode(n.GetNode().GetAddress(), n.GetNode().GetDataHall()),
 			Incarnation: n.GetNode().GetIncarnation(),
--- a/internal/node/socket.go
+++ b/internal/node/socket.go
@@ -37,7 +37,7 @@
 		since:     n.suspended.Since,
 	}
 	n.limiting.messenger = m
-	m.onTokenRequest, m.onReceive, m.began = n.limiting.drawn, n.limiting.touched, n.limiting.began
+	m.onTokenRequest, m.onReceive, m.onIncarnation = n.limiting.drawn, n.limiting.touched, n.limiting.began
 	n.quarantining.messenger = m
 	m.quarantined, m.quarantine, m.compare = n.quarantining.digest.Load, n.quarantining.learn, n.quarantining.compare
 	share, reserve, window := n.set.Retries()
