--- a/internal/node/messenger.go
+++ b/internal/node/messenger.go
@@ -51,11 +51,11 @@
 	onReceive      func(now time.Time)
 	// onIncarnation gets each node's incarnation that a datagram names.
 	onIncarnation func(node string, incarnation uint64)
-	// quarantined returns the digest of the requests that this node knows to end targets,
+	// quarantineDigest returns the digest of the requests that this node knows to end targets,
 	// quarantine and compare take what peers know of them and the digests of theirs.
-	quarantined func() uint64
-	quarantine  func(peer string, in *wire.Quarantine)
-	compare     func(peer string, digest uint64)
+	quarantineDigest func() uint64
+	quarantine       func(peer string, in *wire.Quarantine)
+	compare          func(peer string, digest uint64)
 	// helping are the pings on behalf of peers; only run uses it.
 	helping task.Group
 
@@ -72,9 +72,9 @@
 		onReceive:      func(time.Time) {},
 		onIncarnation:  func(string, uint64) {},
 
-		quarantined: func() uint64 { return 0 },
-		quarantine:  func(string, *wire.Quarantine) {},
-		compare:     func(string, uint64) {},
+		quarantineDigest: func() uint64 { return 0 },
+		quarantine:       func(string, *wire.Quarantine) {},
+		compare:          func(string, uint64) {},
 	}
 	// Calls of two lives of a process must not be taken for one another.
 	m.calls.Store(rand.Uint64() >> 1)
@@ -90,7 +90,7 @@
 	}
 	d.From = m.self()
 	d.Digest = m.replica.Digest()
-	d.Quarantine = m.quarantined()
+	d.Quarantine = m.quarantineDigest()
 	d.ReadTo = m.gossip.ReadTo()
 	if age := m.gossip.PlatformAge(time.Now()); age < time.Hour {
 		d.SourceAgeMs = uint64(max(age.Milliseconds(), 0)) + 1
