--- a/internal/node/messenger.go
+++ b/internal/node/messenger.go
@@ -54,7 +54,7 @@
 	// quarantineDigest returns the digest of the requests that this node knows to end targets,
 	// quarantine and compare take what peers know of them and the digests of theirs.
 	quarantineDigest func() uint64
-	quarantine       func(peer string, in *wire.Quarantine)
+	onQuarantine     func(peer string, in *wire.Quarantine)
 	compare          func(peer string, digest uint64)
 	// helping are the pings on behalf of peers; only run uses it.
 	helping task.Group
@@ -73,7 +73,7 @@
 		onIncarnation:  func(string, uint64) {},
 
 		quarantineDigest: func() uint64 { return 0 },
-		quarantine:       func(string, *wire.Quarantine) {},
+		onQuarantine:     func(string, *wire.Quarantine) {},
 		compare:          func(string, uint64) {},
 	}
 	// Calls of two lives of a process must not be taken for one another.
@@ -195,7 +195,7 @@
 	case *wire.Datagram_Draw:
 		m.onTokenRequest(d)
 	case *wire.Datagram_QuarantineNews:
-		m.quarantine(d.GetFrom().GetAddress(), b.QuarantineNews)
+		m.onQuarantine(d.GetFrom().GetAddress(), b.QuarantineNews)
 	case *wire.Datagram_Announce:
 	case *wire.Datagram_Taken:
 		m.reached(now)
