--- a/internal/node/messenger.go
+++ b/internal/node/messenger.go
@@ -53,9 +53,9 @@
 	onIncarnation func(node string, incarnation uint64)
 	// quarantineDigest returns the digest of the requests that this node knows to end targets,
 	// quarantine and compare take what peers know of them and the digests of theirs.
-	quarantineDigest func() uint64
-	onQuarantine     func(peer string, in *wire.Quarantine)
-	compare          func(peer string, digest uint64)
+	quarantineDigest   func() uint64
+	onQuarantine       func(peer string, in *wire.Quarantine)
+	onQuarantineDigest func(peer string, digest uint64)
 	// helping are the pings on behalf of peers; only run uses it.
 	helping task.Group
 
@@ -72,9 +72,9 @@
 		onReceive:      func(time.Time) {},
 		onIncarnation:  func(string, uint64) {},
 
-		quarantineDigest: func() uint64 { return 0 },
-		onQuarantine:     func(string, *wire.Quarantine) {},
-		compare:          func(string, uint64) {},
+		quarantineDigest:   func() uint64 { return 0 },
+		onQuarantine:       func(string, *wire.Quarantine) {},
+		onQuarantineDigest: func(string, uint64) {},
 	}
 	// Calls of two lives of a process must not be taken for one another.
 	m.calls.Store(rand.Uint64() >> 1)
@@ -245,7 +245,7 @@
 	if senderOnly(d) {
 		return
 	}
-	m.compare(d.GetFrom().GetAddress(), d.GetQuarantine())
+	m.onQuarantineDigest(d.GetFrom().GetAddress(), d.GetQuarantine())
 	if age := d.GetSourceAgeMs(); age > 0 {
 		m.gossip.LearnAge(now, time.Duration(age-1)*time.Millisecond)
 	}
--- a/internal/node/socket.go
+++ b/internal/node/socket.go
@@ -39,7 +39,7 @@
 	n.limiting.messenger = m
 	m.onTokenRequest, m.onReceive, m.onIncarnation = n.limiting.drawn, n.limiting.touched, n.limiting.began
 	n.quarantining.messenger = m
-	m.quarantineDigest, m.onQuarantine, m.compare = n.quarantining.digest.Load, n.quarantining.learn, n.quarantining.compare
+	m.quarantineDigest, m.onQuarantine, m.onQuarantineDigest = n.quarantining.digest.Load, n.quarantining.learn, n.quarantining.compare
 	share, reserve, window := n.set.Retries()
 	d := newDispatchController(n.board, m, dispatch.Budget{
 		Share:   share,
