--- a/internal/node/messenger.go
+++ b/internal/node/messenger.go
@@ -56,8 +56,8 @@
 	quarantineDigest   func() uint64
 	onQuarantine       func(peer string, in *wire.Quarantine)
 	onQuarantineDigest func(peer string, digest uint64)
-	// helping are the pings on behalf of peers; only run uses it.
-	helping task.Group
+	// relayedPings are the pings on behalf of peers; only run uses it.
+	relayedPings task.Group
 
 	mu sync.Mutex
 	// waits are the calls that wait for an answer.
@@ -165,12 +165,12 @@
 // run takes datagrams until the context ends.
 func (m *messenger) run(ctx context.Context) error {
 	err := m.socket.Serve(ctx, func(d *wire.Datagram) { m.handle(ctx, d) })
-	return errors.Join(err, m.helping.Wait())
+	return errors.Join(err, m.relayedPings.Wait())
 }
 
 // reap reads the ends of the pings on behalf of peers.
 func (m *messenger) reap() {
-	if err := m.helping.Reap(); err != nil {
+	if err := m.relayedPings.Reap(); err != nil {
 		m.log.WithError(err).Debug("ping for a peer ended")
 	}
 }
@@ -184,7 +184,7 @@
 		m.pong(d.GetFrom().GetAddress(), d.GetCall())
 	case *wire.Datagram_PingVia:
 		m.reap()
-		m.helping.Go(ctx, "ping for a peer", func(ctx context.Context) error {
+		m.relayedPings.Go(ctx, "ping for a peer", func(ctx context.Context) error {
 			m.pingFor(ctx, d.GetFrom().GetAddress(), d.GetCall(), b.PingVia.GetAddress())
 			return nil
 		})
