--- a/internal/node/messenger.go
+++ b/internal/node/messenger.go
@@ -60,14 +60,14 @@
 	relayedPings task.Group
 
 	mu sync.Mutex
-	// waits are the calls that wait for an answer.
-	waits map[uint64]chan *wire.Datagram
+	// pendingCalls are the calls that wait for an answer.
+	pendingCalls map[uint64]chan *wire.Datagram
 }
 
 func newMessenger() *messenger {
 	m := &messenger{
 		started:        time.Now(),
-		waits:          map[uint64]chan *wire.Datagram{},
+		pendingCalls:   map[uint64]chan *wire.Datagram{},
 		onTokenRequest: func(*wire.Datagram) {},
 		onReceive:      func(time.Time) {},
 		onIncarnation:  func(string, uint64) {},
@@ -153,11 +153,11 @@
 	// A queued ask gets several answers.
 	c := make(chan *wire.Datagram, 4)
 	m.mu.Lock()
-	m.waits[id] = c
+	m.pendingCalls[id] = c
 	m.mu.Unlock()
 	return id, c, func() {
 		m.mu.Lock()
-		delete(m.waits, id)
+		delete(m.pendingCalls, id)
 		m.mu.Unlock()
 	}
 }
@@ -258,7 +258,7 @@
 
 func (m *messenger) answered(d *wire.Datagram) {
 	m.mu.Lock()
-	c := m.waits[d.GetCall()]
+	c := m.pendingCalls[d.GetCall()]
 	m.mu.Unlock()
 	if c == nil {
 		return
