--- a/internal/node/messenger.go
+++ b/internal/node/messenger.go
@@ -198,16 +198,16 @@
 		m.onQuarantine(d.GetFrom().GetAddress(), b.QuarantineNews)
 	case *wire.Datagram_Announce:
 	case *wire.Datagram_Taken:
-		m.reached(now)
+		m.recordAnswer(now)
 		m.onTaken(d.GetCall())
 	default:
-		m.reached(now)
+		m.recordAnswer(now)
 		m.answered(d)
 	}
 }
 
-// reached notes that a peer answered: both ways to it work.
-func (m *messenger) reached(now time.Time) {
+// recordAnswer notes that a peer answered: both ways to it work.
+func (m *messenger) recordAnswer(now time.Time) {
 	since := int64(now.Sub(m.started))
 	if m.alone(now) {
 		m.connectedSince.Store(since)
