--- a/internal/node/messenger.go
+++ b/internal/node/messenger.go
@@ -209,7 +209,7 @@
 // recordAnswer notes that a peer answered: both ways to it work.
 func (m *messenger) recordAnswer(now time.Time) {
 	since := int64(now.Sub(m.started))
-	if m.alone(now) {
+	if m.isolated(now) {
 		m.connectedSince.Store(since)
 	}
 	m.lastAnswer.Store(since)
@@ -220,9 +220,9 @@
 	return now.Sub(m.started) - time.Duration(m.connectedSince.Load())
 }
 
-// alone reports whether no peer has answered for contactTime: each is pinged several times a
+// isolated reports whether no peer has answered for contactTime: each is pinged several times a
 // second.
-func (m *messenger) alone(now time.Time) bool {
+func (m *messenger) isolated(now time.Time) bool {
 	last := m.lastAnswer.Load()
 	return last == 0 || now.Sub(m.started)-time.Duration(last) > contactTimeout
 }
--- a/internal/node/targetlimits.go
+++ b/internal/node/targetlimits.go
@@ -156,7 +156,7 @@
 		p.rank = len(holders)
 	}
 	if p.nodes > 1 || d.seeds > 0 {
-		p.alone = d.messenger.alone(now)
+		p.alone = d.messenger.isolated(now)
 		p.among = d.messenger.among(now)
 	}
 	return p
