--- a/internal/node/messenger.go
+++ b/internal/node/messenger.go
@@ -215,8 +215,8 @@
 	m.lastAnswer.Store(since)
 }
 
-// among returns for how long peers have answered without a pause.
-func (m *messenger) among(now time.Time) time.Duration {
+// connectedFor returns for how long peers have answered without a pause.
+func (m *messenger) connectedFor(now time.Time) time.Duration {
 	return now.Sub(m.started) - time.Duration(m.connectedSince.Load())
 }
 
--- a/internal/node/targetlimits.go
+++ b/internal/node/targetlimits.go
@@ -157,7 +157,7 @@
 	}
 	if p.nodes > 1 || d.seeds > 0 {
 		p.alone = d.messenger.isolated(now)
-		p.among = d.messenger.among(now)
+		p.among = d.messenger.connectedFor(now)
 	}
 	return p
 }
