--- a/internal/node/messenger.go
+++ b/internal/node/messenger.go
@@ -178,7 +178,7 @@
 // handle takes one datagram.
 func (m *messenger) handle(ctx context.Context, d *wire.Datagram) {
 	now := time.Now()
-	m.learn(now, d)
+	m.readHeader(now, d)
 	switch b := d.GetBody().(type) {
 	case *wire.Datagram_Ping:
 		m.pong(d.GetFrom().GetAddress(), d.GetCall())
@@ -227,8 +227,8 @@
 	return last == 0 || now.Sub(m.started)-time.Duration(last) > contactTimeout
 }
 
-// learn takes what travels on each datagram.
-func (m *messenger) learn(now time.Time, d *wire.Datagram) {
+// readHeader takes what travels on each datagram.
+func (m *messenger) readHeader(now time.Time, d *wire.Datagram) {
 	m.members.recordMessage(d.GetFrom())
 	m.onReceive(now)
 	m.onIncarnation(d.GetFrom().GetAddress(), d.GetFrom().GetIncarnation())
