--- a/internal/node/dispatcher.go
+++ b/internal/node/dispatcher.go
@@ -287,7 +287,7 @@
 		},
 	}
 	if peer == d.board.view.Load().Self().Address() {
-		d.messenger.answered(out)
+		d.messenger.deliverAnswer(out)
 		return
 	}
 	d.messenger.send(peer, out)
--- a/internal/node/export_test.go
+++ b/internal/node/export_test.go
@@ -200,7 +200,7 @@
 		c.asked[peer+" "+d.GetAsk().GetDataHall()]++
 		for _, n := range peers {
 			if n.Address() == peer && n.DataHall() != self.DataHall() {
-				m.answered(c.grantOf(d, n.DataHall()))
+				m.deliverAnswer(c.grantOf(d, n.DataHall()))
 			}
 		}
 		return nil
--- a/internal/node/messenger.go
+++ b/internal/node/messenger.go
@@ -202,7 +202,7 @@
 		m.onTaken(d.GetCall())
 	default:
 		m.recordAnswer(now)
-		m.answered(d)
+		m.deliverAnswer(d)
 	}
 }
 
@@ -256,7 +256,7 @@
 	m.gossip.Agrees(now)
 }
 
-func (m *messenger) answered(d *wire.Datagram) {
+func (m *messenger) deliverAnswer(d *wire.Datagram) {
 	m.mu.Lock()
 	c := m.pendingCalls[d.GetCall()]
 	m.mu.Unlock()
