--- a/internal/node/messenger.go
+++ b/internal/node/messenger.go
@@ -185,7 +185,7 @@
 	case *wire.Datagram_PingVia:
 		m.reap()
 		m.relayedPings.Go(ctx, "ping for a peer", func(ctx context.Context) error {
-			m.pingFor(ctx, d.GetFrom().GetAddress(), d.GetCall(), b.PingVia.GetAddress())
+			m.relayPing(ctx, d.GetFrom().GetAddress(), d.GetCall(), b.PingVia.GetAddress())
 			return nil
 		})
 	case *wire.Datagram_Ask:
@@ -308,8 +308,8 @@
 	return awaitAnswer(ctx, answers, wait)
 }
 
-// pingFor pings a node on behalf of a peer.
-func (m *messenger) pingFor(ctx context.Context, peer string, call uint64, address string) {
+// relayPing pings a node on behalf of a peer.
+func (m *messenger) relayPing(ctx context.Context, peer string, call uint64, address string) {
 	if m.ping(ctx, address, indirectPingTimeout) {
 		m.pong(peer, call)
 	}
