--- a/internal/node/messenger.go
+++ b/internal/node/messenger.go
@@ -168,8 +168,8 @@
 	return errors.Join(err, m.relayedPings.Wait())
 }
 
-// reap reads the ends of the pings on behalf of peers.
-func (m *messenger) reap() {
+// reapRelayedPings reads the ends of the pings on behalf of peers.
+func (m *messenger) reapRelayedPings() {
 	if err := m.relayedPings.Reap(); err != nil {
 		m.log.WithError(err).Debug("ping for a peer ended")
 	}
@@ -183,7 +183,7 @@
 	case *wire.Datagram_Ping:
 		m.pong(d.GetFrom().GetAddress(), d.GetCall())
 	case *wire.Datagram_PingVia:
-		m.reap()
+		m.reapRelayedPings()
 		m.relayedPings.Go(ctx, "ping for a peer", func(ctx context.Context) error {
 			m.relayPing(ctx, d.GetFrom().GetAddress(), d.GetCall(), b.PingVia.GetAddress())
 			return nil
