--- a/internal/node/lifecycle.go
+++ b/internal/node/lifecycle.go
@@ -41,7 +41,7 @@
 	cutOff      func() bool
 	platformAge func(now time.Time) time.Duration
 	seeds       int
-	leaving     atomic.Bool
+	draining    atomic.Bool
 	settled     bool
 }
 
@@ -73,7 +73,7 @@
 
 // reason says why the node is not ready, or "".
 func (l *lifecycle) reason(now time.Time) string {
-	if l.leaving.Load() {
+	if l.draining.Load() {
 		return reasonDraining
 	}
 	cfg := l.board.currentConfig()
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -156,7 +156,7 @@
 		Address:     n.address(),
 		DataHall:    n.set.DataHall(),
 		Incarnation: n.members.incarnation.Load(),
-		Leaving:     n.lifecycle.leaving.Load(),
+		Leaving:     n.lifecycle.draining.Load(),
 		Weight:      n.set.Weight(),
 	}
 }
--- a/internal/node/stop.go
+++ b/internal/node/stop.go
@@ -27,7 +27,7 @@
 func (n *Node) stop(ctx context.Context) error {
 	log := logging.Part(n.log, "node")
 	log.Info("leaving")
-	n.lifecycle.leaving.Store(true)
+	n.lifecycle.draining.Store(true)
 	n.entry.Closing()
 	n.sayLeaving(ctx)
 	wait := time.NewTimer(n.live.Load().DrainWait())
