--- a/internal/node/lifecycle.go
+++ b/internal/node/lifecycle.go
@@ -38,7 +38,7 @@
 	board       *Board
 	begun       time.Time
 	compared    func() int
-	cutOff      func() bool
+	isolated    func() bool
 	platformAge func(now time.Time) time.Duration
 	seeds       int
 	draining    atomic.Bool
@@ -86,7 +86,7 @@
 	if !l.settled && !l.settle(now) {
 		return reasonPeers
 	}
-	if l.cutOff() && l.platformAge(now) > maxPlatformAge {
+	if l.isolated() && l.platformAge(now) > maxPlatformAge {
 		return reasonIsolated
 	}
 	return ""
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -199,7 +199,7 @@
 		board:       n.board,
 		begun:       n.begun,
 		compared:    n.gossip.Compared,
-		cutOff:      n.gossip.CutOff,
+		isolated:    n.gossip.CutOff,
 		platformAge: n.gossip.PlatformAge,
 		seeds:       len(n.set.Seeds()),
 		// An adapter's reads are never stale.
