--- a/internal/node/lifecycle.go
+++ b/internal/node/lifecycle.go
@@ -35,14 +35,14 @@
 // lifecycle decides whether the balancer should send callers here, and writes
 // that section of the blackboard.
 type lifecycle struct {
-	board       *Board
-	begun       time.Time
-	compared    func() int
-	isolated    func() bool
-	platformAge func(now time.Time) time.Duration
-	seeds       int
-	draining    atomic.Bool
-	settled     bool
+	board         *Board
+	begun         time.Time
+	compared      func() int
+	isolated      func() bool
+	platformAge   func(now time.Time) time.Duration
+	seeds         int
+	draining      atomic.Bool
+	peersCompared bool
 }
 
 // run renews readiness at each tick until the context ends.
@@ -83,7 +83,7 @@
 	if l.board.pools.Load() == nil {
 		return reasonStarting
 	}
-	if !l.settled && !l.settle(now) {
+	if !l.peersCompared && !l.settle(now) {
 		return reasonPeers
 	}
 	if l.isolated() && l.platformAge(now) > maxPlatformAge {
@@ -97,7 +97,7 @@
 func (l *lifecycle) settle(now time.Time) bool {
 	known := max(len(l.board.view.Load().Peers()), l.seeds)
 	if l.compared() >= min(enoughPeers, known) || now.Sub(l.begun) > maxCompareWait {
-		l.settled = true
+		l.peersCompared = true
 	}
-	return l.settled
+	return l.peersCompared
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -203,7 +203,7 @@
 		platformAge: n.gossip.PlatformAge,
 		seeds:       len(n.set.Seeds()),
 		// An adapter's reads are never stale.
-		settled: n.adapter.Silent > 0,
+		peersCompared: n.adapter.Silent > 0,
 	}
 	window, excess, slack := n.set.Workspaces().Tolerance()
 	n.limiting = newLimitController(n.board, n.begun, uint64(n.begun.UnixNano()), ratelimit.Tolerance{
