--- a/internal/node/lifecycle.go
+++ b/internal/node/lifecycle.go
@@ -83,7 +83,7 @@
 	if l.board.pools.Load() == nil {
 		return reasonStarting
 	}
-	if !l.peersCompared && !l.settle(now) {
+	if !l.peersCompared && !l.comparedEnough(now) {
 		return reasonPeers
 	}
 	if l.isolated() && l.platformAge(now) > maxPlatformAge {
@@ -92,9 +92,9 @@
 	return ""
 }
 
-// settle reports whether a starting node has compared its configuration with
+// comparedEnough reports whether a starting node has compared its configuration with
 // enough peers.
-func (l *lifecycle) settle(now time.Time) bool {
+func (l *lifecycle) comparedEnough(now time.Time) bool {
 	known := max(len(l.board.view.Load().Peers()), l.seeds)
 	if l.compared() >= min(enoughPeers, known) || now.Sub(l.begun) > maxCompareWait {
 		l.peersCompared = true
