--- a/internal/node/lifecycle.go
+++ b/internal/node/lifecycle.go
@@ -36,7 +36,7 @@
 // that section of the blackboard.
 type lifecycle struct {
 	board         *Board
-	begun         time.Time
+	started       time.Time
 	compared      func() int
 	isolated      func() bool
 	platformAge   func(now time.Time) time.Duration
@@ -96,7 +96,7 @@
 // enough peers.
 func (l *lifecycle) comparedEnough(now time.Time) bool {
 	known := max(len(l.board.view.Load().Peers()), l.seeds)
-	if l.compared() >= min(enoughPeers, known) || now.Sub(l.begun) > maxCompareWait {
+	if l.compared() >= min(enoughPeers, known) || now.Sub(l.started) > maxCompareWait {
 		l.peersCompared = true
 	}
 	return l.peersCompared
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -197,7 +197,7 @@
 	n.probing = newProber(n.board, n.adapter.Contract, n.observing.collect, logging.Part(n.log, "probing"))
 	n.lifecycle = &lifecycle{
 		board:       n.board,
-		begun:       n.begun,
+		started:     n.begun,
 		compared:    n.gossip.Compared,
 		isolated:    n.gossip.CutOff,
 		platformAge: n.gossip.PlatformAge,
