--- a/internal/node/board.go
+++ b/internal/node/board.go
@@ -25,9 +25,9 @@
 type targetState struct {
 	address string
 	state   outlier.State
-	// listedLeaving is set when the platform's list says that it leaves.
-	listedLeaving bool
-	inFlight      int
+	// listedDraining is set when the platform's list says that it leaves.
+	listedDraining bool
+	inFlight       int
 }
 
 // poolState is one service as the judging controller holds it.
--- a/internal/node/ejection.go
+++ b/internal/node/ejection.go
@@ -281,10 +281,10 @@
 			Gauge:       s.gauges[t.Key()],
 		})
 		p.targets = append(p.targets, targetState{
-			address:       t.Key(),
-			state:         st,
-			listedLeaving: listed,
-			inFlight:      s.gauges[t.Key()].InFlight(),
+			address:        t.Key(),
+			state:          st,
+			listedDraining: listed,
+			inFlight:       s.gauges[t.Key()].InFlight(),
 		})
 		if !st.Leaving && !listed {
 			capacity += t.Slots()
