--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -52,7 +52,7 @@
 	set       *settings.Settings
 	log       *logrus.Logger
 	board     *Board
-	begun     time.Time
+	started   time.Time
 	members   *members
 	replica   *dissemination.Replica
 	gossip    *dissemination.Gossip
@@ -98,7 +98,7 @@
 		board: &Board{
 			regions: set.Regions(),
 		},
-		begun:   time.Now(),
+		started: time.Now(),
 		traffic: &link.Traffic{},
 		metrics: metrics.New(set.MetricWorkspaces()),
 		drain:   make(chan struct{}, 1),
@@ -112,7 +112,7 @@
 	}
 	n.dialer = link.NewDialer(keys, n.traffic)
 	n.members = newMembers(n.board, membership.NewNode(n.address(), set.DataHall()), set.Weight())
-	n.members.incarnation.Store(uint64(n.begun.UnixMilli()))
+	n.members.incarnation.Store(uint64(n.started.UnixMilli()))
 	n.replica = dissemination.NewReplica(n.accepted)
 	n.gossip = dissemination.New(n.gossipConfig(), n.replica)
 	n.control()
@@ -197,7 +197,7 @@
 	n.probing = newProber(n.board, n.adapter.Contract, n.observing.collect, logging.Part(n.log, "probing"))
 	n.lifecycle = &lifecycle{
 		board:       n.board,
-		started:     n.begun,
+		started:     n.started,
 		compared:    n.gossip.Compared,
 		isolated:    n.gossip.CutOff,
 		platformAge: n.gossip.PlatformAge,
@@ -206,13 +206,13 @@
 		peersCompared: n.adapter.Silent > 0,
 	}
 	window, excess, slack := n.set.Workspaces().Tolerance()
-	n.limiting = newLimitController(n.board, n.begun, uint64(n.begun.UnixNano()), ratelimit.Tolerance{
+	n.limiting = newLimitController(n.board, n.started, uint64(n.started.UnixNano()), ratelimit.Tolerance{
 		Window: window,
 		Excess: excess,
 		Slack:  slack,
 	}, logging.Part(n.log, "limits"))
 	n.limiting.seeds = len(slices.DeleteFunc(n.seeds(), func(s string) bool { return s == n.address() }))
-	n.quarantining = newQuarantineController(n.board, n.begun, logging.Part(n.log, "quarantine"))
+	n.quarantining = newQuarantineController(n.board, n.started, logging.Part(n.log, "quarantine"))
 	n.quarantining.shared = func(shared int) { n.metrics.Gauge("quarantined_requests", float64(shared)) }
 	switch {
 	case n.adapter.Read != nil:
--- a/internal/node/source.go
+++ b/internal/node/source.go
@@ -86,7 +86,7 @@
 func (n *Node) reader() bool {
 	now := time.Now()
 	view := n.board.view.Load()
-	age, up := n.gossip.PlatformAge(now), now.Sub(n.begun)
+	age, up := n.gossip.PlatformAge(now), now.Sub(n.started)
 	if len(view.Peers()) == 0 && len(n.set.Seeds()) == 0 {
 		return true
 	}
--- a/internal/node/status.go
+++ b/internal/node/status.go
@@ -29,7 +29,7 @@
 		DataHall: n.set.DataHall(),
 		Ready:    ready,
 		Reason:   reason,
-		UpFor:    time.Since(n.begun).Round(time.Millisecond).String(),
+		UpFor:    time.Since(n.started).Round(time.Millisecond).String(),
 		InFlight: n.entry.InFlight(),
 		Config:   n.configStatus(),
 		Control: operator.ControlStatus{
