--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -115,7 +115,7 @@
 	n.members.incarnation.Store(uint64(n.started.UnixMilli()))
 	n.replica = dissemination.NewReplica(n.accepted)
 	n.gossip = dissemination.New(n.gossipConfig(), n.replica)
-	n.control()
+	n.makeControllers()
 	if err := n.open(keys); err != nil {
 		return nil, err
 	}
@@ -183,8 +183,8 @@
 	}
 }
 
-// control makes the controllers.
-func (n *Node) control() {
+// makeControllers makes the controllers.
+func (n *Node) makeControllers() {
 	collector := outlier.NewCollector(ejectionInterval)
 	n.judging = newEjectionController(n.board, collector, logging.Part(n.log, "judging"))
 	n.observing = newEvidenceController(n.board, observerLink{
