--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -113,7 +113,7 @@
 	n.dialer = link.NewDialer(keys, n.traffic)
 	n.members = newMembers(n.board, membership.NewNode(n.address(), set.DataHall()), set.Weight())
 	n.members.incarnation.Store(uint64(n.started.UnixMilli()))
-	n.replica = dissemination.NewReplica(n.accepted)
+	n.replica = dissemination.NewReplica(n.applyConfig)
 	n.gossip = dissemination.New(n.gossipConfig(), n.replica)
 	n.makeControllers()
 	if err := n.open(keys); err != nil {
@@ -225,8 +225,8 @@
 	}
 }
 
-// accepted takes each new state of the replica.
-func (n *Node) accepted(c *fleetconfig.Config, refusals []fleetconfig.Refusal) {
+// applyConfig takes each new state of the replica.
+func (n *Node) applyConfig(c *fleetconfig.Config, refusals []fleetconfig.Refusal) {
 	log := logging.Part(n.log, "config")
 	n.metrics.Gauge("config_revision", float64(c.Position().Revision()))
 	n.metrics.Gauge("config_era", float64(c.Position().Era()))
