--- a/internal/node/freshness.go
+++ b/internal/node/freshness.go
@@ -63,7 +63,7 @@
 // missed that one was taken away.
 func (c *freshness) trusted() bool { return c.trust == 0 || c.age(time.Now()) <= c.trust }
 
-func (n *Node) currency() *freshness {
+func (n *Node) newFreshness() *freshness {
 	c := &freshness{
 		age:    n.gossip.PlatformAge,
 		agreed: n.gossip.AgreedAge,
--- a/internal/node/open.go
+++ b/internal/node/open.go
@@ -36,7 +36,7 @@
 		retry = func(string) bool { return true }
 		unserved = n.dispatching.unserved
 	}
-	currency := n.currency()
+	currency := n.newFreshness()
 	n.entry, err = entry.New(entry.Config{
 		Listen:          n.set.EntryListen(),
 		MaxBody:         n.set.MaxBody(),
