--- a/internal/node/freshness.go
+++ b/internal/node/freshness.go
@@ -71,7 +71,7 @@
 		ask:    n.gossip.Ask,
 	}
 	if n.directory == nil {
-		c.most = time.Duration(maxAgeFactor * float64(n.silent()))
+		c.most = time.Duration(maxAgeFactor * float64(n.platformTimeout()))
 	}
 	if after, strict := n.set.Workspaces().Strict(); strict && n.directory == nil {
 		c.trust = after
--- a/internal/node/source.go
+++ b/internal/node/source.go
@@ -90,7 +90,7 @@
 	if len(view.Peers()) == 0 && len(n.set.Seeds()) == 0 {
 		return true
 	}
-	silent := age > n.silent()
+	silent := age > n.platformTimeout()
 	if n.adapter.Silent == 0 {
 		return hasRole(view, view.Role("reader", n.set.DataHall(), readersPerHall)) ||
 			silent && up > startPlatformTimeout && readsByChance(view)
@@ -102,9 +102,9 @@
 	return up > discoveryTime && (hasRole(view, fleetReaders(view)) || silent && readsByChance(view))
 }
 
-// silent returns after how long without an answer of the platform to any node any node may
+// platformTimeout returns after how long without an answer of the platform to any node any node may
 // read it.
-func (n *Node) silent() time.Duration {
+func (n *Node) platformTimeout() time.Duration {
 	if n.adapter.Silent > 0 {
 		return n.adapter.Silent
 	}
