--- a/internal/node/source.go
+++ b/internal/node/source.go
@@ -23,7 +23,7 @@
 	failed := func(err error) { log.WithError(err).Warn("source not read") }
 	deliver := func(entries []*wire.Entry, upTo order.Position) {
 		n.gossip.PublishTo(entries, upTo)
-		n.logKept(log, entries)
+		n.logSuperseded(log, entries)
 	}
 	if n.directory != nil {
 		return n.directory.Run(ctx, func(entries []*wire.Entry) { deliver(entries, order.Position{}) }, failed)
@@ -54,8 +54,8 @@
 	})
 }
 
-// logKept writes a line for each value that was read and did not replace the known one.
-func (n *Node) logKept(log logrus.FieldLogger, entries []*wire.Entry) {
+// logSuperseded writes a line for each value that was read and did not replace the known one.
+func (n *Node) logSuperseded(log logrus.FieldLogger, entries []*wire.Entry) {
 	for _, e := range entries {
 		read, kept := fleetconfig.MarkOf(e), fleetconfig.MarkOf(n.replica.Newest(e.GetKey()))
 		switch {
