--- a/internal/node/stop.go
+++ b/internal/node/stop.go
@@ -29,7 +29,7 @@
 	log.Info("leaving")
 	n.lifecycle.draining.Store(true)
 	n.entry.Closing()
-	n.sayLeaving(ctx)
+	n.announceDraining(ctx)
 	wait := time.NewTimer(n.live.Load().DrainWait())
 	defer wait.Stop()
 	select {
@@ -48,10 +48,10 @@
 // drainingFarPeers is how many nodes of each other data hall a leaving node tells by datagram.
 const drainingFarPeers = 2
 
-// sayLeaving tells peers: they must give this node's roles to others. Where datagrams carry the
+// announceDraining tells peers: they must give this node's roles to others. Where datagrams carry the
 // news on, those of the own data hall and a few others are enough; a leaving node still fulfils
 // its roles until it ends.
-func (n *Node) sayLeaving(ctx context.Context) {
+func (n *Node) announceDraining(ctx context.Context) {
 	if n.peers == nil {
 		return
 	}
