--- a/internal/node/stop.go
+++ b/internal/node/stop.go
@@ -63,7 +63,7 @@
 	}
 	var all task.Group
 	for _, p := range n.board.view.Load().Peers() {
-		all.Go(ctx, "leave", func(ctx context.Context) error { return n.sayLeavingTo(ctx, p.Address()) })
+		all.Go(ctx, "leave", func(ctx context.Context) error { return n.announceDrainingTo(ctx, p.Address()) })
 	}
 	if err := all.Wait(); err != nil {
 		logging.Part(n.log, "node").WithError(err).Debug("not all peers told")
@@ -87,7 +87,7 @@
 	return out
 }
 
-func (n *Node) sayLeavingTo(ctx context.Context, peer string) error {
+func (n *Node) announceDrainingTo(ctx context.Context, peer string) error {
 	var err error
 	for range drainTries {
 		_, err = n.dialer.Sync(ctx, peer, &wire.SyncRequest{
