--- a/internal/node/limitstatus.go
+++ b/internal/node/limitstatus.go
@@ -15,8 +15,8 @@
 func (n *Node) limitStatus(now time.Time) []operator.TargetLimitStatus {
 	var out []operator.TargetLimitStatus
 	granting := map[string]bool{}
-	if n.dispatching != nil {
-		out = n.dispatching.limitStatus(now)
+	if n.dispatcher != nil {
+		out = n.dispatcher.limitStatus(now)
 	}
 	for _, l := range out {
 		granting[l.Target] = true
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -62,14 +62,14 @@
 	adapter   *Adapter
 	messenger *messenger
 	pinging   *failureDetector
-	// dispatching is nil where each node chooses targets alone.
-	dispatching *dispatchController
-	platform    *source.Platform
-	directory   *source.Directory
-	judging     *ejectionController
-	observing   *evidenceController
-	probing     *prober
-	limiting    *limitController
+	// dispatcher is nil where each node chooses targets alone.
+	dispatcher *dispatchController
+	platform   *source.Platform
+	directory  *source.Directory
+	judging    *ejectionController
+	observing  *evidenceController
+	probing    *prober
+	limiting   *limitController
 	// quarantining keeps requests away from targets that end under them.
 	quarantining *quarantineController
 	lifecycle    *lifecycle
@@ -325,8 +325,8 @@
 		run["pinging"] = n.pinging.run
 		run["limiting"] = n.limiting.run
 	}
-	if n.dispatching != nil {
-		run["dispatching"] = n.dispatching.run
+	if n.dispatcher != nil {
+		run["dispatching"] = n.dispatcher.run
 	} else {
 		run["observing"] = n.observing.run
 		run["probing"] = n.probing.run
--- a/internal/node/open.go
+++ b/internal/node/open.go
@@ -28,13 +28,13 @@
 	}
 	choose, trial, retry := a.choose, a.trial, a.retry
 	unserved := func(string) {}
-	if n.dispatching != nil {
+	if n.dispatcher != nil {
 		// The dispatcher holds the retry budget, and targets that failed come back
 		// with requests of callers.
-		choose = n.dispatching.choose
+		choose = n.dispatcher.choose
 		trial = func(*fleetconfig.Service) (entry.Choice, bool) { return entry.Choice{}, false }
 		retry = func(string) bool { return true }
-		unserved = n.dispatching.unserved
+		unserved = n.dispatcher.unserved
 	}
 	currency := n.newFreshness()
 	n.entry, err = entry.New(entry.Config{
--- a/internal/node/socket.go
+++ b/internal/node/socket.go
@@ -54,7 +54,7 @@
 	}
 	if n.set.Choice() == settings.ChoiceJoint {
 		n.board.shares.withDispatchers = true
-		n.dispatching = d
+		n.dispatcher = d
 		n.judging.passive = true
 	}
 	return nil
