--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -69,7 +69,7 @@
 	judging    *ejectionController
 	observing  *evidenceController
 	probing    *prober
-	limiting   *limitController
+	limits     *limitController
 	// quarantining keeps requests away from targets that end under them.
 	quarantining *quarantineController
 	lifecycle    *lifecycle
@@ -206,12 +206,12 @@
 		peersCompared: n.adapter.Silent > 0,
 	}
 	window, excess, slack := n.set.Workspaces().Tolerance()
-	n.limiting = newLimitController(n.board, n.started, uint64(n.started.UnixNano()), ratelimit.Tolerance{
+	n.limits = newLimitController(n.board, n.started, uint64(n.started.UnixNano()), ratelimit.Tolerance{
 		Window: window,
 		Excess: excess,
 		Slack:  slack,
 	}, logging.Part(n.log, "limits"))
-	n.limiting.seeds = len(slices.DeleteFunc(n.seeds(), func(s string) bool { return s == n.address() }))
+	n.limits.seeds = len(slices.DeleteFunc(n.seeds(), func(s string) bool { return s == n.address() }))
 	n.quarantining = newQuarantineController(n.board, n.started, logging.Part(n.log, "quarantine"))
 	n.quarantining.shared = func(shared int) { n.metrics.Gauge("quarantined_requests", float64(shared)) }
 	switch {
@@ -323,7 +323,7 @@
 	if n.messenger != nil {
 		run["datagrams"] = n.messenger.run
 		run["pinging"] = n.pinging.run
-		run["limiting"] = n.limiting.run
+		run["limiting"] = n.limits.run
 	}
 	if n.dispatcher != nil {
 		run["dispatching"] = n.dispatcher.run
--- a/internal/node/socket.go
+++ b/internal/node/socket.go
@@ -36,8 +36,8 @@
 		log:       logging.Part(n.log, "members"),
 		since:     n.suspended.Since,
 	}
-	n.limiting.messenger = m
-	m.onTokenRequest, m.onReceive, m.onIncarnation = n.limiting.drawn, n.limiting.touched, n.limiting.began
+	n.limits.messenger = m
+	m.onTokenRequest, m.onReceive, m.onIncarnation = n.limits.drawn, n.limits.touched, n.limits.began
 	n.quarantining.messenger = m
 	m.quarantineDigest, m.onQuarantine, m.onQuarantineDigest = n.quarantining.digest.Load, n.quarantining.learn, n.quarantining.compare
 	share, reserve, window := n.set.Retries()
@@ -48,7 +48,7 @@
 	}, logging.Part(n.log, "dispatch"))
 	d.floor = n.set.Floor()
 	d.short = func(p partition, short float64) { n.metrics.PartGauge("coverage_short", p.service, p.hall, short) }
-	d.seeds = n.limiting.seeds
+	d.seeds = n.limits.seeds
 	d.limited = func(p partition, targets int) {
 		n.metrics.PartGauge("limited_targets", p.service, p.hall, float64(targets))
 	}
--- a/internal/node/status.go
+++ b/internal/node/status.go
@@ -50,7 +50,7 @@
 	for key, position := range n.replica.InForce() {
 		s.Revision[key] = position.Revision()
 	}
-	s.Limits = n.limiting.status(time.Now())
+	s.Limits = n.limits.status(time.Now())
 	s.Quarantine = n.quarantining.status(time.Now())
 	s.Signals = n.board.signalStatus(time.Now())
 	s.TargetLimits = n.limitStatus(time.Now())
