--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -70,13 +70,13 @@
 	observing  *evidenceController
 	probing    *prober
 	limits     *limitController
-	// quarantining keeps requests away from targets that end under them.
-	quarantining *quarantineController
-	lifecycle    *lifecycle
-	metrics      *metrics.Metrics
-	entry        *entry.Server
-	operator     *operator.Server
-	drain        chan struct{}
+	// quarantine keeps requests away from targets that end under them.
+	quarantine *quarantineController
+	lifecycle  *lifecycle
+	metrics    *metrics.Metrics
+	entry      *entry.Server
+	operator   *operator.Server
+	drain      chan struct{}
 	// suspended tells for how long the machine was suspended.
 	suspended *suspend.Clock
 	// live are the settings as they were last read; set those of the start.
@@ -212,8 +212,8 @@
 		Slack:  slack,
 	}, logging.Part(n.log, "limits"))
 	n.limits.seeds = len(slices.DeleteFunc(n.seeds(), func(s string) bool { return s == n.address() }))
-	n.quarantining = newQuarantineController(n.board, n.started, logging.Part(n.log, "quarantine"))
-	n.quarantining.shared = func(shared int) { n.metrics.Gauge("quarantined_requests", float64(shared)) }
+	n.quarantine = newQuarantineController(n.board, n.started, logging.Part(n.log, "quarantine"))
+	n.quarantine.shared = func(shared int) { n.metrics.Gauge("quarantined_requests", float64(shared)) }
 	switch {
 	case n.adapter.Read != nil:
 	case n.set.Source() == settings.SourcePlatform:
--- a/internal/node/socket.go
+++ b/internal/node/socket.go
@@ -38,8 +38,8 @@
 	}
 	n.limits.messenger = m
 	m.onTokenRequest, m.onReceive, m.onIncarnation = n.limits.drawn, n.limits.touched, n.limits.began
-	n.quarantining.messenger = m
-	m.quarantineDigest, m.onQuarantine, m.onQuarantineDigest = n.quarantining.digest.Load, n.quarantining.learn, n.quarantining.compare
+	n.quarantine.messenger = m
+	m.quarantineDigest, m.onQuarantine, m.onQuarantineDigest = n.quarantine.digest.Load, n.quarantine.learn, n.quarantine.compare
 	share, reserve, window := n.set.Retries()
 	d := newDispatchController(n.board, m, dispatch.Budget{
 		Share:   share,
--- a/internal/node/status.go
+++ b/internal/node/status.go
@@ -51,7 +51,7 @@
 		s.Revision[key] = position.Revision()
 	}
 	s.Limits = n.limits.status(time.Now())
-	s.Quarantine = n.quarantining.status(time.Now())
+	s.Quarantine = n.quarantine.status(time.Now())
 	s.Signals = n.board.signalStatus(time.Now())
 	s.TargetLimits = n.limitStatus(time.Now())
 	if p := n.judging.pools(time.Now()); p != nil {
