--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -66,7 +66,7 @@
 	dispatcher *dispatchController
 	platform   *source.Platform
 	directory  *source.Directory
-	judging    *ejectionController
+	ejection   *ejectionController
 	observing  *evidenceController
 	probing    *prober
 	limits     *limitController
@@ -186,14 +186,14 @@
 // makeControllers makes the controllers.
 func (n *Node) makeControllers() {
 	collector := outlier.NewCollector(ejectionInterval)
-	n.judging = newEjectionController(n.board, collector, logging.Part(n.log, "judging"))
+	n.ejection = newEjectionController(n.board, collector, logging.Part(n.log, "judging"))
 	n.observing = newEvidenceController(n.board, observerLink{
 		observe: n.dialer.Observe,
 		judge:   n.dialer.Judge,
 		failed:  n.members.recordFailure,
 		self:    n.self,
-	}, n.judging.verdict, logging.Part(n.log, "observing"))
-	n.judging.report = n.observing.collect
+	}, n.ejection.verdict, logging.Part(n.log, "observing"))
+	n.ejection.report = n.observing.collect
 	n.probing = newProber(n.board, n.adapter.Contract, n.observing.collect, logging.Part(n.log, "probing"))
 	n.lifecycle = &lifecycle{
 		board:       n.board,
@@ -314,7 +314,7 @@
 func (n *Node) start(ctx context.Context) []*task.Task {
 	run := map[string]func(context.Context) error{
 		"members":   n.members.run,
-		"judging":   n.judging.run,
+		"judging":   n.ejection.run,
 		"lifecycle": n.lifecycle.run,
 		"entry":     n.entry.Serve,
 		"operator":  n.operator.Serve,
--- a/internal/node/open.go
+++ b/internal/node/open.go
@@ -65,7 +65,7 @@
 		Ended:           n.quarantine.ended,
 		Answered:        n.quarantine.answered,
 		Signals:         &n.board.signals,
-		Collector:       n.judging.collector,
+		Collector:       n.ejection.collector,
 		Served:          n.metrics.Served,
 		Log:             logging.Part(n.log, "entry"),
 	})
--- a/internal/node/socket.go
+++ b/internal/node/socket.go
@@ -55,7 +55,7 @@
 	if n.set.Choice() == settings.ChoiceJoint {
 		n.board.shares.withDispatchers = true
 		n.dispatcher = d
-		n.judging.passive = true
+		n.ejection.passive = true
 	}
 	return nil
 }
--- a/internal/node/status.go
+++ b/internal/node/status.go
@@ -54,7 +54,7 @@
 	s.Quarantine = n.quarantine.status(time.Now())
 	s.Signals = n.board.signalStatus(time.Now())
 	s.TargetLimits = n.limitStatus(time.Now())
-	if p := n.judging.pools(time.Now()); p != nil {
+	if p := n.ejection.pools(time.Now()); p != nil {
 		for name := range p.services {
 			s.Services = append(s.Services, *n.serviceStatus(name))
 		}
@@ -106,7 +106,7 @@
 
 // serviceStatus describes a service, or gives nil for an unknown one.
 func (n *Node) serviceStatus(name string) *operator.ServiceStatus {
-	all := n.judging.pools(time.Now())
+	all := n.ejection.pools(time.Now())
 	if all == nil || all.services[name] == nil {
 		return nil
 	}
