--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -67,7 +67,7 @@
 	platform   *source.Platform
 	directory  *source.Directory
 	ejection   *ejectionController
-	observing  *evidenceController
+	evidence   *evidenceController
 	probing    *prober
 	limits     *limitController
 	// quarantine keeps requests away from targets that end under them.
@@ -187,14 +187,14 @@
 func (n *Node) makeControllers() {
 	collector := outlier.NewCollector(ejectionInterval)
 	n.ejection = newEjectionController(n.board, collector, logging.Part(n.log, "judging"))
-	n.observing = newEvidenceController(n.board, observerLink{
+	n.evidence = newEvidenceController(n.board, observerLink{
 		observe: n.dialer.Observe,
 		judge:   n.dialer.Judge,
 		failed:  n.members.recordFailure,
 		self:    n.self,
 	}, n.ejection.verdict, logging.Part(n.log, "observing"))
-	n.ejection.report = n.observing.collect
-	n.probing = newProber(n.board, n.adapter.Contract, n.observing.collect, logging.Part(n.log, "probing"))
+	n.ejection.report = n.evidence.collect
+	n.probing = newProber(n.board, n.adapter.Contract, n.evidence.collect, logging.Part(n.log, "probing"))
 	n.lifecycle = &lifecycle{
 		board:       n.board,
 		started:     n.started,
@@ -275,14 +275,14 @@
 // Observe serves evidence of peers.
 func (n *Node) Observe(_ context.Context, in *wire.ReportBatch) (*wire.Receipt, error) {
 	n.members.recordMessage(in.GetFrom())
-	n.observing.observe(time.Now(), in)
+	n.evidence.observe(time.Now(), in)
 	return &wire.Receipt{}, nil
 }
 
 // Judge serves verdicts of observers.
 func (n *Node) Judge(_ context.Context, in *wire.VerdictBatch) (*wire.Receipt, error) {
 	n.members.recordMessage(in.GetFrom())
-	n.observing.judged(time.Now(), in)
+	n.evidence.judged(time.Now(), in)
 	return &wire.Receipt{}, nil
 }
 
@@ -328,7 +328,7 @@
 	if n.dispatcher != nil {
 		run["dispatching"] = n.dispatcher.run
 	} else {
-		run["observing"] = n.observing.run
+		run["observing"] = n.evidence.run
 		run["probing"] = n.probing.run
 	}
 	if n.peers != nil {
