--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -68,7 +68,7 @@
 	directory  *source.Directory
 	ejection   *ejectionController
 	evidence   *evidenceController
-	probing    *prober
+	prober     *prober
 	limits     *limitController
 	// quarantine keeps requests away from targets that end under them.
 	quarantine *quarantineController
@@ -194,7 +194,7 @@
 		self:    n.self,
 	}, n.ejection.verdict, logging.Part(n.log, "observing"))
 	n.ejection.report = n.evidence.collect
-	n.probing = newProber(n.board, n.adapter.Contract, n.evidence.collect, logging.Part(n.log, "probing"))
+	n.prober = newProber(n.board, n.adapter.Contract, n.evidence.collect, logging.Part(n.log, "probing"))
 	n.lifecycle = &lifecycle{
 		board:       n.board,
 		started:     n.started,
@@ -329,7 +329,7 @@
 		run["dispatching"] = n.dispatcher.run
 	} else {
 		run["observing"] = n.evidence.run
-		run["probing"] = n.probing.run
+		run["probing"] = n.prober.run
 	}
 	if n.peers != nil {
 		run["link"] = n.peers.Serve
