--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -49,19 +49,19 @@
 
 // Node is one process of the fleet. Make it with New and run it once.
 type Node struct {
-	set       *settings.Settings
-	log       *logrus.Logger
-	board     *Board
-	started   time.Time
-	members   *members
-	replica   *dissemination.Replica
-	gossip    *dissemination.Gossip
-	traffic   *link.Traffic
-	dialer    *link.Dialer
-	peers     *link.Server
-	adapter   *Adapter
-	messenger *messenger
-	pinging   *failureDetector
+	set             *settings.Settings
+	log             *logrus.Logger
+	board           *Board
+	started         time.Time
+	members         *members
+	replica         *dissemination.Replica
+	gossip          *dissemination.Gossip
+	traffic         *link.Traffic
+	dialer          *link.Dialer
+	peers           *link.Server
+	adapter         *Adapter
+	messenger       *messenger
+	failureDetector *failureDetector
 	// dispatcher is nil where each node chooses targets alone.
 	dispatcher *dispatchController
 	platform   *source.Platform
@@ -322,7 +322,7 @@
 	}
 	if n.messenger != nil {
 		run["datagrams"] = n.messenger.run
-		run["pinging"] = n.pinging.run
+		run["pinging"] = n.failureDetector.run
 		run["limiting"] = n.limits.run
 	}
 	if n.dispatcher != nil {
--- a/internal/node/socket.go
+++ b/internal/node/socket.go
@@ -28,7 +28,7 @@
 	m := n.messenger
 	m.socket, m.members, m.gossip, m.replica, m.self, m.log = socket, n.members, n.gossip, n.replica, n.self, log
 	m.transmit = socket.Send
-	n.pinging = &failureDetector{
+	n.failureDetector = &failureDetector{
 		messenger: m,
 		members:   n.members,
 		board:     n.board,
