--- a/internal/node/grantrequest.go
+++ b/internal/node/grantrequest.go
@@ -31,7 +31,7 @@
 	return membership.Node{}, false
 }
 
-func (d *dispatchController) doubt(peer string) {
+func (d *dispatchController) markUnresponsive(peer string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.distrust[peer] = time.Now().Add(dispatcherBackoff)
@@ -145,7 +145,7 @@
 		if answered {
 			return d.answered(node.Address(), q, p, g)
 		}
-		d.doubt(node.Address())
+		d.markUnresponsive(node.Address())
 		d.log.WithField("peer", node.Address()).WithField("service", p.service).WithField("hall", p.hall).Warn("dispatcher did not answer")
 	}
 	return reply{}
