--- a/internal/node/dispatch.go
+++ b/internal/node/dispatch.go
@@ -79,8 +79,8 @@
 	divided partitionings
 	// full is until when no target of a part is taken for free.
 	full map[partition]time.Time
-	// distrust is until when a dispatcher isn't asked.
-	distrust map[string]time.Time
+	// unresponsiveUntil is until when a dispatcher isn't asked.
+	unresponsiveUntil map[string]time.Time
 	// lost is until when this node doesn't reach a target.
 	lost map[string]time.Time
 	// ledgers are what this node got from each dispatcher of a part.
@@ -107,21 +107,21 @@
 
 func newDispatchController(board *Board, m *messenger, b dispatch.Budget, log *logrus.Entry) *dispatchController {
 	d := &dispatchController{
-		board:     board,
-		messenger: m,
-		budget:    b,
-		log:       log,
-		short:     func(partition, float64) {},
-		limited:   func(partition, int) {},
-		desks:     map[partition]*scheduler{},
-		divided:   partitionings{},
-		full:      map[partition]time.Time{},
-		wake:      make(chan struct{}, 1),
-		distrust:  map[string]time.Time{},
-		lost:      map[string]time.Time{},
-		pending:   map[uint64]*unconfirmedDone{},
-		ledgers:   map[partition]*dispatch.Ledger{},
-		refused:   map[string]int{},
+		board:             board,
+		messenger:         m,
+		budget:            b,
+		log:               log,
+		short:             func(partition, float64) {},
+		limited:           func(partition, int) {},
+		desks:             map[partition]*scheduler{},
+		divided:           partitionings{},
+		full:              map[partition]time.Time{},
+		wake:              make(chan struct{}, 1),
+		unresponsiveUntil: map[string]time.Time{},
+		lost:              map[string]time.Time{},
+		pending:           map[uint64]*unconfirmedDone{},
+		ledgers:           map[partition]*dispatch.Ledger{},
+		refused:           map[string]int{},
 	}
 	m.onGrantRequest = d.asked
 	m.onDone = d.told
--- a/internal/node/grantrequest.go
+++ b/internal/node/grantrequest.go
@@ -24,7 +24,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for _, node := range p.holders(view) {
-		if !now.Before(d.distrust[node.Address()]) {
+		if !now.Before(d.unresponsiveUntil[node.Address()]) {
 			return node, true
 		}
 	}
@@ -34,7 +34,7 @@
 func (d *dispatchController) markUnresponsive(peer string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.distrust[peer] = time.Now().Add(dispatcherBackoff)
+	d.unresponsiveUntil[peer] = time.Now().Add(dispatcherBackoff)
 }
 
 // choose takes a target for an attempt: from the dispatcher of this node's part of the
