--- a/internal/node/dispatch.go
+++ b/internal/node/dispatch.go
@@ -81,8 +81,8 @@
 	full map[partition]time.Time
 	// unresponsiveUntil is until when a dispatcher isn't asked.
 	unresponsiveUntil map[string]time.Time
-	// lost is until when this node doesn't reach a target.
-	lost map[string]time.Time
+	// unreachableUntil is until when this node doesn't reach a target.
+	unreachableUntil map[string]time.Time
 	// ledgers are what this node got from each dispatcher of a part.
 	ledgers map[partition]*dispatch.Ledger
 	// refused counts the requests of each service that were refused since the last ask.
@@ -118,7 +118,7 @@
 		full:              map[partition]time.Time{},
 		wake:              make(chan struct{}, 1),
 		unresponsiveUntil: map[string]time.Time{},
-		lost:              map[string]time.Time{},
+		unreachableUntil:  map[string]time.Time{},
 		pending:           map[uint64]*unconfirmedDone{},
 		ledgers:           map[partition]*dispatch.Ledger{},
 		refused:           map[string]int{},
--- a/internal/node/export_test.go
+++ b/internal/node/export_test.go
@@ -270,7 +270,7 @@
 // Avoid returns the targets that the node would not take for a request that was sent
 // to tried, while it can't reach lost.
 func (c *Chooser) Avoid(lost string, tried ...string) []string {
-	c.dispatching.lost[lost] = time.Now().Add(unreachableTime)
+	c.dispatching.unreachableUntil[lost] = time.Now().Add(unreachableTime)
 	return c.dispatching.avoid(&entry.Query{
 		Service: c.service,
 		Tried:   tried,
--- a/internal/node/grant.go
+++ b/internal/node/grant.go
@@ -107,7 +107,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if end.Unreached {
-		d.lost[done.GetTarget()] = now.Add(unreachableTime)
+		d.unreachableUntil[done.GetTarget()] = now.Add(unreachableTime)
 	}
 	if dispatcher == d.board.view.Load().Self().Address() {
 		return
--- a/internal/node/grantrequest.go
+++ b/internal/node/grantrequest.go
@@ -158,9 +158,9 @@
 	var out []string
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	for key, until := range d.lost {
+	for key, until := range d.unreachableUntil {
 		if now.After(until) {
-			delete(d.lost, key)
+			delete(d.unreachableUntil, key)
 		} else if q.Service.Target(key) != nil && len(out)+len(q.Tried) < maxTried {
 			out = append(out, key)
 		}
