--- a/internal/node/dispatch.go
+++ b/internal/node/dispatch.go
@@ -77,8 +77,8 @@
 	desks map[partition]*scheduler
 	// divided are the data halls by which the services in force are divided.
 	divided partitionings
-	// full is until when no target of a part is taken for free.
-	full map[partition]time.Time
+	// fullUntil is until when no target of a part is taken for free.
+	fullUntil map[partition]time.Time
 	// unresponsiveUntil is until when a dispatcher isn't asked.
 	unresponsiveUntil map[string]time.Time
 	// unreachableUntil is until when this node doesn't reach a target.
@@ -115,7 +115,7 @@
 		limited:           func(partition, int) {},
 		desks:             map[partition]*scheduler{},
 		divided:           partitionings{},
-		full:              map[partition]time.Time{},
+		fullUntil:         map[partition]time.Time{},
 		wake:              make(chan struct{}, 1),
 		unresponsiveUntil: map[string]time.Time{},
 		unreachableUntil:  map[string]time.Time{},
--- a/internal/node/partition.go
+++ b/internal/node/partition.go
@@ -131,7 +131,7 @@
 			service: home.service,
 			hall:    hall,
 		}
-		if p != home && !now.Before(d.full[p]) {
+		if p != home && !now.Before(d.fullUntil[p]) {
 			others = append(others, p)
 		}
 	}
@@ -145,5 +145,5 @@
 func (d *dispatchController) noteFull(now time.Time, p partition) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.full[p] = now.Add(fullBackoff)
+	d.fullUntil[p] = now.Add(fullBackoff)
 }
