--- a/internal/node/dispatch.go
+++ b/internal/node/dispatch.go
@@ -73,8 +73,8 @@
 	// limited takes how many targets of a part have a limit.
 	limited func(p partition, targets int)
 
-	mu    sync.Mutex
-	desks map[partition]*scheduler
+	mu         sync.Mutex
+	schedulers map[partition]*scheduler
 	// divided are the data halls by which the services in force are divided.
 	divided partitionings
 	// fullUntil is until when no target of a part is taken for free.
@@ -113,7 +113,7 @@
 		log:               log,
 		short:             func(partition, float64) {},
 		limited:           func(partition, int) {},
-		desks:             map[partition]*scheduler{},
+		schedulers:        map[partition]*scheduler{},
 		divided:           partitionings{},
 		fullUntil:         map[partition]time.Time{},
 		wake:              make(chan struct{}, 1),
@@ -165,7 +165,7 @@
 	if len(d.pending) > 0 {
 		return true
 	}
-	for _, s := range d.desks {
+	for _, s := range d.schedulers {
 		if s.Busy() {
 			return true
 		}
--- a/internal/node/dispatcher.go
+++ b/internal/node/dispatcher.go
@@ -21,9 +21,9 @@
 func (d *dispatchController) advance(now time.Time) {
 	d.mu.Lock()
 	grants := map[partition][]dispatch.Grant{}
-	for p, s := range d.desks {
+	for p, s := range d.schedulers {
 		if now.Sub(s.used) > schedulerIdleTimeout {
-			delete(d.desks, p)
+			delete(d.schedulers, p)
 			continue
 		}
 		if current := d.current(now, p); current != nil {
@@ -44,7 +44,7 @@
 	d.reported = now
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	for p, sched := range d.desks {
+	for p, sched := range d.schedulers {
 		if sched.Asked(now) < reportMinRequests {
 			if sched.reported {
 				// Another node has the role now, or nobody asks.
@@ -105,18 +105,18 @@
 func (d *dispatchController) current(now time.Time, p partition) *scheduler {
 	c := d.board.currentConfig()
 	if c == nil || c.Service(p.service) == nil {
-		delete(d.desks, p)
+		delete(d.schedulers, p)
 		delete(d.ledgers, p)
 		return nil
 	}
 	sc := c.Service(p.service)
-	s := d.desks[p]
+	s := d.schedulers[p]
 	if s == nil {
 		s = &scheduler{
 			Desk: dispatch.NewDesk(now, d.budgetOf(p, sc), rand.Float64),
 			used: now,
 		}
-		d.desks[p] = s
+		d.schedulers[p] = s
 	}
 	if s.Limited(now) {
 		view := d.board.view.Load()
--- a/internal/node/limitstatus.go
+++ b/internal/node/limitstatus.go
@@ -48,7 +48,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	var out []operator.TargetLimitStatus
-	for p, s := range d.desks {
+	for p, s := range d.schedulers {
 		if !s.Limited(now) || now.Sub(s.used) > reportInterval {
 			continue
 		}
