--- a/internal/node/dispatcher.go
+++ b/internal/node/dispatcher.go
@@ -90,9 +90,9 @@
 	}
 }
 
-// desk returns the desk of a part for something that is asked or told now, or nil if
+// touchScheduler returns the desk of a part for something that is asked or told now, or nil if
 // there is no such service. d.mu is held.
-func (d *dispatchController) desk(now time.Time, p partition) *scheduler {
+func (d *dispatchController) touchScheduler(now time.Time, p partition) *scheduler {
 	s := d.current(now, p)
 	if s != nil {
 		s.used = now
@@ -224,7 +224,7 @@
 		hall:    w.GetDataHall(),
 	}
 	d.mu.Lock()
-	s := d.desk(now, p)
+	s := d.touchScheduler(now, p)
 	var g dispatch.Grant
 	if s != nil {
 		g = s.Ask(now, a)
@@ -330,7 +330,7 @@
 		hall:    w.GetDataHall(),
 	}
 	d.mu.Lock()
-	s := d.desk(now, p)
+	s := d.touchScheduler(now, p)
 	var out []dispatch.Grant
 	if s != nil && w.GetTarget() == "" {
 		out = s.Cancel(now, id)
--- a/internal/node/fallback.go
+++ b/internal/node/fallback.go
@@ -41,7 +41,7 @@
 	defer d.mu.Unlock()
 	ledger := d.ledger(p)
 	a.Elsewhere = ledger.Elsewhere(now, self.Address())
-	s := d.desk(now, p)
+	s := d.touchScheduler(now, p)
 	if s == nil {
 		return entry.Choice{}, entry.NewNoTargetError(attempt.ReasonTargets, 0)
 	}
--- a/internal/node/grant.go
+++ b/internal/node/grant.go
@@ -116,7 +116,7 @@
 		// This node chooses alone among the targets of its own part.
 		return
 	}
-	if s := d.desk(now, p); s != nil {
+	if s := d.touchScheduler(now, p); s != nil {
 		s.Note(now, done.GetTarget(), q.Route, dispatch.Result(done.GetResult()), time.Duration(done.GetTookMs())*time.Millisecond)
 	}
 }
