--- a/internal/node/dispatcher.go
+++ b/internal/node/dispatcher.go
@@ -26,7 +26,7 @@
 			delete(d.schedulers, p)
 			continue
 		}
-		if current := d.current(now, p); current != nil {
+		if current := d.currentScheduler(now, p); current != nil {
 			grants[p] = current.Advance(now)
 		}
 	}
@@ -93,16 +93,16 @@
 // touchScheduler returns the desk of a part for something that is asked or told now, or nil if
 // there is no such service. d.mu is held.
 func (d *dispatchController) touchScheduler(now time.Time, p partition) *scheduler {
-	s := d.current(now, p)
+	s := d.currentScheduler(now, p)
 	if s != nil {
 		s.used = now
 	}
 	return s
 }
 
-// current returns the desk of a part in the newest configuration of its service, or nil
+// currentScheduler returns the desk of a part in the newest configuration of its service, or nil
 // if there is no such service. d.mu is held.
-func (d *dispatchController) current(now time.Time, p partition) *scheduler {
+func (d *dispatchController) currentScheduler(now time.Time, p partition) *scheduler {
 	c := d.board.currentConfig()
 	if c == nil || c.Service(p.service) == nil {
 		delete(d.schedulers, p)
