--- a/internal/node/dispatch.go
+++ b/internal/node/dispatch.go
@@ -75,8 +75,8 @@
 
 	mu         sync.Mutex
 	schedulers map[partition]*scheduler
-	// divided are the data halls by which the services in force are divided.
-	divided partitionings
+	// partitionings are the data halls by which the services in force are divided.
+	partitionings partitionings
 	// fullUntil is until when no target of a part is taken for free.
 	fullUntil map[partition]time.Time
 	// unresponsiveUntil is until when a dispatcher isn't asked.
@@ -114,7 +114,7 @@
 		short:             func(partition, float64) {},
 		limited:           func(partition, int) {},
 		schedulers:        map[partition]*scheduler{},
-		divided:           partitionings{},
+		partitionings:     partitionings{},
 		fullUntil:         map[partition]time.Time{},
 		wake:              make(chan struct{}, 1),
 		unresponsiveUntil: map[string]time.Time{},
--- a/internal/node/dispatcher.go
+++ b/internal/node/dispatcher.go
@@ -152,7 +152,7 @@
 func (d *dispatchController) budgetOf(p partition, sc *fleetconfig.Service) dispatch.Budget {
 	b := d.budget
 	if p.hall != "" {
-		b.Reserve /= float64(max(len(d.divided.halls(sc)), 2))
+		b.Reserve /= float64(max(len(d.partitionings.halls(sc)), 2))
 	}
 	return b
 }
--- a/internal/node/partition.go
+++ b/internal/node/partition.go
@@ -79,7 +79,7 @@
 // open returns the data halls by which the service of a request is divided and that may serve
 // it, or nil if the service isn't divided. d.mu is held.
 func (d *dispatchController) open(q *entry.Query) []string {
-	halls := d.divided.halls(d.newest(q.Service))
+	halls := d.partitionings.halls(d.newest(q.Service))
 	closed := d.board.closedHalls(q)
 	if len(closed) == 0 {
 		return halls
