--- a/internal/node/grantrequest.go
+++ b/internal/node/grantrequest.go
@@ -58,7 +58,7 @@
 			return r.choice, r.err
 		}
 	}
-	return d.chooseAlone(q, d.homeOf(q))
+	return d.chooseAlone(q, d.lockedHome(q))
 }
 
 // whenServed returns the refusal of a request with the time that this node knows: all targets may
--- a/internal/node/partition.go
+++ b/internal/node/partition.go
@@ -110,8 +110,8 @@
 	return p
 }
 
-// homeOf is home for who doesn't hold d.mu.
-func (d *dispatchController) homeOf(q *entry.Query) partition {
+// lockedHome is home for who doesn't hold d.mu.
+func (d *dispatchController) lockedHome(q *entry.Query) partition {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.home(q)
