--- a/internal/node/grantrequest.go
+++ b/internal/node/grantrequest.go
@@ -76,7 +76,7 @@
 // chooseJointly takes a target that another node may have chosen. Where that one had told this
 // node that it wants no request, the reply is barred: the next ask names the target.
 func (d *dispatchController) chooseJointly(ctx context.Context, q *entry.Query) reply {
-	home, others := d.ways(time.Now(), q)
+	home, others := d.partitionsFor(time.Now(), q)
 	first := d.askPart(ctx, q, home, dispatchers, len(others) > 0 && mayPassOn(q))
 	r := first
 	for _, p := range others {
--- a/internal/node/partition.go
+++ b/internal/node/partition.go
@@ -117,9 +117,9 @@
 	return d.home(q)
 }
 
-// ways returns the part to ask first and those that may be asked for a free target after
+// partitionsFor returns the part to ask first and those that may be asked for a free target after
 // it. A second attempt beside one that goes on is decided where that was.
-func (d *dispatchController) ways(now time.Time, q *entry.Query) (home partition, others []partition) {
+func (d *dispatchController) partitionsFor(now time.Time, q *entry.Query) (home partition, others []partition) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	home = d.home(q)
