--- a/internal/node/grant.go
+++ b/internal/node/grant.go
@@ -19,7 +19,7 @@
 	d.board.learnLimits(time.Now(), d.newest(q.Service), g.grant.GetLimits()...)
 	switch g.grant.GetVerdict() {
 	case wire.Grant_FULL:
-		d.noteFull(time.Now(), p)
+		d.markFull(time.Now(), p)
 		return reply{
 			full: true,
 		}
--- a/internal/node/partition.go
+++ b/internal/node/partition.go
@@ -142,7 +142,7 @@
 // mayPassOn reports whether a request may be passed on to another data hall at once.
 func mayPassOn(q *entry.Query) bool { return q.Kilobytes <= maxPassedOnKiB }
 
-func (d *dispatchController) noteFull(now time.Time, p partition) {
+func (d *dispatchController) markFull(now time.Time, p partition) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.fullUntil[p] = now.Add(fullBackoff)
