--- a/internal/node/grantrequest.go
+++ b/internal/node/grantrequest.go
@@ -53,7 +53,7 @@
 		r := d.chooseJointly(ctx, q)
 		switch {
 		case r.refused():
-			return entry.Choice{}, d.whenServed(q, r.err)
+			return entry.Choice{}, d.withRetryAfter(q, r.err)
 		case !r.unavailable:
 			return r.choice, r.err
 		}
@@ -61,9 +61,9 @@
 	return d.chooseAlone(q, d.lockedHome(q))
 }
 
-// whenServed returns the refusal of a request with the time that this node knows: all targets may
+// withRetryAfter returns the refusal of a request with the time that this node knows: all targets may
 // have come to rest while it waited.
-func (d *dispatchController) whenServed(q *entry.Query, refusal error) error {
+func (d *dispatchController) withRetryAfter(q *entry.Query, refusal error) error {
 	if err := d.board.refuseClosed(q); err != nil {
 		return err
 	}
