--- a/internal/node/grantrequest.go
+++ b/internal/node/grantrequest.go
@@ -77,13 +77,13 @@
 // node that it wants no request, the reply is barred: the next ask names the target.
 func (d *dispatchController) chooseJointly(ctx context.Context, q *entry.Query) reply {
 	home, others := d.partitionsFor(time.Now(), q)
-	first := d.askPart(ctx, q, home, dispatchers, len(others) > 0 && mayPassOn(q))
+	first := d.requestFromPartition(ctx, q, home, dispatchers, len(others) > 0 && mayPassOn(q))
 	r := first
 	for _, p := range others {
 		if r.settled() {
 			break
 		}
-		r = d.askPart(ctx, q, p, 1, true)
+		r = d.requestFromPartition(ctx, q, p, 1, true)
 	}
 	switch {
 	case r.settled():
@@ -91,7 +91,7 @@
 	case first.refused():
 		return first
 	case first.full:
-		if r = d.askPart(ctx, q, home, dispatchers, false); r.usable || r.err != nil {
+		if r = d.requestFromPartition(ctx, q, home, dispatchers, false); r.usable || r.err != nil {
 			return r
 		}
 	}
@@ -128,9 +128,9 @@
 	return errors.As(r.err, &none) && none.Reason() == attempt.ReasonTargets
 }
 
-// askPart asks the dispatcher of a part, and those behind it in rank if it doesn't
+// requestFromPartition asks the dispatcher of a part, and those behind it in rank if it doesn't
 // answer.
-func (d *dispatchController) askPart(ctx context.Context, q *entry.Query, p partition, tries int, passing bool) reply {
+func (d *dispatchController) requestFromPartition(ctx context.Context, q *entry.Query, p partition, tries int, passing bool) reply {
 	for range tries {
 		node, ok := d.dispatcher(p)
 		if !ok {
