--- a/internal/node/grantrequest.go
+++ b/internal/node/grantrequest.go
@@ -136,7 +136,7 @@
 		if !ok {
 			return reply{}
 		}
-		g, answered := d.askOne(ctx, node.Address(), q, p, passing)
+		g, answered := d.requestFrom(ctx, node.Address(), q, p, passing)
 		if ctx.Err() != nil {
 			return reply{
 				err: noTargetCause(ctx),
@@ -182,8 +182,8 @@
 	number uint64
 }
 
-// askOne asks one dispatcher and waits for its final grant.
-func (d *dispatchController) askOne(ctx context.Context, peer string, q *entry.Query, p partition, passing bool) (numberedGrant, bool) {
+// requestFrom asks one dispatcher and waits for its final grant.
+func (d *dispatchController) requestFrom(ctx context.Context, peer string, q *entry.Query, p partition, passing bool) (numberedGrant, bool) {
 	id, answers, end := d.messenger.call()
 	defer end()
 	refused := d.takeRefused(p.service)
