--- a/internal/node/grantrequest.go
+++ b/internal/node/grantrequest.go
@@ -187,7 +187,7 @@
 	id, answers, end := d.messenger.call()
 	defer end()
 	refused := d.takeRefused(p.service)
-	send := func() { d.sendAsk(peer, id, q, p, passing, refused) }
+	send := func() { d.sendGrantRequest(peer, id, q, p, passing, refused) }
 	send()
 	lastAnswer := time.Now()
 	resend := time.NewTicker(resendInterval)
@@ -252,7 +252,7 @@
 	return l
 }
 
-func (d *dispatchController) sendAsk(peer string, id uint64, q *entry.Query, p partition, passing bool, refused int) {
+func (d *dispatchController) sendGrantRequest(peer string, id uint64, q *entry.Query, p partition, passing bool, refused int) {
 	now := time.Now()
 	spent := d.elsewhere(peer, p)
 	unavailable := d.board.unavailable(now, d.newest(q.Service), p.hall)
