--- a/internal/node/dispatch.go
+++ b/internal/node/dispatch.go
@@ -123,7 +123,7 @@
 		ledgers:           map[partition]*dispatch.Ledger{},
 		refused:           map[string]int{},
 	}
-	m.onGrantRequest = d.asked
+	m.onGrantRequest = d.handleGrantRequest
 	m.onDone = d.told
 	m.onTaken = d.confirmed
 	return d
--- a/internal/node/dispatcher.go
+++ b/internal/node/dispatcher.go
@@ -186,8 +186,8 @@
 	return out
 }
 
-// asked answers the ask of a peer.
-func (d *dispatchController) asked(in *wire.Datagram) {
+// handleGrantRequest answers the ask of a peer.
+func (d *dispatchController) handleGrantRequest(in *wire.Datagram) {
 	now := time.Now()
 	w := in.GetAsk()
 	a := &dispatch.Ask{
--- a/internal/node/grantrequest.go
+++ b/internal/node/grantrequest.go
@@ -286,7 +286,7 @@
 	}
 	if peer == d.board.view.Load().Self().Address() {
 		out.From = d.messenger.self()
-		d.asked(out)
+		d.handleGrantRequest(out)
 		return
 	}
 	d.messenger.send(peer, out)
