--- a/internal/node/dispatch.go
+++ b/internal/node/dispatch.go
@@ -124,7 +124,7 @@
 		refused:           map[string]int{},
 	}
 	m.onGrantRequest = d.handleGrantRequest
-	m.onDone = d.told
+	m.onDone = d.handleDone
 	m.onTaken = d.confirmed
 	return d
 }
--- a/internal/node/dispatcher.go
+++ b/internal/node/dispatcher.go
@@ -306,8 +306,8 @@
 	}
 }
 
-// told takes the end of an attempt from a peer.
-func (d *dispatchController) told(in *wire.Datagram) {
+// handleDone takes the end of an attempt from a peer.
+func (d *dispatchController) handleDone(in *wire.Datagram) {
 	w := in.GetDone()
 	d.end(in.GetFrom().GetAddress(), w)
 	d.messenger.send(in.GetFrom().GetAddress(), &wire.Datagram{
