--- a/internal/node/dispatch.go
+++ b/internal/node/dispatch.go
@@ -125,7 +125,7 @@
 	}
 	m.onGrantRequest = d.handleGrantRequest
 	m.onDone = d.handleDone
-	m.onTaken = d.confirmed
+	m.onTaken = d.handleTaken
 	return d
 }
 
--- a/internal/node/donereport.go
+++ b/internal/node/donereport.go
@@ -65,8 +65,8 @@
 	}
 }
 
-// confirmed notes that a dispatcher took the end of an attempt.
-func (d *dispatchController) confirmed(call uint64) {
+// handleTaken notes that a dispatcher took the end of an attempt.
+func (d *dispatchController) handleTaken(call uint64) {
 	d.mu.Lock()
 	delete(d.pending, call)
 	d.mu.Unlock()
