--- a/internal/node/grant.go
+++ b/internal/node/grant.go
@@ -14,8 +14,8 @@
 	"ploverjunction.example/ploverjunction/internal/wire"
 )
 
-// answered handles the final answer of a dispatcher.
-func (d *dispatchController) answered(peer string, q *entry.Query, p partition, g numberedGrant) reply {
+// handleGrant handles the final answer of a dispatcher.
+func (d *dispatchController) handleGrant(peer string, q *entry.Query, p partition, g numberedGrant) reply {
 	d.board.learnLimits(time.Now(), d.newest(q.Service), g.grant.GetLimits()...)
 	switch g.grant.GetVerdict() {
 	case wire.Grant_FULL:
--- a/internal/node/grantrequest.go
+++ b/internal/node/grantrequest.go
@@ -143,7 +143,7 @@
 			}
 		}
 		if answered {
-			return d.answered(node.Address(), q, p, g)
+			return d.handleGrant(node.Address(), q, p, g)
 		}
 		d.markUnresponsive(node.Address())
 		d.log.WithField("peer", node.Address()).WithField("service", p.service).WithField("hall", p.hall).Warn("dispatcher did not answer")
