--- a/internal/node/export_test.go
+++ b/internal/node/export_test.go
@@ -271,7 +271,7 @@
 // to tried, while it can't reach lost.
 func (c *Chooser) Avoid(lost string, tried ...string) []string {
 	c.dispatching.unreachableUntil[lost] = time.Now().Add(unreachableTime)
-	return c.dispatching.avoid(&entry.Query{
+	return c.dispatching.excludedTargets(&entry.Query{
 		Service: c.service,
 		Tried:   tried,
 	})
--- a/internal/node/grantrequest.go
+++ b/internal/node/grantrequest.go
@@ -42,7 +42,7 @@
 func (d *dispatchController) choose(ctx context.Context, q *entry.Query) (entry.Choice, error) {
 	ctx, cancel := context.WithDeadline(ctx, q.Deadline)
 	defer cancel()
-	q.Tried = d.avoid(q)
+	q.Tried = d.excludedTargets(q)
 	for range maxUnavailableGrants {
 		if err := d.board.refuseClosed(q); err != nil {
 			return entry.Choice{}, err
@@ -151,9 +151,9 @@
 	return reply{}
 }
 
-// avoid returns the targets that this node should not get: those that can't be reached
+// excludedTargets returns the targets that this node should not get: those that can't be reached
 // from here and, after them, those that the request was sent to.
-func (d *dispatchController) avoid(q *entry.Query) []string {
+func (d *dispatchController) excludedTargets(q *entry.Query) []string {
 	now := time.Now()
 	var out []string
 	d.mu.Lock()
