--- a/internal/node/grantrequest.go
+++ b/internal/node/grantrequest.go
@@ -235,8 +235,8 @@
 	d.ledger(p).Took(time.Now(), by, q.Again)
 }
 
-// elsewhere returns what this node got from other dispatchers than the one named.
-func (d *dispatchController) elsewhere(by string, p partition) dispatch.Spending {
+// remoteGrants returns what this node got from other dispatchers than the one named.
+func (d *dispatchController) remoteGrants(by string, p partition) dispatch.Spending {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.ledger(p).Elsewhere(time.Now(), by)
@@ -254,7 +254,7 @@
 
 func (d *dispatchController) sendGrantRequest(peer string, id uint64, q *entry.Query, p partition, passing bool, refused int) {
 	now := time.Now()
-	spent := d.elsewhere(peer, p)
+	spent := d.remoteGrants(peer, p)
 	unavailable := d.board.unavailable(now, d.newest(q.Service), p.hall)
 	out := &wire.Datagram{
 		Call: id,
