--- a/internal/node/grant.go
+++ b/internal/node/grant.go
@@ -25,7 +25,7 @@
 		}
 	case wire.Grant_BUDGET, wire.Grant_UNKNOWN:
 	default:
-		d.took(peer, q, p)
+		d.recordGrant(peer, q, p)
 	}
 	return d.take(peer, q, p, g)
 }
--- a/internal/node/grantrequest.go
+++ b/internal/node/grantrequest.go
@@ -228,8 +228,8 @@
 	})
 }
 
-// took notes what a dispatcher, or this node alone, gave for an attempt.
-func (d *dispatchController) took(by string, q *entry.Query, p partition) {
+// recordGrant notes what a dispatcher, or this node alone, gave for an attempt.
+func (d *dispatchController) recordGrant(by string, q *entry.Query, p partition) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.ledger(p).Took(time.Now(), by, q.Again)
