--- a/internal/node/grant.go
+++ b/internal/node/grant.go
@@ -88,7 +88,7 @@
 	c := choiceOf(t, peer, func(end outlier.End, took time.Duration) {
 		done := doneOf(p, g, end, d.board.standing(time.Now(), t), took)
 		d.tell(peer, done)
-		d.note(peer, q, p, done, end)
+		d.recordResult(peer, q, p, done, end)
 	})
 	c.Doubt = float64(g.grant.GetDoubt()) / 1000
 	c.Trial = g.grant.GetTrial()
@@ -100,9 +100,9 @@
 	}
 }
 
-// note keeps what this node saw itself of a target that a dispatcher chose, for when
+// recordResult keeps what this node saw itself of a target that a dispatcher chose, for when
 // it must choose alone. Its own desk has been told already.
-func (d *dispatchController) note(dispatcher string, q *entry.Query, p partition, done *wire.Done, end outlier.End) {
+func (d *dispatchController) recordResult(dispatcher string, q *entry.Query, p partition, done *wire.Done, end outlier.End) {
 	now := time.Now()
 	d.mu.Lock()
 	defer d.mu.Unlock()
