--- a/internal/node/grant.go
+++ b/internal/node/grant.go
@@ -27,12 +27,12 @@
 	default:
 		d.recordGrant(peer, q, p)
 	}
-	return d.take(peer, q, p, g)
+	return d.choiceOfGrant(peer, q, p, g)
 }
 
-// take turns an answer into a choice. It isn't usable if this node doesn't know the target,
+// choiceOfGrant turns an answer into a choice. It isn't usable if this node doesn't know the target,
 // may send it nothing, or the dispatcher doesn't know the service.
-func (d *dispatchController) take(peer string, q *entry.Query, p partition, g numberedGrant) reply {
+func (d *dispatchController) choiceOfGrant(peer string, q *entry.Query, p partition, g numberedGrant) reply {
 	switch g.grant.GetVerdict() {
 	case wire.Grant_GRANTED:
 	case wire.Grant_REFUSED:
