--- a/internal/node/donereport.go
+++ b/internal/node/donereport.go
@@ -16,8 +16,8 @@
 	at    time.Time
 }
 
-// tell tells a dispatcher how an attempt ended, until it confirms.
-func (d *dispatchController) tell(peer string, w *wire.Done) {
+// reportDone tells a dispatcher how an attempt ended, until it confirms.
+func (d *dispatchController) reportDone(peer string, w *wire.Done) {
 	if peer == d.board.view.Load().Self().Address() {
 		d.end(peer, w)
 		return
--- a/internal/node/grant.go
+++ b/internal/node/grant.go
@@ -53,12 +53,12 @@
 		if t != nil {
 			result = wire.Done_GONE
 		}
-		d.tell(peer, newDone(p, g, result, 0))
+		d.reportDone(peer, newDone(p, g, result, 0))
 		return reply{}
 	}
 	if slices.Contains(d.board.closedHalls(q), t.DataHall()) {
 		// Whoever chose may not know yet that the data hall is evacuated.
-		d.tell(peer, newDone(p, g, wire.Done_IGNORED, 0))
+		d.reportDone(peer, newDone(p, g, wire.Done_IGNORED, 0))
 		d.log.WithField("service", p.service).WithField("target", t.Key()).WithField("by", peer).
 			WithField("hall", t.DataHall()).Info("granted target is in a closed data hall")
 		return reply{
@@ -77,7 +77,7 @@
 		// The target told this node, and whoever chose may not have heard it.
 		done := newDone(p, g, wire.Done_IGNORED, 0)
 		done.Leaving = standing.Draining
-		d.tell(peer, done)
+		d.reportDone(peer, done)
 		d.log.WithField("service", p.service).WithField("target", t.Key()).WithField("by", peer).
 			WithField("leaving", standing.Draining).WithField("rest_ms", standing.Backoff.Milliseconds()).
 			WithField("limited", standing.Limit.Set).Info("granted target wants no request")
@@ -87,7 +87,7 @@
 	}
 	c := choiceOf(t, peer, func(end outlier.End, took time.Duration) {
 		done := doneOf(p, g, end, d.board.standing(time.Now(), t), took)
-		d.tell(peer, done)
+		d.reportDone(peer, done)
 		d.recordResult(peer, q, p, done, end)
 	})
 	c.Doubt = float64(g.grant.GetDoubt()) / 1000
--- a/internal/node/grantrequest.go
+++ b/internal/node/grantrequest.go
@@ -221,7 +221,7 @@
 
 // cancel tells a dispatcher that an ask has ended without an attempt.
 func (d *dispatchController) cancel(peer string, p partition, id uint64) {
-	d.tell(peer, &wire.Done{
+	d.reportDone(peer, &wire.Done{
 		Service:  p.service,
 		DataHall: p.hall,
 		Request:  id,
