--- a/internal/node/dispatcher.go
+++ b/internal/node/dispatcher.go
@@ -309,7 +309,7 @@
 // handleDone takes the end of an attempt from a peer.
 func (d *dispatchController) handleDone(in *wire.Datagram) {
 	w := in.GetDone()
-	d.end(in.GetFrom().GetAddress(), w)
+	d.recordDone(in.GetFrom().GetAddress(), w)
 	d.messenger.send(in.GetFrom().GetAddress(), &wire.Datagram{
 		Call: in.GetCall(),
 		Body: &wire.Datagram_Taken{
@@ -318,8 +318,8 @@
 	})
 }
 
-// end takes the end of an attempt of any node.
-func (d *dispatchController) end(node string, w *wire.Done) {
+// recordDone takes the end of an attempt of any node.
+func (d *dispatchController) recordDone(node string, w *wire.Done) {
 	now := time.Now()
 	id := dispatch.ID{
 		Node:   node,
--- a/internal/node/donereport.go
+++ b/internal/node/donereport.go
@@ -19,7 +19,7 @@
 // reportDone tells a dispatcher how an attempt ended, until it confirms.
 func (d *dispatchController) reportDone(peer string, w *wire.Done) {
 	if peer == d.board.view.Load().Self().Address() {
-		d.end(peer, w)
+		d.recordDone(peer, w)
 		return
 	}
 	u := &unconfirmedDone{
--- a/internal/node/fallback.go
+++ b/internal/node/fallback.go
@@ -67,7 +67,7 @@
 		number: a.ID.Number,
 	}
 	c := choiceOf(t, byThisNode, func(end outlier.End, took time.Duration) {
-		d.end(a.ID.Node, doneOf(p, own, end, d.board.standing(time.Now(), t), took))
+		d.recordDone(a.ID.Node, doneOf(p, own, end, d.board.standing(time.Now(), t), took))
 	})
 	c.Permit = permit
 	return c, nil
