--- a/internal/node/dispatch.go
+++ b/internal/node/dispatch.go
@@ -146,7 +146,7 @@
 			}
 		case now := <-tick.C:
 			d.advance(now)
-			d.repeat(now)
+			d.resendDone(now)
 			d.report(now)
 			busy = d.busy()
 			if busy {
--- a/internal/node/donereport.go
+++ b/internal/node/donereport.go
@@ -47,7 +47,7 @@
 	})
 }
 
-func (d *dispatchController) repeat(now time.Time) {
+func (d *dispatchController) resendDone(now time.Time) {
 	d.mu.Lock()
 	due := map[uint64]*unconfirmedDone{}
 	for id, u := range d.pending {
