--- a/internal/node/dispatch.go
+++ b/internal/node/dispatch.go
@@ -189,8 +189,8 @@
 	return n
 }
 
-// work makes run look at what there is to do now.
-func (d *dispatchController) work() {
+// notify makes run look at what there is to do now.
+func (d *dispatchController) notify() {
 	select {
 	case d.wake <- struct{}{}:
 	default:
--- a/internal/node/dispatcher.go
+++ b/internal/node/dispatcher.go
@@ -230,7 +230,7 @@
 		g = s.Ask(now, a)
 	}
 	d.mu.Unlock()
-	d.work()
+	d.notify()
 	if s == nil {
 		d.answer(in.GetFrom().GetAddress(), in.GetCall(), &wire.Grant{
 			Verdict: wire.Grant_UNKNOWN,
--- a/internal/node/donereport.go
+++ b/internal/node/donereport.go
@@ -30,7 +30,7 @@
 	d.mu.Lock()
 	d.pending[id] = u
 	d.mu.Unlock()
-	d.work()
+	d.notify()
 	d.sendDone(time.Now(), id, u)
 }
 
--- a/internal/node/fallback.go
+++ b/internal/node/fallback.go
@@ -50,7 +50,7 @@
 		return entry.Choice{}, entry.NewNoTargetError(attempt.ReasonBudget, 0)
 	}
 	ledger.Took(now, self.Address(), q.Again)
-	d.work()
+	d.notify()
 	t := s.config.Target(g.Target)
 	if t == nil {
 		return entry.Choice{}, entry.NewNoTargetError(attempt.ReasonTargets, d.board.shareWait(now, d.newest(q.Service)))
