--- a/internal/node/dispatch.go
+++ b/internal/node/dispatch.go
@@ -173,8 +173,8 @@
 	return false
 }
 
-// unserved notes that a request for a service was refused before a target was asked for.
-func (d *dispatchController) unserved(service string) {
+// countRefused notes that a request for a service was refused before a target was asked for.
+func (d *dispatchController) countRefused(service string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.refused[service]++
--- a/internal/node/open.go
+++ b/internal/node/open.go
@@ -34,7 +34,7 @@
 		choose = n.dispatcher.choose
 		trial = func(*fleetconfig.Service) (entry.Choice, bool) { return entry.Choice{}, false }
 		retry = func(string) bool { return true }
-		unserved = n.dispatcher.unserved
+		unserved = n.dispatcher.countRefused
 	}
 	currency := n.newFreshness()
 	n.entry, err = entry.New(entry.Config{
