--- a/internal/node/dispatch.go
+++ b/internal/node/dispatch.go
@@ -67,9 +67,9 @@
 	// floor is the share of the working targets of each service that should have work.
 	floor float64
 	log   *logrus.Entry
-	// short takes the probability that too few working targets of a part got work
+	// setCoverageShort takes the probability that too few working targets of a part got work
 	// lately.
-	short func(p partition, short float64)
+	setCoverageShort func(p partition, short float64)
 	// limited takes how many targets of a part have a limit.
 	limited func(p partition, targets int)
 
@@ -111,7 +111,7 @@
 		messenger:         m,
 		budget:            b,
 		log:               log,
-		short:             func(partition, float64) {},
+		setCoverageShort:  func(partition, float64) {},
 		limited:           func(partition, int) {},
 		schedulers:        map[partition]*scheduler{},
 		partitionings:     partitionings{},
--- a/internal/node/dispatcher.go
+++ b/internal/node/dispatcher.go
@@ -49,14 +49,14 @@
 			if sched.reported {
 				// Another node has the role now, or nobody asks.
 				sched.reported = false
-				d.short(p, 0)
+				d.setCoverageShort(p, 0)
 				d.limited(p, 0)
 			}
 			continue
 		}
 		sched.reported = true
 		s := sched.Status(now)
-		d.short(p, s.Short)
+		d.setCoverageShort(p, s.Short)
 		failing := map[string]float64{}
 		limits := map[string]string{}
 		for _, t := range s.Targets {
--- a/internal/node/socket.go
+++ b/internal/node/socket.go
@@ -47,7 +47,7 @@
 		Window:  window,
 	}, logging.Part(n.log, "dispatch"))
 	d.floor = n.set.Floor()
-	d.short = func(p partition, short float64) { n.metrics.PartGauge("coverage_short", p.service, p.hall, short) }
+	d.setCoverageShort = func(p partition, short float64) { n.metrics.PartGauge("coverage_short", p.service, p.hall, short) }
 	d.seeds = n.limits.seeds
 	d.limited = func(p partition, targets int) {
 		n.metrics.PartGauge("limited_targets", p.service, p.hall, float64(targets))
