--- a/internal/node/dispatch.go
+++ b/internal/node/dispatch.go
@@ -70,8 +70,8 @@
 	// setCoverageShort takes the probability that too few working targets of a part got work
 	// lately.
 	setCoverageShort func(p partition, short float64)
-	// limited takes how many targets of a part have a limit.
-	limited func(p partition, targets int)
+	// setLimitedTargets takes how many targets of a part have a limit.
+	setLimitedTargets func(p partition, targets int)
 
 	mu         sync.Mutex
 	schedulers map[partition]*scheduler
@@ -112,7 +112,7 @@
 		budget:            b,
 		log:               log,
 		setCoverageShort:  func(partition, float64) {},
-		limited:           func(partition, int) {},
+		setLimitedTargets: func(partition, int) {},
 		schedulers:        map[partition]*scheduler{},
 		partitionings:     partitionings{},
 		fullUntil:         map[partition]time.Time{},
--- a/internal/node/dispatcher.go
+++ b/internal/node/dispatcher.go
@@ -50,7 +50,7 @@
 				// Another node has the role now, or nobody asks.
 				sched.reported = false
 				d.setCoverageShort(p, 0)
-				d.limited(p, 0)
+				d.setLimitedTargets(p, 0)
 			}
 			continue
 		}
@@ -67,7 +67,7 @@
 				failing[t.Key] = math.Round(t.Failing*100) / 100
 			}
 		}
-		d.limited(p, len(limits))
+		d.setLimitedTargets(p, len(limits))
 		d.log.WithFields(logrus.Fields{
 			"service":      p.service,
 			"hall":         p.hall,
--- a/internal/node/socket.go
+++ b/internal/node/socket.go
@@ -49,7 +49,7 @@
 	d.floor = n.set.Floor()
 	d.setCoverageShort = func(p partition, short float64) { n.metrics.PartGauge("coverage_short", p.service, p.hall, short) }
 	d.seeds = n.limits.seeds
-	d.limited = func(p partition, targets int) {
+	d.setLimitedTargets = func(p partition, targets int) {
 		n.metrics.PartGauge("limited_targets", p.service, p.hall, float64(targets))
 	}
 	if n.set.Choice() == settings.ChoiceJoint {
