--- a/internal/node/dispatch.go
+++ b/internal/node/dispatch.go
@@ -147,7 +147,7 @@
 		case now := <-tick.C:
 			d.advance(now)
 			d.resendDone(now)
-			d.report(now)
+			d.logStatus(now)
 			busy = d.busy()
 			if busy {
 				tick.Reset(serveInterval)
--- a/internal/node/dispatcher.go
+++ b/internal/node/dispatcher.go
@@ -36,8 +36,8 @@
 	}
 }
 
-// report writes a line about each desk that has work, at a slow tick.
-func (d *dispatchController) report(now time.Time) {
+// logStatus writes a line about each desk that has work, at a slow tick.
+func (d *dispatchController) logStatus(now time.Time) {
 	if now.Sub(d.reported) < reportInterval {
 		return
 	}
