--- a/internal/node/dispatch.go
+++ b/internal/node/dispatch.go
@@ -89,8 +89,8 @@
 	refused map[string]int
 	// wake holds a value when there is something to do.
 	wake chan struct{}
-	// reported is when the desks were last written to the log; only run uses it.
-	reported time.Time
+	// statusLoggedAt is when the desks were last written to the log; only run uses it.
+	statusLoggedAt time.Time
 	// pending are the ends of attempts that were not confirmed.
 	pending map[uint64]*unconfirmedDone
 }
--- a/internal/node/dispatcher.go
+++ b/internal/node/dispatcher.go
@@ -38,10 +38,10 @@
 
 // logStatus writes a line about each desk that has work, at a slow tick.
 func (d *dispatchController) logStatus(now time.Time) {
-	if now.Sub(d.reported) < reportInterval {
+	if now.Sub(d.statusLoggedAt) < reportInterval {
 		return
 	}
-	d.reported = now
+	d.statusLoggedAt = now
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for p, sched := range d.schedulers {
