--- a/internal/node/fallback.go
+++ b/internal/node/fallback.go
@@ -12,8 +12,8 @@
 	"ploverjunction.example/ploverjunction/internal/wire"
 )
 
-// chooseAlone takes a target of a part by what this node knows itself.
-func (d *dispatchController) chooseAlone(q *entry.Query, p partition) (entry.Choice, error) {
+// chooseFallback takes a target of a part by what this node knows itself.
+func (d *dispatchController) chooseFallback(q *entry.Query, p partition) (entry.Choice, error) {
 	now := time.Now()
 	self := d.board.view.Load().Self()
 	unavailable := d.board.unavailable(now, d.newest(q.Service), p.hall)
--- a/internal/node/grantrequest.go
+++ b/internal/node/grantrequest.go
@@ -58,7 +58,7 @@
 			return r.choice, r.err
 		}
 	}
-	return d.chooseAlone(q, d.lockedHome(q))
+	return d.chooseFallback(q, d.lockedHome(q))
 }
 
 // withRetryAfter returns the refusal of a request with the time that this node knows: all targets may
@@ -100,7 +100,7 @@
 			unavailable: true,
 		}
 	}
-	c, err := d.chooseAlone(q, home)
+	c, err := d.chooseFallback(q, home)
 	return reply{
 		choice: c,
 		err:    err,
