--- a/internal/node/targetlimits.go
+++ b/internal/node/targetlimits.go
@@ -144,8 +144,8 @@
 	return share
 }
 
-// place returns that of this node among the holders of a dispatcher's role.
-func (d *dispatchController) place(now time.Time, view *membership.View, holders []membership.Node) holderRank {
+// holderRank returns that of this node among the holders of a dispatcher's role.
+func (d *dispatchController) holderRank(now time.Time, view *membership.View, holders []membership.Node) holderRank {
 	p := holderRank{
 		nodes: view.Nodes(),
 		live:  len(view.Live()),
