--- a/internal/node/dispatch.go
+++ b/internal/node/dispatch.go
@@ -101,8 +101,8 @@
 	config *fleetconfig.Service
 	// used is when the desk was last asked or told of something.
 	used time.Time
-	// reported is set while the desk has so much work that lines tell of it.
-	reported bool
+	// statusLogged is set while the desk has so much work that lines tell of it.
+	statusLogged bool
 }
 
 func newDispatchController(board *Board, m *messenger, b dispatch.Budget, log *logrus.Entry) *dispatchController {
--- a/internal/node/dispatcher.go
+++ b/internal/node/dispatcher.go
@@ -46,15 +46,15 @@
 	defer d.mu.Unlock()
 	for p, sched := range d.schedulers {
 		if sched.Asked(now) < reportMinRequests {
-			if sched.reported {
+			if sched.statusLogged {
 				// Another node has the role now, or nobody asks.
-				sched.reported = false
+				sched.statusLogged = false
 				d.setCoverageShort(p, 0)
 				d.setLimitedTargets(p, 0)
 			}
 			continue
 		}
-		sched.reported = true
+		sched.statusLogged = true
 		s := sched.Status(now)
 		d.setCoverageShort(p, s.Short)
 		failing := map[string]float64{}
