--- a/internal/node/dispatch.go
+++ b/internal/node/dispatch.go
@@ -99,8 +99,8 @@
 type scheduler struct {
 	*dispatch.Desk
 	config *fleetconfig.Service
-	// used is when the desk was last asked or told of something.
-	used time.Time
+	// lastUsed is when the desk was last asked or told of something.
+	lastUsed time.Time
 	// statusLogged is set while the desk has so much work that lines tell of it.
 	statusLogged bool
 }
--- a/internal/node/dispatcher.go
+++ b/internal/node/dispatcher.go
@@ -22,7 +22,7 @@
 	d.mu.Lock()
 	grants := map[partition][]dispatch.Grant{}
 	for p, s := range d.schedulers {
-		if now.Sub(s.used) > schedulerIdleTimeout {
+		if now.Sub(s.lastUsed) > schedulerIdleTimeout {
 			delete(d.schedulers, p)
 			continue
 		}
@@ -95,7 +95,7 @@
 func (d *dispatchController) touchScheduler(now time.Time, p partition) *scheduler {
 	s := d.currentScheduler(now, p)
 	if s != nil {
-		s.used = now
+		s.lastUsed = now
 	}
 	return s
 }
@@ -113,8 +113,8 @@
 	s := d.schedulers[p]
 	if s == nil {
 		s = &scheduler{
-			Desk: dispatch.NewDesk(now, d.budgetOf(p, sc), rand.Float64),
-			used: now,
+			Desk:     dispatch.NewDesk(now, d.budgetOf(p, sc), rand.Float64),
+			lastUsed: now,
 		}
 		d.schedulers[p] = s
 	}
--- a/internal/node/limitstatus.go
+++ b/internal/node/limitstatus.go
@@ -49,7 +49,7 @@
 	defer d.mu.Unlock()
 	var out []operator.TargetLimitStatus
 	for p, s := range d.schedulers {
-		if !s.Limited(now) || now.Sub(s.used) > reportInterval {
+		if !s.Limited(now) || now.Sub(s.lastUsed) > reportInterval {
 			continue
 		}
 		for _, t := range s.Status(now).Targets {
