--- a/internal/node/partition.go
+++ b/internal/node/partition.go
@@ -51,8 +51,8 @@
 
 // partitioning is how a service is divided in one of its configurations.
 type partitioning struct {
-	config *fleetconfig.Service
-	halls  []string
+	config    *fleetconfig.Service
+	dataHalls []string
 }
 
 // partitionings holds that of the services in force, by name.
@@ -63,12 +63,12 @@
 	known := d[sc.Name()]
 	if known.config != sc {
 		known = partitioning{
-			config: sc,
-			halls:  dispatch.Divide(sc.HallSizes()),
+			config:    sc,
+			dataHalls: dispatch.Divide(sc.HallSizes()),
 		}
 		d[sc.Name()] = known
 	}
-	return known.halls
+	return known.dataHalls
 }
 
 // newest returns a service as it is in force now, or as the request knows it.
