--- a/internal/node/targetlimits.go
+++ b/internal/node/targetlimits.go
@@ -124,14 +124,14 @@
 	nodes, live int
 	// rank is how many holders of the dispatcher's role come before this node.
 	rank int
-	// alone is set where no other node answers, among is for how long others have.
-	alone bool
-	among time.Duration
+	// isolated is set where no other node answers, among is for how long others have.
+	isolated bool
+	among    time.Duration
 }
 
 // part returns the part of targets' limits that a node may grant as a dispatcher.
 func (p holderRank) part() float64 {
-	if p.alone {
+	if p.isolated {
 		return min(isolatedShare, 1/float64(p.nodes))
 	}
 	share := math.Pow(standbyShare, float64(p.rank))
@@ -156,7 +156,7 @@
 		p.rank = len(holders)
 	}
 	if p.nodes > 1 || d.seeds > 0 {
-		p.alone = d.messenger.isolated(now)
+		p.isolated = d.messenger.isolated(now)
 		p.among = d.messenger.connectedFor(now)
 	}
 	return p
