--- a/internal/node/export_targetlimits_test.go
+++ b/internal/node/export_targetlimits_test.go
@@ -140,11 +140,11 @@
 // role rank before, of so many nodes.
 func Part(nodes, live, rank int, alone bool, among time.Duration) float64 {
 	return holderRank{
-		nodes:    nodes,
-		live:     live,
-		rank:     rank,
-		isolated: alone,
-		among:    among,
+		nodes:        nodes,
+		live:         live,
+		rank:         rank,
+		isolated:     alone,
+		connectedFor: among,
 	}.part()
 }
 
--- a/internal/node/targetlimits.go
+++ b/internal/node/targetlimits.go
@@ -125,8 +125,8 @@
 	// rank is how many holders of the dispatcher's role come before this node.
 	rank int
 	// isolated is set where no other node answers, among is for how long others have.
-	isolated bool
-	among    time.Duration
+	isolated     bool
+	connectedFor time.Duration
 }
 
 // part returns the part of targets' limits that a node may grant as a dispatcher.
@@ -135,7 +135,7 @@
 		return min(isolatedShare, 1/float64(p.nodes))
 	}
 	share := math.Pow(standbyShare, float64(p.rank))
-	if p.among < joinTime {
+	if p.connectedFor < joinTime {
 		share *= joinShare
 	}
 	if live := float64(p.live) / float64(p.nodes); 1-live > lossThreshold {
@@ -147,17 +147,17 @@
 // holderRank returns that of this node among the holders of a dispatcher's role.
 func (d *dispatchController) holderRank(now time.Time, view *membership.View, holders []membership.Node) holderRank {
 	p := holderRank{
-		nodes: view.Nodes(),
-		live:  len(view.Live()),
-		rank:  slices.Index(holders, view.Self()),
-		among: joinTime,
+		nodes:        view.Nodes(),
+		live:         len(view.Live()),
+		rank:         slices.Index(holders, view.Self()),
+		connectedFor: joinTime,
 	}
 	if p.rank < 0 {
 		p.rank = len(holders)
 	}
 	if p.nodes > 1 || d.seeds > 0 {
 		p.isolated = d.messenger.isolated(now)
-		p.among = d.messenger.connectedFor(now)
+		p.connectedFor = d.messenger.connectedFor(now)
 	}
 	return p
 }
