--- a/internal/node/export_targetlimits_test.go
+++ b/internal/node/export_targetlimits_test.go
@@ -145,7 +145,7 @@
 		rank:         rank,
 		isolated:     alone,
 		connectedFor: among,
-	}.part()
+	}.share()
 }
 
 // Relayed returns when a target answered with its limit, by a node that another one tells of it.
--- a/internal/node/targetlimits.go
+++ b/internal/node/targetlimits.go
@@ -129,8 +129,8 @@
 	connectedFor time.Duration
 }
 
-// part returns the part of targets' limits that a node may grant as a dispatcher.
-func (p holderRank) part() float64 {
+// share returns the part of targets' limits that a node may grant as a dispatcher.
+func (p holderRank) share() float64 {
 	if p.isolated {
 		return min(isolatedShare, 1/float64(p.nodes))
 	}
