--- a/internal/node/allocator.go
+++ b/internal/node/allocator.go
@@ -37,7 +37,7 @@
 // allot answers the draw of a node in one of its lives.
 func (l *limitController) allot(now time.Time, node string, life uint64, in *wire.Draw) *wire.Allot {
 	out := &wire.Allot{
-		By: l.life,
+		By: l.incarnation,
 	}
 	c := l.board.currentConfig()
 	able := c != nil && l.able(now)
--- a/internal/node/limits.go
+++ b/internal/node/limits.go
@@ -62,9 +62,9 @@
 	// equal gives each node the same part of a limit, where nodes exchange no datagrams.
 	equal *admission.Limiter
 	// seeds is how many other nodes the settings name.
-	seeds int
-	life  uint64
-	log   *logrus.Entry
+	seeds       int
+	incarnation uint64
+	log         *logrus.Entry
 	// heard is when a peer was last heard, as the time since begun.
 	begun time.Time
 	heard atomic.Int64
@@ -97,16 +97,16 @@
 
 func newLimitController(board *Board, begun time.Time, life uint64, t ratelimit.Tolerance, log *logrus.Entry) *limitController {
 	return &limitController{
-		board:     board,
-		limiter:   ratelimit.NewLimiter(begun),
-		equal:     admission.NewLimiter(),
-		life:      life,
-		begun:     begun,
-		log:       log,
-		allocator: ratelimit.NewAllocator(life, begun, t),
-		answered:  map[tokenRequestKey]*tokenAnswer{},
-		distrust:  map[string]time.Time{},
-		lives:     map[string]uint64{},
+		board:       board,
+		limiter:     ratelimit.NewLimiter(begun),
+		equal:       admission.NewLimiter(),
+		incarnation: life,
+		begun:       begun,
+		log:         log,
+		allocator:   ratelimit.NewAllocator(life, begun, t),
+		answered:    map[tokenRequestKey]*tokenAnswer{},
+		distrust:    map[string]time.Time{},
+		lives:       map[string]uint64{},
 
 		allocators: map[string]uint64{},
 	}
--- a/internal/node/tokenrequest.go
+++ b/internal/node/tokenrequest.go
@@ -34,8 +34,8 @@
 func (l *limitController) draw(ctx context.Context, holder membership.Node, workspaces []string, waiting int) (admitted int, answered bool) {
 	now := time.Now()
 	if holder == l.board.view.Load().Self() {
-		out := l.usages(now, workspaces, waiting, l.life)
-		return l.take(now, out, l.allot(now, holder.Address(), l.life, out), waiting)
+		out := l.usages(now, workspaces, waiting, l.incarnation)
+		return l.take(now, out, l.allot(now, holder.Address(), l.incarnation, out), waiting)
 	}
 	if l.distrusted(now, holder.Address()) {
 		return 0, false
