--- a/internal/node/allocator.go
+++ b/internal/node/allocator.go
@@ -65,7 +65,7 @@
 	if len(view.Peers()) == 0 {
 		return l.seeds == 0
 	}
-	if now.Sub(l.begun)-time.Duration(l.heard.Load()) > contactTimeout {
+	if now.Sub(l.begun)-time.Duration(l.lastReceived.Load()) > contactTimeout {
 		return false
 	}
 	return 2*len(view.Live()) > view.Nodes()
@@ -99,7 +99,7 @@
 }
 
 // touched notes that a peer was heard.
-func (l *limitController) touched(now time.Time) { l.heard.Store(int64(now.Sub(l.begun))) }
+func (l *limitController) touched(now time.Time) { l.lastReceived.Store(int64(now.Sub(l.begun))) }
 
 // began notes a node's incarnation. With a new one it holds nothing of what it had.
 func (l *limitController) began(node string, incarnation uint64) {
--- a/internal/node/limits.go
+++ b/internal/node/limits.go
@@ -66,8 +66,8 @@
 	incarnation uint64
 	log         *logrus.Entry
 	// heard is when a peer was last heard, as the time since begun.
-	begun time.Time
-	heard atomic.Int64
+	begun        time.Time
+	lastReceived atomic.Int64
 	// pausing counts the requests that wait for this node to meet others.
 	pausing atomic.Int32
 
