--- a/internal/node/limits.go
+++ b/internal/node/limits.go
@@ -68,8 +68,8 @@
 	// heard is when a peer was last heard, as the time since begun.
 	begun        time.Time
 	lastReceived atomic.Int64
-	// pausing counts the requests that wait for this node to meet others.
-	pausing atomic.Int32
+	// paused counts the requests that wait for this node to meet others.
+	paused atomic.Int32
 
 	mu        sync.Mutex
 	allocator *ratelimit.Allocator
@@ -200,8 +200,8 @@
 // pause waits until a node that starts should ask again. It returns false if that is no
 // use: the caller has left, or as many requests wait as may.
 func (l *limitController) pause(ctx context.Context) bool {
-	defer l.pausing.Add(-1)
-	if l.pausing.Add(1) > maxPaused {
+	defer l.paused.Add(-1)
+	if l.paused.Add(1) > maxPaused {
 		return false
 	}
 	timer := time.NewTimer(startRetryInterval)
