--- a/internal/node/allocator.go
+++ b/internal/node/allocator.go
@@ -79,7 +79,7 @@
 		call: in.GetCall(),
 	}
 	l.mu.Lock()
-	known := l.answered[key]
+	known := l.tokenAnswers[key]
 	l.mu.Unlock()
 	if known == nil {
 		known = &tokenAnswer{
@@ -87,7 +87,7 @@
 			allot: l.allot(now, key.node, in.GetFrom().GetIncarnation(), in.GetDraw()),
 		}
 		l.mu.Lock()
-		l.answered[key] = known
+		l.tokenAnswers[key] = known
 		l.mu.Unlock()
 	}
 	l.messenger.send(key.node, &wire.Datagram{
@@ -122,9 +122,9 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.allocator.Lost(1 - float64(len(view.Live()))/float64(view.Nodes()))
-	for key, a := range l.answered {
+	for key, a := range l.tokenAnswers {
 		if now.Sub(a.at) > time.Second {
-			delete(l.answered, key)
+			delete(l.tokenAnswers, key)
 		}
 	}
 	if buckets {
