--- a/internal/node/limits.go
+++ b/internal/node/limits.go
@@ -76,8 +76,8 @@
 	// tokenAnswers are the answers to draws lately: one that is repeated must not take tokens
 	// twice.
 	tokenAnswers map[tokenRequestKey]*tokenAnswer
-	// distrust is until when an allocator isn't asked.
-	distrust map[string]time.Time
+	// unresponsiveUntil is until when an allocator isn't asked.
+	unresponsiveUntil map[string]time.Time
 	// lives are the newest incarnations of nodes, allocators the lives that these gave as
 	// allocators.
 	lives      map[string]uint64
@@ -97,16 +97,16 @@
 
 func newLimitController(board *Board, begun time.Time, life uint64, t ratelimit.Tolerance, log *logrus.Entry) *limitController {
 	return &limitController{
-		board:        board,
-		limiter:      ratelimit.NewLimiter(begun),
-		equal:        admission.NewLimiter(),
-		incarnation:  life,
-		begun:        begun,
-		log:          log,
-		allocator:    ratelimit.NewAllocator(life, begun, t),
-		tokenAnswers: map[tokenRequestKey]*tokenAnswer{},
-		distrust:     map[string]time.Time{},
-		lives:        map[string]uint64{},
+		board:             board,
+		limiter:           ratelimit.NewLimiter(begun),
+		equal:             admission.NewLimiter(),
+		incarnation:       life,
+		begun:             begun,
+		log:               log,
+		allocator:         ratelimit.NewAllocator(life, begun, t),
+		tokenAnswers:      map[tokenRequestKey]*tokenAnswer{},
+		unresponsiveUntil: map[string]time.Time{},
+		lives:             map[string]uint64{},
 
 		allocators: map[string]uint64{},
 	}
--- a/internal/node/tokenrequest.go
+++ b/internal/node/tokenrequest.go
@@ -100,13 +100,13 @@
 func (l *limitController) distrusted(now time.Time, peer string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return now.Before(l.distrust[peer])
+	return now.Before(l.unresponsiveUntil[peer])
 }
 
 func (l *limitController) doubt(peer string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.distrust[peer] = time.Now().Add(allocatorBackoff)
+	l.unresponsiveUntil[peer] = time.Now().Add(allocatorBackoff)
 }
 
 // usages returns the reports of workspaces to the allocator whose life is to.
