--- a/internal/node/allocator.go
+++ b/internal/node/allocator.go
@@ -105,14 +105,14 @@
 func (l *limitController) began(node string, incarnation uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if incarnation <= l.lives[node] {
+	if incarnation <= l.nodeIncarnations[node] {
 		return
 	}
-	if l.lives[node] > 0 {
+	if l.nodeIncarnations[node] > 0 {
 		l.allocator.Began(node, incarnation)
 		delete(l.allocators, node)
 	}
-	l.lives[node] = incarnation
+	l.nodeIncarnations[node] = incarnation
 }
 
 // renew tells the allocator which part of the fleet is lost and drops what is out of use;
--- a/internal/node/limits.go
+++ b/internal/node/limits.go
@@ -78,10 +78,10 @@
 	tokenAnswers map[tokenRequestKey]*tokenAnswer
 	// unresponsiveUntil is until when an allocator isn't asked.
 	unresponsiveUntil map[string]time.Time
-	// lives are the newest incarnations of nodes, allocators the lives that these gave as
+	// nodeIncarnations are the newest incarnations of nodes, allocators the lives that these gave as
 	// allocators.
-	lives      map[string]uint64
-	allocators map[string]uint64
+	nodeIncarnations map[string]uint64
+	allocators       map[string]uint64
 }
 
 // tokenRequestKey names a draw.
@@ -106,7 +106,7 @@
 		allocator:         ratelimit.NewAllocator(life, begun, t),
 		tokenAnswers:      map[tokenRequestKey]*tokenAnswer{},
 		unresponsiveUntil: map[string]time.Time{},
-		lives:             map[string]uint64{},
+		nodeIncarnations:  map[string]uint64{},
 
 		allocators: map[string]uint64{},
 	}
