--- a/internal/node/allocator.go
+++ b/internal/node/allocator.go
@@ -110,7 +110,7 @@
 	}
 	if l.nodeIncarnations[node] > 0 {
 		l.allocator.Began(node, incarnation)
-		delete(l.allocators, node)
+		delete(l.allocatorIncarnations, node)
 	}
 	l.nodeIncarnations[node] = incarnation
 }
--- a/internal/node/limits.go
+++ b/internal/node/limits.go
@@ -80,8 +80,8 @@
 	unresponsiveUntil map[string]time.Time
 	// nodeIncarnations are the newest incarnations of nodes, allocators the lives that these gave as
 	// allocators.
-	nodeIncarnations map[string]uint64
-	allocators       map[string]uint64
+	nodeIncarnations      map[string]uint64
+	allocatorIncarnations map[string]uint64
 }
 
 // tokenRequestKey names a draw.
@@ -108,7 +108,7 @@
 		unresponsiveUntil: map[string]time.Time{},
 		nodeIncarnations:  map[string]uint64{},
 
-		allocators: map[string]uint64{},
+		allocatorIncarnations: map[string]uint64{},
 	}
 }
 
--- a/internal/node/tokenrequest.go
+++ b/internal/node/tokenrequest.go
@@ -56,13 +56,13 @@
 func (l *limitController) known(peer string) uint64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.allocators[peer]
+	return l.allocatorIncarnations[peer]
 }
 
 func (l *limitController) know(peer string, life uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.allocators[peer] = life
+	l.allocatorIncarnations[peer] = life
 }
 
 // call sends a draw until it is answered, and returns nil if it is not.
