--- a/internal/node/limits.go
+++ b/internal/node/limits.go
@@ -139,7 +139,7 @@
 	v, wait := l.limiter.Take(time.Now(), w.ID(), limit)
 	by := byCachedAnswer
 	if v == ratelimit.Ask {
-		v, wait, by = l.ask(ctx, w.ID(), limit, time.Now().Add(maxWait))
+		v, wait, by = l.requestToken(ctx, w.ID(), limit, time.Now().Add(maxWait))
 	}
 	if v == ratelimit.Admitted {
 		return nil
@@ -177,9 +177,9 @@
 	}
 }
 
-// ask asks the allocator for a token, and decides alone if it doesn't answer; while this
+// requestToken asks the allocator for a token, and decides alone if it doesn't answer; while this
 // node meets the others it asks until a time. by says who decided.
-func (l *limitController) ask(ctx context.Context, workspace string, limit ratelimit.Limit, until time.Time) (v ratelimit.Verdict, wait time.Duration, by string) {
+func (l *limitController) requestToken(ctx context.Context, workspace string, limit ratelimit.Limit, until time.Time) (v ratelimit.Verdict, wait time.Duration, by string) {
 	for {
 		holder := l.holder(workspace)
 		admitted, answered := l.draw(ctx, holder, l.with(workspace, holder), 1)
