--- a/internal/node/tokenrequest.go
+++ b/internal/node/tokenrequest.go
@@ -28,10 +28,10 @@
 	return out[:fittingCount(out)]
 }
 
-// draw reports some workspaces to a node and takes its answer. waiting is how many
+// requestTokens reports some workspaces to a node and takes its answer. waiting is how many
 // requests wait for a token of the first one; it returns how many of them may go on, and
 // whether the node allocates.
-func (l *limitController) draw(ctx context.Context, holder membership.Node, workspaces []string, waiting int) (admitted int, answered bool) {
+func (l *limitController) requestTokens(ctx context.Context, holder membership.Node, workspaces []string, waiting int) (admitted int, answered bool) {
 	now := time.Now()
 	if holder == l.board.view.Load().Self() {
 		out := l.usages(now, workspaces, waiting, l.incarnation)
@@ -190,7 +190,7 @@
 			some := workspaces[:n]
 			workspaces = workspaces[n:]
 			draws.Go(ctx, "report limits", func(ctx context.Context) error {
-				_, _ = l.draw(ctx, holder, some, 0)
+				_, _ = l.requestTokens(ctx, holder, some, 0)
 				return nil
 			})
 		}
