--- a/internal/node/limits.go
+++ b/internal/node/limits.go
@@ -182,7 +182,7 @@
 func (l *limitController) requestToken(ctx context.Context, workspace string, limit ratelimit.Limit, until time.Time) (v ratelimit.Verdict, wait time.Duration, by string) {
 	for {
 		holder := l.holder(workspace)
-		admitted, answered := l.requestTokens(ctx, holder, l.with(workspace, holder), 1)
+		admitted, answered := l.requestTokens(ctx, holder, l.combinable(workspace, holder), 1)
 		now := time.Now()
 		switch {
 		case admitted > 0:
--- a/internal/node/tokenrequest.go
+++ b/internal/node/tokenrequest.go
@@ -13,9 +13,9 @@
 
 // This file is the side of a node that asks allocators for tokens.
 
-// with returns a workspace together with others that the same allocator should be told of
+// combinable returns a workspace together with others that the same allocator should be told of
 // soon.
-func (l *limitController) with(workspace string, holder membership.Node) []string {
+func (l *limitController) combinable(workspace string, holder membership.Node) []string {
 	out := []string{workspace}
 	if l.limiter.Len() > maxCombinedWorkspaces {
 		return out
