--- a/internal/node/tokenrequest.go
+++ b/internal/node/tokenrequest.go
@@ -40,7 +40,7 @@
 	if l.distrusted(now, holder.Address()) {
 		return 0, false
 	}
-	out := l.usages(now, workspaces, waiting, l.known(holder.Address()))
+	out := l.usages(now, workspaces, waiting, l.allocatorIncarnation(holder.Address()))
 	in := l.call(ctx, holder.Address(), out)
 	if in == nil {
 		if ctx.Err() == nil && !l.limiter.Meeting(now, workspaces[0]) {
@@ -52,8 +52,8 @@
 	return l.take(time.Now(), out, in, waiting)
 }
 
-// known returns the life of a node as an allocator, 0 if it isn't known.
-func (l *limitController) known(peer string) uint64 {
+// allocatorIncarnation returns the life of a node as an allocator, 0 if it isn't known.
+func (l *limitController) allocatorIncarnation(peer string) uint64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.allocatorIncarnations[peer]
