--- a/internal/node/tokenrequest.go
+++ b/internal/node/tokenrequest.go
@@ -48,7 +48,7 @@
 		}
 		return 0, false
 	}
-	l.know(holder.Address(), in.GetBy())
+	l.setAllocatorIncarnation(holder.Address(), in.GetBy())
 	return l.take(time.Now(), out, in, waiting)
 }
 
@@ -59,7 +59,7 @@
 	return l.allocatorIncarnations[peer]
 }
 
-func (l *limitController) know(peer string, life uint64) {
+func (l *limitController) setAllocatorIncarnation(peer string, life uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.allocatorIncarnations[peer] = life
