--- a/internal/node/tokenrequest.go
+++ b/internal/node/tokenrequest.go
@@ -44,7 +44,7 @@
 	in := l.call(ctx, holder.Address(), out)
 	if in == nil {
 		if ctx.Err() == nil && !l.limiter.Meeting(now, workspaces[0]) {
-			l.doubt(holder.Address())
+			l.markUnresponsive(holder.Address())
 		}
 		return 0, false
 	}
@@ -103,7 +103,7 @@
 	return now.Before(l.unresponsiveUntil[peer])
 }
 
-func (l *limitController) doubt(peer string) {
+func (l *limitController) markUnresponsive(peer string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.unresponsiveUntil[peer] = time.Now().Add(allocatorBackoff)
