--- a/internal/node/tokenrequest.go
+++ b/internal/node/tokenrequest.go
@@ -37,7 +37,7 @@
 		out := l.usages(now, workspaces, waiting, l.incarnation)
 		return l.take(now, out, l.allot(now, holder.Address(), l.incarnation, out), waiting)
 	}
-	if l.distrusted(now, holder.Address()) {
+	if l.unresponsive(now, holder.Address()) {
 		return 0, false
 	}
 	out := l.usages(now, workspaces, waiting, l.allocatorIncarnation(holder.Address()))
@@ -97,7 +97,7 @@
 	}
 }
 
-func (l *limitController) distrusted(now time.Time, peer string) bool {
+func (l *limitController) unresponsive(now time.Time, peer string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return now.Before(l.unresponsiveUntil[peer])
