--- a/internal/node/tokenrequest.go
+++ b/internal/node/tokenrequest.go
@@ -35,7 +35,7 @@
 	now := time.Now()
 	if holder == l.board.view.Load().Self() {
 		out := l.usages(now, workspaces, waiting, l.incarnation)
-		return l.take(now, out, l.allot(now, holder.Address(), l.incarnation, out), waiting)
+		return l.applyAnswer(now, out, l.allot(now, holder.Address(), l.incarnation, out), waiting)
 	}
 	if l.unresponsive(now, holder.Address()) {
 		return 0, false
@@ -49,7 +49,7 @@
 		return 0, false
 	}
 	l.setAllocatorIncarnation(holder.Address(), in.GetBy())
-	return l.take(time.Now(), out, in, waiting)
+	return l.applyAnswer(time.Now(), out, in, waiting)
 }
 
 // allocatorIncarnation returns the life of a node as an allocator, 0 if it isn't known.
@@ -121,8 +121,8 @@
 	return out
 }
 
-// take takes an allocator's answer to a draw, of whose first workspace some requests wait.
-func (l *limitController) take(now time.Time, out *wire.Draw, in *wire.Allot, waiting int) (admitted int, answered bool) {
+// applyAnswer takes an allocator's answer to a draw, of whose first workspace some requests wait.
+func (l *limitController) applyAnswer(now time.Time, out *wire.Draw, in *wire.Allot, waiting int) (admitted int, answered bool) {
 	if len(in.GetAllotments()) != len(out.GetUsages()) {
 		return 0, false
 	}
