--- a/internal/node/allocator.go
+++ b/internal/node/allocator.go
@@ -34,8 +34,8 @@
 	return out
 }()
 
-// allot answers the draw of a node in one of its lives.
-func (l *limitController) allot(now time.Time, node string, life uint64, in *wire.Draw) *wire.Allot {
+// allocate answers the draw of a node in one of its lives.
+func (l *limitController) allocate(now time.Time, node string, life uint64, in *wire.Draw) *wire.Allot {
 	out := &wire.Allot{
 		By: l.incarnation,
 	}
@@ -84,7 +84,7 @@
 	if known == nil {
 		known = &tokenAnswer{
 			at:    now,
-			allot: l.allot(now, key.node, in.GetFrom().GetIncarnation(), in.GetDraw()),
+			allot: l.allocate(now, key.node, in.GetFrom().GetIncarnation(), in.GetDraw()),
 		}
 		l.mu.Lock()
 		l.tokenAnswers[key] = known
--- a/internal/node/tokenrequest.go
+++ b/internal/node/tokenrequest.go
@@ -35,7 +35,7 @@
 	now := time.Now()
 	if holder == l.board.view.Load().Self() {
 		out := l.usages(now, workspaces, waiting, l.incarnation)
-		return l.applyAnswer(now, out, l.allot(now, holder.Address(), l.incarnation, out), waiting)
+		return l.applyAnswer(now, out, l.allocate(now, holder.Address(), l.incarnation, out), waiting)
 	}
 	if l.unresponsive(now, holder.Address()) {
 		return 0, false
