--- a/internal/node/allocator.go
+++ b/internal/node/allocator.go
@@ -40,7 +40,7 @@
 		By: l.incarnation,
 	}
 	c := l.board.currentConfig()
-	able := c != nil && l.able(now)
+	able := c != nil && l.mayAllocate(now)
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, u := range in.GetUsages() {
@@ -58,9 +58,9 @@
 	return out
 }
 
-// able reports whether this node may allocate: a part of the fleet that lost most of the
+// mayAllocate reports whether this node may allocate: a part of the fleet that lost most of the
 // others must not give out the whole limit once more.
-func (l *limitController) able(now time.Time) bool {
+func (l *limitController) mayAllocate(now time.Time) bool {
 	view := l.board.view.Load()
 	if len(view.Peers()) == 0 {
 		return l.seeds == 0
