--- a/internal/node/allocator.go
+++ b/internal/node/allocator.go
@@ -71,8 +71,8 @@
 	return 2*len(view.Live()) > view.Nodes()
 }
 
-// drawn answers the draw of a peer.
-func (l *limitController) drawn(in *wire.Datagram) {
+// handleTokenRequest answers the draw of a peer.
+func (l *limitController) handleTokenRequest(in *wire.Datagram) {
 	now := time.Now()
 	key := tokenRequestKey{
 		node: in.GetFrom().GetAddress(),
