--- a/internal/node/allocator.go
+++ b/internal/node/allocator.go
@@ -98,8 +98,10 @@
 	})
 }
 
-// touched notes that a peer was heard.
-func (l *limitController) touched(now time.Time) { l.lastReceived.Store(int64(now.Sub(l.begun))) }
+// recordReceived notes that a peer was heard.
+func (l *limitController) recordReceived(now time.Time) {
+	l.lastReceived.Store(int64(now.Sub(l.begun)))
+}
 
 // began notes a node's incarnation. With a new one it holds nothing of what it had.
 func (l *limitController) began(node string, incarnation uint64) {
