--- a/internal/node/allocator.go
+++ b/internal/node/allocator.go
@@ -103,8 +103,8 @@
 	l.lastReceived.Store(int64(now.Sub(l.begun)))
 }
 
-// began notes a node's incarnation. With a new one it holds nothing of what it had.
-func (l *limitController) began(node string, incarnation uint64) {
+// recordIncarnation notes a node's incarnation. With a new one it holds nothing of what it had.
+func (l *limitController) recordIncarnation(node string, incarnation uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if incarnation <= l.nodeIncarnations[node] {
--- a/internal/node/export_test.go
+++ b/internal/node/export_test.go
@@ -105,7 +105,7 @@
 		send(peer, d)
 		return nil
 	}
-	m.onTokenRequest, m.onReceive, m.onIncarnation = n.limiting.handleTokenRequest, n.limiting.recordReceived, n.limiting.began
+	m.onTokenRequest, m.onReceive, m.onIncarnation = n.limiting.handleTokenRequest, n.limiting.recordReceived, n.limiting.recordIncarnation
 	n.limiting.messenger = m
 	return n
 }
--- a/internal/node/socket.go
+++ b/internal/node/socket.go
@@ -37,7 +37,7 @@
 		since:     n.suspended.Since,
 	}
 	n.limits.messenger = m
-	m.onTokenRequest, m.onReceive, m.onIncarnation = n.limits.handleTokenRequest, n.limits.recordReceived, n.limits.began
+	m.onTokenRequest, m.onReceive, m.onIncarnation = n.limits.handleTokenRequest, n.limits.recordReceived, n.limits.recordIncarnation
 	n.quarantine.messenger = m
 	m.quarantineDigest, m.onQuarantine, m.onQuarantineDigest = n.quarantine.digest.Load, n.quarantine.learn, n.quarantine.compare
 	share, reserve, window := n.set.Retries()
