--- a/internal/node/allocator.go
+++ b/internal/node/allocator.go
@@ -117,9 +117,9 @@
 	l.nodeIncarnations[node] = incarnation
 }
 
-// renew tells the allocator which part of the fleet is lost and drops what is out of use;
+// maintain tells the allocator which part of the fleet is lost and drops what is out of use;
 // buckets only now and then.
-func (l *limitController) renew(now time.Time, buckets bool) {
+func (l *limitController) maintain(now time.Time, buckets bool) {
 	view := l.board.view.Load()
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/node/tokenrequest.go
+++ b/internal/node/tokenrequest.go
@@ -154,7 +154,7 @@
 			return draws.Wait()
 		case now := <-tick.C:
 			l.report(ctx, &draws, now)
-			l.renew(now, now.Sub(forgot) > allocatorPruneInterval)
+			l.maintain(now, now.Sub(forgot) > allocatorPruneInterval)
 			if now.Sub(forgot) > allocatorPruneInterval {
 				forgot = now
 			}
