--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -213,7 +213,7 @@
 	}, logging.Part(n.log, "limits"))
 	n.limits.seeds = len(slices.DeleteFunc(n.seeds(), func(s string) bool { return s == n.address() }))
 	n.quarantine = newQuarantineController(n.board, n.started, logging.Part(n.log, "quarantine"))
-	n.quarantine.shared = func(shared int) { n.metrics.Gauge("quarantined_requests", float64(shared)) }
+	n.quarantine.setShared = func(shared int) { n.metrics.Gauge("quarantined_requests", float64(shared)) }
 	switch {
 	case n.adapter.Read != nil:
 	case n.set.Source() == settings.SourcePlatform:
--- a/internal/node/quarantine.go
+++ b/internal/node/quarantine.go
@@ -46,8 +46,8 @@
 	messenger *messenger
 	answers   *quarantine.Answers
 	log       *logrus.Entry
-	// shared gets how many requests all nodes know of.
-	shared func(n int)
+	// setShared gets how many requests all nodes know of.
+	setShared func(n int)
 	// known tells of how many requests records are kept: most of the time none.
 	known  atomic.Int32
 	digest atomic.Uint64
@@ -61,11 +61,11 @@
 
 func newQuarantineController(board *Board, begun time.Time, log *logrus.Entry) *quarantineController {
 	return &quarantineController{
-		board:   board,
-		answers: quarantine.NewAnswers(begun),
-		log:     log,
-		shared:  func(int) {},
-		ledger:  quarantine.NewLedger(rand.Uint64()),
+		board:     board,
+		answers:   quarantine.NewAnswers(begun),
+		log:       log,
+		setShared: func(int) {},
+		ledger:    quarantine.NewLedger(rand.Uint64()),
 	}
 }
 
@@ -123,7 +123,7 @@
 	changed := fn()
 	q.tidy(now)
 	if len(changed) > 0 {
-		q.shared(len(q.ledger.Shared()))
+		q.setShared(len(q.ledger.Shared()))
 	}
 	q.mu.Unlock()
 	for _, r := range changed {
