--- a/internal/node/quarantine.go
+++ b/internal/node/quarantine.go
@@ -48,8 +48,8 @@
 	log       *logrus.Entry
 	// setShared gets how many requests all nodes know of.
 	setShared func(n int)
-	// known tells of how many requests records are kept: most of the time none.
-	known  atomic.Int32
+	// count tells of how many requests records are kept: most of the time none.
+	count  atomic.Int32
 	digest atomic.Uint64
 
 	mu     sync.Mutex
@@ -71,7 +71,7 @@
 
 // check returns what is known of a request.
 func (q *quarantineController) check(prints quarantine.Prints) quarantine.Standing {
-	if q.known.Load() == 0 {
+	if q.count.Load() == 0 {
 		return quarantine.Standing{}
 	}
 	now := time.Now()
@@ -88,7 +88,7 @@
 		q.forgot = now
 		q.ledger.Forget(now)
 	}
-	q.known.Store(int32(q.ledger.Len()))
+	q.count.Store(int32(q.ledger.Len()))
 	q.digest.Store(q.ledger.Digest())
 }
 
@@ -108,7 +108,7 @@
 func (q *quarantineController) answered(prints quarantine.Prints) {
 	now := time.Now()
 	q.answers.Note(now, prints)
-	if q.known.Load() == 0 {
+	if q.count.Load() == 0 {
 		return
 	}
 	for _, p := range prints.All() {
