--- a/internal/node/quarantine.go
+++ b/internal/node/quarantine.go
@@ -54,9 +54,9 @@
 
 	mu     sync.Mutex
 	ledger *quarantine.Ledger
-	// compared is when a list was last sent, forgot when records were last forgotten.
-	compared time.Time
-	forgot   time.Time
+	// lastCompared is when a list was last sent, forgot when records were last forgotten.
+	lastCompared time.Time
+	forgot       time.Time
 }
 
 func newQuarantineController(board *Board, begun time.Time, log *logrus.Entry) *quarantineController {
@@ -192,12 +192,12 @@
 	defer q.mu.Unlock()
 	// Else a node that hasn't forgotten yet would tell one that has, again and again.
 	q.tidy(now)
-	if now.Sub(q.compared) < compareInterval {
+	if now.Sub(q.lastCompared) < compareInterval {
 		return nil
 	}
 	list := q.ledger.Shared()
 	if len(list) > 0 {
-		q.compared = now
+		q.lastCompared = now
 	}
 	return list
 }
