--- a/internal/node/quarantine.go
+++ b/internal/node/quarantine.go
@@ -56,7 +56,7 @@
 	ledger *quarantine.Ledger
 	// lastCompared is when a list was last sent, forgot when records were last forgotten.
 	lastCompared time.Time
-	forgot       time.Time
+	lastPruned   time.Time
 }
 
 func newQuarantineController(board *Board, begun time.Time, log *logrus.Entry) *quarantineController {
@@ -84,8 +84,8 @@
 // tidy drops what is of no use any more, now and then, and tells of what is left. q.mu is
 // held.
 func (q *quarantineController) tidy(now time.Time) {
-	if now.Sub(q.forgot) >= quarantinePruneInterval {
-		q.forgot = now
+	if now.Sub(q.lastPruned) >= quarantinePruneInterval {
+		q.lastPruned = now
 		q.ledger.Forget(now)
 	}
 	q.count.Store(int32(q.ledger.Len()))
