--- a/internal/node/quarantine.go
+++ b/internal/node/quarantine.go
@@ -77,13 +77,13 @@
 	now := time.Now()
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.tidy(now)
+	q.prune(now)
 	return q.ledger.Check(now, prints)
 }
 
-// tidy drops what is of no use any more, now and then, and tells of what is left. q.mu is
+// prune drops what is of no use any more, now and then, and tells of what is left. q.mu is
 // held.
-func (q *quarantineController) tidy(now time.Time) {
+func (q *quarantineController) prune(now time.Time) {
 	if now.Sub(q.lastPruned) >= quarantinePruneInterval {
 		q.lastPruned = now
 		q.ledger.Forget(now)
@@ -121,7 +121,7 @@
 func (q *quarantineController) change(now time.Time, from string, fn func() []quarantine.Record) {
 	q.mu.Lock()
 	changed := fn()
-	q.tidy(now)
+	q.prune(now)
 	if len(changed) > 0 {
 		q.setShared(len(q.ledger.Shared()))
 	}
@@ -191,7 +191,7 @@
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	// Else a node that hasn't forgotten yet would tell one that has, again and again.
-	q.tidy(now)
+	q.prune(now)
 	if now.Sub(q.lastCompared) < compareInterval {
 		return nil
 	}
