--- a/internal/node/quarantine.go
+++ b/internal/node/quarantine.go
@@ -128,13 +128,13 @@
 	q.mu.Unlock()
 	for _, r := range changed {
 		q.logChange(now, &r, from)
-		q.tell(now, r, from)
+		q.disseminate(now, r, from)
 	}
 }
 
-// tell takes a record that changed to whom it concerns: one that all should know to some
+// disseminate takes a record that changed to whom it concerns: one that all should know to some
 // nodes, which pass it on, another one to those that add up.
-func (q *quarantineController) tell(now time.Time, r quarantine.Record, from string) {
+func (q *quarantineController) disseminate(now time.Time, r quarantine.Record, from string) {
 	if q.messenger == nil {
 		return
 	}
