--- a/internal/node/quarantine.go
+++ b/internal/node/quarantine.go
@@ -140,7 +140,7 @@
 	}
 	to := q.holders(r.Print)
 	if r.Shared() {
-		to = q.some()
+		to = q.randomNodes()
 	} else if from != "" {
 		return
 	}
@@ -158,8 +158,8 @@
 	return q.board.view.Load().Role(role, "", quarantineHolders)
 }
 
-// some returns a few live nodes at random.
-func (q *quarantineController) some() []membership.Node {
+// randomNodes returns a few live nodes at random.
+func (q *quarantineController) randomNodes() []membership.Node {
 	live := q.board.view.Load().Live()
 	if len(live) <= quarantineFanout+1 {
 		return live
