--- a/internal/node/quarantine.go
+++ b/internal/node/quarantine.go
@@ -178,16 +178,16 @@
 		return
 	}
 	now := time.Now()
-	if list := q.due(now); len(list) > 0 {
+	if list := q.recordsToSend(now); len(list) > 0 {
 		// Where not all fit another choice goes out next time.
 		rand.Shuffle(len(list), func(i, j int) { list[i], list[j] = list[j], list[i] })
 		q.send(now, peer, list)
 	}
 }
 
-// due returns what all nodes should know, where it may be sent again. Each datagram of a peer
+// recordsToSend returns what all nodes should know, where it may be sent again. Each datagram of a peer
 // that knows other asks for it.
-func (q *quarantineController) due(now time.Time) []quarantine.Record {
+func (q *quarantineController) recordsToSend(now time.Time) []quarantine.Record {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	// Else a node that hasn't forgotten yet would tell one that has, again and again.
