--- a/internal/node/export_quarantine_test.go
+++ b/internal/node/export_quarantine_test.go
@@ -50,7 +50,7 @@
 		send(peer, d)
 		return nil
 	}
-	m.quarantineDigest, m.onQuarantine, m.onQuarantineDigest = q.digest.Load, q.learn, q.compare
+	m.quarantineDigest, m.onQuarantine, m.onQuarantineDigest = q.digest.Load, q.merge, q.compare
 	q.messenger = m
 	return &QuarantineNode{
 		quarantining: q,
--- a/internal/node/quarantine.go
+++ b/internal/node/quarantine.go
@@ -235,8 +235,8 @@
 	return w
 }
 
-// learn merges what a peer knows.
-func (q *quarantineController) learn(peer string, in *wire.Quarantine) {
+// merge merges what a peer knows.
+func (q *quarantineController) merge(peer string, in *wire.Quarantine) {
 	now := time.Now()
 	for _, w := range in.GetRecords() {
 		r, ok := recordOfWire(now, w)
--- a/internal/node/socket.go
+++ b/internal/node/socket.go
@@ -39,7 +39,7 @@
 	n.limits.messenger = m
 	m.onTokenRequest, m.onReceive, m.onIncarnation = n.limits.handleTokenRequest, n.limits.recordReceived, n.limits.recordIncarnation
 	n.quarantine.messenger = m
-	m.quarantineDigest, m.onQuarantine, m.onQuarantineDigest = n.quarantine.digest.Load, n.quarantine.learn, n.quarantine.compare
+	m.quarantineDigest, m.onQuarantine, m.onQuarantineDigest = n.quarantine.digest.Load, n.quarantine.merge, n.quarantine.compare
 	share, reserve, window := n.set.Retries()
 	d := newDispatchController(n.board, m, dispatch.Budget{
 		Share:   share,
