--- a/internal/node/ejection.go
+++ b/internal/node/ejection.go
@@ -226,8 +226,8 @@
 		WithField("score", r.Score).Info("target sick here")
 }
 
-// verdict takes an observer's word.
-func (j *ejectionController) verdict(now time.Time, v outlier.Verdict, key uint32) {
+// applyVerdict takes an observer's word.
+func (j *ejectionController) applyVerdict(now time.Time, v outlier.Verdict, key uint32) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	s := j.services[v.Service]
