--- a/internal/node/ejection.go
+++ b/internal/node/ejection.go
@@ -88,14 +88,14 @@
 	if c := j.board.currentConfig(); c != nil && c != j.config {
 		j.configure(now, c)
 	}
-	j.look()
+	j.refreshView()
 	if j.dirty {
 		j.publish(now)
 	}
 }
 
-// look takes the newest view if it has another number of nodes. j.mu is held.
-func (j *ejectionController) look() {
+// refreshView takes the newest view if it has another number of nodes. j.mu is held.
+func (j *ejectionController) refreshView() {
 	if v := j.board.view.Load(); j.view == nil || v.Nodes() != j.view.Nodes() {
 		j.view = v
 		j.dirty = true
