--- a/internal/node/ejection.go
+++ b/internal/node/ejection.go
@@ -77,14 +77,14 @@
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	if !j.passive {
-		j.renew(now)
+		j.rebuild(now)
 	} else if j.board.currentConfig() != nil && j.board.pools.Load() == nil {
 		j.board.pools.Store(&pools{})
 	}
 }
 
-// renew takes what is new and makes pools of it. j.mu is held.
-func (j *ejectionController) renew(now time.Time) {
+// rebuild takes what is new and makes pools of it. j.mu is held.
+func (j *ejectionController) rebuild(now time.Time) {
 	if c := j.board.currentConfig(); c != nil && c != j.config {
 		j.configure(now, c)
 	}
@@ -107,7 +107,7 @@
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	if j.passive && j.board.currentConfig() != nil {
-		j.renew(now)
+		j.rebuild(now)
 	}
 	return j.board.pools.Load()
 }
