--- a/internal/node/ejection.go
+++ b/internal/node/ejection.go
@@ -204,14 +204,14 @@
 		}
 		s.detector.Update(now, ticks[name])
 		for _, t := range s.config.Targets() {
-			j.judge(now, s, t.Key())
+			j.ejectIfSick(now, s, t.Key())
 		}
 	}
 }
 
-// judge ejects a target on this node's own evidence. A node alone can only say
+// ejectIfSick ejects a target on this node's own evidence. A node alone can only say
 // so for itself.
-func (j *ejectionController) judge(now time.Time, s *serviceState, target string) {
+func (j *ejectionController) ejectIfSick(now time.Time, s *serviceState, target string) {
 	r := s.detector.Read(target)
 	if r.Score == 0 {
 		return
