--- a/internal/node/evidence.go
+++ b/internal/node/evidence.go
@@ -115,8 +115,8 @@
 	p.urgent = p.urgent || e.GetBad() > 0 || e.GetLeaving()
 }
 
-// back takes up the evidence of reports that weren't taken, for the next one.
-func (o *evidenceController) back(reports []*wire.Report) {
+// restore takes up the evidence of reports that weren't taken, for the next one.
+func (o *evidenceController) restore(reports []*wire.Report) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	for _, r := range reports {
@@ -233,7 +233,7 @@
 			}
 			o.link.failed(peer)
 			if !summary {
-				o.back(list)
+				o.restore(list)
 			}
 			return err
 		})
