--- a/internal/node/evidence.go
+++ b/internal/node/evidence.go
@@ -138,7 +138,7 @@
 		case <-tick.C:
 		}
 		now := time.Now()
-		o.send(ctx, &calls, o.due(now), false)
+		o.send(ctx, &calls, o.dueReports(now), false)
 		summaries, verdicts := o.advance(now)
 		o.send(ctx, &calls, summaries, true)
 		o.announce(ctx, &calls, now, verdicts)
@@ -148,8 +148,8 @@
 	}
 }
 
-// due returns the reports that should go out now, by observer.
-func (o *evidenceController) due(now time.Time) map[string][]*wire.Report {
+// dueReports returns the reports that should go out now, by observer.
+func (o *evidenceController) dueReports(now time.Time) map[string][]*wire.Report {
 	view := o.board.view.Load()
 	slow := slowInterval(view.Nodes())
 	o.mu.Lock()
--- a/internal/node/export_test.go
+++ b/internal/node/export_test.go
@@ -44,7 +44,7 @@
 
 // Due returns the reports that should go out at now, by observer.
 func (r *Reporter) Due(now time.Time) map[string][]*wire.Report {
-	return r.observing.due(now)
+	return r.observing.dueReports(now)
 }
 
 // Chooser is the joint choice of a node that is the only one of its fleet.
