--- a/internal/node/evidence.go
+++ b/internal/node/evidence.go
@@ -54,26 +54,26 @@
 // evidenceController sends this node's evidence to the observers and does this node's own
 // role as one. It may be used concurrently.
 type evidenceController struct {
-	board   *Board
-	link    observerLink
-	deliver func(now time.Time, v outlier.Verdict, key uint32)
-	log     *logrus.Entry
-	mu      sync.Mutex
-	pending map[string]*pendingEvidence
-	served  map[string]*observedService
+	board            *Board
+	link             observerLink
+	deliver          func(now time.Time, v outlier.Verdict, key uint32)
+	log              *logrus.Entry
+	mu               sync.Mutex
+	pending          map[string]*pendingEvidence
+	observedServices map[string]*observedService
 	// busy are the observers with a report on its way.
 	busy map[string]bool
 }
 
 func newEvidenceController(board *Board, link observerLink, deliver func(time.Time, outlier.Verdict, uint32), log *logrus.Entry) *evidenceController {
 	return &evidenceController{
-		board:   board,
-		link:    link,
-		deliver: deliver,
-		log:     log,
-		pending: map[string]*pendingEvidence{},
-		served:  map[string]*observedService{},
-		busy:    map[string]bool{},
+		board:            board,
+		link:             link,
+		deliver:          deliver,
+		log:              log,
+		pending:          map[string]*pendingEvidence{},
+		observedServices: map[string]*observedService{},
+		busy:             map[string]bool{},
 	}
 }
 
--- a/internal/node/observer.go
+++ b/internal/node/observer.go
@@ -63,7 +63,7 @@
 
 // observed returns the state for a service, in its newest configuration.
 func (o *evidenceController) observed(sc *fleetconfig.Service) *observedService {
-	s := o.served[sc.Name()]
+	s := o.observedServices[sc.Name()]
 	if s != nil && s.config == sc {
 		return s
 	}
@@ -81,7 +81,7 @@
 		s = &observedService{
 			observer: outlier.NewObserver(info),
 		}
-		o.served[sc.Name()] = s
+		o.observedServices[sc.Name()] = s
 	} else {
 		s.observer.Configure(info)
 	}
@@ -99,9 +99,9 @@
 	defer o.mu.Unlock()
 	summaries := map[string][]*wire.Report{}
 	var verdicts []outlier.Verdict
-	for name, s := range o.served {
+	for name, s := range o.observedServices {
 		if now.Sub(s.heard) > observerTimeout {
-			delete(o.served, name)
+			delete(o.observedServices, name)
 			continue
 		}
 		if r := s.summary(now, slowInterval(view.Nodes())); r != nil {
