--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -282,7 +282,7 @@
 // Judge serves verdicts of observers.
 func (n *Node) Judge(_ context.Context, in *wire.VerdictBatch) (*wire.Receipt, error) {
 	n.members.recordMessage(in.GetFrom())
-	n.evidence.judged(time.Now(), in)
+	n.evidence.handleVerdicts(time.Now(), in)
 	return &wire.Receipt{}, nil
 }
 
--- a/internal/node/verdicts.go
+++ b/internal/node/verdicts.go
@@ -50,9 +50,9 @@
 	}
 }
 
-// judged takes the verdicts of an observer. Only an observer of this node's data
+// handleVerdicts takes the verdicts of an observer. Only an observer of this node's data
 // hall, by this node's own view of the fleet, is believed.
-func (o *evidenceController) judged(now time.Time, in *wire.VerdictBatch) {
+func (o *evidenceController) handleVerdicts(now time.Time, in *wire.VerdictBatch) {
 	for _, v := range in.GetVerdicts() {
 		if !o.hasRole(in.GetFrom(), v.GetService()) {
 			continue
