--- a/internal/node/observer.go
+++ b/internal/node/observer.go
@@ -34,7 +34,7 @@
 		if sc == nil {
 			continue
 		}
-		s := o.observed(sc)
+		s := o.observedService(sc)
 		s.heard = now
 		for _, t := range r.GetTargets() {
 			target, ok := s.byKey[t.GetTarget()]
@@ -61,8 +61,8 @@
 	s.observer.Report(now, from.GetAddress(), from.GetDataHall(), c)
 }
 
-// observed returns the state for a service, in its newest configuration.
-func (o *evidenceController) observed(sc *fleetconfig.Service) *observedService {
+// observedService returns the state for a service, in its newest configuration.
+func (o *evidenceController) observedService(sc *fleetconfig.Service) *observedService {
 	s := o.observedServices[sc.Name()]
 	if s != nil && s.config == sc {
 		return s
