--- a/internal/node/observer.go
+++ b/internal/node/observer.go
@@ -12,10 +12,10 @@
 
 // observedService is one service that this node observes for its data hall.
 type observedService struct {
-	observer *outlier.Observer
-	config   *fleetconfig.Service
-	byKey    map[uint32]string
-	heard    time.Time
+	observer   *outlier.Observer
+	config     *fleetconfig.Service
+	byKey      map[uint32]string
+	lastReport time.Time
 	// summed is when the last summary went out.
 	summed time.Time
 }
@@ -35,7 +35,7 @@
 			continue
 		}
 		s := o.observedService(sc)
-		s.heard = now
+		s.lastReport = now
 		for _, t := range r.GetTargets() {
 			target, ok := s.byKey[t.GetTarget()]
 			if !ok {
@@ -100,7 +100,7 @@
 	summaries := map[string][]*wire.Report{}
 	var verdicts []outlier.Verdict
 	for name, s := range o.observedServices {
-		if now.Sub(s.heard) > observerTimeout {
+		if now.Sub(s.lastReport) > observerTimeout {
 			delete(o.observedServices, name)
 			continue
 		}
