--- a/internal/node/observer.go
+++ b/internal/node/observer.go
@@ -16,8 +16,8 @@
 	config     *fleetconfig.Service
 	byKey      map[uint32]string
 	lastReport time.Time
-	// summed is when the last summary went out.
-	summed time.Time
+	// lastSummary is when the last summary went out.
+	lastSummary time.Time
 }
 
 // observe takes the reports of one node as an observer. Any node that reports
@@ -122,10 +122,10 @@
 // summary returns what the other data halls should know, or nil if that can wait
 // for the slow tick.
 func (s *observedService) summary(now time.Time, slow time.Duration) *wire.Report {
-	if !s.observer.Urgent() && now.Sub(s.summed) < slow {
+	if !s.observer.Urgent() && now.Sub(s.lastSummary) < slow {
 		return nil
 	}
-	s.summed = now
+	s.lastSummary = now
 	counts := s.observer.TakeSummary()
 	if len(counts) == 0 {
 		return nil
