--- a/internal/node/export_targetlimits_test.go
+++ b/internal/node/export_targetlimits_test.go
@@ -89,7 +89,7 @@
 		board:     n.board,
 		seeds:     func() []string { return cfg.Seeds },
 		log:       log,
-		since:     func(now time.Time) time.Duration { return now.Sub(begun) },
+		elapsed:   func(now time.Time) time.Duration { return now.Sub(begun) },
 	}
 	return n
 }
--- a/internal/node/failuredetector.go
+++ b/internal/node/failuredetector.go
@@ -44,9 +44,9 @@
 	board     *Board
 	seeds     func() []string
 	log       *logrus.Entry
-	// since returns the time since some moment, suspended time included: a node that was
+	// elapsed returns the time since some moment, suspended time included: a node that was
 	// suspended in the middle of a ping would take its peer for the one that said nothing.
-	since func(now time.Time) time.Duration
+	elapsed func(now time.Time) time.Duration
 	// unanswered counts the pings in a row that failed directly and by others.
 	unanswered int
 	failed     chan string
@@ -60,7 +60,7 @@
 	var pings task.Group
 	tick := time.NewTicker(pingInterval)
 	defer tick.Stop()
-	last := p.since(time.Now())
+	last := p.elapsed(time.Now())
 	for {
 		select {
 		case <-ctx.Done():
@@ -70,7 +70,7 @@
 		case peer := <-p.failed:
 			p.noAnswer(peer)
 		case <-tick.C:
-			now := p.since(time.Now())
+			now := p.elapsed(time.Now())
 			p.step(ctx, &pings, time.Now(), now-last > pingInterval+lateTickTolerance)
 			last = now
 		}
@@ -104,12 +104,12 @@
 
 // probe pings a peer, and has others ping it if it doesn't answer.
 func (p *failureDetector) probe(ctx context.Context, peer string) {
-	started := p.since(time.Now())
+	started := p.elapsed(time.Now())
 	if p.messenger.ping(ctx, peer, pingTimeout) {
 		p.answered <- struct{}{}
 		return
 	}
-	if p.since(time.Now())-started > pingTimeout+lateTickTolerance {
+	if p.elapsed(time.Now())-started > pingTimeout+lateTickTolerance {
 		// This node slept itself.
 		return
 	}
@@ -117,7 +117,7 @@
 		p.answered <- struct{}{}
 		return
 	}
-	if ctx.Err() == nil && p.since(time.Now())-started <= pingTimeout+indirectPingTimeout+2*lateTickTolerance {
+	if ctx.Err() == nil && p.elapsed(time.Now())-started <= pingTimeout+indirectPingTimeout+2*lateTickTolerance {
 		p.failed <- peer
 	}
 }
--- a/internal/node/socket.go
+++ b/internal/node/socket.go
@@ -34,7 +34,7 @@
 		board:     n.board,
 		seeds:     n.seeds,
 		log:       logging.Part(n.log, "members"),
-		since:     n.suspended.Since,
+		elapsed:   n.suspended.Since,
 	}
 	n.limits.messenger = m
 	m.onTokenRequest, m.onReceive, m.onIncarnation = n.limits.handleTokenRequest, n.limits.recordReceived, n.limits.recordIncarnation
