--- a/internal/node/failuredetector.go
+++ b/internal/node/failuredetector.go
@@ -68,7 +68,7 @@
 		case <-p.answered:
 			p.unanswered = 0
 		case peer := <-p.failed:
-			p.noAnswer(peer)
+			p.recordFailure(peer)
 		case <-tick.C:
 			now := p.elapsed(time.Now())
 			p.step(ctx, &pings, time.Now(), now-last > pingInterval+lateTickTolerance)
@@ -122,7 +122,7 @@
 	}
 }
 
-func (p *failureDetector) noAnswer(peer string) {
+func (p *failureDetector) recordFailure(peer string) {
 	p.unanswered++
 	if p.unanswered >= suspectSelfAfter {
 		// The cause is likelier to lie here than with all of them.
