--- a/internal/node/failuredetector.go
+++ b/internal/node/failuredetector.go
@@ -92,7 +92,7 @@
 	if err := pings.Reap(); err != nil {
 		p.log.WithError(err).Debug("ping ended")
 	}
-	peer := p.next()
+	peer := p.nextPeer()
 	if peer == "" {
 		return
 	}
@@ -144,8 +144,8 @@
 	return out
 }
 
-// next returns the peer to ping: mostly one of the own data hall.
-func (p *failureDetector) next() string {
+// nextPeer returns the peer to ping: mostly one of the own data hall.
+func (p *failureDetector) nextPeer() string {
 	view := p.board.view.Load()
 	if dead := p.members.declaredDead(); len(dead) > 0 && rand.IntN(deadPingRatio) == 0 {
 		return dead[rand.IntN(len(dead))].Address()
