--- a/internal/node/failuredetector.go
+++ b/internal/node/failuredetector.go
@@ -152,7 +152,7 @@
 	}
 	near, far := view.Halls()
 	if len(near)+len(far) == 0 {
-		return p.seed(view.Self().Address())
+		return p.randomSeed(view.Self().Address())
 	}
 	if len(near) == 0 || len(far) > 0 && rand.IntN(farPingRatio) == 0 {
 		near = far
@@ -160,7 +160,7 @@
 	return near[rand.IntN(len(near))].Address()
 }
 
-func (p *failureDetector) seed(self string) string {
+func (p *failureDetector) randomSeed(self string) string {
 	seeds := p.seeds()
 	if len(seeds) == 0 {
 		return ""
