--- a/internal/node/export_test.go
+++ b/internal/node/export_test.go
@@ -335,7 +335,7 @@
 func NewCurrency(silent, trust time.Duration, age, agreed func(time.Time) time.Duration, ask func()) *Currency {
 	return &Currency{
 		currency: &freshness{
-			most:   time.Duration(maxAgeFactor * float64(silent)),
+			maxAge: time.Duration(maxAgeFactor * float64(silent)),
 			trust:  trust,
 			age:    age,
 			agreed: agreed,
--- a/internal/node/freshness.go
+++ b/internal/node/freshness.go
@@ -18,9 +18,9 @@
 // freshness tells how sure a node can be that its configuration is the newest one. It may
 // be used concurrently.
 type freshness struct {
-	// most is up to which age the platform's last answer counts as new; 0 means that the
+	// maxAge is up to which age the platform's last answer counts as new; 0 means that the
 	// source is never stale.
-	most time.Duration
+	maxAge time.Duration
 	// trust is up to which age keys that are known are believed; 0 means always.
 	trust time.Duration
 	// age is how long ago any node known heard the platform, agreed how long ago a peer had
@@ -36,11 +36,11 @@
 // current reports whether this node can know the newest configuration: the fleet heard
 // the platform lately, and what it heard has come here.
 func (c *freshness) current() bool {
-	if c.most == 0 {
+	if c.maxAge == 0 {
 		return true
 	}
 	now := time.Now()
-	return c.age(now) <= c.most && (c.alone() || c.agreed(now) <= c.most)
+	return c.age(now) <= c.maxAge && (c.alone() || c.agreed(now) <= c.maxAge)
 }
 
 // await asks peers and waits until this node can know the newest configuration. It
@@ -71,7 +71,7 @@
 		ask:    n.gossip.Ask,
 	}
 	if n.directory == nil {
-		c.most = time.Duration(maxAgeFactor * float64(n.platformTimeout()))
+		c.maxAge = time.Duration(maxAgeFactor * float64(n.platformTimeout()))
 	}
 	if after, strict := n.set.Workspaces().Strict(); strict && n.directory == nil {
 		c.trust = after
