--- a/internal/node/freshness.go
+++ b/internal/node/freshness.go
@@ -21,8 +21,8 @@
 	// maxAge is up to which age the platform's last answer counts as new; 0 means that the
 	// source is never stale.
 	maxAge time.Duration
-	// trust is up to which age keys that are known are believed; 0 means always.
-	trust time.Duration
+	// maxKeyAge is up to which age keys that are known are believed; 0 means always.
+	maxKeyAge time.Duration
 	// age is how long ago any node known heard the platform, agreed how long ago a peer had
 	// the same values.
 	age    func(now time.Time) time.Duration
@@ -61,7 +61,7 @@
 
 // trusted reports whether keys that this node knows may be believed: later it could have
 // missed that one was taken away.
-func (c *freshness) trusted() bool { return c.trust == 0 || c.age(time.Now()) <= c.trust }
+func (c *freshness) trusted() bool { return c.maxKeyAge == 0 || c.age(time.Now()) <= c.maxKeyAge }
 
 func (n *Node) newFreshness() *freshness {
 	c := &freshness{
@@ -74,7 +74,7 @@
 		c.maxAge = time.Duration(maxAgeFactor * float64(n.platformTimeout()))
 	}
 	if after, strict := n.set.Workspaces().Strict(); strict && n.directory == nil {
-		c.trust = after
+		c.maxKeyAge = after
 	}
 	return c
 }
