--- a/internal/node/freshness.go
+++ b/internal/node/freshness.go
@@ -23,10 +23,10 @@
 	maxAge time.Duration
 	// maxKeyAge is up to which age keys that are known are believed; 0 means always.
 	maxKeyAge time.Duration
-	// age is how long ago any node known heard the platform, agreed how long ago a peer had
+	// platformAge is how long ago any node known heard the platform, agreed how long ago a peer had
 	// the same values.
-	age    func(now time.Time) time.Duration
-	agreed func(now time.Time) time.Duration
+	platformAge func(now time.Time) time.Duration
+	agreed      func(now time.Time) time.Duration
 	// alone reports whether this node has no peers.
 	alone func() bool
 	// ask compares with peers soon.
@@ -40,7 +40,7 @@
 		return true
 	}
 	now := time.Now()
-	return c.age(now) <= c.maxAge && (c.alone() || c.agreed(now) <= c.maxAge)
+	return c.platformAge(now) <= c.maxAge && (c.alone() || c.agreed(now) <= c.maxAge)
 }
 
 // await asks peers and waits until this node can know the newest configuration. It
@@ -61,14 +61,16 @@
 
 // trusted reports whether keys that this node knows may be believed: later it could have
 // missed that one was taken away.
-func (c *freshness) trusted() bool { return c.maxKeyAge == 0 || c.age(time.Now()) <= c.maxKeyAge }
+func (c *freshness) trusted() bool {
+	return c.maxKeyAge == 0 || c.platformAge(time.Now()) <= c.maxKeyAge
+}
 
 func (n *Node) newFreshness() *freshness {
 	c := &freshness{
-		age:    n.gossip.PlatformAge,
-		agreed: n.gossip.AgreedAge,
-		alone:  func() bool { return len(n.board.view.Load().Peers()) == 0 },
-		ask:    n.gossip.Ask,
+		platformAge: n.gossip.PlatformAge,
+		agreed:      n.gossip.AgreedAge,
+		alone:       func() bool { return len(n.board.view.Load().Peers()) == 0 },
+		ask:         n.gossip.Ask,
 	}
 	if n.directory == nil {
 		c.maxAge = time.Duration(maxAgeFactor * float64(n.platformTimeout()))
