--- a/internal/node/export_test.go
+++ b/internal/node/export_test.go
@@ -335,12 +335,12 @@
 func NewCurrency(silent, trust time.Duration, age, agreed func(time.Time) time.Duration, ask func()) *Currency {
 	return &Currency{
 		currency: &freshness{
-			maxAge:      time.Duration(maxAgeFactor * float64(silent)),
-			maxKeyAge:   trust,
-			platformAge: age,
-			agreed:      agreed,
-			alone:       func() bool { return false },
-			ask:         ask,
+			maxAge:       time.Duration(maxAgeFactor * float64(silent)),
+			maxKeyAge:    trust,
+			platformAge:  age,
+			agreementAge: agreed,
+			alone:        func() bool { return false },
+			ask:          ask,
 		},
 	}
 }
--- a/internal/node/freshness.go
+++ b/internal/node/freshness.go
@@ -25,8 +25,8 @@
 	maxKeyAge time.Duration
 	// platformAge is how long ago any node known heard the platform, agreed how long ago a peer had
 	// the same values.
-	platformAge func(now time.Time) time.Duration
-	agreed      func(now time.Time) time.Duration
+	platformAge  func(now time.Time) time.Duration
+	agreementAge func(now time.Time) time.Duration
 	// alone reports whether this node has no peers.
 	alone func() bool
 	// ask compares with peers soon.
@@ -40,7 +40,7 @@
 		return true
 	}
 	now := time.Now()
-	return c.platformAge(now) <= c.maxAge && (c.alone() || c.agreed(now) <= c.maxAge)
+	return c.platformAge(now) <= c.maxAge && (c.alone() || c.agreementAge(now) <= c.maxAge)
 }
 
 // await asks peers and waits until this node can know the newest configuration. It
@@ -67,10 +67,10 @@
 
 func (n *Node) newFreshness() *freshness {
 	c := &freshness{
-		platformAge: n.gossip.PlatformAge,
-		agreed:      n.gossip.AgreedAge,
-		alone:       func() bool { return len(n.board.view.Load().Peers()) == 0 },
-		ask:         n.gossip.Ask,
+		platformAge:  n.gossip.PlatformAge,
+		agreementAge: n.gossip.AgreedAge,
+		alone:        func() bool { return len(n.board.view.Load().Peers()) == 0 },
+		ask:          n.gossip.Ask,
 	}
 	if n.directory == nil {
 		c.maxAge = time.Duration(maxAgeFactor * float64(n.platformTimeout()))
