--- a/internal/node/export_test.go
+++ b/internal/node/export_test.go
@@ -339,7 +339,7 @@
 			maxKeyAge:    trust,
 			platformAge:  age,
 			agreementAge: agreed,
-			alone:        func() bool { return false },
+			noPeers:      func() bool { return false },
 			ask:          ask,
 		},
 	}
--- a/internal/node/freshness.go
+++ b/internal/node/freshness.go
@@ -27,8 +27,8 @@
 	// the same values.
 	platformAge  func(now time.Time) time.Duration
 	agreementAge func(now time.Time) time.Duration
-	// alone reports whether this node has no peers.
-	alone func() bool
+	// noPeers reports whether this node has no peers.
+	noPeers func() bool
 	// ask compares with peers soon.
 	ask func()
 }
@@ -40,7 +40,7 @@
 		return true
 	}
 	now := time.Now()
-	return c.platformAge(now) <= c.maxAge && (c.alone() || c.agreementAge(now) <= c.maxAge)
+	return c.platformAge(now) <= c.maxAge && (c.noPeers() || c.agreementAge(now) <= c.maxAge)
 }
 
 // await asks peers and waits until this node can know the newest configuration. It
@@ -69,7 +69,7 @@
 	c := &freshness{
 		platformAge:  n.gossip.PlatformAge,
 		agreementAge: n.gossip.AgreedAge,
-		alone:        func() bool { return len(n.board.view.Load().Peers()) == 0 },
+		noPeers:      func() bool { return len(n.board.view.Load().Peers()) == 0 },
 		ask:          n.gossip.Ask,
 	}
 	if n.directory == nil {
