--- a/internal/node/export_test.go
+++ b/internal/node/export_test.go
@@ -340,7 +340,7 @@
 			platformAge:  age,
 			agreementAge: agreed,
 			noPeers:      func() bool { return false },
-			ask:          ask,
+			compareSoon:  ask,
 		},
 	}
 }
--- a/internal/node/freshness.go
+++ b/internal/node/freshness.go
@@ -29,8 +29,8 @@
 	agreementAge func(now time.Time) time.Duration
 	// noPeers reports whether this node has no peers.
 	noPeers func() bool
-	// ask compares with peers soon.
-	ask func()
+	// compareSoon compares with peers soon.
+	compareSoon func()
 }
 
 // current reports whether this node can know the newest configuration: the fleet heard
@@ -49,7 +49,7 @@
 	tick := time.NewTicker(awaitInterval)
 	defer tick.Stop()
 	for !c.current() {
-		c.ask()
+		c.compareSoon()
 		select {
 		case <-ctx.Done():
 			return false
@@ -70,7 +70,7 @@
 		platformAge:  n.gossip.PlatformAge,
 		agreementAge: n.gossip.AgreedAge,
 		noPeers:      func() bool { return len(n.board.view.Load().Peers()) == 0 },
-		ask:          n.gossip.Ask,
+		compareSoon:  n.gossip.Ask,
 	}
 	if n.directory == nil {
 		c.maxAge = time.Duration(maxAgeFactor * float64(n.platformTimeout()))
