--- a/internal/node/allocator.go
+++ b/internal/node/allocator.go
@@ -65,7 +65,7 @@
 	if len(view.Peers()) == 0 {
 		return l.seeds == 0
 	}
-	if now.Sub(l.begun)-time.Duration(l.lastReceived.Load()) > contactTimeout {
+	if now.Sub(l.started)-time.Duration(l.lastReceived.Load()) > contactTimeout {
 		return false
 	}
 	return 2*len(view.Live()) > view.Nodes()
@@ -100,7 +100,7 @@
 
 // recordReceived notes that a peer was heard.
 func (l *limitController) recordReceived(now time.Time) {
-	l.lastReceived.Store(int64(now.Sub(l.begun)))
+	l.lastReceived.Store(int64(now.Sub(l.started)))
 }
 
 // recordIncarnation notes a node's incarnation. With a new one it holds nothing of what it had.
--- a/internal/node/limits.go
+++ b/internal/node/limits.go
@@ -66,7 +66,7 @@
 	incarnation uint64
 	log         *logrus.Entry
 	// heard is when a peer was last heard, as the time since begun.
-	begun        time.Time
+	started      time.Time
 	lastReceived atomic.Int64
 	// paused counts the requests that wait for this node to meet others.
 	paused atomic.Int32
@@ -101,7 +101,7 @@
 		limiter:           ratelimit.NewLimiter(begun),
 		equal:             admission.NewLimiter(),
 		incarnation:       life,
-		begun:             begun,
+		started:           begun,
 		log:               log,
 		allocator:         ratelimit.NewAllocator(life, begun, t),
 		tokenAnswers:      map[tokenRequestKey]*tokenAnswer{},
