--- a/internal/node/closed.go
+++ b/internal/node/closed.go
@@ -11,11 +11,11 @@
 	"ploverjunction.example/ploverjunction/internal/fleetconfig"
 )
 
-// closedRetryAfter is when a caller may come back whose request no data hall may serve:
-// operators decide when that ends.
+// closedRetryAfter is the time to retry for a request that no data hall may serve: operators decide
+// when that ends.
 const closedRetryAfter = time.Second
 
-// newest returns a service as it is in force now, or as the request knows it.
+// newest returns the service in force now, or s if there is none.
 func (b *Board) newest(s *fleetconfig.Service) *fleetconfig.Service {
 	if c := b.currentConfig(); c != nil && c.Service(s.Name()) != nil {
 		return c.Service(s.Name())
@@ -23,8 +23,8 @@
 	return s
 }
 
-// closedHalls returns the data halls whose targets a request must not be sent to: those that
-// are evacuated, and those outside the regions where it may be served.
+// closedHalls returns the data halls that may not serve a request: those that are evacuated, and
+// those outside its regions.
 func (b *Board) closedHalls(q *entry.Query) []string {
 	s := b.newest(q.Service)
 	if len(q.Regions) == 0 && !s.AnyEvacuated() {
@@ -44,8 +44,8 @@
 	return !slices.ContainsFunc(all, func(r fleetconfig.Regions) bool { return !r.Allow(b.regions[hall]) })
 }
 
-// refuseClosed returns the refusal of a request that no data hall may serve, or nil. A service
-// without targets may get some at any moment.
+// refuseClosed returns the refusal of a request that no data hall may serve, or nil. It is nil for
+// a service without targets, which may get some at any moment.
 func (b *Board) refuseClosed(q *entry.Query) error {
 	closed := len(b.closedHalls(q))
 	if closed == 0 || closed < len(b.newest(q.Service).Halls()) {
--- a/internal/node/dispatch.go
+++ b/internal/node/dispatch.go
@@ -13,42 +13,41 @@
 	"ploverjunction.example/ploverjunction/internal/fleetconfig"
 )
 
-// Times and counts of the joint choice.
+// Times and counts of the joint choice of targets.
 const (
-	// resendInterval is after how long an ask is sent again: datagrams are lost now
-	// and then, and an answer takes a few milliseconds.
+	// resendInterval is the time between two sends of a grant request: datagrams can be lost, and
+	// an answer takes a few milliseconds.
 	resendInterval = 25 * time.Millisecond
-	// answerTimeout is after how long without an answer another dispatcher is asked.
+	// answerTimeout is the time without an answer after which another dispatcher is tried.
 	answerTimeout = 70 * time.Millisecond
-	// queuedInterval is how often an ask that waits is repeated, queuedSilence after
-	// how long without an answer its dispatcher counts as lost.
+	// queuedInterval is the time between two sends of a queued request, queuedTimeout the time
+	// without an answer after which its dispatcher is considered lost.
 	queuedInterval = 100 * time.Millisecond
 	queuedTimeout  = 350 * time.Millisecond
-	// dispatcherBackoff is how long a dispatcher that did not answer isn't asked.
+	// dispatcherBackoff is how long a dispatcher that did not answer receives no grant requests.
 	dispatcherBackoff = time.Second
-	// reportInterval is how often a dispatcher writes a line about each of its desks,
-	// reportLeast how many asks in the window of the retry budget make that worth
-	// it, and reportFailing from which belief on a failing target is named.
+	// reportInterval is the time between two log lines about a scheduler, reportMinRequests the
+	// number of requests within the window of the retry budget from which on they are written, and
+	// reportMinProbability the failure probability from which on they name a target.
 	reportInterval       = time.Second
 	reportMinRequests    = 10
 	reportMinProbability = 0.1
-	// unreachableTime is how long a node doesn't use a target to which it could open no
-	// connection: paths between two machines come back after some seconds.
+	// unreachableTime is how long a node avoids a target to which it could not connect: paths
+	// between two machines recover within some seconds.
 	unreachableTime = 4 * time.Second
-	// maxTried bounds the targets that an ask names, in keys of 20 bytes or so.
+	// maxTried bounds the targets that a grant request names, with keys of about 20 bytes.
 	maxTried = 24
-	// maxUnavailableGrants is how often a target is asked for again because the one that was granted
-	// wants no request: each ask names the targets of which that is known by then.
+	// maxUnavailableGrants is how many grant requests are made for an attempt while the granted
+	// targets are unavailable; each names the targets found unavailable by then.
 	maxUnavailableGrants = 3
-	// dispatchers is how many nodes are asked, one after another, before a node
-	// chooses alone.
+	// dispatchers is how many nodes are tried in turn before the fallback.
 	dispatchers = 2
-	// serveInterval is how often the desks look at their queues.
+	// serveInterval is the time between two passes over the queues of the schedulers.
 	serveInterval = 50 * time.Millisecond
 	// idleServeInterval is the same while there is nothing to do.
 	idleServeInterval = time.Second
-	// doneTries is how often the end of an attempt is sent, every doneInterval, until
-	// it is confirmed.
+	// doneTries is how often the end of an attempt is sent, every doneInterval, until it is
+	// confirmed.
 	doneTries    = 4
 	doneInterval = 60 * time.Millisecond
 )
@@ -56,8 +55,8 @@
 // byThisNode names a choice that a node made without a dispatcher.
 const byThisNode = "alone"
 
-// dispatchController chooses targets jointly and plays this node's role as a dispatcher.
-// It may be used concurrently.
+// dispatchController chooses targets jointly with other nodes and fulfils this node's role as a
+// dispatcher. It may be used concurrently.
 type dispatchController struct {
 	board     *Board
 	messenger *messenger
@@ -67,41 +66,41 @@
 	// floor is the share of the working targets of each service that should have work.
 	floor float64
 	log   *logrus.Entry
-	// setCoverageShort takes the probability that too few working targets of a part got work
-	// lately.
+	// setCoverageShort receives the probability that too few working targets of a partition had
+	// work recently.
 	setCoverageShort func(p partition, short float64)
-	// setLimitedTargets takes how many targets of a part have a limit.
+	// setLimitedTargets receives the number of targets of a partition that have a limit.
 	setLimitedTargets func(p partition, targets int)
 
 	mu         sync.Mutex
 	schedulers map[partition]*scheduler
-	// partitionings are the data halls by which the services in force are divided.
+	// partitionings holds the data halls by which the services in force are divided.
 	partitionings partitionings
-	// fullUntil is until when no target of a part is taken for free.
+	// fullUntil is until when a partition is assumed to have no free target.
 	fullUntil map[partition]time.Time
-	// unresponsiveUntil is until when a dispatcher isn't asked.
+	// unresponsiveUntil is until when a dispatcher receives no grant requests.
 	unresponsiveUntil map[string]time.Time
-	// unreachableUntil is until when this node doesn't reach a target.
+	// unreachableUntil is until when a target is considered unreachable from this node.
 	unreachableUntil map[string]time.Time
-	// ledgers are what this node got from each dispatcher of a part.
+	// ledgers hold what each dispatcher of a partition granted to this node.
 	ledgers map[partition]*dispatch.Ledger
-	// refused counts the requests of each service that were refused since the last ask.
+	// refused counts the requests of each service that were refused since the last grant request.
 	refused map[string]int
-	// wake holds a value when there is something to do.
+	// wake holds a value if there is something to do.
 	wake chan struct{}
-	// statusLoggedAt is when the desks were last written to the log; only run uses it.
+	// statusLoggedAt is when the schedulers were last logged; only run uses it.
 	statusLoggedAt time.Time
 	// pending are the ends of attempts that were not confirmed.
 	pending map[uint64]*unconfirmedDone
 }
 
-// scheduler is the state of one part on this node.
+// scheduler is the state of one partition on this node.
 type scheduler struct {
 	*dispatch.Desk
 	config *fleetconfig.Service
-	// lastUsed is when the desk was last asked or told of something.
+	// lastUsed is when the scheduler last received a request or a result.
 	lastUsed time.Time
-	// statusLogged is set while the desk has so much work that lines tell of it.
+	// statusLogged is set while the scheduler has enough requests for log lines.
 	statusLogged bool
 }
 
@@ -129,8 +128,8 @@
 	return d
 }
 
-// run serves the queues and repeats what was not confirmed, until the context ends. While there
-// is nothing to do it wakes up once a second only.
+// run serves the queues and resends what was not confirmed, until the context ends. While there is
+// nothing to do it wakes once a second only.
 func (d *dispatchController) run(ctx context.Context) error {
 	tick := time.NewTimer(serveInterval)
 	defer tick.Stop()
@@ -158,7 +157,7 @@
 	}
 }
 
-// busy reports whether anything waits, is under way or not confirmed.
+// busy reports whether anything is queued, in flight or not confirmed.
 func (d *dispatchController) busy() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -173,14 +172,14 @@
 	return false
 }
 
-// countRefused notes that a request for a service was refused before a target was asked for.
+// countRefused counts a request for a service that was refused before a target was requested.
 func (d *dispatchController) countRefused(service string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.refused[service]++
 }
 
-// takeRefused returns how many such requests there were since the last call.
+// takeRefused returns the number of such requests since the last call.
 func (d *dispatchController) takeRefused(service string) int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -189,7 +188,7 @@
 	return n
 }
 
-// notify makes run look at what there is to do now.
+// notify wakes run.
 func (d *dispatchController) notify() {
 	select {
 	case d.wake <- struct{}{}:
--- a/internal/node/dispatcher.go
+++ b/internal/node/dispatcher.go
@@ -15,8 +15,7 @@
 	"ploverjunction.example/ploverjunction/internal/wire"
 )
 
-// This file is the side of a dispatcher: what a node does for the requests of
-// others.
+// This file serves the grant requests of other nodes, as a dispatcher.
 
 func (d *dispatchController) advance(now time.Time) {
 	d.mu.Lock()
@@ -36,7 +35,7 @@
 	}
 }
 
-// logStatus writes a line about each desk that has work, at a slow tick.
+// logStatus logs the status of each scheduler with enough requests, every reportInterval.
 func (d *dispatchController) logStatus(now time.Time) {
 	if now.Sub(d.statusLoggedAt) < reportInterval {
 		return
@@ -47,7 +46,7 @@
 	for p, sched := range d.schedulers {
 		if sched.Asked(now) < reportMinRequests {
 			if sched.statusLogged {
-				// Another node has the role now, or nobody asks.
+				// Another node has the role now, or there are no requests.
 				sched.statusLogged = false
 				d.setCoverageShort(p, 0)
 				d.setLimitedTargets(p, 0)
@@ -90,8 +89,8 @@
 	}
 }
 
-// touchScheduler returns the desk of a part for something that is asked or told now, or nil if
-// there is no such service. d.mu is held.
+// touchScheduler returns the scheduler of a partition and marks it as used, or returns nil if there
+// is no such service. d.mu is held.
 func (d *dispatchController) touchScheduler(now time.Time, p partition) *scheduler {
 	s := d.currentScheduler(now, p)
 	if s != nil {
@@ -100,8 +99,8 @@
 	return s
 }
 
-// currentScheduler returns the desk of a part in the newest configuration of its service, or nil
-// if there is no such service. d.mu is held.
+// currentScheduler returns the scheduler of a partition, updated to the newest configuration of its
+// service, or nil if there is no such service. d.mu is held.
 func (d *dispatchController) currentScheduler(now time.Time, p partition) *scheduler {
 	c := d.board.currentConfig()
 	if c == nil || c.Service(p.service) == nil {
@@ -129,7 +128,7 @@
 	return s
 }
 
-// configure brings a desk of the part to another configuration of its service.
+// configure updates a scheduler of the partition to another configuration of its service.
 func (p partition) configure(now time.Time, s *scheduler, sc *fleetconfig.Service) {
 	before := s.config
 	s.config = sc
@@ -147,8 +146,8 @@
 	s.Change(now, p.targets(sc, added), gone)
 }
 
-// budgetOf returns the retry budget of a part. The share goes by the part's own first
-// attempts; the reserve is divided, so that all parts together keep the service's.
+// budgetOf returns the retry budget of a partition. Its share applies to the partition's own first
+// attempts; the reserve is divided, so that all partitions together have that of the service.
 func (d *dispatchController) budgetOf(p partition, sc *fleetconfig.Service) dispatch.Budget {
 	b := d.budget
 	if p.hall != "" {
@@ -157,7 +156,7 @@
 	return b
 }
 
-// floorOf returns the share of a service's slots that its policy keeps in service.
+// floorOf returns the floor of a service's policy as a share of its slots.
 func floorOf(sc *fleetconfig.Service) float64 {
 	if sc.Slots() == 0 {
 		return 0
@@ -165,7 +164,7 @@
 	return sc.Policy().Floor(float64(sc.Slots()), len(sc.Targets())) / float64(sc.Slots())
 }
 
-// targets returns those of some targets of a service that belong to the part.
+// targets returns those targets in list that belong to the partition.
 func (p partition) targets(sc *fleetconfig.Service, list []*fleetconfig.Target) []dispatch.Target {
 	var out []dispatch.Target
 	for _, t := range list {
@@ -186,7 +185,7 @@
 	return out
 }
 
-// handleGrantRequest answers the ask of a peer.
+// handleGrantRequest answers the grant request of a peer.
 func (d *dispatchController) handleGrantRequest(in *wire.Datagram) {
 	now := time.Now()
 	w := in.GetAsk()
@@ -240,7 +239,7 @@
 	d.answer(a.ID.Node, a.ID.Number, wireGrant(g))
 }
 
-// wireDecisions are the verdicts of desks in messages.
+// wireDecisions maps decisions of schedulers to their values in messages.
 var wireDecisions = [...]wire.Grant_Verdict{
 	dispatch.Granted: wire.Grant_GRANTED,
 	dispatch.Queued:  wire.Grant_QUEUED,
@@ -293,7 +292,7 @@
 	d.messenger.send(peer, out)
 }
 
-// deliver sends grants that became possible later.
+// deliver sends grants to requests that were queued.
 func (d *dispatchController) deliver(p partition, grants []dispatch.Grant) {
 	for _, g := range grants {
 		d.log.WithFields(logrus.Fields{
@@ -306,7 +305,7 @@
 	}
 }
 
-// handleDone takes the end of an attempt from a peer.
+// handleDone handles and confirms a peer's report of the end of an attempt.
 func (d *dispatchController) handleDone(in *wire.Datagram) {
 	w := in.GetDone()
 	d.recordDone(in.GetFrom().GetAddress(), w)
@@ -318,7 +317,7 @@
 	})
 }
 
-// recordDone takes the end of an attempt of any node.
+// recordDone records the end of an attempt of any node.
 func (d *dispatchController) recordDone(node string, w *wire.Done) {
 	now := time.Now()
 	id := dispatch.ID{
--- a/internal/node/done.go
+++ b/internal/node/done.go
@@ -10,7 +10,7 @@
 	"ploverjunction.example/ploverjunction/internal/wire"
 )
 
-// newDone returns the message that tells a dispatcher of an attempt's end.
+// newDone returns the message that reports the end of an attempt to a dispatcher.
 func newDone(p partition, g numberedGrant, r wire.Done_Result, took time.Duration) *wire.Done {
 	return &wire.Done{
 		Service:  p.service,
@@ -22,9 +22,9 @@
 	}
 }
 
-// doneOf returns the message about the end of an attempt that was sent, with what its target said
-// of itself to this node. A target that backs off or limits what it gets is well: what it turns
-// away isn't held against it.
+// doneOf returns the message about the end of an attempt that was sent, with the signals that this
+// node received from its target. A target that backs off or limits its requests is healthy: the
+// requests that it sheds do not count against it.
 func doneOf(p partition, g numberedGrant, end outlier.End, standing signal.Standing, took time.Duration) *wire.Done {
 	done := newDone(p, g, wireResult(end), took)
 	done.Lost = end.Lost
@@ -37,7 +37,7 @@
 	return done
 }
 
-// wireResult returns what an end says of its target.
+// wireResult returns the result for the target of an end.
 func wireResult(end outlier.End) wire.Done_Result {
 	switch {
 	case end.Other:
--- a/internal/node/donereport.go
+++ b/internal/node/donereport.go
@@ -8,7 +8,7 @@
 	"ploverjunction.example/ploverjunction/internal/wire"
 )
 
-// unconfirmedDone is the end of an attempt that its dispatcher hasn't confirmed.
+// unconfirmedDone is the end of an attempt that its dispatcher has not confirmed.
 type unconfirmedDone struct {
 	peer  string
 	done  *wire.Done
@@ -16,7 +16,7 @@
 	at    time.Time
 }
 
-// reportDone tells a dispatcher how an attempt ended, until it confirms.
+// reportDone reports the end of an attempt to a dispatcher, until it confirms.
 func (d *dispatchController) reportDone(peer string, w *wire.Done) {
 	if peer == d.board.view.Load().Self().Address() {
 		d.recordDone(peer, w)
@@ -65,7 +65,7 @@
 	}
 }
 
-// handleTaken notes that a dispatcher took the end of an attempt.
+// handleTaken records that a dispatcher confirmed the end of an attempt.
 func (d *dispatchController) handleTaken(call uint64) {
 	d.mu.Lock()
 	delete(d.pending, call)
--- a/internal/node/fallback.go
+++ b/internal/node/fallback.go
@@ -12,7 +12,7 @@
 	"ploverjunction.example/ploverjunction/internal/wire"
 )
 
-// chooseFallback takes a target of a part by what this node knows itself.
+// chooseFallback chooses a target of a partition by the state of this node alone.
 func (d *dispatchController) chooseFallback(q *entry.Query, p partition) (entry.Choice, error) {
 	now := time.Now()
 	self := d.board.view.Load().Self()
--- a/internal/node/freshness.go
+++ b/internal/node/freshness.go
@@ -8,33 +8,33 @@
 )
 
 const (
-	// maxAgeFactor is up to how many times the usual greatest age of the platform's last
-	// word the configuration of a node counts as the newest one.
+	// maxAgeFactor is by how much the age of the platform's last answer may exceed its usual
+	// maximum while the configuration of a node counts as the newest.
 	maxAgeFactor = 1.5
-	// awaitInterval is how often a request that waits for news looks for it.
+	// awaitInterval is the time between two checks of a request that waits for the configuration.
 	awaitInterval = 20 * time.Millisecond
 )
 
-// freshness tells how sure a node can be that its configuration is the newest one. It may
-// be used concurrently.
+// freshness estimates whether the configuration of a node is the newest. It may be used
+// concurrently.
 type freshness struct {
-	// maxAge is up to which age the platform's last answer counts as new; 0 means that the
+	// maxAge is the age up to which the platform's last answer counts as fresh; 0 means that the
 	// source is never stale.
 	maxAge time.Duration
-	// maxKeyAge is up to which age keys that are known are believed; 0 means always.
+	// maxKeyAge is the age of that answer up to which local keys are trusted; 0 means always.
 	maxKeyAge time.Duration
-	// platformAge is how long ago any node known heard the platform, agreed how long ago a peer had
-	// the same values.
+	// platformAge is the time since any known node last received an answer of the platform,
+	// agreementAge the time since a peer had the same values.
 	platformAge  func(now time.Time) time.Duration
 	agreementAge func(now time.Time) time.Duration
 	// noPeers reports whether this node has no peers.
 	noPeers func() bool
-	// compareSoon compares with peers soon.
+	// compareSoon requests a comparison with peers.
 	compareSoon func()
 }
 
-// current reports whether this node can know the newest configuration: the fleet heard
-// the platform lately, and what it heard has come here.
+// current reports whether this node can have the newest configuration: the fleet received an answer
+// of the platform recently, and this node has the same values as a peer.
 func (c *freshness) current() bool {
 	if c.maxAge == 0 {
 		return true
@@ -43,8 +43,8 @@
 	return c.platformAge(now) <= c.maxAge && (c.noPeers() || c.agreementAge(now) <= c.maxAge)
 }
 
-// await asks peers and waits until this node can know the newest configuration. It
-// returns false if the context ended before.
+// await compares with peers and waits until this node can have the newest configuration. It returns
+// false if the context ended before.
 func (c *freshness) await(ctx context.Context) bool {
 	tick := time.NewTicker(awaitInterval)
 	defer tick.Stop()
@@ -59,8 +59,8 @@
 	return true
 }
 
-// trusted reports whether keys that this node knows may be believed: later it could have
-// missed that one was taken away.
+// trusted reports whether the local keys may be trusted: after too long this node could have missed
+// the removal of a key.
 func (c *freshness) trusted() bool {
 	return c.maxKeyAge == 0 || c.platformAge(time.Now()) <= c.maxKeyAge
 }
--- a/internal/node/grant.go
+++ b/internal/node/grant.go
@@ -30,8 +30,9 @@
 	return d.choiceOfGrant(peer, q, p, g)
 }
 
-// choiceOfGrant turns an answer into a choice. It isn't usable if this node doesn't know the target,
-// may send it nothing, or the dispatcher doesn't know the service.
+// choiceOfGrant converts an answer to a choice. The reply is not usable if the target is not in
+// this node's configuration or accepts no request from it, or if the dispatcher has no such
+// service.
 func (d *dispatchController) choiceOfGrant(peer string, q *entry.Query, p partition, g numberedGrant) reply {
 	switch g.grant.GetVerdict() {
 	case wire.Grant_GRANTED:
@@ -48,7 +49,7 @@
 	}
 	t := d.newest(q.Service).Target(g.grant.GetTarget())
 	if t == nil || t.Leaving() {
-		// One of the two doesn't know yet what the other knows.
+		// The configurations of this node and of the dispatcher differ.
 		result := wire.Done_IGNORED
 		if t != nil {
 			result = wire.Done_GONE
@@ -57,7 +58,7 @@
 		return reply{}
 	}
 	if slices.Contains(d.board.closedHalls(q), t.DataHall()) {
-		// Whoever chose may not know yet that the data hall is evacuated.
+		// The dispatcher may not have received the evacuation yet.
 		d.reportDone(peer, newDone(p, g, wire.Done_IGNORED, 0))
 		d.log.WithField("service", p.service).WithField("target", t.Key()).WithField("by", peer).
 			WithField("hall", t.DataHall()).Info("granted target is in a closed data hall")
@@ -74,7 +75,7 @@
 		d.board.learnLimits(now, d.newest(q.Service), l)
 	}
 	if standing := d.board.standing(now, t); !standing.Permits(now, permit) {
-		// The target told this node, and whoever chose may not have heard it.
+		// This node received the signal from the target; the dispatcher may not have.
 		done := newDone(p, g, wire.Done_IGNORED, 0)
 		done.Leaving = standing.Draining
 		d.reportDone(peer, done)
@@ -100,8 +101,8 @@
 	}
 }
 
-// recordResult keeps what this node saw itself of a target that a dispatcher chose, for when
-// it must choose alone. Its own desk has been told already.
+// recordResult records this node's own result with a target that a dispatcher chose, for the
+// fallback. Its own scheduler has received the result already.
 func (d *dispatchController) recordResult(dispatcher string, q *entry.Query, p partition, done *wire.Done, end outlier.End) {
 	now := time.Now()
 	d.mu.Lock()
@@ -113,7 +114,7 @@
 		return
 	}
 	if home := d.home(q); home != p {
-		// This node chooses alone among the targets of its own part.
+		// The fallback chooses among the targets of the home partition only.
 		return
 	}
 	if s := d.touchScheduler(now, p); s != nil {
--- a/internal/node/grantrequest.go
+++ b/internal/node/grantrequest.go
@@ -14,10 +14,9 @@
 	"ploverjunction.example/ploverjunction/internal/wire"
 )
 
-// This file is the side of a node that asks dispatchers for targets.
+// This file requests grants of targets from dispatchers.
 
-// dispatcher returns the node that should be asked for a part: the first in rank of
-// those that are trusted.
+// dispatcher returns the responsive node that ranks first for a partition.
 func (d *dispatchController) dispatcher(p partition) (membership.Node, bool) {
 	now := time.Now()
 	view := d.board.view.Load()
@@ -37,8 +36,9 @@
 	d.unresponsiveUntil[peer] = time.Now().Add(dispatcherBackoff)
 }
 
-// choose takes a target for an attempt: from the dispatcher of this node's part of the
-// service, from that of another part where no target of the own one is free, else alone.
+// choose returns a target for an attempt: from the dispatcher of this node's partition of the
+// service, from that of another partition if no target of the first is free, else by the fallback
+// of this node.
 func (d *dispatchController) choose(ctx context.Context, q *entry.Query) (entry.Choice, error) {
 	ctx, cancel := context.WithDeadline(ctx, q.Deadline)
 	defer cancel()
@@ -61,8 +61,8 @@
 	return d.chooseFallback(q, d.lockedHome(q))
 }
 
-// withRetryAfter returns the refusal of a request with the time that this node knows: all targets may
-// have come to rest while it waited.
+// withRetryAfter returns the refusal of a request, with a time to retry where this node has one:
+// all targets may have begun to back off while the request waited.
 func (d *dispatchController) withRetryAfter(q *entry.Query, refusal error) error {
 	if err := d.board.refuseClosed(q); err != nil {
 		return err
@@ -73,8 +73,8 @@
 	return refusal
 }
 
-// chooseJointly takes a target that another node may have chosen. Where that one had told this
-// node that it wants no request, the reply is barred: the next ask names the target.
+// chooseJointly returns a target that another node may have chosen. If that target accepts no
+// request from this node, the reply is unavailable; the next grant request names the target.
 func (d *dispatchController) chooseJointly(ctx context.Context, q *entry.Query) reply {
 	home, others := d.partitionsFor(time.Now(), q)
 	first := d.requestFromPartition(ctx, q, home, dispatchers, len(others) > 0 && mayPassOn(q))
@@ -107,29 +107,29 @@
 	}
 }
 
-// reply is what came of asking for a target of a part. Without any of its values set
-// nobody answered, or this node doesn't know the target.
+// reply is the result of a grant request for a partition. It is the zero value if nobody answered
+// or the target is not in this node's configuration.
 type reply struct {
 	choice entry.Choice
 	err    error
-	// usable is set where there is a choice, full where no target is free now.
+	// usable is set if there is a choice, full if no target is free now.
 	usable bool
 	full   bool
-	// unavailable is set where the target that was granted wants no request from this node.
+	// unavailable is set if the granted target accepts no request from this node.
 	unavailable bool
 }
 
-// settled reports whether no other part need be asked.
+// settled reports whether no other partition needs to be tried.
 func (r reply) settled() bool { return r.usable || r.err != nil && !r.refused() }
 
-// refused reports whether the targets of the part can't take the request in time.
+// refused reports whether the targets of the partition cannot serve the request in time.
 func (r reply) refused() bool {
 	var none *entry.NoTargetError
 	return errors.As(r.err, &none) && none.Reason() == attempt.ReasonTargets
 }
 
-// requestFromPartition asks the dispatcher of a part, and those behind it in rank if it doesn't
-// answer.
+// requestFromPartition requests a grant from the dispatcher of a partition, and from the next in
+// rank if it does not answer.
 func (d *dispatchController) requestFromPartition(ctx context.Context, q *entry.Query, p partition, tries int, passing bool) reply {
 	for range tries {
 		node, ok := d.dispatcher(p)
@@ -151,8 +151,8 @@
 	return reply{}
 }
 
-// excludedTargets returns the targets that this node should not get: those that can't be reached
-// from here and, after them, those that the request was sent to.
+// excludedTargets returns the targets not to be granted: those unreachable from this node, followed
+// by those that the request was already sent to.
 func (d *dispatchController) excludedTargets(q *entry.Query) []string {
 	now := time.Now()
 	var out []string
@@ -168,7 +168,7 @@
 	return append(out, q.Tried...)
 }
 
-// noTargetCause says why a wait for a target was broken off.
+// noTargetCause returns the error of a wait for a target that ctx ended.
 func noTargetCause(ctx context.Context) error {
 	if context.Cause(ctx) == context.DeadlineExceeded {
 		return entry.NewNoTargetError(attempt.ReasonDeadline, 0)
@@ -176,13 +176,13 @@
 	return entry.NewNoTargetError(attempt.ReasonCaller, 0)
 }
 
-// numberedGrant is an answer with the number of the ask that it answers.
+// numberedGrant is a grant with the number of the request that it answers.
 type numberedGrant struct {
 	grant  *wire.Grant
 	number uint64
 }
 
-// requestFrom asks one dispatcher and waits for its final grant.
+// requestFrom requests a grant from one dispatcher and waits for the final answer.
 func (d *dispatchController) requestFrom(ctx context.Context, peer string, q *entry.Query, p partition, passing bool) (numberedGrant, bool) {
 	id, answers, end := d.messenger.call()
 	defer end()
@@ -219,7 +219,7 @@
 	}
 }
 
-// cancel tells a dispatcher that an ask has ended without an attempt.
+// cancel reports to a dispatcher that a grant request ended without an attempt.
 func (d *dispatchController) cancel(peer string, p partition, id uint64) {
 	d.reportDone(peer, &wire.Done{
 		Service:  p.service,
@@ -228,21 +228,21 @@
 	})
 }
 
-// recordGrant notes what a dispatcher, or this node alone, gave for an attempt.
+// recordGrant records a grant by a dispatcher, or by this node's fallback, in the ledger.
 func (d *dispatchController) recordGrant(by string, q *entry.Query, p partition) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.ledger(p).Took(time.Now(), by, q.Again)
 }
 
-// remoteGrants returns what this node got from other dispatchers than the one named.
+// remoteGrants returns what dispatchers other than by granted to this node.
 func (d *dispatchController) remoteGrants(by string, p partition) dispatch.Spending {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.ledger(p).Elsewhere(time.Now(), by)
 }
 
-// ledger returns the ledger of a part. d.mu is held.
+// ledger returns the ledger of a partition. d.mu is held.
 func (d *dispatchController) ledger(p partition) *dispatch.Ledger {
 	l := d.ledgers[p]
 	if l == nil {
--- a/internal/node/independent.go
+++ b/internal/node/independent.go
@@ -17,14 +17,14 @@
 	"ploverjunction.example/ploverjunction/internal/outlier"
 )
 
-// independentChooser chooses targets by what this node has in flight and by the verdicts on
-// the blackboard. It may be used concurrently.
+// independentChooser chooses targets by the requests that this node has in flight and by the
+// ejection decisions on the blackboard. It may be used concurrently.
 type independentChooser struct {
 	board   *Board
 	budgets sync.Map
 }
 
-// choose takes a target at once or says why there is none.
+// choose returns a target at once, or an error with the reason why there is none.
 func (a *independentChooser) choose(_ context.Context, q *entry.Query) (entry.Choice, error) {
 	pool := a.board.pool(q.Service.Name())
 	if pool == nil {
@@ -63,7 +63,7 @@
 	return c, true
 }
 
-// trial takes a target on trial for a copy of a repeatable request.
+// trial picks a target on trial for a copy of a repeatable request.
 func (a *independentChooser) trial(s *fleetconfig.Service) (entry.Choice, bool) {
 	pool := a.board.pool(s.Name())
 	if pool == nil || pool.Trials() == 0 {
@@ -76,8 +76,8 @@
 	return a.permitted(time.Now(), s, pick)
 }
 
-// picked finds the target of a pick. The pool may be of an older configuration
-// than the request's; a target that is gone from it is not used.
+// picked returns the choice of a pick. The pool may be of an older configuration than the
+// request's; a target that is not in the request's is not used.
 func picked(s *fleetconfig.Service, pick balance.Pick) (entry.Choice, bool) {
 	t := s.Target(pick.Key())
 	if t == nil {
--- a/internal/node/open.go
+++ b/internal/node/open.go
@@ -13,8 +13,9 @@
 	"ploverjunction.example/ploverjunction/internal/settings"
 )
 
-// bodyMemoryDivisor is which part of its memory a node holds of bodies in each direction: the rest is
-// for the kernel's buffers of the same connections, the tables and the collector's slack.
+// bodyMemoryDivisor is which fraction of its memory, 1/8, a node holds of bodies in each direction:
+// the rest is for the kernel's buffers of the same connections, the tables and the slack of the
+// garbage collector.
 const bodyMemoryDivisor = 8
 
 // open opens the three listeners.
@@ -29,8 +30,8 @@
 	choose, trial, retry := a.choose, a.trial, a.retry
 	unserved := func(string) {}
 	if n.dispatcher != nil {
-		// The dispatcher holds the retry budget, and targets that failed come back
-		// with requests of callers.
+		// The dispatcher holds the retry budget, and targets that failed are tried again with
+		// requests of callers.
 		choose = n.dispatcher.choose
 		trial = func(*fleetconfig.Service) (entry.Choice, bool) { return entry.Choice{}, false }
 		retry = func(string) bool { return true }
--- a/internal/node/partition.go
+++ b/internal/node/partition.go
@@ -15,30 +15,30 @@
 	"ploverjunction.example/ploverjunction/internal/membership"
 )
 
-// Times and counts of parts.
+// Times and counts of partitions.
 const (
-	// fullBackoff is how long a node asks no part again that had no free target: about as
-	// long as it takes until some slots of a loaded part are free again.
+	// fullBackoff is how long a node does not retry a partition without a free target: about the
+	// time until some slots of a loaded partition are free again.
 	fullBackoff = 100 * time.Millisecond
-	// maxOtherPartitions is how many other parts are asked for one attempt, a round trip each.
+	// maxOtherPartitions is how many other partitions are tried for one attempt, a round trip each.
 	maxOtherPartitions = 2
-	// maxPassedOnKiB is the greatest size, in KiB, of a request and its answer that is passed
-	// on at once; larger ones wait in their own data hall, for bytes between data halls
-	// are dear, and are passed on only when they would be refused there.
+	// maxPassedOnKiB is the greatest size, in KiB, of a request and its answer that is passed on at
+	// once. Larger ones wait in their own data hall, since traffic between data halls is expensive,
+	// and are passed on only if they would be refused there.
 	maxPassedOnKiB = 3
-	// schedulerIdleTimeout is after how long a desk is dropped that nobody asks or tells anything.
+	// schedulerIdleTimeout is after how long without requests and results a scheduler is dropped.
 	schedulerIdleTimeout = 30 * time.Second
 )
 
-// partition is what one dispatcher has of a service: the targets of a data hall, or all
-// where hall is empty.
+// partition is what one dispatcher has of a service: the targets of a data hall, or all if hall is
+// empty.
 type partition struct {
 	service string
 	hall    string
 }
 
-// holders returns the nodes that have the role for the part, in rank. They are in its
-// data hall, as long as any node of it lives.
+// holders returns the nodes that have the role for the partition, in rank. They are in its data
+// hall as long as any node of it is live.
 func (p partition) holders(view *membership.View) []membership.Node {
 	role := "dispatcher/" + p.service
 	if p.hall != "" {
@@ -49,13 +49,13 @@
 	return view.Role(role, "", 2*dispatchers)
 }
 
-// partitioning is how a service is divided in one of its configurations.
+// partitioning is the division of a service in one of its configurations.
 type partitioning struct {
 	config    *fleetconfig.Service
 	dataHalls []string
 }
 
-// partitionings holds that of the services in force, by name.
+// partitionings holds that of each service in force, by name.
 type partitionings map[string]partitioning
 
 // halls returns the data halls by which a service is divided, or nil.
@@ -71,13 +71,13 @@
 	return known.dataHalls
 }
 
-// newest returns a service as it is in force now, or as the request knows it.
+// newest returns the service in force now, or s if there is none.
 func (d *dispatchController) newest(s *fleetconfig.Service) *fleetconfig.Service {
 	return d.board.newest(s)
 }
 
-// open returns the data halls by which the service of a request is divided and that may serve
-// it, or nil if the service isn't divided. d.mu is held.
+// open returns the data halls by which the service of a request is divided and that may serve it,
+// or nil if the service is not divided. d.mu is held.
 func (d *dispatchController) open(q *entry.Query) []string {
 	halls := d.partitionings.halls(d.newest(q.Service))
 	closed := d.board.closedHalls(q)
@@ -91,7 +91,7 @@
 	return open
 }
 
-// home returns the part of a service that this node asks first. d.mu is held.
+// home returns the partition of a service that this node tries first. d.mu is held.
 func (d *dispatchController) home(q *entry.Query) partition {
 	p := partition{
 		service: q.Service.Name(),
@@ -105,20 +105,20 @@
 		p.hall = self.DataHall()
 		return p
 	}
-	// Nodes without targets in their own data hall are shared out over the others.
+	// Nodes without targets in their own data hall are distributed over the others.
 	p.hall = halls[xxhash.Sum64String(self.Address())%uint64(len(halls))]
 	return p
 }
 
-// lockedHome is home for who doesn't hold d.mu.
+// lockedHome is home with d.mu locked.
 func (d *dispatchController) lockedHome(q *entry.Query) partition {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.home(q)
 }
 
-// partitionsFor returns the part to ask first and those that may be asked for a free target after
-// it. A second attempt beside one that goes on is decided where that was.
+// partitionsFor returns the partition to try first and those that may be tried for a free target
+// after it. A hedge is requested from the home partition only, which has the first attempt.
 func (d *dispatchController) partitionsFor(now time.Time, q *entry.Query) (home partition, others []partition) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
