--- a/internal/node/allocator.go
+++ b/internal/node/allocator.go
@@ -11,9 +11,9 @@
 	"ploverjunction.example/ploverjunction/internal/wire"
 )
 
-// This file is the side of an allocator: what a node does for the limits of others.
+// This file allocates the tokens of workspaces to other nodes.
 
-// holder returns the node that should allocate the limit of a workspace.
+// holder returns the node that allocates the limit of a workspace.
 func (l *limitController) holder(workspace string) membership.Node {
 	view := l.board.view.Load()
 	role := uint64(0)
@@ -34,7 +34,7 @@
 	return out
 }()
 
-// allocate answers the draw of a node in one of its lives.
+// allocate answers the token request of a node in one of its incarnations.
 func (l *limitController) allocate(now time.Time, node string, life uint64, in *wire.Draw) *wire.Allot {
 	out := &wire.Allot{
 		By: l.incarnation,
@@ -58,8 +58,8 @@
 	return out
 }
 
-// mayAllocate reports whether this node may allocate: a part of the fleet that lost most of the
-// others must not give out the whole limit once more.
+// mayAllocate reports whether this node may allocate: a minority that lost most of the fleet must
+// not give out the whole limit once more.
 func (l *limitController) mayAllocate(now time.Time) bool {
 	view := l.board.view.Load()
 	if len(view.Peers()) == 0 {
@@ -71,7 +71,7 @@
 	return 2*len(view.Live()) > view.Nodes()
 }
 
-// handleTokenRequest answers the draw of a peer.
+// handleTokenRequest answers the token request of a peer.
 func (l *limitController) handleTokenRequest(in *wire.Datagram) {
 	now := time.Now()
 	key := tokenRequestKey{
@@ -98,12 +98,13 @@
 	})
 }
 
-// recordReceived notes that a peer was heard.
+// recordReceived records that a message of a peer arrived.
 func (l *limitController) recordReceived(now time.Time) {
 	l.lastReceived.Store(int64(now.Sub(l.started)))
 }
 
-// recordIncarnation notes a node's incarnation. With a new one it holds nothing of what it had.
+// recordIncarnation records a node's incarnation. A new one holds none of the tokens of the one
+// before.
 func (l *limitController) recordIncarnation(node string, incarnation uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -117,8 +118,8 @@
 	l.nodeIncarnations[node] = incarnation
 }
 
-// maintain tells the allocator which part of the fleet is lost and drops what is out of use;
-// buckets only now and then.
+// maintain updates the allocator with the fraction of the fleet that is lost and drops unused
+// state, buckets only if buckets is set.
 func (l *limitController) maintain(now time.Time, buckets bool) {
 	view := l.board.view.Load()
 	l.mu.Lock()
--- a/internal/node/ejection.go
+++ b/internal/node/ejection.go
@@ -15,10 +15,10 @@
 	"ploverjunction.example/ploverjunction/internal/outlier"
 )
 
-// ejectionInterval is how often a node judges its targets.
+// ejectionInterval is how often a node evaluates its targets for ejection.
 const ejectionInterval = 250 * time.Millisecond
 
-// serviceState is what the judging controller holds of one service.
+// serviceState is the ejection controller's state of one service.
 type serviceState struct {
 	config   *fleetconfig.Service
 	detector *outlier.Detector
@@ -27,15 +27,15 @@
 	byKey    map[uint32]string
 }
 
-// ejectionController turns evidence and verdicts into pools. One goroutine runs it; verdict
-// may be called concurrently.
+// ejectionController builds pools from evidence and ejection decisions. One goroutine runs it;
+// applyVerdict may be called concurrently.
 type ejectionController struct {
 	board     *Board
 	collector *outlier.Collector
-	// passive is set where a dispatcher judges the targets: targets are then looked at only
-	// when an operator asks.
+	// passive is set where dispatchers rate the targets: pools are then built only when an operator
+	// requests the status.
 	passive bool
-	// report takes the evidence of each tick.
+	// report receives the evidence of each tick.
 	report   func(now time.Time, evidence []outlier.Evidence)
 	log      *logrus.Entry
 	mu       sync.Mutex
@@ -54,7 +54,7 @@
 	}
 }
 
-// run judges at each tick and at each change of the configuration.
+// run evaluates the targets at each tick and at each change of the configuration.
 func (j *ejectionController) run(ctx context.Context) error {
 	tick := time.NewTicker(ejectionInterval)
 	defer tick.Stop()
@@ -71,8 +71,7 @@
 	}
 }
 
-// refresh takes a new configuration or view and rebuilds the pools if anything
-// changed.
+// refresh applies a new configuration or view and rebuilds the pools if anything changed.
 func (j *ejectionController) refresh(now time.Time) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -83,7 +82,7 @@
 	}
 }
 
-// rebuild takes what is new and makes pools of it. j.mu is held.
+// rebuild applies what changed and rebuilds the pools. j.mu is held.
 func (j *ejectionController) rebuild(now time.Time) {
 	if c := j.board.currentConfig(); c != nil && c != j.config {
 		j.configure(now, c)
@@ -94,7 +93,7 @@
 	}
 }
 
-// refreshView takes the newest view if it has another number of nodes. j.mu is held.
+// refreshView applies the newest view if its number of nodes differs. j.mu is held.
 func (j *ejectionController) refreshView() {
 	if v := j.board.view.Load(); j.view == nil || v.Nodes() != j.view.Nodes() {
 		j.view = v
@@ -102,7 +101,7 @@
 	}
 }
 
-// pools returns the pools as they stand now, or nil before the first ones.
+// pools returns the current pools, or nil before the first ones.
 func (j *ejectionController) pools(now time.Time) *pools {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -130,8 +129,7 @@
 	}
 }
 
-// newServiceState returns the state of a service. Of an old state all but the
-// detector is kept.
+// newServiceState returns the state of a service. Of an old state all but the detector is kept.
 func newServiceState(old *serviceState, sc *fleetconfig.Service) *serviceState {
 	s := &serviceState{
 		detector: outlier.NewDetector(sc.Threshold()),
@@ -209,8 +207,7 @@
 	}
 }
 
-// ejectIfSick ejects a target on this node's own evidence. A node alone can only say
-// so for itself.
+// ejectIfSick ejects a target on this node's own evidence, for this node only.
 func (j *ejectionController) ejectIfSick(now time.Time, s *serviceState, target string) {
 	r := s.detector.Read(target)
 	if r.Score == 0 {
@@ -226,7 +223,7 @@
 		WithField("score", r.Score).Info("target sick here")
 }
 
-// applyVerdict takes an observer's word.
+// applyVerdict applies an observer's ejection decision.
 func (j *ejectionController) applyVerdict(now time.Time, v outlier.Verdict, key uint32) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -248,8 +245,8 @@
 		WithField("score", v.Score).Info("target sick by verdict")
 }
 
-// publish writes the pools. The floor is checked here, at the last step of each
-// node, whatever the verdicts say.
+// publish stores the pools. The floor is enforced here, at the last step on each node, whatever the
+// ejection decisions are.
 func (j *ejectionController) publish(now time.Time) {
 	j.dirty = false
 	out := &pools{
--- a/internal/node/evidence.go
+++ b/internal/node/evidence.go
@@ -19,24 +19,23 @@
 
 // Intervals of reports.
 const (
-	// observeInterval is how often an observer judges.
+	// observeInterval is how often an observer evaluates targets.
 	observeInterval = ejectionInterval
-	// A node reports good requests at a slower tick that grows with the fleet,
-	// so that the cost for each node stays flat; bad ones it reports at once.
+	// Good requests are reported at a slower interval that grows with the fleet, so that the cost
+	// for each node stays constant; bad ones are reported at once.
 	minSlowInterval     = 2 * time.Second
 	maxSlowInterval     = 30 * time.Second
 	slowIntervalPerNode = 30 * time.Millisecond
-	// Up to sampleFrom nodes all evidence is reported. In a larger fleet good
-	// requests are reported by chance, as many nodes as that at a time, and count
-	// for those that were left out.
+	// Up to sampleNodes nodes all evidence is reported. In a larger fleet about that many nodes, at
+	// random, report good requests at a time, weighted for those left out.
 	sampleNodes = 100
 	// observersPerService is how many observers each data hall has for a service.
 	observersPerService = 1
-	// observerTimeout is after how long without reports an observer's state ends.
+	// observerTimeout is after how long without reports an observer's state is dropped.
 	observerTimeout = 2 * time.Minute
 )
 
-// observerLink is how an observer reaches other nodes.
+// observerLink sends reports and ejection decisions to other nodes.
 type observerLink struct {
 	observe func(ctx context.Context, peer string, in *wire.ReportBatch) error
 	judge   func(ctx context.Context, peer string, in *wire.VerdictBatch) error
@@ -44,15 +43,15 @@
 	self    func() *wire.Node
 }
 
-// pendingEvidence is the evidence about one service that hasn't been reported yet.
+// pendingEvidence is the evidence about one service that has not been reported yet.
 type pendingEvidence struct {
 	targets map[uint32]*wire.TargetEvidence
 	urgent  bool
 	sent    time.Time
 }
 
-// evidenceController sends this node's evidence to the observers and does this node's own
-// role as one. It may be used concurrently.
+// evidenceController sends this node's evidence to the observers and fulfils this node's own role
+// as one. It may be used concurrently.
 type evidenceController struct {
 	board            *Board
 	link             observerLink
@@ -61,7 +60,7 @@
 	mu               sync.Mutex
 	pending          map[string]*pendingEvidence
 	observedServices map[string]*observedService
-	// busy are the observers with a report on its way.
+	// busy are the observers to which a report is under way.
 	busy map[string]bool
 }
 
@@ -77,7 +76,7 @@
 	}
 }
 
-// collect takes the evidence of one tick of this node.
+// collect adds the evidence of one tick of this node.
 func (o *evidenceController) collect(_ time.Time, evidence []outlier.Evidence) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -92,7 +91,7 @@
 	}
 }
 
-// add adds evidence to what will be reported.
+// add adds evidence to the next report.
 func (o *evidenceController) add(service string, e *wire.TargetEvidence) {
 	p := o.pending[service]
 	if p == nil {
@@ -115,7 +114,7 @@
 	p.urgent = p.urgent || e.GetBad() > 0 || e.GetLeaving()
 }
 
-// restore takes up the evidence of reports that weren't taken, for the next one.
+// restore adds the evidence of failed reports to the next one.
 func (o *evidenceController) restore(reports []*wire.Report) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -126,7 +125,7 @@
 	}
 }
 
-// run reports and judges at each tick until the context ends.
+// run sends reports and evaluates targets at each tick until the context ends.
 func (o *evidenceController) run(ctx context.Context) error {
 	var calls task.Group
 	tick := time.NewTicker(observeInterval)
@@ -148,7 +147,7 @@
 	}
 }
 
-// dueReports returns the reports that should go out now, by observer.
+// dueReports returns the reports that are due, by observer.
 func (o *evidenceController) dueReports(now time.Time) map[string][]*wire.Report {
 	view := o.board.view.Load()
 	slow := slowInterval(view.Nodes())
@@ -161,7 +160,7 @@
 		}
 		observers := view.Role(observerRole(name), view.Self().DataHall(), observersPerService)
 		if slices.ContainsFunc(observers, func(n membership.Node) bool { return o.busy[n.Address()] }) {
-			// A report that hangs must not hold more than itself up.
+			// A report that hangs must not delay others.
 			continue
 		}
 		o.pending[name] = &pendingEvidence{
@@ -179,13 +178,13 @@
 	return out
 }
 
-// sampleWeight returns for how many nodes the good evidence of one stands.
+// sampleWeight returns for how many nodes the good evidence of one node counts.
 func sampleWeight(nodes int) int {
 	return max((nodes+sampleNodes/2)/sampleNodes, 1)
 }
 
-// report returns the report of a service, or nil if its turn is left out. What is
-// urgent is always reported, as it is.
+// report returns the report of a service, or nil if it is not sampled. Urgent evidence is always
+// reported, unweighted.
 func (p *pendingEvidence) report(service string, weight int) *wire.Report {
 	if p.urgent {
 		weight = 1
@@ -203,15 +202,15 @@
 	return r
 }
 
-// slowInterval is how often evidence goes out that is not urgent.
+// slowInterval is the time between two reports without urgent evidence.
 func slowInterval(nodes int) time.Duration {
 	return min(max(slowIntervalPerNode*time.Duration(nodes), minSlowInterval), maxSlowInterval)
 }
 
 func observerRole(service string) string { return "observer/" + service }
 
-// send takes reports to their observers and waits for none of them. What is for
-// this node itself takes the short way.
+// send sends reports to their observers without waiting for them. Those to this node itself are
+// observed directly.
 func (o *evidenceController) send(ctx context.Context, calls *task.Group, reports map[string][]*wire.Report, summary bool) {
 	self := o.link.self()
 	for peer, list := range reports {
--- a/internal/node/limits.go
+++ b/internal/node/limits.go
@@ -17,74 +17,75 @@
 	"ploverjunction.example/ploverjunction/internal/wire"
 )
 
-// Times and counts of limits.
+// Times and counts of the limits of workspaces.
 const (
-	// allocatorRoles is over how many allocators the workspaces of a fleet of more than
-	// limitWhole nodes are spread: at a thousand nodes each has some thousand asks a second.
-	// In a smaller fleet one has them all, so that a node tells it of several in one
-	// datagram.
+	// allocatorRoles is over how many allocators the workspaces are spread in a fleet of more than
+	// singleAllocatorNodes nodes: at 1,000 nodes each receives some 1,000 requests a second. A
+	// smaller fleet has one allocator, so that a node reports several workspaces in one datagram.
 	allocatorRoles       = 32
 	singleAllocatorNodes = 256
-	// reportCheckInterval is how often a node looks which workspaces it should report.
+	// reportCheckInterval is how often a node checks which workspaces it should report.
 	reportCheckInterval = 200 * time.Millisecond
-	// tokenResendInterval is after how long an ask is sent again, drawGiveUp after how long without an
-	// answer the node decides alone. A way between data halls takes a few milliseconds.
+	// tokenResendInterval is the time between two sends of a token request, tokenTimeout the time
+	// without an answer after which the node decides on its own. A datagram between data halls
+	// takes a few milliseconds.
 	tokenResendInterval = 25 * time.Millisecond
 	tokenTimeout        = 70 * time.Millisecond
-	// allocatorBackoff is how long an allocator that did not answer isn't asked.
+	// allocatorBackoff is how long an allocator that did not answer receives no requests.
 	allocatorBackoff = 500 * time.Millisecond
-	// startRetryInterval is after how long a request on a node that starts asks again, maxPausing how
-	// many of its requests wait for that at a time: more is more than a node's part of any
-	// usual load in half a second.
+	// startRetryInterval is the time between two token requests of a request on a node that starts,
+	// maxPaused how many requests may wait for that at a time: a node's share of any usual load in
+	// half a second is smaller.
 	startRetryInterval = 50 * time.Millisecond
 	maxPaused          = 64
-	// contactTimeout is how long after the last message of any peer a node counts as cut off:
-	// each is pinged several times a second.
+	// contactTimeout is the time without a message of any peer after which a node considers itself
+	// isolated: each is pinged several times a second.
 	contactTimeout = time.Second
-	// tokenRequestBytes bounds what one datagram tells of workspaces, usageBytes is what it takes for
-	// one of them beside its name.
+	// tokenRequestBytes bounds the reports of workspaces in one datagram, usageBytes is the size of
+	// one of them without its name.
 	tokenRequestBytes = 1100
 	usageBytes        = 65
-	// earlyReportTime is how long before its time a workspace is reported beside another one.
+	// earlyReportTime is how early a workspace may be reported along with another one.
 	earlyReportTime = 500 * time.Millisecond
-	// maxCombinedWorkspaces is up to how many workspaces a node looks through them with each ask.
+	// maxCombinedWorkspaces is the number of workspaces up to which a node searches them for others
+	// to report with each token request.
 	maxCombinedWorkspaces = 300
-	// allocatorPruneInterval is how often allocators forget what is out of use.
+	// allocatorPruneInterval is how often allocators drop unused state.
 	allocatorPruneInterval = 10 * time.Second
 )
 
-// limitController keeps the limits of workspaces together with the other nodes. It may be used
+// limitController enforces the limits of workspaces jointly with the other nodes. It may be used
 // concurrently.
 type limitController struct {
 	board     *Board
 	messenger *messenger
 	limiter   *ratelimit.Limiter
-	// equal gives each node the same part of a limit, where nodes exchange no datagrams.
+	// equal gives each node an equal share of a limit, where nodes exchange no datagrams.
 	equal *admission.Limiter
-	// seeds is how many other nodes the settings name.
+	// seeds is the number of other nodes in the settings.
 	seeds       int
 	incarnation uint64
 	log         *logrus.Entry
-	// heard is when a peer was last heard, as the time since begun.
+	// lastReceived is when the last message of a peer arrived, as the time since started.
 	started      time.Time
 	lastReceived atomic.Int64
-	// paused counts the requests that wait for this node to meet others.
+	// paused counts the requests that wait for this node to reach others.
 	paused atomic.Int32
 
 	mu        sync.Mutex
 	allocator *ratelimit.Allocator
-	// tokenAnswers are the answers to draws lately: one that is repeated must not take tokens
-	// twice.
+	// tokenAnswers are the recent answers to token requests: one that is resent must not take
+	// tokens twice.
 	tokenAnswers map[tokenRequestKey]*tokenAnswer
-	// unresponsiveUntil is until when an allocator isn't asked.
+	// unresponsiveUntil is until when an allocator receives no requests.
 	unresponsiveUntil map[string]time.Time
-	// nodeIncarnations are the newest incarnations of nodes, allocators the lives that these gave as
-	// allocators.
+	// nodeIncarnations are the newest incarnations of nodes, allocatorIncarnations those that they
+	// gave as allocators.
 	nodeIncarnations      map[string]uint64
 	allocatorIncarnations map[string]uint64
 }
 
-// tokenRequestKey names a draw.
+// tokenRequestKey identifies a token request.
 type tokenRequestKey struct {
 	node string
 	call uint64
@@ -120,16 +121,15 @@
 	}, w.Rate() > 0
 }
 
-// admit takes a request of a workspace, which waits for the others up to patience while
-// this node meets them. It returns nil if the request may go on, which must be given back
-// if it has not run.
+// admit admits a request of a workspace, waiting for other nodes up to maxWait while this node
+// starts. It returns nil if the request may proceed, which must be given back if it has not run.
 func (l *limitController) admit(ctx context.Context, w *fleetconfig.Workspace, maxWait time.Duration) *entry.LimitError {
 	limit, limited := limitOf(w)
 	if !limited {
 		return nil
 	}
 	if l.messenger == nil {
-		// A node that has just begun knows few others.
+		// A node that has just started knows few others.
 		nodes := max(l.board.nodes(), l.seeds+1)
 		if wait := l.equal.Admit(time.Now(), w.ID(), limit.Rate, limit.Burst, nodes); wait > 0 {
 			return l.limitError(w, limit, wait, byEqualShares)
@@ -170,15 +170,15 @@
 	return e
 }
 
-// giveBack returns what a request took that has not run.
+// giveBack returns the token of a request that has not run.
 func (l *limitController) giveBack(w *fleetconfig.Workspace) {
 	if _, limited := limitOf(w); limited && l.messenger != nil {
 		l.limiter.GiveBack(w.ID())
 	}
 }
 
-// requestToken asks the allocator for a token, and decides alone if it doesn't answer; while this
-// node meets the others it asks until a time. by says who decided.
+// requestToken requests a token from the allocator, and decides on this node if that does not
+// answer; while this node starts it retries until the given time. by names who decided.
 func (l *limitController) requestToken(ctx context.Context, workspace string, limit ratelimit.Limit, until time.Time) (v ratelimit.Verdict, wait time.Duration, by string) {
 	for {
 		holder := l.holder(workspace)
@@ -197,8 +197,8 @@
 	}
 }
 
-// pause waits until a node that starts should ask again. It returns false if that is no
-// use: the caller has left, or as many requests wait as may.
+// pause waits until a node that starts should retry. It returns false if that is of no use: the
+// caller has gone, or maxPaused requests wait already.
 func (l *limitController) pause(ctx context.Context) bool {
 	defer l.paused.Add(-1)
 	if l.paused.Add(1) > maxPaused {
--- a/internal/node/limitstatus.go
+++ b/internal/node/limitstatus.go
@@ -10,8 +10,8 @@
 	"ploverjunction.example/ploverjunction/internal/operator"
 )
 
-// limitStatus lists the targets with a limit that this node knows: by its own answers, and by
-// those of others where it is their dispatcher.
+// limitStatus lists the targets with a limit that this node received: in answers to it, and from
+// other nodes where it is the dispatcher.
 func (n *Node) limitStatus(now time.Time) []operator.TargetLimitStatus {
 	var out []operator.TargetLimitStatus
 	granting := map[string]bool{}
@@ -43,7 +43,7 @@
 	return out
 }
 
-// limitStatus lists the targets with a limit of the parts that this node dispatches.
+// limitStatus lists the targets with a limit in the partitions that this node dispatches.
 func (d *dispatchController) limitStatus(now time.Time) []operator.TargetLimitStatus {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/node/quarantine.go
+++ b/internal/node/quarantine.go
@@ -18,43 +18,42 @@
 	"ploverjunction.example/ploverjunction/internal/wire"
 )
 
-// Times and counts of requests under which targets end.
+// Times and counts of requests under which targets crash.
 const (
-	// quarantineRoles is over how many nodes the adding up of ends is spread: when a data
-	// hall of 1,000 targets is lost, each has some hundred records to take in.
+	// quarantineRoles is over how many roles the counting of crashes is spread: when a data hall of
+	// 1,000 targets is lost, each receives some 100 records.
 	quarantineRoles = 64
-	// quarantineHolders is how many nodes add up what is known of a request. One of them may
-	// be lost.
+	// quarantineHolders is how many nodes count the crashes of a request. One of them may be lost.
 	quarantineHolders = 2
-	// quarantineFanout is to how many nodes news is passed on by each that learns it: all but a
-	// few in a hundred learn it so, the rest by comparing.
+	// quarantineFanout is to how many nodes each one forwards an update: all but a few in 100
+	// receive it this way, the rest by comparison of digests.
 	quarantineFanout = 4
-	// compareInterval is the least time between two lists that a node sends because a peer knows
-	// other than it does: at most 1.3 kB each time while they differ.
+	// compareInterval is the least time between two lists that a node sends because the digest of a
+	// peer differs: at most 1.3 kB each time while they differ.
 	compareInterval = 200 * time.Millisecond
-	// quarantineBytes bounds the records on one datagram, which are of 50 to 170 bytes each.
+	// quarantineBytes bounds the records of one datagram, of 50 to 170 bytes each.
 	quarantineBytes = 1000
-	// quarantinePruneInterval is how often records that are of no use any more are looked for.
+	// quarantinePruneInterval is how often expired records are dropped.
 	quarantinePruneInterval = 10 * time.Second
 )
 
-// quarantineController keeps requests away from targets that end under them, together with the other
+// quarantineController keeps requests that crash targets away from them, jointly with the other
 // nodes. It may be used concurrently.
 type quarantineController struct {
 	board *Board
-	// messenger is nil where nodes exchange no datagrams: each one goes by what it saw itself.
+	// messenger is nil where nodes exchange no datagrams: each one decides by its own records.
 	messenger *messenger
 	answers   *quarantine.Answers
 	log       *logrus.Entry
-	// setShared gets how many requests all nodes know of.
+	// setShared receives the number of requests that all nodes have records of.
 	setShared func(n int)
-	// count tells of how many requests records are kept: most of the time none.
+	// count is the number of requests with records: most of the time 0.
 	count  atomic.Int32
 	digest atomic.Uint64
 
 	mu     sync.Mutex
 	ledger *quarantine.Ledger
-	// lastCompared is when a list was last sent, forgot when records were last forgotten.
+	// lastCompared is when a list was last sent, lastPruned when records were last dropped.
 	lastCompared time.Time
 	lastPruned   time.Time
 }
@@ -69,7 +68,7 @@
 	}
 }
 
-// check returns what is known of a request.
+// check returns the standing of a request.
 func (q *quarantineController) check(prints quarantine.Prints) quarantine.Standing {
 	if q.count.Load() == 0 {
 		return quarantine.Standing{}
@@ -81,7 +80,7 @@
 	return q.ledger.Check(now, prints)
 }
 
-// prune drops what is of no use any more, now and then, and tells of what is left. q.mu is
+// prune drops expired records every quarantinePruneInterval and updates count and digest. q.mu is
 // held.
 func (q *quarantineController) prune(now time.Time) {
 	if now.Sub(q.lastPruned) >= quarantinePruneInterval {
@@ -92,7 +91,7 @@
 	q.digest.Store(q.ledger.Digest())
 }
 
-// ended notes that a target ended under a request, and returns what is known of it then.
+// ended records that a target crashed under a request, and returns the standing of the request.
 func (q *quarantineController) ended(prints quarantine.Prints, target string) quarantine.Standing {
 	now := time.Now()
 	for _, p := range prints.All() {
@@ -104,7 +103,7 @@
 	return q.check(prints)
 }
 
-// answered notes that a target answered a request.
+// answered records that a target answered a request.
 func (q *quarantineController) answered(prints quarantine.Prints) {
 	now := time.Now()
 	q.answers.Note(now, prints)
@@ -116,8 +115,8 @@
 	}
 }
 
-// change applies fn to the ledger and tells the others of the records that changed. from is
-// the peer that told of them, "" where this node saw it itself.
+// change applies fn to the ledger and sends the records that changed to other nodes. from is the
+// peer that sent them, "" if they are this node's own.
 func (q *quarantineController) change(now time.Time, from string, fn func() []quarantine.Record) {
 	q.mu.Lock()
 	changed := fn()
@@ -132,8 +131,8 @@
 	}
 }
 
-// disseminate takes a record that changed to whom it concerns: one that all should know to some
-// nodes, which pass it on, another one to those that add up.
+// disseminate sends a record that changed: one for all nodes to some of them, which forward it, any
+// other one to the nodes that count crashes.
 func (q *quarantineController) disseminate(now time.Time, r quarantine.Record, from string) {
 	if q.messenger == nil {
 		return
@@ -152,7 +151,7 @@
 	}
 }
 
-// holders returns the nodes that add up what is known of a request.
+// holders returns the nodes that count the crashes of a request.
 func (q *quarantineController) holders(p quarantine.Print) []membership.Node {
 	role := "quarantine/" + strconv.Itoa(int(p[0])%quarantineRoles)
 	return q.board.view.Load().Role(role, "", quarantineHolders)
@@ -171,26 +170,26 @@
 	return out
 }
 
-// compare looks at the digest of a peer: if it knows other than this node, it gets what this
-// one knows.
+// compare compares the digest of a peer with that of this node, and sends this node's records if
+// they differ.
 func (q *quarantineController) compare(peer string, digest uint64) {
 	if digest == q.digest.Load() {
 		return
 	}
 	now := time.Now()
 	if list := q.recordsToSend(now); len(list) > 0 {
-		// Where not all fit another choice goes out next time.
+		// If not all of them fit, a different selection is sent next time.
 		rand.Shuffle(len(list), func(i, j int) { list[i], list[j] = list[j], list[i] })
 		q.send(now, peer, list)
 	}
 }
 
-// recordsToSend returns what all nodes should know, where it may be sent again. Each datagram of a peer
-// that knows other asks for it.
+// recordsToSend returns the records that all nodes should have, or nil if they were sent within
+// compareInterval: each datagram of a peer whose digest differs leads here.
 func (q *quarantineController) recordsToSend(now time.Time) []quarantine.Record {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	// Else a node that hasn't forgotten yet would tell one that has, again and again.
+	// Otherwise a node would keep sending expired records to one that has dropped them.
 	q.prune(now)
 	if now.Sub(q.lastCompared) < compareInterval {
 		return nil
@@ -202,7 +201,7 @@
 	return list
 }
 
-// send sends as many records as fit.
+// send sends as many records as fit into a datagram.
 func (q *quarantineController) send(now time.Time, peer string, records []quarantine.Record) {
 	out := &wire.Quarantine{}
 	size := 0
@@ -220,7 +219,7 @@
 	})
 }
 
-// wireRecord returns a record as it travels.
+// wireRecord returns the message of a record.
 func wireRecord(now time.Time, r *quarantine.Record) *wire.QuarantineRecord {
 	w := &wire.QuarantineRecord{
 		Print: r.Print[:],
@@ -235,7 +234,7 @@
 	return w
 }
 
-// merge merges what a peer knows.
+// merge merges the records of a peer.
 func (q *quarantineController) merge(peer string, in *wire.Quarantine) {
 	now := time.Now()
 	for _, w := range in.GetRecords() {
@@ -251,7 +250,7 @@
 	}
 }
 
-// recordOfWire reads a record of a peer.
+// recordOfWire returns the record of a message, and false if it is invalid.
 func recordOfWire(now time.Time, w *wire.QuarantineRecord) (quarantine.Record, bool) {
 	var r quarantine.Record
 	if len(w.GetPrint()) != len(r.Print) {
@@ -268,7 +267,7 @@
 	return r, true
 }
 
-// status tells operators of the requests that all nodes know of.
+// status returns the status of the requests that all nodes have records of.
 func (q *quarantineController) status(now time.Time) []operator.QuarantineStatus {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -285,7 +284,7 @@
 	return out
 }
 
-// logChange writes a line about what this node believes of a request now.
+// logChange logs a record that changed.
 func (q *quarantineController) logChange(now time.Time, r *quarantine.Record, from string) {
 	l := q.log.WithFields(logrus.Fields{
 		"fingerprint": r.Print.String(),
--- a/internal/node/signals.go
+++ b/internal/node/signals.go
@@ -61,7 +61,7 @@
 }
 
 // allBackingOff reports whether all targets of a service that are not draining back off, and
-// returns the standing of the first to accept requests again. Where all are draining it is false:
+// returns the standing of the first to accept requests again. It is false if all are draining:
 // others may appear at any moment.
 func (b *Board) allBackingOff(now time.Time, s *fleetconfig.Service) (first signal.Standing, all bool) {
 	if b.signals.Empty() {
--- a/internal/node/targetlimits.go
+++ b/internal/node/targetlimits.go
@@ -17,34 +17,34 @@
 	"ploverjunction.example/ploverjunction/internal/wire"
 )
 
-// Parts of a target's limit. Those who may grant it at the same time, without knowing of each
-// other, stay within one and a half times the limit together.
+// Shares of a target's limit. Nodes that may grant the target at the same time, unaware of each
+// other, stay within 1.5 times the limit together.
 const (
-	// standbyShare is the part of a dispatcher of that of the one which ranks before it.
+	// standbyShare is the share of a dispatcher, as a fraction of that of the one ranked before it.
 	standbyShare = 0.25
-	// lossThreshold is the part of the fleet that must be lost for the rest to use only its own
-	// part of the limit.
+	// lossThreshold is the fraction of the fleet that must be lost before the rest uses only its
+	// own share of the limit.
 	lossThreshold = 0.4
-	// joinShare is the part of a node that has been among the others for less than joinTime:
-	// some may not know yet that it is back, and ask another one.
+	// joinShare is the share of a node that has been connected for less than joinTime: some nodes
+	// may not have received that it is back, and request grants from another one.
 	joinShare = 0.4
 	joinTime  = 5 * time.Second
-	// isolatedShare is the most that a node uses which no other answers: it may know few of them.
+	// isolatedShare is the maximum share of a node that no other answers: it may know few of them.
 	isolatedShare = 0.05
-	// fallbackShare is the part of all nodes that choose alone while dispatchers grant,
-	// aloneOnly the same where all nodes choose alone.
+	// fallbackShare is the share of all nodes' fallbacks while dispatchers grant, independentShare
+	// that of all nodes in the independent mode.
 	fallbackShare    = 0.15
 	independentShare = 0.9
-	// shareLifetime is how long a node may use its turn to send to a target by itself.
+	// shareLifetime is how long a node may use its turn to send to a target by its own share.
 	shareLifetime = 2 * time.Second
-	// limitTransit is by how much a limit's age grows on its way between nodes: a limit that was
-	// lifted must not be renewed by nodes that tell each other of it.
+	// limitTransit is by how much the age of a limit grows between two nodes: a limit that was
+	// lifted must not be renewed by nodes that send it to each other.
 	limitTransit = 25 * time.Millisecond
-	// maxShares bounds the targets of which shares are kept.
+	// maxShares bounds the number of targets with a pacer.
 	maxShares = 1000
 )
 
-// wireLimit returns the message about a target's limit, or nil if none was ever known.
+// wireLimit returns the message about a target's limit, or nil if there never was one.
 func wireLimit(now time.Time, l dispatch.TargetLimit) *wire.TargetLimit {
 	if l.At.IsZero() {
 		return nil
@@ -57,7 +57,7 @@
 	}
 }
 
-// limitOfStanding returns the limit of a target as this node knows it.
+// limitOfStanding returns this node's record of a target's limit.
 func limitOfStanding(key string, s signal.Standing) dispatch.TargetLimit {
 	return dispatch.TargetLimit{
 		Target: key,
@@ -66,7 +66,7 @@
 	}
 }
 
-// learnLimits records limits that a dispatcher told of.
+// learnLimits records limits that a dispatcher sent.
 func (b *Board) learnLimits(now time.Time, s *fleetconfig.Service, limits ...*wire.TargetLimit) {
 	for _, in := range limits {
 		if t := s.Target(in.GetTarget()); t != nil {
@@ -76,8 +76,8 @@
 	}
 }
 
-// limitOfWire returns what a message says of a target's limit. Its time is the zero time, which is
-// older than any, where the message makes no sense.
+// limitOfWire returns the limit of a target in a message. Its time is the zero time, which is older
+// than any other, if the message is invalid.
 func limitOfWire(now time.Time, in *wire.TargetLimit) dispatch.TargetLimit {
 	l := dispatch.TargetLimit{
 		Target: in.GetTarget(),
@@ -96,7 +96,7 @@
 	return l
 }
 
-// limits returns limits of a part's targets that this node knows: some, drawn by chance, of more
+// limits returns this node's records of limits of a partition's targets: a random selection if more
 // than fit into a message.
 func (b *Board) limits(now time.Time, s *fleetconfig.Service, hall string) []*wire.TargetLimit {
 	var out []*wire.TargetLimit
@@ -118,18 +118,18 @@
 	return out
 }
 
-// holderRank is that of a node among those that may grant the same targets.
+// holderRank is the rank of a node among those that may grant the same targets.
 type holderRank struct {
-	// nodes is how many nodes are known, live how many of them are taken for live.
+	// nodes is the number of known nodes, live how many of them are considered live.
 	nodes, live int
 	// rank is how many holders of the dispatcher's role come before this node.
 	rank int
-	// isolated is set where no other node answers, among is for how long others have.
+	// isolated is set if no other node answers, connectedFor is for how long others have answered.
 	isolated     bool
 	connectedFor time.Duration
 }
 
-// share returns the part of targets' limits that a node may grant as a dispatcher.
+// share returns the share of targets' limits that a node may grant as a dispatcher.
 func (p holderRank) share() float64 {
 	if p.isolated {
 		return min(isolatedShare, 1/float64(p.nodes))
@@ -144,7 +144,7 @@
 	return share
 }
 
-// holderRank returns that of this node among the holders of a dispatcher's role.
+// holderRank returns the rank of this node among the holders of a dispatcher's role.
 func (d *dispatchController) holderRank(now time.Time, view *membership.View, holders []membership.Node) holderRank {
 	p := holderRank{
 		nodes:        view.Nodes(),
@@ -162,17 +162,17 @@
 	return p
 }
 
-// shares pace what this node sends to targets with a limit where it chooses alone. The zero
-// value is that of a node which always does. They may be used concurrently.
+// shares pace what this node sends to targets with a limit when it chooses without a dispatcher.
+// The zero value is for a node in the independent mode. They may be used concurrently.
 type shares struct {
-	// withDispatchers is set where nodes choose alone only when they reach no dispatcher.
+	// withDispatchers is set if nodes choose on their own only when they reach no dispatcher.
 	withDispatchers bool
 
 	mu     sync.Mutex
 	pacers map[string]*ratelimit.Pacer
 }
 
-// rate returns the node's part of a limit, in requests a second, among all nodes known.
+// rate returns the node's share of a limit, in requests a second, divided among all known nodes.
 func (s *shares) rate(l signal.Limit, nodes int) float64 {
 	share := independentShare
 	if s.withDispatchers {
@@ -181,7 +181,7 @@
 	return share * dispatch.LimitRate(l) / float64(nodes)
 }
 
-// wait returns after how long the node may send a request to a target; 0 is now.
+// wait returns the time until the node may send a request to a target; 0 is now.
 func (s *shares) wait(now time.Time, key string, l signal.Limit, nodes int) time.Duration {
 	if !l.Set {
 		return 0
@@ -207,9 +207,9 @@
 	return true
 }
 
-// pacer returns the pacer of a target and the time until its next token. Nodes begin with
-// different parts of a token, and tokens that aren't used lapse: nodes that lose their
-// dispatcher together would spend all of them at once. s.mu is held.
+// pacer returns the pacer of a target and the time until its next token. Nodes start with different
+// fractions of a token, and unused tokens lapse: otherwise nodes that lose their dispatcher
+// together would spend all of them at once. s.mu is held.
 func (s *shares) pacer(now time.Time, key string, rate float64) (*ratelimit.Pacer, time.Duration) {
 	p := s.pacers[key]
 	if p == nil {
@@ -224,7 +224,8 @@
 	return p, p.Wait(now, rate, math.Inf(1))
 }
 
-// sharePermit returns the permit to send a request to a target by this node's own share of its limit.
+// sharePermit returns the permit to send a request to a target by this node's own share of its
+// limit.
 func (b *Board) sharePermit(now time.Time, t *fleetconfig.Target) (signal.Permit, bool) {
 	permit := signal.Permit{
 		Paced: true,
@@ -234,7 +235,7 @@
 	return permit, !standing.Barred() && b.shares.take(now, t.Key(), standing.Limit, b.nodes())
 }
 
-// overShare returns the keys of a part's targets whose limit leaves nothing for this node now.
+// overShare returns the keys of a partition's targets for which this node's share is used up now.
 func (b *Board) overShare(now time.Time, s *fleetconfig.Service, hall string) []string {
 	var out []string
 	if b.signals.Empty() {
@@ -251,7 +252,7 @@
 	return out
 }
 
-// turn returns the time between two turns of any of the nodes to send to a target.
+// turn returns the time between two turns of any node to send to a target.
 func (s *shares) turn(l signal.Limit) time.Duration {
 	if !l.Set {
 		return 0
@@ -259,9 +260,9 @@
 	return time.Duration(float64(time.Second) / s.rate(l, 1))
 }
 
-// shareWait returns after how long a caller may return to a service whose limits leave nothing for
-// this node, 0 if no limit is the reason. The caller may reach another node, whose turn comes
-// before this one's.
+// shareWait returns after how long a caller may retry at a service for whose targets this node's
+// shares are used up, 0 if no limit is the reason. The retry may reach another node, whose turn
+// comes before this one's.
 func (b *Board) shareWait(now time.Time, s *fleetconfig.Service) time.Duration {
 	least := time.Duration(0)
 	for _, t := range s.Targets() {
--- a/internal/node/tokenrequest.go
+++ b/internal/node/tokenrequest.go
@@ -11,10 +11,10 @@
 	"ploverjunction.example/ploverjunction/internal/wire"
 )
 
-// This file is the side of a node that asks allocators for tokens.
+// This file requests tokens from allocators.
 
-// combinable returns a workspace together with others that the same allocator should be told of
-// soon.
+// combinable returns a workspace together with others that are due soon for a report to the same
+// allocator.
 func (l *limitController) combinable(workspace string, holder membership.Node) []string {
 	out := []string{workspace}
 	if l.limiter.Len() > maxCombinedWorkspaces {
@@ -28,8 +28,8 @@
 	return out[:fittingCount(out)]
 }
 
-// requestTokens reports some workspaces to a node and takes its answer. waiting is how many
-// requests wait for a token of the first one; it returns how many of them may go on, and
+// requestTokens reports some workspaces to a node and applies its answer. waiting is the number of
+// requests that wait for a token of the first one; it returns how many of them are admitted, and
 // whether the node allocates.
 func (l *limitController) requestTokens(ctx context.Context, holder membership.Node, workspaces []string, waiting int) (admitted int, answered bool) {
 	now := time.Now()
@@ -52,7 +52,7 @@
 	return l.applyAnswer(time.Now(), out, in, waiting)
 }
 
-// allocatorIncarnation returns the life of a node as an allocator, 0 if it isn't known.
+// allocatorIncarnation returns the incarnation of a node as an allocator, 0 if it is not known.
 func (l *limitController) allocatorIncarnation(peer string) uint64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -65,7 +65,7 @@
 	l.allocatorIncarnations[peer] = life
 }
 
-// call sends a draw until it is answered, and returns nil if it is not.
+// call sends a token request until it is answered, and returns nil if it is not.
 func (l *limitController) call(ctx context.Context, peer string, out *wire.Draw) *wire.Allot {
 	id, answers, end := l.messenger.call()
 	defer end()
@@ -109,7 +109,7 @@
 	l.unresponsiveUntil[peer] = time.Now().Add(allocatorBackoff)
 }
 
-// usages returns the reports of workspaces to the allocator whose life is to.
+// usages returns the reports of workspaces to the allocator whose incarnation is to.
 func (l *limitController) usages(now time.Time, workspaces []string, waiting int, to uint64) *wire.Draw {
 	out := &wire.Draw{}
 	for _, w := range workspaces {
@@ -121,7 +121,8 @@
 	return out
 }
 
-// applyAnswer takes an allocator's answer to a draw, of whose first workspace some requests wait.
+// applyAnswer applies an allocator's answer to a token request; waiting requests wait for its first
+// workspace.
 func (l *limitController) applyAnswer(now time.Time, out *wire.Draw, in *wire.Allot, waiting int) (admitted int, answered bool) {
 	if len(in.GetAllotments()) != len(out.GetUsages()) {
 		return 0, false
@@ -141,8 +142,8 @@
 	return admitted, answered
 }
 
-// run reports to allocators until the context ends. Where nothing is limited it looks
-// once a second, as a dispatcher without work does.
+// run reports to allocators until the context ends. While nothing is limited it wakes once a
+// second, as a dispatcher without work does.
 func (l *limitController) run(ctx context.Context) error {
 	var draws task.Group
 	tick := time.NewTimer(reportCheckInterval)
@@ -170,14 +171,14 @@
 	}
 }
 
-// idle reports whether no workspace with a limit has callers here or its bucket.
+// idle reports whether no workspace with a limit has callers or its bucket on this node.
 func (l *limitController) idle() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.limiter.Len() == 0 && l.allocator.Len() == 0
 }
 
-// report tells allocators of the workspaces that are due, several in one datagram.
+// report reports the workspaces that are due to allocators, several in one datagram.
 func (l *limitController) report(ctx context.Context, draws *task.Group, now time.Time) {
 	byHolder := map[membership.Node][]string{}
 	for _, w := range l.limiter.Due(now) {
@@ -197,7 +198,7 @@
 	}
 }
 
-// fittingCount returns how many of some workspaces, at least one, fit into a datagram.
+// fittingCount returns how many of the first workspaces, at least one, fit into a datagram.
 func fittingCount(workspaces []string) int {
 	size := 0
 	for i, w := range workspaces {
--- a/internal/node/usage.go
+++ b/internal/node/usage.go
@@ -10,9 +10,9 @@
 	"ploverjunction.example/ploverjunction/internal/wire"
 )
 
-// This file translates reports about limits into messages and for operators.
+// This file converts reports about limits to and from messages and to their status.
 
-// status tells operators of the limits of the workspaces that have callers here.
+// status returns the status of the limits of the workspaces that have callers on this node.
 func (l *limitController) status(now time.Time) []operator.LimitStatus {
 	var out []operator.LimitStatus
 	for _, s := range l.limiter.Standings(now) {
@@ -35,8 +35,8 @@
 	return out
 }
 
-// wireUsage returns the report of a workspace to the allocator whose life is known as to, 0
-// if it isn't.
+// wireUsage returns the report of a workspace to the allocator whose incarnation is to, 0 if it is
+// not known.
 func wireUsage(workspace string, r ratelimit.Report, to uint64) *wire.Usage {
 	u := &wire.Usage{
 		Workspace: workspace,
