--- a/internal/node/adapter.go
+++ b/internal/node/adapter.go
@@ -10,17 +10,17 @@
 	"ploverjunction.example/ploverjunction/internal/source"
 )
 
-// Adapter is what another platform than the project's own brings.
+// Adapter connects a node to a platform other than the project's own.
 type Adapter struct {
 	// Contract names the headers between callers, the fleet and targets.
 	Contract *contract.Contract
-	// Read reads published values, and goes on reading, until the context ends;
-	// nil leaves it to the source that the settings name.
+	// Read reads published values, and watches them, until the context ends; nil leaves it to the
+	// source in the settings.
 	Read func(ctx context.Context, cfg source.Config) error
-	// Silent is after how long without an answer of the platform to any node any node
-	// may read it. 0 means the time that fits the project's own platform, and a
-	// reader in each data hall; else two nodes read for the fleet.
+	// Silent is the time without an answer of the platform to any node after which any node may
+	// read it. 0 means the default of the project's own platform, with a reader in each data hall;
+	// otherwise two nodes read for the fleet.
 	Silent time.Duration
-	// Calls returns how many calls were made on the platform.
+	// Calls returns the number of calls made to the platform.
 	Calls func() int64
 }
--- a/internal/node/board.go
+++ b/internal/node/board.go
@@ -21,22 +21,22 @@
 	at       time.Time
 }
 
-// targetState is one target as the judging controller holds it.
+// targetState is the ejection controller's state of one target.
 type targetState struct {
 	address string
 	state   outlier.State
-	// listedDraining is set when the platform's list says that it leaves.
+	// listedDraining is set if the platform lists the target as draining.
 	listedDraining bool
 	inFlight       int
 }
 
-// poolState is one service as the judging controller holds it.
+// poolState is the ejection controller's state of one service.
 type poolState struct {
 	pool    *balance.Pool
 	targets []targetState
 }
 
-// pools is the section written by the judging controller.
+// pools is the section written by the ejection controller.
 type pools struct {
 	services map[string]*poolState
 }
@@ -44,21 +44,21 @@
 // readiness is the section written by the lifecycle controller.
 type readiness struct {
 	ready bool
-	// reason says why the node isn't ready.
+	// reason is why the node is not ready.
 	reason string
 }
 
-// Board is the blackboard of a node: its controllers meet here.
+// Board is the blackboard of a node: its controllers exchange their state here.
 type Board struct {
 	config blackboard.Section[configuration]
 	view   blackboard.Section[membership.View]
 	pools  blackboard.Section[pools]
 	ready  blackboard.Section[readiness]
-	// signals is what targets said of themselves in answers to this node.
+	// signals holds the signals of targets in answers to this node.
 	signals signal.Ledger
-	// shares are this node's parts of targets' limits.
+	// shares are this node's shares of targets' limits.
 	shares shares
-	// regions are those of the data halls; they don't change.
+	// regions maps data halls to their regions, which do not change.
 	regions map[string]string
 }
 
@@ -81,8 +81,8 @@
 	return b.view.Load().Nodes()
 }
 
-// awaitConfig waits until a configuration with services is known, or the context
-// ends. It returns it, or nil.
+// awaitConfig waits for a configuration with services and returns it, or nil if the context ended
+// before.
 func (b *Board) awaitConfig(ctx context.Context) *fleetconfig.Config {
 	for {
 		changed := b.config.Watch()
--- a/internal/node/ejection.go
+++ b/internal/node/ejection.go
@@ -220,7 +220,7 @@
 	s.detector.Reset(target)
 	j.dirty = true
 	j.log.WithField("service", s.config.Name()).WithField("target", target).
-		WithField("score", r.Score).Info("target sick here")
+		WithField("score", r.Score).Info("target ejected on evidence of this node")
 }
 
 // applyVerdict applies an observer's ejection decision.
@@ -242,7 +242,7 @@
 	}
 	s.judge.Verdict(now, target, v.Score, v.Lease)
 	j.log.WithField("service", v.Service).WithField("target", target).
-		WithField("score", v.Score).Info("target sick by verdict")
+		WithField("score", v.Score).Info("target ejected by an observer")
 }
 
 // publish stores the pools. The floor is enforced here, at the last step on each node, whatever the
--- a/internal/node/evidence.go
+++ b/internal/node/evidence.go
@@ -142,7 +142,7 @@
 		o.send(ctx, &calls, summaries, true)
 		o.announce(ctx, &calls, now, verdicts)
 		if err := calls.Reap(); err != nil {
-			o.log.WithError(err).Debug("not all reached")
+			o.log.WithError(err).Debug("not all peers reached")
 		}
 	}
 }
--- a/internal/node/failuredetector.go
+++ b/internal/node/failuredetector.go
@@ -12,28 +12,27 @@
 	"ploverjunction.example/ploverjunction/internal/task"
 )
 
-// Times and counts of probes between nodes. A node that dies is pinged by one of
-// the others of its data hall within a tick or two, and is taken for dead everywhere
-// after pingWait, viaWait, the time to refute and the spread of the news: under a
-// second and a half, most of it under one.
+// Times and counts of pings between nodes. A node that dies is pinged by another node of its data
+// hall within a tick or two, and is declared dead everywhere after pingTimeout,
+// indirectPingTimeout, the time to refute and the time to spread the update: in less than 1.5 s,
+// mostly in less than 1 s.
 const (
 	pingInterval = 200 * time.Millisecond
-	// pingTimeout is some ten round trips inside a region.
+	// pingTimeout is about ten round trips inside a region.
 	pingTimeout = 100 * time.Millisecond
 	// indirectPingTimeout is the same for two round trips.
 	indirectPingTimeout = 150 * time.Millisecond
 	// helpers is how many nodes ping on behalf of one that got no answer.
 	helpers = 2
-	// farPingRatio is one of how many pings goes to another data hall.
+	// farPingRatio is the ratio of all pings to those sent to another data hall.
 	farPingRatio = 4
-	// deadPingRatio is one of how many pings goes to a node that is taken for dead.
+	// deadPingRatio is the ratio of all pings to those sent to a node that was declared dead.
 	deadPingRatio = 8
-	// lateTickTolerance is how late a tick may be before this node distrusts itself: it
-	// was slow then, not its peers (Dadgar, Phillips and Currey, "Lifeguard", DSN
-	// 2018).
+	// lateTickTolerance is how late a tick may be before this node ignores missing answers: it was
+	// slow itself then, not its peers (Dadgar, Phillips and Currey, "Lifeguard", DSN 2018).
 	lateTickTolerance = 60 * time.Millisecond
-	// suspectSelfAfter is how many pings in a row without an answer from different peers
-	// make a node suspect its own link.
+	// suspectSelfAfter is the number of consecutive pings to different peers without an answer
+	// after which a node suspects its own link.
 	suspectSelfAfter = 3
 )
 
@@ -44,10 +43,10 @@
 	board     *Board
 	seeds     func() []string
 	log       *logrus.Entry
-	// elapsed returns the time since some moment, suspended time included: a node that was
-	// suspended in the middle of a ping would take its peer for the one that said nothing.
+	// elapsed returns the time since a fixed moment, including time for which the machine was
+	// suspended: otherwise a node that is suspended during a ping would take its peer for failed.
 	elapsed func(now time.Time) time.Duration
-	// unanswered counts the pings in a row that failed directly and by others.
+	// unanswered counts the consecutive pings that failed directly and indirectly.
 	unanswered int
 	failed     chan string
 	answered   chan struct{}
@@ -79,7 +78,7 @@
 
 func (p *failureDetector) step(ctx context.Context, pings *task.Group, now time.Time, late bool) {
 	if late {
-		// What was not answered meanwhile shows this node's pause.
+		// Missing answers during that time were caused by this node's pause.
 		p.unanswered = 0
 		for len(p.failed) > 0 {
 			<-p.failed
@@ -102,7 +101,7 @@
 	})
 }
 
-// probe pings a peer, and has others ping it if it doesn't answer.
+// probe pings a peer, and has other nodes ping it if it does not answer.
 func (p *failureDetector) probe(ctx context.Context, peer string) {
 	started := p.elapsed(time.Now())
 	if p.messenger.ping(ctx, peer, pingTimeout) {
@@ -110,7 +109,7 @@
 		return
 	}
 	if p.elapsed(time.Now())-started > pingTimeout+lateTickTolerance {
-		// This node slept itself.
+		// This node was suspended or slow itself.
 		return
 	}
 	if p.messenger.pingVia(ctx, p.helpers(peer), peer, indirectPingTimeout) {
@@ -125,13 +124,13 @@
 func (p *failureDetector) recordFailure(peer string) {
 	p.unanswered++
 	if p.unanswered >= suspectSelfAfter {
-		// The cause is likelier to lie here than with all of them.
+		// The cause is more likely this node's link than all of these peers.
 		return
 	}
 	p.members.suspect(peer)
 }
 
-// helpers returns random live nodes other than a peer.
+// helpers returns random live nodes other than peer.
 func (p *failureDetector) helpers(peer string) []string {
 	live := p.board.view.Load().Live()
 	var out []string
@@ -144,7 +143,7 @@
 	return out
 }
 
-// nextPeer returns the peer to ping: mostly one of the own data hall.
+// nextPeer returns the peer to ping, mostly one of the same data hall.
 func (p *failureDetector) nextPeer() string {
 	view := p.board.view.Load()
 	if dead := p.members.declaredDead(); len(dead) > 0 && rand.IntN(deadPingRatio) == 0 {
--- a/internal/node/lifecycle.go
+++ b/internal/node/lifecycle.go
@@ -11,15 +11,15 @@
 // Times of readiness.
 const (
 	readyInterval = 100 * time.Millisecond
-	// enoughPeers is how many peers a starting node compares its configuration
-	// with before it serves: a stale platform alone could give it an old one.
+	// enoughPeers is the number of peers with which a starting node compares its configuration
+	// before it serves: a stale platform alone could give it an old one.
 	enoughPeers = 3
-	// maxCompareWait is after how long a starting node that hears the platform
-	// but too few peers serves all the same. Until then it waits: most of its
-	// peers may be alive and ahead of the platform's replica.
+	// maxCompareWait is the time after which a starting node that reaches the platform but too few
+	// peers serves nevertheless. Until then most of its peers may be alive and ahead of the
+	// platform's replica.
 	maxCompareWait = 30 * time.Second
-	// maxPlatformAge is how old the fleet's last answer of the platform may be for
-	// a node that hears too few peers.
+	// maxPlatformAge is the maximum age of the fleet's last answer of the platform for a node that
+	// reaches too few peers.
 	maxPlatformAge = time.Minute
 )
 
@@ -32,8 +32,8 @@
 	reasonDraining = "leaving"
 )
 
-// lifecycle decides whether the balancer should send callers here, and writes
-// that section of the blackboard.
+// lifecycle decides whether the load balancer should send callers to this node, and writes that
+// section of the blackboard.
 type lifecycle struct {
 	board         *Board
 	started       time.Time
@@ -45,7 +45,7 @@
 	peersCompared bool
 }
 
-// run renews readiness at each tick until the context ends.
+// run updates readiness at each tick until the context ends.
 func (l *lifecycle) run(ctx context.Context) error {
 	tick := time.NewTicker(readyInterval)
 	defer tick.Stop()
@@ -71,7 +71,7 @@
 	})
 }
 
-// reason says why the node is not ready, or "".
+// reason returns why the node is not ready, or "".
 func (l *lifecycle) reason(now time.Time) string {
 	if l.draining.Load() {
 		return reasonDraining
@@ -92,8 +92,8 @@
 	return ""
 }
 
-// comparedEnough reports whether a starting node has compared its configuration with
-// enough peers.
+// comparedEnough reports whether a starting node has compared its configuration with enough peers,
+// or waited for maxCompareWait.
 func (l *lifecycle) comparedEnough(now time.Time) bool {
 	known := max(len(l.board.view.Load().Peers()), l.seeds)
 	if l.compared() >= min(enoughPeers, known) || now.Sub(l.started) > maxCompareWait {
--- a/internal/node/members.go
+++ b/internal/node/members.go
@@ -14,24 +14,25 @@
 )
 
 const (
-	// memberInterval is how often the view is renewed for times that have passed.
+	// memberInterval is the time between two updates of the view for timers that expired.
 	memberInterval = time.Second
 	// minViewInterval is the least time between two views: while a fleet starts, a view for each
-	// node heard would cost more than all else. Nodes wait longer for each other's answers.
+	// message of a new node would cost more than all else. Nodes wait longer than that for each
+	// other's answers.
 	minViewInterval = 20 * time.Millisecond
 )
 
-// members owns the table of nodes and writes its section of the blackboard. It
-// may be used concurrently.
+// members owns the table of nodes and writes its section of the blackboard. It may be used
+// concurrently.
 type members struct {
 	board *Board
 	mu    sync.Mutex
 	table *membership.Table
 	// published is when the last view was made.
 	published time.Time
-	// due holds a value when a view waits for viewPause.
+	// due holds a value while a view waits for minViewInterval.
 	due chan struct{}
-	// incarnation is this node's own.
+	// incarnation is that of this node.
 	incarnation atomic.Uint64
 }
 
@@ -46,8 +47,8 @@
 	return m
 }
 
-// change applies fn to the table. If that changed it the view is published, at once or
-// after viewPause.
+// change applies fn to the table. If that changed the table the view is published, at once or after
+// minViewInterval.
 func (m *members) change(fn func(t *membership.Table, now time.Time)) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -66,8 +67,8 @@
 	}
 }
 
-// publish writes the view unless it is the one that stands there: a view keeps
-// the roles that were worked out on it.
+// publish stores the view unless it equals the current one, which caches the roles computed from
+// it.
 func (m *members) publish(now time.Time) {
 	m.published = now
 	if v := m.table.View(now); !v.Same(m.board.view.Load()) {
@@ -75,7 +76,7 @@
 	}
 }
 
-// renew publishes what the mere passing of time has changed.
+// renew publishes changes that are due to time alone.
 func (m *members) renew() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -100,8 +101,8 @@
 	m.change(func(t *membership.Table, now time.Time) { t.Failed(now, peer) })
 }
 
-// applyUpdate takes the news of a peer. News that takes this node for dead is refuted by
-// a greater incarnation.
+// applyUpdate applies the update of a peer. An update that declares this node suspected or dead is
+// refuted by a greater incarnation.
 func (m *members) applyUpdate(now time.Time, n membership.News) {
 	m.change(func(t *membership.Table, _ time.Time) {
 		if t.Take(now, n, m.incarnation.Load()) {
@@ -114,14 +115,14 @@
 	m.change(func(t *membership.Table, now time.Time) { t.Suspect(now, peer) })
 }
 
-// advance takes nodes for dead that refuted no suspicion.
+// advance declares nodes dead that did not refute a suspicion in time.
 func (m *members) advance(now time.Time) []membership.Node {
 	var out []membership.Node
 	m.change(func(t *membership.Table, _ time.Time) { out = t.Advance(now) })
 	return out
 }
 
-// clearSuspicions drops the suspicions that nobody has confirmed yet.
+// clearSuspicions drops the suspicions that no other node has confirmed.
 func (m *members) clearSuspicions() {
 	m.change(func(t *membership.Table, now time.Time) { t.Calm(now) })
 }
@@ -138,7 +139,7 @@
 	return m.table.Dead()
 }
 
-// setListed takes the nodes of a configuration's list of instances.
+// setListed applies the list of instances of a configuration.
 func (m *members) setListed(c *fleetconfig.Config) {
 	var live, leaving []membership.Node
 	for _, i := range c.Instances() {
--- a/internal/node/messenger.go
+++ b/internal/node/messenger.go
@@ -19,13 +19,13 @@
 	"ploverjunction.example/ploverjunction/internal/wire"
 )
 
-// updatesPerDatagram is how much news of members travels on one datagram: about 50
-// bytes each. News of nodes that just live travels on probes only: it is as much as
-// there are nodes while a fleet starts, and there are four datagrams for each request.
+// updatesPerDatagram is the number of membership updates on one datagram, of about 50 bytes each.
+// Updates about nodes that are live travel on pings and their answers only: while a fleet starts
+// there are as many of them as nodes, and there are four datagrams for each request.
 const updatesPerDatagram = 4
 
-// messenger sends and receives datagrams and puts on each one what this node
-// believes. It may be used concurrently.
+// messenger sends and receives datagrams and adds this node's state to each one. It may be used
+// concurrently.
 type messenger struct {
 	socket *link.Socket
 	// transmit sends one datagram to a peer.
@@ -36,23 +36,23 @@
 	self     func() *wire.Node
 	log      *logrus.Entry
 	calls    atomic.Uint64
-	// roundTrip is when a peer last answered, joined since when peers do without a pause, as
-	// times since begun; 0 is never.
+	// lastAnswer is when a peer last answered, connectedSince since when peers have answered
+	// without a pause, as times since started; 0 is never.
 	started        time.Time
 	lastAnswer     atomic.Int64
 	connectedSince atomic.Int64
-	// onGrantRequest and done answer the questions of peers about targets, taken notes the
-	// answer to the end of an attempt.
+	// onGrantRequest and onDone handle grant requests and ends of attempts of peers, onTaken the
+	// confirmation of the end of an attempt.
 	onGrantRequest func(*wire.Datagram)
 	onDone         func(*wire.Datagram)
 	onTaken        func(call uint64)
-	// onTokenRequest answers the reports of peers about limits, touched notes that one was heard.
+	// onTokenRequest handles token requests of peers, onReceive each datagram of a peer.
 	onTokenRequest func(*wire.Datagram)
 	onReceive      func(now time.Time)
-	// onIncarnation gets each node's incarnation that a datagram names.
+	// onIncarnation receives the incarnation of each node that a datagram names.
 	onIncarnation func(node string, incarnation uint64)
-	// quarantineDigest returns the digest of the requests that this node knows to end targets,
-	// quarantine and compare take what peers know of them and the digests of theirs.
+	// quarantineDigest returns the digest of the requests that crash targets, by this node's
+	// records; onQuarantine and onQuarantineDigest receive the records and digests of peers.
 	quarantineDigest   func() uint64
 	onQuarantine       func(peer string, in *wire.Quarantine)
 	onQuarantineDigest func(peer string, digest uint64)
@@ -76,13 +76,13 @@
 		onQuarantine:       func(string, *wire.Quarantine) {},
 		onQuarantineDigest: func(string, uint64) {},
 	}
-	// Calls of two lives of a process must not be taken for one another.
+	// Calls of two incarnations of a process must have different numbers.
 	m.calls.Store(rand.Uint64() >> 1)
 	return m
 }
 
-// send fills in what travels on each datagram and sends it. Failures show as
-// answers that don't come.
+// send adds this node's state to a datagram and sends it. A failure is seen by the caller as a
+// missing answer.
 func (m *messenger) send(peer string, d *wire.Datagram) {
 	if senderOnly(d) {
 		m.deliver(peer, d)
@@ -111,7 +111,7 @@
 	m.deliver(peer, d)
 }
 
-// deliver sends a datagram with what it holds.
+// deliver sends a datagram as it is, adding the sender if it is missing.
 func (m *messenger) deliver(peer string, d *wire.Datagram) {
 	if d.From == nil {
 		self := m.self()
@@ -126,8 +126,8 @@
 	}
 }
 
-// senderOnly reports whether a datagram says only who sent it. Those about limits of workspaces are sent
-// beside the others of each request, which carry what a node believes.
+// senderOnly reports whether a datagram carries only its sender. Datagrams about limits of
+// workspaces are sent besides those of each request, which carry the state of the node.
 func senderOnly(d *wire.Datagram) bool {
 	switch d.GetBody().(type) {
 	case *wire.Datagram_Draw, *wire.Datagram_Allot:
@@ -137,7 +137,7 @@
 	}
 }
 
-// isProbe reports whether a datagram asks whether a node is alive, or answers that.
+// isProbe reports whether a datagram is a ping or answers one.
 func isProbe(d *wire.Datagram) bool {
 	switch d.GetBody().(type) {
 	case *wire.Datagram_Ping, *wire.Datagram_Pong, *wire.Datagram_PingVia:
@@ -147,10 +147,10 @@
 	}
 }
 
-// call opens a call; its answers come on the channel until it is ended.
+// call opens a call; its answers are received on the channel until it is ended.
 func (m *messenger) call() (uint64, <-chan *wire.Datagram, func()) {
 	id := m.calls.Add(1)
-	// A queued ask gets several answers.
+	// A queued request gets several answers.
 	c := make(chan *wire.Datagram, 4)
 	m.mu.Lock()
 	m.pendingCalls[id] = c
@@ -162,20 +162,20 @@
 	}
 }
 
-// run takes datagrams until the context ends.
+// run handles datagrams until the context ends.
 func (m *messenger) run(ctx context.Context) error {
 	err := m.socket.Serve(ctx, func(d *wire.Datagram) { m.handle(ctx, d) })
 	return errors.Join(err, m.relayedPings.Wait())
 }
 
-// reapRelayedPings reads the ends of the pings on behalf of peers.
+// reapRelayedPings collects the ends of the pings on behalf of peers.
 func (m *messenger) reapRelayedPings() {
 	if err := m.relayedPings.Reap(); err != nil {
 		m.log.WithError(err).Debug("ping for a peer ended")
 	}
 }
 
-// handle takes one datagram.
+// handle handles one datagram.
 func (m *messenger) handle(ctx context.Context, d *wire.Datagram) {
 	now := time.Now()
 	m.readHeader(now, d)
@@ -206,7 +206,7 @@
 	}
 }
 
-// recordAnswer notes that a peer answered: both ways to it work.
+// recordAnswer records that a peer answered: datagrams pass in both directions.
 func (m *messenger) recordAnswer(now time.Time) {
 	since := int64(now.Sub(m.started))
 	if m.isolated(now) {
@@ -220,14 +220,14 @@
 	return now.Sub(m.started) - time.Duration(m.connectedSince.Load())
 }
 
-// isolated reports whether no peer has answered for contactTime: each is pinged several times a
+// isolated reports whether no peer has answered for contactTimeout: each is pinged several times a
 // second.
 func (m *messenger) isolated(now time.Time) bool {
 	last := m.lastAnswer.Load()
 	return last == 0 || now.Sub(m.started)-time.Duration(last) > contactTimeout
 }
 
-// readHeader takes what travels on each datagram.
+// readHeader applies the state of the sender that a datagram carries.
 func (m *messenger) readHeader(now time.Time, d *wire.Datagram) {
 	m.members.recordMessage(d.GetFrom())
 	m.onReceive(now)
@@ -269,7 +269,7 @@
 	}
 }
 
-// announce tells a peer that this node has learned new values.
+// announce notifies a peer that this node has new values.
 func (m *messenger) announce(peer string) {
 	m.send(peer, &wire.Datagram{
 		Body: &wire.Datagram_Announce{
@@ -278,7 +278,7 @@
 	})
 }
 
-// ping asks a peer whether it is alive and waits for its answer.
+// ping pings a peer and reports whether it answered in time.
 func (m *messenger) ping(ctx context.Context, peer string, wait time.Duration) bool {
 	id, answers, end := m.call()
 	defer end()
@@ -291,7 +291,7 @@
 	return awaitAnswer(ctx, answers, wait)
 }
 
-// pingVia asks others to ping a peer.
+// pingVia has helpers ping a peer and reports whether it answered one of them in time.
 func (m *messenger) pingVia(ctx context.Context, helpers []string, peer string, wait time.Duration) bool {
 	id, answers, end := m.call()
 	defer end()
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package node is one process of the fleet: it wires the controllers around the
-// blackboard and runs them.
+// Package node is one process of the fleet: it connects the controllers by the blackboard and runs
+// them.
 package node
 
 import (
@@ -37,17 +37,17 @@
 const (
 	// readersPerHall is how many nodes of each data hall watch the platform.
 	readersPerHall = 1
-	// platformTimeout is after how long without an answer of the platform to any node
-	// any node may read it. A watch without changes answers every 25 s.
+	// platformTimeout is the time without an answer of the platform to any node after which any
+	// node may read it. A watch without changes answers every 25 s.
 	platformTimeout = 35 * time.Second
 	// startPlatformTimeout is the same for a node that has just started.
 	startPlatformTimeout = 2 * time.Second
-	// drainTries is how often a leaving node says so.
+	// drainTries is how often a draining node tries to notify a peer.
 	drainTries       = 3
 	idleConnInterval = 10 * time.Second
 )
 
-// Node is one process of the fleet. Make it with New and run it once.
+// Node is one process of the fleet. It is created by New and may be run once.
 type Node struct {
 	set             *settings.Settings
 	log             *logrus.Logger
@@ -62,7 +62,7 @@
 	adapter         *Adapter
 	messenger       *messenger
 	failureDetector *failureDetector
-	// dispatcher is nil where each node chooses targets alone.
+	// dispatcher is nil in the independent mode.
 	dispatcher *dispatchController
 	platform   *source.Platform
 	directory  *source.Directory
@@ -70,21 +70,21 @@
 	evidence   *evidenceController
 	prober     *prober
 	limits     *limitController
-	// quarantine keeps requests away from targets that end under them.
+	// quarantine keeps requests that crash targets away from them.
 	quarantine *quarantineController
 	lifecycle  *lifecycle
 	metrics    *metrics.Metrics
 	entry      *entry.Server
 	operator   *operator.Server
 	drain      chan struct{}
-	// suspended tells for how long the machine was suspended.
+	// suspended measures for how long the machine was suspended.
 	suspended *suspend.Clock
-	// live are the settings as they were last read; set those of the start.
+	// live are the settings as last reloaded, set those at the start.
 	live atomic.Pointer[settings.Settings]
 }
 
-// New checks what settings alone can't and opens all ports. Nothing is served
-// before Run. adapter may be nil.
+// New makes the checks that settings alone cannot and opens all ports. Nothing is served before
+// Run. adapter may be nil.
 func New(set *settings.Settings, log *logrus.Logger, adapter *Adapter) (*Node, error) {
 	if adapter == nil {
 		adapter = &Adapter{
@@ -122,11 +122,11 @@
 	return n, nil
 }
 
-// newClock returns the clock that counts the time for which the machine is suspended.
+// newClock returns the clock that measures for how long the machine is suspended.
 func (n *Node) newClock() *suspend.Clock {
 	c, err := suspend.NewClock()
 	if err != nil {
-		logging.Part(n.log, "node").WithError(err).Warn("time for which the machine is suspended doesn't count")
+		logging.Part(n.log, "node").WithError(err).Warn("suspended time of the machine is not measured")
 	}
 	return c
 }
@@ -143,7 +143,7 @@
 	return keys, nil
 }
 
-// address names this node in the fleet.
+// address returns the address that identifies this node in the fleet.
 func (n *Node) address() string {
 	if !n.set.PeerListen().IsValid() {
 		return n.set.EntryListen().String()
@@ -176,14 +176,14 @@
 	}
 }
 
-// announce tells a peer that this node has learned new values, where datagrams can.
+// announce notifies a peer that this node has new values, if the nodes exchange datagrams.
 func (n *Node) announce(peer string) {
 	if n.messenger != nil {
 		n.messenger.announce(peer)
 	}
 }
 
-// makeControllers makes the controllers.
+// makeControllers creates the controllers.
 func (n *Node) makeControllers() {
 	collector := outlier.NewCollector(ejectionInterval)
 	n.ejection = newEjectionController(n.board, collector, logging.Part(n.log, "judging"))
@@ -202,7 +202,7 @@
 		isolated:    n.gossip.CutOff,
 		platformAge: n.gossip.PlatformAge,
 		seeds:       len(n.set.Seeds()),
-		// An adapter's reads are never stale.
+		// Reads of an adapter are never stale.
 		peersCompared: n.adapter.Silent > 0,
 	}
 	window, excess, slack := n.set.Workspaces().Tolerance()
@@ -225,7 +225,7 @@
 	}
 }
 
-// applyConfig takes each new state of the replica.
+// applyConfig applies each new configuration of the replica.
 func (n *Node) applyConfig(c *fleetconfig.Config, refusals []fleetconfig.Refusal) {
 	log := logging.Part(n.log, "config")
 	n.metrics.Gauge("config_revision", float64(c.Position().Revision()))
@@ -246,8 +246,7 @@
 	n.board.pruneSignals(time.Now(), c)
 }
 
-// logEvacuations writes a line for each data hall whose evacuation begins or ends with a
-// configuration.
+// logEvacuations logs each data hall whose evacuation begins or ends with a configuration.
 func (n *Node) logEvacuations(log *logrus.Entry, c *fleetconfig.Config) {
 	now := c.Evacuations()
 	var before []string
@@ -267,27 +266,27 @@
 	}
 }
 
-// Sync serves dissemination to peers.
+// Sync serves the exchange of configuration with peers.
 func (n *Node) Sync(ctx context.Context, in *wire.SyncRequest) (*wire.SyncReply, error) {
 	return n.gossip.Sync(ctx, in)
 }
 
-// Observe serves evidence of peers.
+// Observe serves reports of evidence of peers.
 func (n *Node) Observe(_ context.Context, in *wire.ReportBatch) (*wire.Receipt, error) {
 	n.members.recordMessage(in.GetFrom())
 	n.evidence.observe(time.Now(), in)
 	return &wire.Receipt{}, nil
 }
 
-// Judge serves verdicts of observers.
+// Judge serves ejection decisions of observers.
 func (n *Node) Judge(_ context.Context, in *wire.VerdictBatch) (*wire.Receipt, error) {
 	n.members.recordMessage(in.GetFrom())
 	n.evidence.handleVerdicts(time.Now(), in)
 	return &wire.Receipt{}, nil
 }
 
-// Run serves until a planned stop has finished or the context ends. The end of
-// the context stops at once; Drain stops after all requests in flight.
+// Run serves until a planned stop has finished or the context ends. The end of the context stops at
+// once; Drain stops after all requests in flight.
 func (n *Node) Run(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -383,8 +382,8 @@
 	}
 }
 
-// StoppedError is a part of a node that ended though nobody asked it to.
+// StoppedError is the error of a controller or server that returned while the node was running.
 type StoppedError struct{}
 
-// Error says that a part ended.
-func (*StoppedError) Error() string { return "node: a part ended unasked" }
+// Error describes the stop.
+func (*StoppedError) Error() string { return "node: a controller or server stopped unexpectedly" }
--- a/internal/node/observer.go
+++ b/internal/node/observer.go
@@ -10,18 +10,18 @@
 	"ploverjunction.example/ploverjunction/internal/wire"
 )
 
-// observedService is one service that this node observes for its data hall.
+// observedService is the state of one service that this node observes for its data hall.
 type observedService struct {
 	observer   *outlier.Observer
 	config     *fleetconfig.Service
 	byKey      map[uint32]string
 	lastReport time.Time
-	// lastSummary is when the last summary went out.
+	// lastSummary is when the last summary was sent.
 	lastSummary time.Time
 }
 
-// observe takes the reports of one node as an observer. Any node that reports
-// come to serves as one: the sender may know the fleet better.
+// observe adds the reports of one node. Any node that receives reports serves as an observer: the
+// sender may have a newer view of the fleet.
 func (o *evidenceController) observe(now time.Time, in *wire.ReportBatch) {
 	cfg := o.board.currentConfig()
 	if cfg == nil {
@@ -61,7 +61,7 @@
 	s.observer.Report(now, from.GetAddress(), from.GetDataHall(), c)
 }
 
-// observedService returns the state for a service, in its newest configuration.
+// observedService returns the state of a service, in its newest configuration.
 func (o *evidenceController) observedService(sc *fleetconfig.Service) *observedService {
 	s := o.observedServices[sc.Name()]
 	if s != nil && s.config == sc {
@@ -90,8 +90,8 @@
 	return s
 }
 
-// advance judges all observed services. It returns the summaries for the
-// observers of the other data halls and the new verdicts.
+// advance evaluates all observed services. It returns the summaries for the observers of the other
+// data halls and the new ejection decisions.
 func (o *evidenceController) advance(now time.Time) (map[string][]*wire.Report, []outlier.Verdict) {
 	view := o.board.view.Load()
 	halls := view.DataHalls()
@@ -119,8 +119,8 @@
 	return summaries, verdicts
 }
 
-// summary returns what the other data halls should know, or nil if that can wait
-// for the slow tick.
+// summary returns the evidence for the other data halls, or nil if it is not urgent and the slow
+// interval has not passed.
 func (s *observedService) summary(now time.Time, slow time.Duration) *wire.Report {
 	if !s.observer.Urgent() && now.Sub(s.lastSummary) < slow {
 		return nil
--- a/internal/node/prober.go
+++ b/internal/node/prober.go
@@ -25,10 +25,9 @@
 	probesPerHost = 1
 )
 
-// prober asks the health endpoints of targets whether they are leaving. One
-// node of the fleet probes the targets of a service. A probe's answer never
-// clears a target and its failure never condemns one: such endpoints answer
-// while real work stalls.
+// prober requests the health endpoints of targets to find those that are draining. One node of the
+// fleet probes the targets of a service. The answer of a probe never clears a target and its
+// failure never ejects one: such endpoints answer while real requests stall.
 type prober struct {
 	board    *Board
 	report   func(now time.Time, evidence []outlier.Evidence)
@@ -95,7 +94,7 @@
 		}
 	}
 	if err := all.Wait(); err != nil {
-		p.log.WithError(err).Debug("probes without answer")
+		p.log.WithError(err).Debug("probes failed")
 	}
 }
 
--- a/internal/node/quarantine.go
+++ b/internal/node/quarantine.go
@@ -240,7 +240,7 @@
 	for _, w := range in.GetRecords() {
 		r, ok := recordOfWire(now, w)
 		if !ok {
-			q.log.WithField("peer", peer).Warn("record of a request not understood")
+			q.log.WithField("peer", peer).Warn("invalid quarantine record")
 			continue
 		}
 		q.change(now, peer, func() []quarantine.Record { return q.ledger.Learn(now, r) })
--- a/internal/node/reload.go
+++ b/internal/node/reload.go
@@ -9,10 +9,10 @@
 	"ploverjunction.example/ploverjunction/internal/settings"
 )
 
-// Reload takes settings that were read again, or the fault in them. Seeds, the log
-// level and the wait of a planned stop take effect at once; what needs other ports
-// or parts takes effect at the next start and is named in the log. Faulty settings
-// change nothing. It may be called concurrently with Run.
+// Reload applies settings that were read again, or logs the error in them. Seeds, the log level and
+// the wait of a planned stop take effect at once; a change that needs other ports or controllers
+// takes effect at the next start and is logged. Invalid settings change nothing. It may be called
+// concurrently with Run.
 func (n *Node) Reload(set *settings.Settings, err error) {
 	log := logging.Part(n.log, "settings")
 	if err != nil {
--- a/internal/node/socket.go
+++ b/internal/node/socket.go
@@ -11,7 +11,7 @@
 	"ploverjunction.example/ploverjunction/internal/settings"
 )
 
-// openSocket opens the socket for datagrams and makes the controllers that use it.
+// openSocket opens the socket for datagrams and creates the controllers that use it.
 func (n *Node) openSocket() error {
 	if !n.set.PeerListen().IsValid() || n.set.PeerListen().Port() == 0 {
 		return nil
--- a/internal/node/source.go
+++ b/internal/node/source.go
@@ -54,7 +54,7 @@
 	})
 }
 
-// logSuperseded writes a line for each value that was read and did not replace the known one.
+// logSuperseded logs each value that was read and did not replace the local one.
 func (n *Node) logSuperseded(log logrus.FieldLogger, entries []*wire.Entry) {
 	for _, e := range entries {
 		read, kept := fleetconfig.MarkOf(e), fleetconfig.MarkOf(n.replica.Newest(e.GetKey()))
@@ -73,7 +73,7 @@
 		WithField("kept", kept.Written().String()).WithField("kept_sequence", kept.Stamp().Sequence())
 }
 
-// ageMS returns an age in milliseconds, -1 for what was never heard.
+// ageMS returns an age in milliseconds, -1 for never.
 func ageMS(age time.Duration) int64 {
 	if age > time.Hour {
 		return -1
@@ -81,8 +81,8 @@
 	return age.Milliseconds()
 }
 
-// reader reports whether this node should read the platform: it has the role, or
-// nobody seems to do it.
+// reader reports whether this node should read the platform: it has the role, or no node seems to
+// read.
 func (n *Node) reader() bool {
 	now := time.Now()
 	view := n.board.view.Load()
@@ -96,14 +96,14 @@
 			silent && up > startPlatformTimeout && readsByChance(view)
 	}
 	if silent && slices.Contains(n.seeds(), n.address()) {
-		// When the whole fleet starts the others ask the seeds.
+		// When the whole fleet starts the other nodes read from the seeds.
 		return true
 	}
 	return up > discoveryTime && (hasRole(view, fleetReaders(view)) || silent && readsByChance(view))
 }
 
-// platformTimeout returns after how long without an answer of the platform to any node any node may
-// read it.
+// platformTimeout returns the time without an answer of the platform to any node after which any
+// node may read it.
 func (n *Node) platformTimeout() time.Duration {
 	if n.adapter.Silent > 0 {
 		return n.adapter.Silent
@@ -111,21 +111,21 @@
 	return platformTimeout
 }
 
-// readsByChance reports, by chance, whether this node reads though others have the role. All
-// nodes come here when the platform is down for long: as many of them ask at a
-// time, on average, however large the fleet is.
+// readsByChance reports, at random, whether this node reads though others have the role. While the
+// platform is down for long all nodes get here: on average one of them reads at a time, however
+// large the fleet is.
 func readsByChance(view *membership.View) bool { return rand.IntN(len(view.Live())) == 0 }
 
-// discoveryTime is how long a node that has just started looks for others before it
-// takes up roles or believes that nobody reads.
+// discoveryTime is how long a node that has just started looks for others before it takes roles or
+// assumes that no node reads.
 const discoveryTime = 500 * time.Millisecond
 
 func hasRole(view *membership.View, holders []membership.Node) bool {
 	return slices.Contains(holders, view.Self())
 }
 
-// fleetReaders returns the two nodes that read for the whole fleet: the first in
-// rank and the first of the other data halls.
+// fleetReaders returns the two nodes that read for the whole fleet: the first in rank and the first
+// in rank of the other data halls.
 func fleetReaders(view *membership.View) []membership.Node {
 	ranked := view.Role("reader", "", len(view.Live()))
 	for _, other := range ranked {
--- a/internal/node/status.go
+++ b/internal/node/status.go
@@ -20,8 +20,8 @@
 	return r.ready, r.reason
 }
 
-// status describes the node for operators; brief leaves out what grows with the
-// fleet and its configuration.
+// status returns the status of the node; brief omits what grows with the fleet and its
+// configuration.
 func (n *Node) status(brief bool) *operator.Status {
 	ready, reason := n.ready()
 	s := &operator.Status{
@@ -104,7 +104,7 @@
 	return out
 }
 
-// serviceStatus describes a service, or gives nil for an unknown one.
+// serviceStatus returns the status of a service, or nil for an unknown one.
 func (n *Node) serviceStatus(name string) *operator.ServiceStatus {
 	all := n.ejection.pools(time.Now())
 	if all == nil || all.services[name] == nil {
@@ -134,7 +134,7 @@
 	return s
 }
 
-// explain says where a request would go.
+// explain returns how a request would be routed.
 func (n *Node) explain(q operator.Question) *operator.Explanation {
 	c := n.board.currentConfig()
 	if c == nil {
--- a/internal/node/stop.go
+++ b/internal/node/stop.go
@@ -22,8 +22,8 @@
 	}
 }
 
-// stop is the planned stop: the balancer is told first and callers are accepted
-// until it has had time to notice; then what is in flight ends in its own time.
+// stop is the planned stop: the load balancer is notified first, and callers are accepted until it
+// has had time to react; then the requests in flight run to their end.
 func (n *Node) stop(ctx context.Context) error {
 	log := logging.Part(n.log, "node")
 	log.Info("leaving")
@@ -45,12 +45,12 @@
 	return nil
 }
 
-// drainingFarPeers is how many nodes of each other data hall a leaving node tells by datagram.
+// drainingFarPeers is how many nodes of each other data hall a draining node notifies by datagram.
 const drainingFarPeers = 2
 
-// announceDraining tells peers: they must give this node's roles to others. Where datagrams carry the
-// news on, those of the own data hall and a few others are enough; a leaving node still fulfils
-// its roles until it ends.
+// announceDraining notifies peers, which must assign this node's roles to others. Where datagrams
+// spread membership updates, the nodes of the same data hall and a few others are enough; a
+// draining node fulfils its roles until it ends.
 func (n *Node) announceDraining(ctx context.Context) {
 	if n.peers == nil {
 		return
@@ -66,11 +66,11 @@
 		all.Go(ctx, "leave", func(ctx context.Context) error { return n.announceDrainingTo(ctx, p.Address()) })
 	}
 	if err := all.Wait(); err != nil {
-		logging.Part(n.log, "node").WithError(err).Debug("not all peers told")
+		logging.Part(n.log, "node").WithError(err).Debug("not all peers notified")
 	}
 }
 
-// drainingPeers returns the peers that a leaving node tells.
+// drainingPeers returns the peers that a draining node notifies.
 func drainingPeers(view *membership.View) []string {
 	var out []string
 	near, far := view.Halls()
--- a/internal/node/verdicts.go
+++ b/internal/node/verdicts.go
@@ -12,8 +12,8 @@
 	"ploverjunction.example/ploverjunction/internal/wire"
 )
 
-// announce takes new verdicts to all nodes of the data hall. Verdicts are rare;
-// a lost one is found by the node's own evidence.
+// announce sends new ejection decisions to all nodes of the data hall. They are rare; a node that
+// misses one ejects the target on its own evidence.
 func (o *evidenceController) announce(ctx context.Context, calls *task.Group, now time.Time, verdicts []outlier.Verdict) {
 	if len(verdicts) == 0 {
 		return
@@ -50,8 +50,8 @@
 	}
 }
 
-// handleVerdicts takes the verdicts of an observer. Only an observer of this node's data
-// hall, by this node's own view of the fleet, is believed.
+// handleVerdicts applies the ejection decisions of a node, if that is an observer of this node's
+// data hall by this node's own view of the fleet.
 func (o *evidenceController) handleVerdicts(now time.Time, in *wire.VerdictBatch) {
 	for _, v := range in.GetVerdicts() {
 		if !o.hasRole(in.GetFrom(), v.GetService()) {
@@ -66,8 +66,8 @@
 	}
 }
 
-// trustedRanks is how far down the order of observers a sender may stand: views
-// differ by the nodes that just one of them suspects.
+// trustedRanks is up to which rank an observer's ejection decisions are accepted: views differ by
+// nodes that only one of them suspects.
 const trustedRanks = 3
 
 func (o *evidenceController) hasRole(from *wire.Node, service string) bool {
