--- a/internal/task/task_test.go
+++ b/internal/task/task_test.go
@@ -23,7 +23,7 @@
 	// Output: wait <nil>
 }
 
-func TestPanicIsAnEnd(t *testing.T) {
+func TestPanicEndsTaskWithError(t *testing.T) {
 	err := <-task.Go(t.Context(), "bad", func(context.Context) error { panic("no") }).Done()
 	var pe *task.PanicError
 	if !errors.As(err, &pe) || !strings.Contains(err.Error(), "bad panicked: no") {
