--- a/internal/blackboard/blackboard_test.go
+++ b/internal/blackboard/blackboard_test.go
@@ -19,7 +19,7 @@
 	// Output: 1
 }
 
-func TestNoChangeIsMissed(t *testing.T) {
+func TestWatchMissesNoChange(t *testing.T) {
 	var s blackboard.Section[int]
 	if s.Load() != nil {
 		t.Fatal("an empty section holds a value")
