--- a/internal/task/group.go
+++ b/internal/task/group.go
@@ -8,8 +8,8 @@
 	"slices"
 )
 
-// Group owns several tasks and reads their ends. The zero value is empty and
-// ready. It isn't safe for concurrent use.
+// Group owns several tasks and collects their results. The zero value is empty and ready to use. It
+// is not safe for concurrent use.
 type Group struct {
 	tasks []*Task
 }
@@ -19,7 +19,7 @@
 	g.tasks = append(g.tasks, Go(ctx, name, fn))
 }
 
-// Reap drops the tasks that have ended and returns their errors, joined.
+// Reap removes the tasks that have ended and returns their errors, joined.
 func (g *Group) Reap() error {
 	var err error
 	g.tasks = slices.DeleteFunc(g.tasks, func(t *Task) bool {
@@ -34,7 +34,7 @@
 	return err
 }
 
-// Len returns the number of tasks whose end was not read yet.
+// Len returns the number of tasks whose result was not collected yet.
 func (g *Group) Len() int { return len(g.tasks) }
 
 // Wait waits for all tasks and returns their errors, joined.
--- a/internal/task/task.go
+++ b/internal/task/task.go
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package task starts goroutines whose end is reported to their owner.
+// Package task runs goroutines that report their result to an owner.
 package task
 
 import (
@@ -9,28 +9,27 @@
 	"runtime/debug"
 )
 
-// PanicError is the end of a task that panicked.
+// PanicError is the error of a task that panicked.
 type PanicError struct {
 	name  string
 	value any
 	stack []byte
 }
 
-// Error describes the panic and where it happened.
+// Error describes the panic, with its stack.
 func (e *PanicError) Error() string {
 	return fmt.Sprintf("task: %s panicked: %v\n%s", e.name, e.value, e.stack)
 }
 
-// Task is one running goroutine. Its methods may be called concurrently.
+// Task is a running goroutine. Its methods may be called concurrently.
 type Task struct {
 	name   string
 	cancel context.CancelFunc
 	done   chan error
 }
 
-// Go starts fn in a goroutine of its own. The task ends when fn returns; fn must
-// return soon after its context ends. A panic in fn ends the task with a
-// *PanicError.
+// Go runs fn in a new goroutine. The task ends when fn returns; fn must return soon after its
+// context ends. A panic in fn ends the task with a *PanicError.
 func Go(ctx context.Context, name string, fn func(ctx context.Context) error) *Task {
 	ctx, cancel := context.WithCancel(ctx)
 	t := &Task{
@@ -63,14 +62,14 @@
 	return t.name
 }
 
-// Done returns the channel that carries the end of the task once and is then
-// closed. One owner reads it.
+// Done returns the channel that receives the error of the task once and is then closed. Only the
+// task's owner reads it.
 func (t *Task) Done() <-chan error {
 	return t.done
 }
 
-// Stop ends the context of the task, waits for its end and returns it. It must
-// not be called by a second owner: the end is reported once.
+// Stop cancels the context of the task, waits for its end and returns its error. Only the task's
+// owner may call it, since the error is sent once.
 func (t *Task) Stop() error {
 	t.cancel()
 	return <-t.done
