--- a/internal/node/allocator.go
+++ b/internal/node/allocator.go
@@ -35,7 +35,7 @@
 }()
 
 // allocate answers the token request of a node in one of its incarnations.
-func (l *limitController) allocate(now time.Time, node string, life uint64, in *wire.Draw) *wire.Allot {
+func (l *limitController) allocate(now time.Time, node string, incarnation uint64, in *wire.Draw) *wire.Allot {
 	out := &wire.Allot{
 		By: l.incarnation,
 	}
@@ -50,7 +50,7 @@
 		if able {
 			if w := c.Workspace(u.GetWorkspace()); w != nil && w.Rate() > 0 {
 				limit, _ := limitOf(w)
-				fillAllotment(a, l.allocator.Report(now, w.ID(), limit, node, life, reportOfWire(u)))
+				fillAllotment(a, l.allocator.Report(now, w.ID(), limit, node, incarnation, reportOfWire(u)))
 			}
 		}
 		out.Allotments = append(out.Allotments, a)
