--- a/internal/node/allocator.go
+++ b/internal/node/allocator.go
@@ -40,14 +40,14 @@
 		By: l.incarnation,
 	}
 	c := l.board.currentConfig()
-	able := c != nil && l.mayAllocate(now)
+	allocating := c != nil && l.mayAllocate(now)
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, u := range in.GetUsages() {
 		a := &wire.Allotment{
 			Declined: true,
 		}
-		if able {
+		if allocating {
 			if w := c.Workspace(u.GetWorkspace()); w != nil && w.Rate() > 0 {
 				limit, _ := limitOf(w)
 				fillAllotment(a, l.allocator.Report(now, w.ID(), limit, node, incarnation, reportOfWire(u)))
