--- a/internal/node/allocator.go
+++ b/internal/node/allocator.go
@@ -79,21 +79,21 @@
 		call: in.GetCall(),
 	}
 	l.mu.Lock()
-	known := l.tokenAnswers[key]
+	answer := l.tokenAnswers[key]
 	l.mu.Unlock()
-	if known == nil {
-		known = &tokenAnswer{
+	if answer == nil {
+		answer = &tokenAnswer{
 			at:    now,
 			allot: l.allocate(now, key.node, in.GetFrom().GetIncarnation(), in.GetDraw()),
 		}
 		l.mu.Lock()
-		l.tokenAnswers[key] = known
+		l.tokenAnswers[key] = answer
 		l.mu.Unlock()
 	}
 	l.messenger.send(key.node, &wire.Datagram{
 		Call: in.GetCall(),
 		Body: &wire.Datagram_Allot{
-			Allot: known.allot,
+			Allot: answer.allot,
 		},
 	})
 }
