--- a/internal/node/ejection.go
+++ b/internal/node/ejection.go
@@ -146,20 +146,20 @@
 func (s *serviceState) configure(now time.Time, sc *fleetconfig.Service) {
 	s.config = sc
 	s.byKey = map[uint32]string{}
-	known := map[string]bool{}
+	published := map[string]bool{}
 	addresses := make([]string, len(sc.Targets()))
 	for i, t := range sc.Targets() {
 		addresses[i] = t.Key()
-		known[t.Key()] = true
+		published[t.Key()] = true
 		s.byKey[outlier.Key(t.Key())] = t.Key()
 		if s.gauges[t.Key()] == nil {
 			s.gauges[t.Key()] = &balance.Gauge{}
 		}
 	}
 	s.judge.SetTargets(now, addresses)
-	s.detector.Keep(known)
+	s.detector.Keep(published)
 	for a, g := range s.gauges {
-		if !known[a] && g.InFlight() == 0 {
+		if !published[a] && g.InFlight() == 0 {
 			delete(s.gauges, a)
 		}
 	}
