--- a/internal/node/grantrequest.go
+++ b/internal/node/grantrequest.go
@@ -130,13 +130,13 @@
 
 // requestFromPartition requests a grant from the dispatcher of a partition, and from the next in
 // rank if it does not answer.
-func (d *dispatchController) requestFromPartition(ctx context.Context, q *entry.Query, p partition, tries int, passing bool) reply {
+func (d *dispatchController) requestFromPartition(ctx context.Context, q *entry.Query, p partition, tries int, nonQueueing bool) reply {
 	for range tries {
 		node, ok := d.dispatcher(p)
 		if !ok {
 			return reply{}
 		}
-		g, answered := d.requestFrom(ctx, node.Address(), q, p, passing)
+		g, answered := d.requestFrom(ctx, node.Address(), q, p, nonQueueing)
 		if ctx.Err() != nil {
 			return reply{
 				err: noTargetCause(ctx),
