--- a/internal/node/grantrequest.go
+++ b/internal/node/grantrequest.go
@@ -183,11 +183,11 @@
 }
 
 // requestFrom requests a grant from one dispatcher and waits for the final answer.
-func (d *dispatchController) requestFrom(ctx context.Context, peer string, q *entry.Query, p partition, passing bool) (numberedGrant, bool) {
+func (d *dispatchController) requestFrom(ctx context.Context, peer string, q *entry.Query, p partition, nonQueueing bool) (numberedGrant, bool) {
 	id, answers, end := d.messenger.call()
 	defer end()
 	refused := d.takeRefused(p.service)
-	send := func() { d.sendGrantRequest(peer, id, q, p, passing, refused) }
+	send := func() { d.sendGrantRequest(peer, id, q, p, nonQueueing, refused) }
 	send()
 	lastAnswer := time.Now()
 	resend := time.NewTicker(resendInterval)
