--- a/internal/node/grantrequest.go
+++ b/internal/node/grantrequest.go
@@ -252,7 +252,7 @@
 	return l
 }
 
-func (d *dispatchController) sendGrantRequest(peer string, id uint64, q *entry.Query, p partition, passing bool, refused int) {
+func (d *dispatchController) sendGrantRequest(peer string, id uint64, q *entry.Query, p partition, nonQueueing bool, refused int) {
 	now := time.Now()
 	spent := d.remoteGrants(peer, p)
 	unavailable := d.board.unavailable(now, d.newest(q.Service), p.hall)
@@ -262,7 +262,7 @@
 			Ask: &wire.Ask{
 				Service:     p.service,
 				DataHall:    p.hall,
-				Passing:     passing,
+				Passing:     nonQueueing,
 				Repeatable:  q.Repeatable,
 				Again:       q.Again,
 				Hedge:       q.Hedge,
