--- a/internal/node/grantrequest.go
+++ b/internal/node/grantrequest.go
@@ -254,7 +254,7 @@
 
 func (d *dispatchController) sendGrantRequest(peer string, id uint64, q *entry.Query, p partition, nonQueueing bool, refused int) {
 	now := time.Now()
-	spent := d.remoteGrants(peer, p)
+	remote := d.remoteGrants(peer, p)
 	unavailable := d.board.unavailable(now, d.newest(q.Service), p.hall)
 	out := &wire.Datagram{
 		Call: id,
@@ -279,8 +279,8 @@
 				ClosedHalls: d.board.closedHalls(q),
 				Limits:      d.board.limits(now, d.newest(q.Service), p.hall),
 
-				FirstsElsewhere:  uint32(spent.Firsts),
-				RepeatsElsewhere: uint32(spent.Repeats),
+				FirstsElsewhere:  uint32(remote.Firsts),
+				RepeatsElsewhere: uint32(remote.Repeats),
 			},
 		},
 	}
