--- a/internal/node/grantrequest.go
+++ b/internal/node/grantrequest.go
@@ -252,7 +252,7 @@
 	return l
 }
 
-func (d *dispatchController) sendGrantRequest(peer string, id uint64, q *entry.Query, p partition, nonQueueing bool, refused int) {
+func (d *dispatchController) sendGrantRequest(peer string, id uint64, q *entry.Query, p partition, nonQueueing bool, refusals int) {
 	now := time.Now()
 	remote := d.remoteGrants(peer, p)
 	unavailable := d.board.unavailable(now, d.newest(q.Service), p.hall)
@@ -275,7 +275,7 @@
 				Barred:      unavailable.backingOff[:min(len(unavailable.backingOff), maxTried)],
 				Leaving:     unavailable.draining[:min(len(unavailable.draining), maxTried)],
 				Route:       q.Route,
-				Refused:     uint32(refused),
+				Refused:     uint32(refusals),
 				ClosedHalls: d.board.closedHalls(q),
 				Limits:      d.board.limits(now, d.newest(q.Service), p.hall),
 
