--- a/internal/node/limits.go
+++ b/internal/node/limits.go
@@ -96,15 +96,15 @@
 	allot *wire.Allot
 }
 
-func newLimitController(board *Board, started time.Time, life uint64, t ratelimit.Tolerance, log *logrus.Entry) *limitController {
+func newLimitController(board *Board, started time.Time, incarnation uint64, t ratelimit.Tolerance, log *logrus.Entry) *limitController {
 	return &limitController{
 		board:             board,
 		limiter:           ratelimit.NewLimiter(started),
 		equal:             admission.NewLimiter(),
-		incarnation:       life,
+		incarnation:       incarnation,
 		started:           started,
 		log:               log,
-		allocator:         ratelimit.NewAllocator(life, started, t),
+		allocator:         ratelimit.NewAllocator(incarnation, started, t),
 		tokenAnswers:      map[tokenRequestKey]*tokenAnswer{},
 		unresponsiveUntil: map[string]time.Time{},
 		nodeIncarnations:  map[string]uint64{},
