--- a/internal/node/limits.go
+++ b/internal/node/limits.go
@@ -156,13 +156,13 @@
 )
 
 func (l *limitController) limitError(w *fleetconfig.Workspace, limit ratelimit.Limit, wait time.Duration, by string) *entry.LimitError {
-	told, at := l.limiter.Told(w.ID())
+	share, at := l.limiter.Told(w.ID())
 	e := &entry.LimitError{
 		Wait:  wait,
 		By:    by,
 		Rate:  limit.Rate,
-		Level: told.Level,
-		Kept:  told.Kept,
+		Level: share.Level,
+		Kept:  share.Kept,
 	}
 	if !at.IsZero() {
 		e.Age = time.Since(at)
