--- a/internal/node/partition.go
+++ b/internal/node/partition.go
@@ -60,15 +60,15 @@
 
 // halls returns the data halls by which a service is divided, or nil.
 func (d partitionings) halls(sc *fleetconfig.Service) []string {
-	known := d[sc.Name()]
-	if known.config != sc {
-		known = partitioning{
+	cached := d[sc.Name()]
+	if cached.config != sc {
+		cached = partitioning{
 			config:    sc,
 			dataHalls: dispatch.Divide(sc.HallSizes()),
 		}
-		d[sc.Name()] = known
+		d[sc.Name()] = cached
 	}
-	return known.dataHalls
+	return cached.dataHalls
 }
 
 // newest returns the service in force now, or s if there is none.
