--- a/internal/node/quarantine.go
+++ b/internal/node/quarantine.go
@@ -58,10 +58,10 @@
 	lastPruned   time.Time
 }
 
-func newQuarantineController(board *Board, begun time.Time, log *logrus.Entry) *quarantineController {
+func newQuarantineController(board *Board, started time.Time, log *logrus.Entry) *quarantineController {
 	return &quarantineController{
 		board:     board,
-		answers:   quarantine.NewAnswers(begun),
+		answers:   quarantine.NewAnswers(started),
 		log:       log,
 		setShared: func(int) {},
 		ledger:    quarantine.NewLedger(rand.Uint64()),
