--- a/internal/node/source.go
+++ b/internal/node/source.go
@@ -86,20 +86,20 @@
 func (n *Node) reader() bool {
 	now := time.Now()
 	view := n.board.view.Load()
-	age, up := n.gossip.PlatformAge(now), now.Sub(n.started)
+	age, uptime := n.gossip.PlatformAge(now), now.Sub(n.started)
 	if len(view.Peers()) == 0 && len(n.set.Seeds()) == 0 {
 		return true
 	}
 	silent := age > n.platformTimeout()
 	if n.adapter.Silent == 0 {
 		return hasRole(view, view.Role("reader", n.set.DataHall(), readersPerHall)) ||
-			silent && up > startPlatformTimeout && readsByChance(view)
+			silent && uptime > startPlatformTimeout && readsByChance(view)
 	}
 	if silent && slices.Contains(n.seeds(), n.address()) {
 		// When the whole fleet starts the other nodes read from the seeds.
 		return true
 	}
-	return up > discoveryTime && (hasRole(view, fleetReaders(view)) || silent && readsByChance(view))
+	return uptime > discoveryTime && (hasRole(view, fleetReaders(view)) || silent && readsByChance(view))
 }
 
 // platformTimeout returns the time without an answer of the platform to any node after which any
