--- a/internal/node/tokenrequest.go
+++ b/internal/node/tokenrequest.go
@@ -59,10 +59,10 @@
 	return l.allocatorIncarnations[peer]
 }
 
-func (l *limitController) setAllocatorIncarnation(peer string, life uint64) {
+func (l *limitController) setAllocatorIncarnation(peer string, incarnation uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.allocatorIncarnations[peer] = life
+	l.allocatorIncarnations[peer] = incarnation
 }
 
 // call sends a token request until it is answered, and returns nil if it is not.
