--- a/internal/node/tokenrequest.go
+++ b/internal/node/tokenrequest.go
@@ -145,21 +145,21 @@
 // run reports to allocators until the context ends. While nothing is limited it wakes once a
 // second, as a dispatcher without work does.
 func (l *limitController) run(ctx context.Context) error {
-	var draws task.Group
+	var reports task.Group
 	tick := time.NewTimer(reportCheckInterval)
 	defer tick.Stop()
 	forgot := time.Now()
 	for {
 		select {
 		case <-ctx.Done():
-			return draws.Wait()
+			return reports.Wait()
 		case now := <-tick.C:
-			l.report(ctx, &draws, now)
+			l.report(ctx, &reports, now)
 			l.maintain(now, now.Sub(forgot) > allocatorPruneInterval)
 			if now.Sub(forgot) > allocatorPruneInterval {
 				forgot = now
 			}
-			if err := draws.Reap(); err != nil {
+			if err := reports.Reap(); err != nil {
 				return err
 			}
 			if l.idle() {
