--- a/internal/node/tokenrequest.go
+++ b/internal/node/tokenrequest.go
@@ -148,16 +148,16 @@
 	var reports task.Group
 	tick := time.NewTimer(reportCheckInterval)
 	defer tick.Stop()
-	forgot := time.Now()
+	lastPruned := time.Now()
 	for {
 		select {
 		case <-ctx.Done():
 			return reports.Wait()
 		case now := <-tick.C:
 			l.report(ctx, &reports, now)
-			l.maintain(now, now.Sub(forgot) > allocatorPruneInterval)
-			if now.Sub(forgot) > allocatorPruneInterval {
-				forgot = now
+			l.maintain(now, now.Sub(lastPruned) > allocatorPruneInterval)
+			if now.Sub(lastPruned) > allocatorPruneInterval {
+				lastPruned = now
 			}
 			if err := reports.Reap(); err != nil {
 				return err
