--- a/internal/node/tokenrequest.go
+++ b/internal/node/tokenrequest.go
@@ -179,7 +179,7 @@
 }
 
 // report reports the workspaces that are due to allocators, several in one datagram.
-func (l *limitController) report(ctx context.Context, draws *task.Group, now time.Time) {
+func (l *limitController) report(ctx context.Context, reports *task.Group, now time.Time) {
 	byHolder := map[membership.Node][]string{}
 	for _, w := range l.limiter.Due(now) {
 		h := l.holder(w)
@@ -190,7 +190,7 @@
 			n := fittingCount(workspaces)
 			some := workspaces[:n]
 			workspaces = workspaces[n:]
-			draws.Go(ctx, "report limits", func(ctx context.Context) error {
+			reports.Go(ctx, "report limits", func(ctx context.Context) error {
 				_, _ = l.requestTokens(ctx, holder, some, 0)
 				return nil
 			})
