--- a/internal/node/tokenrequest.go
+++ b/internal/node/tokenrequest.go
@@ -188,10 +188,10 @@
 	for holder, workspaces := range byHolder {
 		for len(workspaces) > 0 {
 			n := fittingCount(workspaces)
-			some := workspaces[:n]
+			batch := workspaces[:n]
 			workspaces = workspaces[n:]
 			reports.Go(ctx, "report limits", func(ctx context.Context) error {
-				_, _ = l.requestTokens(ctx, holder, some, 0)
+				_, _ = l.requestTokens(ctx, holder, batch, 0)
 				return nil
 			})
 		}
