--- a/internal/node/closed_test.go
+++ b/internal/node/closed_test.go
@@ -94,7 +94,7 @@
 }
 
 // Guards against requests that wait though no data hall may serve them.
-func TestRequestThatNoDataHallMayServeIsRefusedAtOnce(t *testing.T) {
+func TestRequestWithoutOpenDataHallIsRefusedAtOnce(t *testing.T) {
 	tests := []struct {
 		name    string
 		closed  []string
--- a/internal/node/evidence_test.go
+++ b/internal/node/evidence_test.go
@@ -16,14 +16,14 @@
 	"ploverjunction.example/ploverjunction/internal/wire"
 )
 
-// cost is what a node's reports came to.
-type cost struct {
+// reportCost is what a node's reports came to.
+type reportCost struct {
 	bytes, calls, good, bad, sent float64
 }
 
-// reports drives the reports of one node of a fleet for some minutes. Requests
+// runReports drives the reports of one node of a fleet for some minutes. Requests
 // go to random targets of random services; badShare of them are bad.
-func reports(nodes, halls, services, perService int, rate, badShare float64, minutes int) cost {
+func runReports(nodes, halls, services, perService int, rate, badShare float64, minutes int) reportCost {
 	var list []membership.Node
 	for i := range nodes {
 		list = append(list, membership.NewNode(fmt.Sprintf("192.0.%d.%d:1", i/250, i%250), fmt.Sprint("hall", i%halls)))
@@ -31,7 +31,7 @@
 	r := node.NewReporter(list[0], list)
 	rng := rand.New(rand.NewPCG(1, 2))
 	const tick = 250 * time.Millisecond
-	var c cost
+	var c reportCost
 	start := time.Unix(1_000_000, 0)
 	steps := minutes * int(time.Minute/tick)
 	for i := range steps {
@@ -98,7 +98,7 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			got := reports(c.nodes, 9, c.services, 30, c.rate, 0.005, 10)
+			got := runReports(c.nodes, 9, c.services, 30, c.rate, 0.005, 10)
 			t.Logf("%.0f B/s in %.1f calls/s, %.0f of %.0f good requests reported", got.bytes, got.calls, got.good, got.sent)
 			if got.bytes > c.most {
 				t.Errorf("%.0f B/s, want at most %.0f", got.bytes, c.most)
--- a/internal/node/freshness_test.go
+++ b/internal/node/freshness_test.go
@@ -42,7 +42,7 @@
 }
 
 // Who waits for news asks peers, and goes on as soon as there is some.
-func TestAwaitNews(t *testing.T) {
+func TestAwaitCurrentConfiguration(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		begun := time.Now()
 		heard, agreed := begun.Add(-time.Minute), begun
--- a/internal/node/limits_test.go
+++ b/internal/node/limits_test.go
@@ -19,8 +19,8 @@
 	"ploverjunction.example/ploverjunction/internal/wire"
 )
 
-// limited is a fleet whose nodes keep the limit of the workspace brokers together.
-type limited struct {
+// limitedFleet is a fleet whose nodes keep the limit of the workspace brokers together.
+type limitedFleet struct {
 	ctx    context.Context
 	nodes  map[string]*node.LimitedNode
 	order  []string
@@ -36,9 +36,9 @@
 
 const brokers = "brokers"
 
-func newLimited(ctx context.Context, t *testing.T, nodes int, rate float64) *limited {
+func newLimitedFleet(ctx context.Context, t *testing.T, nodes int, rate float64) *limitedFleet {
 	t.Helper()
-	f := &limited{
+	f := &limitedFleet{
 		ctx:    ctx,
 		nodes:  map[string]*node.LimitedNode{},
 		random: rand.New(rand.NewPCG(1, 2)),
@@ -70,7 +70,7 @@
 }
 
 // send carries a datagram in a millisecond, unless it is lost.
-func (f *limited) send(from, to string, d *wire.Datagram) {
+func (f *limitedFleet) send(from, to string, d *wire.Datagram) {
 	f.mu.Lock()
 	f.bytes += proto.Size(d)
 	lost := f.cut[from] || f.cut[to] || f.random.Float64() < f.loss
@@ -82,7 +82,7 @@
 }
 
 // start runs all nodes, which hear each other several times a second.
-func (f *limited) start(t *testing.T) {
+func (f *limitedFleet) start(t *testing.T) {
 	t.Helper()
 	var tasks task.Group
 	ctx, cancel := context.WithCancel(f.ctx)
@@ -117,21 +117,21 @@
 	})
 }
 
-func (f *limited) sent() int {
+func (f *limitedFleet) bytesSent() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.bytes
 }
 
-func (f *limited) setCut(node string, cut bool) {
+func (f *limitedFleet) setCut(node string, cut bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.cut[node] = cut
 }
 
-// ask plays requests that come to random nodes at a rate, for some time, and returns how
+// play plays requests that come to random nodes at a rate, for some time, and returns how
 // many were admitted of how many, and the greatest time that one waited.
-func (f *limited) ask(nodes []string, rate float64, length time.Duration) (admitted, requests int, waited time.Duration) {
+func (f *limitedFleet) play(nodes []string, rate float64, length time.Duration) (admitted, requests int, waited time.Duration) {
 	random := rand.New(rand.NewPCG(3, 4))
 	var mu sync.Mutex
 	var wg sync.WaitGroup
@@ -156,15 +156,15 @@
 
 // Below its limit a workspace isn't refused, on whichever nodes its callers are; above it
 // the limit goes through, and no request waits long for that word.
-func TestFleetKeepsALimit(t *testing.T) {
+func TestFleetEnforcesLimit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newLimited(t.Context(), t, 20, 50)
+		f := newLimitedFleet(t.Context(), t, 20, 50)
 		f.start(t)
-		admitted, requests, waited := f.ask(f.order, 30, 20*time.Second)
+		admitted, requests, waited := f.play(f.order, 30, 20*time.Second)
 		if admitted < requests || waited > 10*time.Millisecond {
 			t.Errorf("%d of %d requests admitted below the limit, in at most %v", admitted, requests, waited)
 		}
-		admitted, requests, waited = f.ask(f.order[:5], 200, 20*time.Second)
+		admitted, requests, waited = f.play(f.order[:5], 200, 20*time.Second)
 		if admitted < 20*50*95/100 || admitted > 20*50+150 || waited > 10*time.Millisecond {
 			t.Errorf("%d of %d requests admitted above the limit, in at most %v", admitted, requests, waited)
 		}
@@ -179,10 +179,10 @@
 // Lost datagrams are sent again, and the same one takes no tokens twice.
 func TestLimitWithLostDatagrams(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newLimited(t.Context(), t, 20, 50)
+		f := newLimitedFleet(t.Context(), t, 20, 50)
 		f.loss = 0.1
 		f.start(t)
-		admitted, requests, _ := f.ask(f.order, 30, 30*time.Second)
+		admitted, requests, _ := f.play(f.order, 30, 30*time.Second)
 		if admitted < requests*995/1000 {
 			t.Errorf("%d of %d requests admitted below the limit", admitted, requests)
 		}
@@ -191,14 +191,14 @@
 
 // A node that is cut off goes on at what its callers asked before, and the fleet without
 // its allocator goes on until it knows that it is gone.
-func TestLimitOfCutOffNodes(t *testing.T) {
+func TestLimitOfIsolatedNodes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newLimited(t.Context(), t, 12, 60)
+		f := newLimitedFleet(t.Context(), t, 12, 60)
 		f.start(t)
-		f.ask(f.order, 30, 15*time.Second)
+		f.play(f.order, 30, 15*time.Second)
 		holder := f.nodes[f.order[0]].Holder(brokers)
 		f.setCut(holder, true)
-		admitted, requests, waited := f.ask(f.order, 30, 1200*time.Millisecond)
+		admitted, requests, waited := f.play(f.order, 30, 1200*time.Millisecond)
 		if admitted < requests*9/10 || waited > 100*time.Millisecond {
 			t.Errorf("%d of %d requests admitted without the allocator, in at most %v", admitted, requests, waited)
 		}
@@ -207,11 +207,11 @@
 				n.Lost(holder)
 			}
 		}
-		admitted, requests, _ = f.ask([]string{holder}, 2.5, 6*time.Second)
+		admitted, requests, _ = f.play([]string{holder}, 2.5, 6*time.Second)
 		if admitted < requests*8/10 {
 			t.Errorf("%d of %d requests admitted on the node that is cut off", admitted, requests)
 		}
-		admitted, _, _ = f.ask([]string{holder}, 300, 10*time.Second)
+		admitted, _, _ = f.play([]string{holder}, 300, 10*time.Second)
 		if admitted > 10*60/4 {
 			t.Errorf("%d requests admitted in ten seconds on a node that lost the fleet, of 60 a second for all", admitted)
 		}
@@ -219,10 +219,10 @@
 }
 
 // A node that has met nobody yet gives out no whole limit.
-func TestLimitOfANodeThatStarts(t *testing.T) {
+func TestLimitOfStartingNode(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newLimited(t.Context(), t, 1, 100)
-		admitted, _, _ := f.ask(f.order, 200, 5*time.Second)
+		f := newLimitedFleet(t.Context(), t, 1, 100)
+		admitted, _, _ := f.play(f.order, 200, 5*time.Second)
 		if admitted > 5*100/20 {
 			t.Errorf("%d requests admitted by a node that knows no other", admitted)
 		}
@@ -231,9 +231,9 @@
 
 // After all nodes started at once, requests wait until they have met; on one that meets
 // nobody not for longer than their callers have patience.
-func TestRequestsWaitWhileNodesMeet(t *testing.T) {
+func TestRequestsWaitWhileNodesConnect(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newLimited(t.Context(), t, 12, 60)
+		f := newLimitedFleet(t.Context(), t, 12, 60)
 		for _, n := range f.order {
 			f.setCut(n, true)
 		}
@@ -241,11 +241,11 @@
 		for _, n := range f.order[1:] {
 			time.AfterFunc(400*time.Millisecond, func() { f.setCut(n, false) })
 		}
-		admitted, requests, waited := f.ask(f.order[1:], 30, 800*time.Millisecond)
+		admitted, requests, waited := f.play(f.order[1:], 30, 800*time.Millisecond)
 		if admitted < requests*95/100 || waited > node.Patience+100*time.Millisecond {
 			t.Errorf("%d of %d requests admitted below the limit, in at most %v", admitted, requests, waited)
 		}
-		admitted, _, waited = f.ask(f.order[:1], 100, time.Second)
+		admitted, _, waited = f.play(f.order[:1], 100, time.Second)
 		if admitted > 2 || waited > node.Patience+100*time.Millisecond {
 			t.Errorf("%d requests admitted by a node that met nobody, in at most %v", admitted, waited)
 		}
@@ -253,14 +253,14 @@
 }
 
 // What the nodes tell each other about limits stays under 1 KB a second each.
-func TestBytesOfLimits(t *testing.T) {
+func TestLimitTraffic(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newLimited(t.Context(), t, 20, 50)
+		f := newLimitedFleet(t.Context(), t, 20, 50)
 		f.start(t)
-		before := f.sent()
+		before := f.bytesSent()
 		const length = 20 * time.Second
-		_, requests, _ := f.ask(f.order, 30, length)
-		each := float64(f.sent()-before) / length.Seconds() / float64(len(f.order))
+		_, requests, _ := f.play(f.order, 30, length)
+		each := float64(f.bytesSent()-before) / length.Seconds() / float64(len(f.order))
 		t.Logf("%.0f bytes a second and node, %.1f requests", each, float64(requests)/length.Seconds()/float64(len(f.order)))
 		if each > 1000 {
 			t.Errorf("%.0f bytes a second and node", each)
@@ -269,9 +269,9 @@
 }
 
 // A draw that comes twice takes its tokens once.
-func TestRepeatedDrawTakesNoTokensTwice(t *testing.T) {
+func TestResentTokenRequestTakesNoTokensTwice(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newLimited(t.Context(), t, 3, 20)
+		f := newLimitedFleet(t.Context(), t, 3, 20)
 		f.start(t)
 		time.Sleep(6 * time.Second)
 		holder := f.nodes[f.order[0]].Holder(brokers)
@@ -299,7 +299,7 @@
 		for range 10 {
 			f.nodes[holder].Receive(f.ctx, draw(1<<40))
 		}
-		admitted, requests, _ := f.ask([]string{holder}, 100, 50*time.Millisecond)
+		admitted, requests, _ := f.play([]string{holder}, 100, 50*time.Millisecond)
 		if admitted < min(requests, 4) {
 			t.Errorf("%d of %d requests admitted after 15 tokens of 20 were taken", admitted, requests)
 		}
@@ -307,7 +307,7 @@
 }
 
 // Guards against a node that has just begun, knows nobody yet and admits the limit of the whole fleet.
-func TestNodeThatBeginsHasItsPartOfALimit(t *testing.T) {
+func TestStartingNodeHasItsShareOfLimit(t *testing.T) {
 	const rate, seeds, most = 20, 3, 10
 	synctest.Test(t, func(t *testing.T) {
 		doc := &wire.Document{
--- a/internal/node/members_test.go
+++ b/internal/node/members_test.go
@@ -16,7 +16,7 @@
 
 // A fleet of 443 that starts brings few views to each of its nodes, and all of it is in
 // the last one.
-func TestViewsAreFewWhileAFleetStarts(t *testing.T) {
+func TestFewViewsDuringFleetStart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := node.NewMembers(membership.NewNode("192.0.2.1:1", "a"))
 		run := task.Go(context.Background(), "members", m.Run)
@@ -46,7 +46,7 @@
 }
 
 // One node more is in the view at once.
-func TestOneChangeIsSeenAtOnce(t *testing.T) {
+func TestSingleChangeIsPublishedAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := node.NewMembers(membership.NewNode("192.0.2.1:1", "a"))
 		time.Sleep(time.Second)
--- a/internal/node/partition_test.go
+++ b/internal/node/partition_test.go
@@ -35,7 +35,7 @@
 
 // The targets of the own data hall are taken first, and those of another one as soon as
 // none of them is free, though all are asked for at the same moment.
-func TestOtherDataHallServesWhatTheOwnCannot(t *testing.T) {
+func TestOverflowGoesToOtherDataHall(t *testing.T) {
 	const targets = 40
 	synctest.Test(t, func(t *testing.T) {
 		c := node.NewChooser("quotes", twoHalls(targets))
@@ -57,7 +57,7 @@
 
 // When nobody answers for the own data hall the dispatcher of the other one does, and
 // the node doesn't choose alone.
-func TestOtherPartAnswersForASilentOne(t *testing.T) {
+func TestOtherPartitionServesIfDispatchersDoNotAnswer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		first, second := membership.NewNode("192.0.2.2:1", "a"), membership.NewNode("192.0.2.3:1", "a")
 		other := membership.NewNode("192.0.2.4:1", "b")
@@ -90,7 +90,7 @@
 }
 
 // Nodes whose data hall has no targets are shared out over those that have.
-func TestNodesWithoutTargetsNearAreSharedOut(t *testing.T) {
+func TestNodesWithoutLocalTargetsAreDistributed(t *testing.T) {
 	homes := map[string]int{}
 	for i := range 100 {
 		self := membership.NewNode(fmt.Sprintf("192.0.2.%d:1", i), "c")
--- a/internal/node/quarantine_test.go
+++ b/internal/node/quarantine_test.go
@@ -19,8 +19,8 @@
 	"ploverjunction.example/ploverjunction/internal/wire"
 )
 
-// quarantined is a fleet whose nodes tell each other of requests under which targets ended.
-type quarantined struct {
+// quarantineFleet is a fleet whose nodes tell each other of requests under which targets ended.
+type quarantineFleet struct {
 	ctx   context.Context
 	all   []membership.Node
 	nodes map[string]*node.QuarantineNode
@@ -30,13 +30,13 @@
 	// loss is the share of lost datagrams, dead are nodes that receive nothing.
 	loss float64
 	dead map[string]bool
-	// told and bytes count the datagrams about requests, and their size.
-	told  int
-	bytes int
+	// updates and bytes count the datagrams about requests, and their size.
+	updates int
+	bytes   int
 }
 
-func newQuarantined(ctx context.Context, nodes int) *quarantined {
-	f := &quarantined{
+func newQuarantineFleet(ctx context.Context, nodes int) *quarantineFleet {
+	f := &quarantineFleet{
 		ctx:    ctx,
 		nodes:  map[string]*node.QuarantineNode{},
 		random: rand.New(rand.NewPCG(3, 4)),
@@ -46,13 +46,13 @@
 		f.all = append(f.all, membership.NewNode(fmt.Sprintf("192.0.%d.%d:1", i/200, i%200+1), "a"))
 	}
 	for _, n := range f.all {
-		f.begin(n)
+		f.restart(n)
 	}
 	return f
 }
 
-// begin starts a node anew.
-func (f *quarantined) begin(n membership.Node) *node.QuarantineNode {
+// restart starts a node anew.
+func (f *quarantineFleet) restart(n membership.Node) *node.QuarantineNode {
 	q := node.NewQuarantineNode(n, f.all, func(peer string, d *wire.Datagram) { f.send(peer, d) })
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -61,11 +61,11 @@
 }
 
 // send carries a datagram in a millisecond, unless it is lost.
-func (f *quarantined) send(to string, d *wire.Datagram) {
+func (f *quarantineFleet) send(to string, d *wire.Datagram) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if d.GetQuarantineNews() != nil {
-		f.told++
+		f.updates++
 		f.bytes += proto.Size(d)
 	}
 	if f.dead[to] || f.random.Float64() < f.loss {
@@ -74,14 +74,14 @@
 	time.AfterFunc(time.Millisecond, func() { f.at(to).Receive(f.ctx, d) })
 }
 
-func (f *quarantined) at(address string) *node.QuarantineNode {
+func (f *quarantineFleet) at(address string) *node.QuarantineNode {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.nodes[address]
 }
 
 // pings has each node ping another one each 200 ms, for a time.
-func (f *quarantined) pings(during time.Duration) {
+func (f *quarantineFleet) pings(during time.Duration) {
 	for begun := time.Now(); time.Since(begun) < during; time.Sleep(200 * time.Millisecond) {
 		for _, n := range f.all {
 			f.mu.Lock()
@@ -94,8 +94,8 @@
 	}
 }
 
-// holding counts the nodes that refuse a request.
-func (f *quarantined) holding(p quarantine.Prints) int {
+// refusing counts the nodes that refuse a request.
+func (f *quarantineFleet) refusing(p quarantine.Prints) int {
 	n := 0
 	for _, m := range f.all {
 		if f.at(m.Address()).Check(p).Held() {
@@ -105,9 +105,9 @@
 	return n
 }
 
-// threeEnds has three nodes see an end each under a request, and all hear of it.
-func (f *quarantined) threeEnds() quarantine.Prints {
-	p := harmful()
+// threeCrashes has three nodes see an end each under a request, and all hear of it.
+func (f *quarantineFleet) threeCrashes() quarantine.Prints {
+	p := crashingRequest()
 	for i := range 3 {
 		f.at(f.all[i].Address()).Ended(p, fmt.Sprint(i))
 	}
@@ -115,7 +115,7 @@
 	return p
 }
 
-func harmful() quarantine.Prints {
+func crashingRequest() quarantine.Prints {
 	return quarantine.NewPrints(quarantine.Request{
 		Method: "GET",
 		URI:    "/drafts/7f3d5a",
@@ -125,7 +125,7 @@
 
 // Three ends that three nodes saw, one each, are known to all nodes within a moment; to those
 // that missed the news within the time of some pings.
-func TestAllNodesLearnOfEnds(t *testing.T) {
+func TestAllNodesReceiveCrashes(t *testing.T) {
 	tests := []struct {
 		name   string
 		nodes  int
@@ -158,19 +158,19 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				f := newQuarantined(t.Context(), tt.nodes)
+				f := newQuarantineFleet(t.Context(), tt.nodes)
 				f.loss = tt.loss
-				p := harmful()
+				p := crashingRequest()
 				for i := range 3 {
 					f.at(f.all[i].Address()).Ended(p, fmt.Sprint(i))
 					f.pings(300 * time.Millisecond)
 				}
 				f.pings(tt.within)
-				if got := f.holding(p); got != tt.nodes {
+				if got := f.refusing(p); got != tt.nodes {
 					t.Errorf("%d of %d nodes refuse it after %v", got, tt.nodes, tt.within)
 				}
 				each := float64(f.bytes) / float64(tt.nodes)
-				t.Logf("%.1f datagrams and %.0f bytes a node", float64(f.told)/float64(tt.nodes), each)
+				t.Logf("%.1f datagrams and %.0f bytes a node", float64(f.updates)/float64(tt.nodes), each)
 				// What a node may send for control in a second.
 				if each > 6000 {
 					t.Errorf("%.0f bytes a node for one request", each)
@@ -181,13 +181,13 @@
 }
 
 // A node that begins anew knows what the others know before anyone may blame it.
-func TestNewNodeLearnsOfEnds(t *testing.T) {
+func TestNewNodeReceivesCrashes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newQuarantined(t.Context(), 40)
-		p := f.threeEnds()
+		f := newQuarantineFleet(t.Context(), 40)
+		p := f.threeCrashes()
 		// So few that it is still refused when the last of them starts.
 		for _, n := range f.all[:15] {
-			q := f.begin(n)
+			q := f.restart(n)
 			f.pings(2 * time.Second)
 			if !q.Check(p).Held() {
 				t.Fatalf("%s doesn't refuse it two seconds after its start", n.Address())
@@ -197,10 +197,10 @@
 }
 
 // The loss of a node that adds up costs nothing: two do.
-func TestLossOfWhoAddsUp(t *testing.T) {
+func TestLossOfHolder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newQuarantined(t.Context(), 10)
-		p := harmful()
+		f := newQuarantineFleet(t.Context(), 10)
+		p := crashingRequest()
 		for _, lost := range f.all {
 			f.mu.Lock()
 			f.dead = map[string]bool{
@@ -209,7 +209,7 @@
 			f.mu.Unlock()
 			var seen []*node.QuarantineNode
 			for _, n := range f.all {
-				q := f.begin(n)
+				q := f.restart(n)
 				if n != lost {
 					seen = append(seen, q)
 				}
@@ -219,7 +219,7 @@
 				f.pings(200 * time.Millisecond)
 			}
 			f.pings(time.Second)
-			if got := f.holding(p); got < len(f.all)-1 {
+			if got := f.refusing(p); got < len(f.all)-1 {
 				t.Errorf("without %s: %d of %d nodes refuse it", lost.Address(), got, len(f.all)-1)
 			}
 		}
@@ -228,17 +228,17 @@
 
 // What is answered anywhere is let go everywhere, and what many ask for is hardly refused
 // at all.
-func TestAnswersLetRequestsGo(t *testing.T) {
+func TestAnswerReleasesRequest(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newQuarantined(t.Context(), 40)
-		p := f.threeEnds()
-		if f.holding(p) != len(f.all) {
+		f := newQuarantineFleet(t.Context(), 40)
+		p := f.threeCrashes()
+		if f.refusing(p) != len(f.all) {
 			t.Fatal("it isn't refused")
 		}
 		// One that was on its way when the third target ended.
 		f.at(f.all[17].Address()).Answered(p)
 		f.pings(2 * time.Second)
-		if got := f.holding(p); got > 0 {
+		if got := f.refusing(p); got > 0 {
 			t.Errorf("%d nodes still refuse what was answered", got)
 		}
 		other := quarantine.NewPrints(quarantine.Request{
@@ -253,11 +253,11 @@
 		// A node that heard of the ends and missed that they don't count learns that by
 		// comparing.
 		f.pings(200 * time.Millisecond)
-		if got := f.holding(other); got > len(f.all)/10 {
+		if got := f.refusing(other); got > len(f.all)/10 {
 			t.Errorf("%d nodes refuse what was answered a moment before", got)
 		}
 		f.pings(2 * time.Second)
-		if got := f.holding(other); got > 0 {
+		if got := f.refusing(other); got > 0 {
 			t.Errorf("%d nodes still refuse what was answered before", got)
 		}
 	})
@@ -265,10 +265,10 @@
 
 // The loss of a data hall ends many targets with as many requests on each as they have slots.
 // No node has to hear of all of them.
-func TestLossOfADataHallIsCheap(t *testing.T) {
+func TestLossOfDataHallSendsFewBytes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const nodes, requests = 100, 3000
-		f := newQuarantined(t.Context(), nodes)
+		f := newQuarantineFleet(t.Context(), nodes)
 		for i := range requests {
 			f.at(f.all[i%nodes].Address()).Ended(quarantine.NewPrints(quarantine.Request{
 				Method: "GET",
@@ -285,20 +285,20 @@
 }
 
 // What is forgotten isn't told any more: once its time is over nodes send nothing about it.
-func TestOldEndsAreForgotten(t *testing.T) {
+func TestOldCrashesAreDropped(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newQuarantined(t.Context(), 10)
-		p := f.threeEnds()
+		f := newQuarantineFleet(t.Context(), 10)
+		p := f.threeCrashes()
 		time.Sleep(time.Hour)
 		f.pings(15 * time.Second)
 		f.mu.Lock()
-		before := f.told
+		before := f.updates
 		f.mu.Unlock()
 		f.pings(5 * time.Second)
 		f.mu.Lock()
 		defer f.mu.Unlock()
-		if f.told > before {
-			t.Errorf("%d datagrams about it after an hour", f.told-before)
+		if f.updates > before {
+			t.Errorf("%d datagrams about it after an hour", f.updates-before)
 		}
 		if s := f.nodes[f.all[0].Address()].Check(p); s.Suspect() {
 			t.Errorf("%d ends are still known", s.Ends)
--- a/internal/node/signals_test.go
+++ b/internal/node/signals_test.go
@@ -20,8 +20,8 @@
 	"ploverjunction.example/ploverjunction/internal/wire"
 )
 
-// saying returns a service with two targets in each of some data halls, id-a0, id-a1 and so on.
-func saying(halls string, each int) []*wire.Entry {
+// serviceWithTargets returns a service with two targets in each of some data halls, id-a0, id-a1 and so on.
+func serviceWithTargets(halls string, each int) []*wire.Entry {
 	var targets []string
 	for at, hall := range halls {
 		for i := range each {
@@ -40,9 +40,9 @@
 
 // A node that was told that a target leaves tells its own desk with the next ask, and gets
 // another one.
-func TestNodeTellsThatATargetLeaves(t *testing.T) {
+func TestNodeReportsDrainingTarget(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := node.NewChooser("quotes", saying("a", 2))
+		c := node.NewChooser("quotes", serviceWithTargets("a", 2))
 		c.Hear("id-a0", signal.Signal{
 			Draining: true,
 		})
@@ -60,9 +60,9 @@
 }
 
 // A word of leaving that comes with an answer reaches whoever granted the target.
-func TestEndTellsThatATargetLeaves(t *testing.T) {
+func TestDoneReportsDrainingTarget(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := node.NewChooser("quotes", saying("a", 2))
+		c := node.NewChooser("quotes", serviceWithTargets("a", 2))
 		choice, err := c.Choose(context.Background())
 		if err != nil {
 			t.Fatal(err)
@@ -82,10 +82,10 @@
 
 // A dispatcher that grants a target which the node may not use is asked again, and then the
 // node chooses alone; whatever it says, the target gets nothing.
-func TestGrantOfABarredTarget(t *testing.T) {
+func TestGrantOfUnavailableTarget(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		other := membership.NewNode("192.0.2.2:1", "b")
-		c := node.NewChooserOf(membership.NewNode("192.0.2.1:1", "c"), "quotes", saying("b", 3), other)
+		c := node.NewChooserOf(membership.NewNode("192.0.2.1:1", "c"), "quotes", serviceWithTargets("b", 3), other)
 		c.Hear("id-b2", signal.Signal{
 			Draining: true,
 		})
@@ -104,10 +104,10 @@
 
 // A target that asked the node for rest gets nothing from it until that is over, isn't held to
 // fail, and works again after it.
-func TestNodeLeavesATargetAlone(t *testing.T) {
+func TestNoRequestsDuringBackoff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const rest = 3 * time.Second
-		c := node.NewChooser("quotes", saying("a", 2))
+		c := node.NewChooser("quotes", serviceWithTargets("a", 2))
 		first, err := c.Choose(context.Background())
 		if err != nil {
 			t.Fatal(err)
@@ -141,7 +141,7 @@
 
 // Where nodes choose alone the others learn from probes that a target leaves, for as long as it
 // says so. A target that wants rest gets no probes either.
-func TestProbesHearWhatTargetsSay(t *testing.T) {
+func TestProbesFindDrainingTargets(t *testing.T) {
 	var asked atomic.Int64
 	var wantsRest atomic.Bool
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
--- a/internal/node/stop_test.go
+++ b/internal/node/stop_test.go
@@ -14,7 +14,7 @@
 
 // A leaving node tells its own data hall and a few nodes of each other one, however many
 // those have.
-func TestLeavingNodeTellsFewInOtherDataHalls(t *testing.T) {
+func TestDrainingNodeNotifiesFewInOtherDataHalls(t *testing.T) {
 	tab := membership.NewTable(membership.NewNode("192.0.2.1:1", "a"))
 	for i := range 400 {
 		hall := string(rune('a' + i%5))
--- a/internal/node/targetlimits_model_test.go
+++ b/internal/node/targetlimits_model_test.go
@@ -25,23 +25,23 @@
 	scheduleNodes   = 10
 	scheduleTargets = 3
 	scheduleLength  = 26 * time.Second
-	// namedFrom is when the first target begins to name its limit, at the latest.
-	namedFrom = 4 * time.Second
+	// limitSetBy is when the first target begins to name its limit, at the latest.
+	limitSetBy = 4 * time.Second
 	// faultsFrom and faultsTo are when faults begin.
 	faultsFrom = 5 * time.Second
 	faultsTo   = 20 * time.Second
 	// fleetPerSecond is what all callers send, more than the targets without a limit do.
 	fleetPerSecond = 60.0
-	workLeast      = 50 * time.Millisecond
-	workMost       = 200 * time.Millisecond
+	minWork        = 50 * time.Millisecond
+	maxWork        = 200 * time.Millisecond
 
-	limitWindow  = 4 * time.Second
-	limitExcess  = 1.5
-	limitSlack   = 5
-	limitHeard   = 500 * time.Millisecond
-	limitSettled = 2 * time.Second
-	calmExcess   = 1.1
-	calmSlack    = 2
+	limitWindow      = 4 * time.Second
+	limitExcess      = 1.5
+	limitSlack       = 5
+	limitPropagation = 500 * time.Millisecond
+	limitSettled     = 2 * time.Second
+	faultlessExcess  = 1.1
+	faultlessSlack   = 2
 )
 
 // limitStep is a limit that the target names from a time on; a negative rate is none.
@@ -76,7 +76,7 @@
 		seed: seed,
 		limits: []limitStep{
 			{
-				at:   time.Duration(rng.Int64N(int64(namedFrom))),
+				at:   time.Duration(rng.Int64N(int64(limitSetBy))),
 				rate: rates[rng.IntN(len(rates))],
 			},
 		},
@@ -85,7 +85,7 @@
 		return s
 	}
 	s.loss = 0.1 * rng.Float64() * float64(rng.IntN(2))
-	for at := namedFrom; rng.IntN(2) == 0 && at < faultsTo; {
+	for at := limitSetBy; rng.IntN(2) == 0 && at < faultsTo; {
 		at += time.Duration(rng.Int64N(int64(6 * time.Second)))
 		step := limitStep{
 			at:   at,
@@ -142,12 +142,12 @@
 	return excess*sum + slack, true
 }
 
-// sent is one request that reached the target with the limit.
-type sent struct {
+// arrival is one request that reached the target with the limit.
+type arrival struct {
 	at   time.Duration
 	node int
-	// told is set where the node had passed on an answer with the limit for a while.
-	told bool
+	// informed is set where the node had passed on an answer with the limit for a while.
+	informed bool
 	// by is the node that granted it.
 	by string
 }
@@ -161,28 +161,28 @@
 	begun time.Time
 	tasks task.Group
 
-	mu    sync.Mutex
-	nodes []*node.FleetNode
-	lives []uint64
-	stops []context.CancelFunc
+	mu           sync.Mutex
+	nodes        []*node.FleetNode
+	incarnations []uint64
+	stops        []context.CancelFunc
 	// out and in count the cuts of a node, group is its side of a split.
 	out, in, group []int
-	lossNow        float64
-	told           []time.Duration
-	arrivals       []sent
+	currentLoss    float64
+	informedAt     []time.Duration
+	arrivals       []arrival
 	served         int
 	refused        int
-	held           time.Duration
+	refusalTime    time.Duration
 	requests       int
 	slots          map[string]int
 }
 
 func fleetAddress(i int) string { return fmt.Sprintf("192.0.2.%d:1", i+1) }
 
-func playLimits(t *testing.T, s *limitSchedule) *limitFleet {
+func runSchedule(t *testing.T, s *limitSchedule) *limitFleet {
 	t.Helper()
 	store := fleetconfig.NewStore()
-	store.Offer(saying("a", scheduleTargets))
+	store.Offer(serviceWithTargets("a", scheduleTargets))
 	f := &limitFleet{
 		limitSchedule: s,
 		ctx:           t.Context(),
@@ -190,27 +190,27 @@
 		rng:           rand.New(rand.NewPCG(s.seed, 0x22)),
 		begun:         time.Now(),
 		nodes:         make([]*node.FleetNode, scheduleNodes),
-		lives:         make([]uint64, scheduleNodes),
+		incarnations:  make([]uint64, scheduleNodes),
 		stops:         make([]context.CancelFunc, scheduleNodes),
 		out:           make([]int, scheduleNodes),
 		in:            make([]int, scheduleNodes),
 		group:         make([]int, scheduleNodes),
-		told:          make([]time.Duration, scheduleNodes),
+		informedAt:    make([]time.Duration, scheduleNodes),
 		slots:         map[string]int{},
-		lossNow:       s.loss,
+		currentLoss:   s.loss,
 	}
 	for i := range f.nodes {
 		f.start(i)
 	}
 	for _, fault := range s.faults {
-		time.AfterFunc(fault.at, func() { f.strike(fault) })
+		time.AfterFunc(fault.at, func() { f.inject(fault) })
 	}
 	// Arrivals are drawn apart, so that those of a seed stay what they are.
 	arrivals := rand.New(rand.NewPCG(s.seed, 0x33))
 	var calls sync.WaitGroup
 	for time.Since(f.begun) < scheduleLength {
 		time.Sleep(time.Duration(arrivals.ExpFloat64() / fleetPerSecond * float64(time.Second)))
-		i, work := arrivals.IntN(scheduleNodes), workLeast+time.Duration(arrivals.Int64N(int64(workMost-workLeast)))
+		i, work := arrivals.IntN(scheduleNodes), minWork+time.Duration(arrivals.Int64N(int64(maxWork-minWork)))
 		calls.Go(func() { f.call(i, work) })
 	}
 	calls.Wait()
@@ -229,7 +229,7 @@
 func (f *limitFleet) start(i int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.lives[i]++
+	f.incarnations[i]++
 	var seeds []string
 	for s := range 3 {
 		if s != i {
@@ -239,13 +239,13 @@
 	ctx, stop := context.WithCancel(f.ctx)
 	n := node.NewFleetNode(node.FleetNodeConfig{
 		Self:        membership.NewNode(fleetAddress(i), "a"),
-		Incarnation: f.lives[i],
+		Incarnation: f.incarnations[i],
 		Seeds:       seeds,
 		Config:      f.cfg,
 		Service:     "quotes",
 		Send:        func(peer string, d *wire.Datagram) { f.send(i, peer, d) },
 	})
-	f.nodes[i], f.stops[i], f.told[i] = n, stop, 0
+	f.nodes[i], f.stops[i], f.informedAt[i] = n, stop, 0
 	n.Run(ctx, &f.tasks)
 }
 
@@ -257,7 +257,7 @@
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.nodes[to] == nil || f.nodes[from] == nil || f.out[from] > 0 || f.in[to] > 0 || f.group[from] != f.group[to] || f.rng.Float64() < f.lossNow {
+	if f.nodes[to] == nil || f.nodes[from] == nil || f.out[from] > 0 || f.in[to] > 0 || f.group[from] != f.group[to] || f.rng.Float64() < f.currentLoss {
 		return
 	}
 	delay := time.Millisecond + time.Duration(f.rng.Int64N(int64(4*time.Millisecond)))
@@ -274,8 +274,8 @@
 	})
 }
 
-// strike begins a fault and ends it after its time.
-func (f *limitFleet) strike(x fleetFault) {
+// inject begins a fault and ends it after its time.
+func (f *limitFleet) inject(x fleetFault) {
 	f.mu.Lock()
 	for _, i := range x.nodes {
 		switch x.kind {
@@ -296,13 +296,13 @@
 		}
 	}
 	if x.kind == "lost" {
-		f.lossNow += 0.3
+		f.currentLoss += 0.3
 	}
 	f.mu.Unlock()
-	time.AfterFunc(x.lasts, func() { f.heal(x) })
+	time.AfterFunc(x.lasts, func() { f.endFault(x) })
 }
 
-func (f *limitFleet) heal(x fleetFault) {
+func (f *limitFleet) endFault(x fleetFault) {
 	f.mu.Lock()
 	var begin []int
 	for _, i := range x.nodes {
@@ -323,7 +323,7 @@
 		}
 	}
 	if x.kind == "lost" {
-		f.lossNow -= 0.3
+		f.currentLoss -= 0.3
 	}
 	f.mu.Unlock()
 	if time.Since(f.begun) < scheduleLength {
@@ -336,7 +336,7 @@
 // call plays a request that comes to a node, up to three attempts.
 func (f *limitFleet) call(i int, work time.Duration) {
 	f.mu.Lock()
-	n, life := f.nodes[i], f.lives[i]
+	n, life := f.nodes[i], f.incarnations[i]
 	f.requests++
 	f.mu.Unlock()
 	if n == nil {
@@ -350,13 +350,13 @@
 			f.mu.Lock()
 			defer f.mu.Unlock()
 			f.refused++
-			f.held += time.Since(begun)
+			f.refusalTime += time.Since(begun)
 			return
 		}
 		// A connection opens, at times slowly.
 		f.pause()
 		f.mu.Lock()
-		alive := f.lives[i] == life && f.nodes[i] == n
+		alive := f.incarnations[i] == life && f.nodes[i] == n
 		f.mu.Unlock()
 		if !alive {
 			return
@@ -392,11 +392,11 @@
 	now := time.Since(f.begun)
 	limited := c.Key == "id-a0"
 	if limited {
-		f.arrivals = append(f.arrivals, sent{
-			at:   now,
-			node: i,
-			told: f.told[i] > 0 && now-f.told[i] >= limitHeard,
-			by:   c.By,
+		f.arrivals = append(f.arrivals, arrival{
+			at:       now,
+			node:     i,
+			informed: f.informedAt[i] > 0 && now-f.informedAt[i] >= limitPropagation,
+			by:       c.By,
 		})
 	}
 	full := f.slots[c.Key] >= slots
@@ -420,7 +420,7 @@
 			Set:  true,
 		}
 	}
-	alive := f.lives[i] == life && f.nodes[i] == n
+	alive := f.incarnations[i] == life && f.nodes[i] == n
 	f.mu.Unlock()
 	time.Sleep(time.Millisecond)
 	if !alive {
@@ -433,11 +433,11 @@
 	}, work)
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if limited && said.Limit.Set && f.told[i] == 0 {
-		f.told[i] = time.Since(f.begun)
+	if limited && said.Limit.Set && f.informedAt[i] == 0 {
+		f.informedAt[i] = time.Since(f.begun)
 	}
 	if limited && !said.Limit.Set {
-		f.told[i] = 0
+		f.informedAt[i] = 0
 	}
 	if !full {
 		f.served++
@@ -447,7 +447,7 @@
 
 // worst returns the greatest part of what is allowed that the target got in any window, of those
 // arrivals that count.
-func (f *limitFleet) worst(excess, slack float64, counts func(sent) bool) (part float64, at time.Duration, got int) {
+func (f *limitFleet) worst(excess, slack float64, counts func(arrival) bool) (part float64, at time.Duration, got int) {
 	var window []time.Duration
 	for _, a := range f.arrivals {
 		if !counts(a) {
@@ -467,5 +467,5 @@
 	return part, at, got
 }
 
-func fromTold(a sent) bool { return a.told }
-func fromAny(sent) bool    { return true }
+func fromInformed(a arrival) bool { return a.informed }
+func fromAny(arrival) bool        { return true }
--- a/internal/node/targetlimits_test.go
+++ b/internal/node/targetlimits_test.go
@@ -51,12 +51,12 @@
 				t.Parallel()
 				synctest.Test(t, func(t *testing.T) {
 					s := newLimitSchedule(seed, false)
-					f := playLimits(t, s)
-					part, at, got := f.worst(limitExcess, limitSlack, fromTold)
+					f := runSchedule(t, s)
+					part, at, got := f.worst(limitExcess, limitSlack, fromInformed)
 					if part > 1 {
 						t.Errorf("%d requests in the 4 s before %v, %.2f of what is allowed: limits %v, faults %+v", got, at, part, s.limits, s.faults)
 						for _, a := range f.arrivals {
-							if a.told && a.at > at-limitWindow && a.at <= at {
+							if a.informed && a.at > at-limitWindow && a.at <= at {
 								t.Logf("%v at node %d by %s", a.at, a.node, a.by)
 							}
 						}
@@ -79,15 +79,15 @@
 
 // While nothing goes wrong all nodes together, told or not, keep to the limit and use it; what
 // can't be served is refused soon.
-func TestLimitWhileCalm(t *testing.T) {
+func TestLimitWithoutFaults(t *testing.T) {
 	for seed := range uint64(max(*limitSchedules/4, 4)) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
 			synctest.Test(t, func(t *testing.T) {
 				s := newLimitSchedule(seed, true)
-				f := playLimits(t, s)
+				f := runSchedule(t, s)
 				rate := s.limits[0].rate
-				if part, at, got := f.worst(calmExcess, calmSlack, fromAny); part > 1 {
+				if part, at, got := f.worst(faultlessExcess, faultlessSlack, fromAny); part > 1 {
 					t.Errorf("%d requests in the 4 s before %v, %.2f of what is aimed at, limit %v", got, at, part, rate)
 				}
 				from, n := s.limits[0].at+limitSettled, 0
@@ -101,7 +101,7 @@
 					t.Errorf("%d requests of %.0f that the limit allows", n, possible)
 				}
 				t.Logf("limit %v: %d of %.0f, served %d of %d, %d refused after %v in the mean", rate, n, possible,
-					f.served, f.requests, f.refused, f.held/time.Duration(max(f.refused, 1)))
+					f.served, f.requests, f.refused, f.refusalTime/time.Duration(max(f.refused, 1)))
 			})
 		})
 	}
@@ -109,7 +109,7 @@
 
 // What may be granted at the same time is one and a half times the limit at the most, and what a
 // node grants that nothing is wrong with is all of it.
-func TestPartsOfALimit(t *testing.T) {
+func TestSharesOfLimit(t *testing.T) {
 	const long = time.Minute
 	tests := []struct {
 		name        string
@@ -186,7 +186,7 @@
 
 // Nodes that tell each other of a limit don't make it newer than it is: once it is lifted it would
 // come back.
-func TestLimitsDoNotGetNewerOnTheirWay(t *testing.T) {
+func TestRelayedLimitsDoNotGetNewer(t *testing.T) {
 	const way = 2 * time.Millisecond
 	begun := time.Now()
 	now, at := begun, begun
@@ -222,7 +222,7 @@
 }
 
 // A caller that this node has no turn for may reach another one, whose turn comes before.
-func TestTurnIsThatOfAllNodes(t *testing.T) {
+func TestTurnIsSharedByAllNodes(t *testing.T) {
 	var s node.Shares
 	if got := s.Turn(2); got < 500*time.Millisecond || got > 600*time.Millisecond {
 		t.Errorf("a turn each %v of a limit of 2 a second", got)
@@ -230,7 +230,7 @@
 }
 
 // A message about a limit that makes no sense changes nothing.
-func TestSenselessLimitsAreIgnored(t *testing.T) {
+func TestInvalidLimitsAreIgnored(t *testing.T) {
 	for _, rate := range []float64{math.NaN(), math.Inf(1), -1} {
 		if at := node.Told(time.Now(), rate); !at.IsZero() {
 			t.Errorf("rate %v counts", rate)
