--- a/internal/node/closed_test.go
+++ b/internal/node/closed_test.go
@@ -60,7 +60,7 @@
 			want:    "a",
 		},
 		{
-			name:    "a dispatcher that doesn't know of it yet",
+			name:    "a dispatcher that has not received it yet",
 			targets: 8,
 			closed:  "b",
 			peers:   []membership.Node{stranger},
@@ -85,7 +85,8 @@
 	}
 }
 
-// Guards against a node that learns late of an evacuation and gets targets that its dispatcher knows better.
+// Guards against a dispatcher that grants evacuated targets to a node that has not received the
+// evacuation yet.
 func TestDispatcherGrantsNoTargetOfAnEvacuatedDataHall(t *testing.T) {
 	c := node.NewChooser("quotes", append(twoHalls(8), evacuations("a")...))
 	if !c.Leaves("198.51.100.1:80") || c.Leaves("198.51.100.2:80") {
@@ -93,7 +94,7 @@
 	}
 }
 
-// Guards against requests that wait though no data hall may serve them.
+// Guards against queueing of requests that no data hall may serve.
 func TestRequestWithoutOpenDataHallIsRefusedAtOnce(t *testing.T) {
 	tests := []struct {
 		name    string
@@ -161,7 +162,7 @@
 	}
 }
 
-// Guards against callers that are sent away because their own data hall was evacuated for a while.
+// Guards against requests that are refused because their own data hall was evacuated for a while.
 func TestDataHallIsInUseAfterItsEvacuation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		entries := append(twoHalls(40), evacuations("a")...)
--- a/internal/node/dispatch_test.go
+++ b/internal/node/dispatch_test.go
@@ -15,8 +15,8 @@
 	"ploverjunction.example/ploverjunction/internal/wire"
 )
 
-// The target at which the attempt goes on is named last, whatever else the node can't
-// reach: by its silence the dispatcher decides whether a second one is asked.
+// The target of the ongoing attempt must be named last, after those that the node cannot reach: the
+// dispatcher decides by that target's failure to answer whether to grant a hedge.
 func TestTriedTargetIsNamedLast(t *testing.T) {
 	const lost, tried = "192.0.2.10:80", "192.0.2.11:80"
 	c := node.NewChooser("quotes", []*wire.Entry{
@@ -33,8 +33,8 @@
 	}
 }
 
-// A failure that the dispatcher's own node saw counts once: its belief is that of a
-// desk which was told of it once.
+// A failure of the dispatcher's own node must count once: the failure probability is that of a
+// scheduler which received it once.
 func TestOwnFailureCountsOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const key = "192.0.2.10:80"
@@ -69,12 +69,12 @@
 		}, took)
 		d.Done(time.Now(), g.ID, key, dispatch.ResultBad, took)
 		if got, want := c.Failing(key), d.Status(time.Now()).Targets[0].Failing; got != want {
-			t.Errorf("belief %.3f after one failure, want %.3f", got, want)
+			t.Errorf("failure probability %.3f after one failure, want %.3f", got, want)
 		}
 	})
 }
 
-// The floor of a service's policy, in slots, is a share of its targets for the joint
+// The floor of a service's policy, in slots, is converted to a share of its targets for the joint
 // choice.
 func TestFloorOfPolicyIsAShare(t *testing.T) {
 	tests := []struct {
--- a/internal/node/evidence_test.go
+++ b/internal/node/evidence_test.go
@@ -16,13 +16,13 @@
 	"ploverjunction.example/ploverjunction/internal/wire"
 )
 
-// reportCost is what a node's reports came to.
+// reportCost is the volume of a node's reports.
 type reportCost struct {
 	bytes, calls, good, bad, sent float64
 }
 
-// runReports drives the reports of one node of a fleet for some minutes. Requests
-// go to random targets of random services; badShare of them are bad.
+// runReports simulates the reports of one node of a fleet for some minutes. Requests go to random
+// targets of random services; a fraction badShare of them are bad.
 func runReports(nodes, halls, services, perService int, rate, badShare float64, minutes int) reportCost {
 	var list []membership.Node
 	for i := range nodes {
@@ -71,8 +71,8 @@
 	return c
 }
 
-// Reports stay within the budget of a node at the target size, and what is left
-// out is made up for, so that observers still see the true shares.
+// Reports must stay within the budget of a node at the target size, and those that are sampled must
+// count for those left out, so that observers see the true rates.
 func TestReportsAtTheTargetSize(t *testing.T) {
 	cases := []struct {
 		name     string
--- a/internal/node/export_quarantine_test.go
+++ b/internal/node/export_quarantine_test.go
@@ -14,14 +14,13 @@
 	"ploverjunction.example/ploverjunction/internal/wire"
 )
 
-// QuarantineNode is the part of a node that keeps requests away from targets that end under
-// them, with a network that a test makes.
+// QuarantineNode is the quarantine controller of a node, on a network that a test provides.
 type QuarantineNode struct {
 	quarantining *quarantineController
 	messenger    *messenger
 }
 
-// NewQuarantineNode returns such a node, which knows others. send hands a datagram to a peer.
+// NewQuarantineNode returns a node with others as its peers. send sends a datagram to a peer.
 func NewQuarantineNode(self membership.Node, others []membership.Node, send func(peer string, d *wire.Datagram)) *QuarantineNode {
 	board := &Board{}
 	members := newMembers(board, self, membership.DefaultWeight)
@@ -58,7 +57,7 @@
 	}
 }
 
-// Receive takes a datagram.
+// Receive handles a datagram.
 func (n *QuarantineNode) Receive(ctx context.Context, d *wire.Datagram) { n.messenger.handle(ctx, d) }
 
 // Ping sends a ping to a peer.
@@ -70,15 +69,15 @@
 	})
 }
 
-// Check returns what the node knows of a request.
+// Check returns the node's standing of a request.
 func (n *QuarantineNode) Check(p quarantine.Prints) quarantine.Standing {
 	return n.quarantining.check(p)
 }
 
-// Ended notes that a target ended under a request.
+// Ended records that a target crashed under a request.
 func (n *QuarantineNode) Ended(p quarantine.Prints, target string) quarantine.Standing {
 	return n.quarantining.ended(p, target)
 }
 
-// Answered notes that a target answered a request.
+// Answered records that a target answered a request.
 func (n *QuarantineNode) Answered(p quarantine.Prints) { n.quarantining.answered(p) }
--- a/internal/node/export_signals_test.go
+++ b/internal/node/export_signals_test.go
@@ -17,12 +17,12 @@
 	"ploverjunction.example/ploverjunction/internal/wire"
 )
 
-// Hear takes in what a target says in an answer to the node.
+// Hear records a signal in an answer of a target to the node.
 func (c *Chooser) Hear(key string, n signal.Signal) {
 	c.dispatching.board.signals.Observe(time.Now(), incarnationOf(c.service.Target(key)), n)
 }
 
-// Leaves reports whether the node's own desk gives a target no work, by what it was told.
+// Leaves reports whether the node's own scheduler treats a target as draining.
 func (c *Chooser) Leaves(key string) bool {
 	d := c.dispatching
 	d.mu.Lock()
@@ -36,13 +36,13 @@
 	return false
 }
 
-// Prober is the part of a node that asks the health endpoints of targets, alone in its fleet.
+// Prober is the prober of a node without peers.
 type Prober struct {
 	probing *prober
 	leaving []string
 }
 
-// NewProber returns the prober of the targets that published entries describe.
+// NewProber returns the prober of the targets in published entries.
 func NewProber(entries []*wire.Entry) *Prober {
 	board := &Board{}
 	members := newMembers(board, membership.NewNode("192.0.2.1:1", "a"), 0)
@@ -63,7 +63,7 @@
 	return p
 }
 
-// Probe asks all targets once and returns those that said that they leave.
+// Probe probes all targets once and returns those that answered that they are draining.
 func (p *Prober) Probe(ctx context.Context) []string {
 	p.leaving = nil
 	p.probing.probeAll(ctx)
--- a/internal/node/export_targetlimits_test.go
+++ b/internal/node/export_targetlimits_test.go
@@ -19,8 +19,7 @@
 	"ploverjunction.example/ploverjunction/internal/wire"
 )
 
-// FleetNode is the part of a node that chooses targets jointly with others, with a network that
-// a test makes.
+// FleetNode is the dispatch controller of a node, on a network that a test provides.
 type FleetNode struct {
 	board       *Board
 	members     *members
@@ -41,7 +40,7 @@
 	// Config holds the service named Service.
 	Config  *fleetconfig.Config
 	Service string
-	// Send hands a datagram to a peer.
+	// Send sends a datagram to a peer.
 	Send func(peer string, d *wire.Datagram)
 }
 
@@ -94,21 +93,21 @@
 	return n
 }
 
-// Run starts the node, which ends with the context.
+// Run starts the node, which stops when the context ends.
 func (n *FleetNode) Run(ctx context.Context, tasks *task.Group) {
 	tasks.Go(ctx, "members", n.members.run)
 	tasks.Go(ctx, "pinging", n.pinging.run)
 	tasks.Go(ctx, "dispatching", n.dispatching.run)
 }
 
-// Receive takes a datagram, one at a time as the socket gives them.
+// Receive handles a datagram, one at a time as from the socket.
 func (n *FleetNode) Receive(ctx context.Context, d *wire.Datagram) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.messenger.handle(ctx, d)
 }
 
-// Choose takes a target for an attempt.
+// Choose returns a target for an attempt.
 func (n *FleetNode) Choose(ctx context.Context, again bool, tried []string, within time.Duration) (entry.Choice, error) {
 	now := time.Now()
 	return n.dispatching.choose(ctx, &entry.Query{
@@ -128,16 +127,16 @@
 	return n.board.signals.Standing(now, c.Incarnation).Permits(now, c.Permit)
 }
 
-// Hear records what an answer of a target says of it.
+// Hear records the signal in an answer of a target.
 func (n *FleetNode) Hear(c entry.Choice, said signal.Signal) {
 	n.board.signals.Observe(time.Now(), c.Incarnation, said)
 }
 
-// Live returns how many nodes this one takes for live.
+// Live returns how many nodes this one considers live.
 func (n *FleetNode) Live() int { return len(n.board.view.Load().Live()) }
 
-// Part returns the part of targets' limits that a node may grant which so many holders of the
-// role rank before, of so many nodes.
+// Part returns the share of targets' limits that a node may grant as the dispatcher of the given
+// rank.
 func Part(nodes, live, rank int, alone bool, among time.Duration) float64 {
 	return holderRank{
 		nodes:        nodes,
@@ -148,7 +147,7 @@
 	}.share()
 }
 
-// Relayed returns when a target answered with its limit, by a node that another one tells of it.
+// Relayed returns the time of a limit that one node sent to another.
 func Relayed(sent, received, at time.Time) time.Time {
 	return limitOfWire(received, wireLimit(sent, dispatch.TargetLimit{
 		At: at,
@@ -160,7 +159,7 @@
 	shares shares
 }
 
-// Take reports whether the node may send a request to a target with a limit of a rate.
+// Take reports whether the node may send a request to a target with a limit of the given rate.
 func (s *Shares) Take(now time.Time, rate float64, nodes int) bool {
 	return s.shares.take(now, "t", signal.Limit{
 		Rate: rate,
@@ -176,7 +175,7 @@
 	})
 }
 
-// Told returns the time that a message gives a limit of a rate.
+// Told returns the time of a limit of the given rate in a message.
 func Told(now time.Time, rate float64) time.Time {
 	return limitOfWire(now, &wire.TargetLimit{
 		Rate: rate,
--- a/internal/node/export_test.go
+++ b/internal/node/export_test.go
@@ -20,12 +20,12 @@
 	"ploverjunction.example/ploverjunction/internal/wire"
 )
 
-// Reporter is the part of a node that reports evidence, without a network.
+// Reporter is the evidence controller of a node, without a network.
 type Reporter struct {
 	observing *evidenceController
 }
 
-// NewReporter returns the reporter of a node that knows others.
+// NewReporter returns the reporter of a node with others as its peers.
 func NewReporter(self membership.Node, others []membership.Node) *Reporter {
 	board := &Board{}
 	table := membership.NewTable(self)
@@ -37,17 +37,17 @@
 	}
 }
 
-// Collect takes the evidence of one tick.
+// Collect adds the evidence of one tick.
 func (r *Reporter) Collect(now time.Time, evidence []outlier.Evidence) {
 	r.observing.collect(now, evidence)
 }
 
-// Due returns the reports that should go out at now, by observer.
+// Due returns the reports that are due at now, by observer.
 func (r *Reporter) Due(now time.Time) map[string][]*wire.Report {
 	return r.observing.dueReports(now)
 }
 
-// Chooser is the joint choice of a node that is the only one of its fleet.
+// Chooser is the dispatch controller of a node that is the only one of its fleet.
 type Chooser struct {
 	dispatching *dispatchController
 	service     *fleetconfig.Service
@@ -55,22 +55,21 @@
 	asked       map[string]int
 }
 
-// NewChooser returns the choice of a node in data hall a for one service, which published
-// entries describe. peers are other nodes of the fleet: those in data hall a never answer,
-// the others grant a target of their data hall at once.
+// NewChooser returns the chooser of a node in data hall a for one service of the published entries.
+// peers are other nodes of the fleet: those in data hall a never answer, the others grant a target
+// of their data hall at once.
 func NewChooser(service string, entries []*wire.Entry, peers ...membership.Node) *Chooser {
 	return NewChooserOf(membership.NewNode("192.0.2.1:1", "a"), service, entries, peers...)
 }
 
-// LimitedNode is the part of a node that keeps the limits of workspaces, with a network
-// that a test makes.
+// LimitedNode is the limit controller of a node, on a network that a test provides.
 type LimitedNode struct {
 	limiting *limitController
 	members  *members
 	self     membership.Node
 }
 
-// NewLimitedNode returns such a node. send hands a datagram to a peer.
+// NewLimitedNode returns such a node. send sends a datagram to a peer.
 func NewLimitedNode(self membership.Node, doc *wire.Document, send func(peer string, d *wire.Datagram)) *LimitedNode {
 	board := &Board{}
 	c, err := fleetconfig.Build([]*wire.Document{doc})
@@ -110,11 +109,11 @@
 	return n
 }
 
-// ChooseAlone has the node have an equal part of each limit; seeds is how many other nodes its settings
-// name.
+// ChooseAlone gives the node an equal share of each limit; seeds is the number of other nodes in
+// its settings.
 func (n *LimitedNode) ChooseAlone(seeds int) { n.limiting.messenger, n.limiting.seeds = nil, seeds }
 
-// Knows has the node know others, all alive.
+// Knows adds live peers to the node.
 func (n *LimitedNode) Knows(others []membership.Node) {
 	for _, o := range others {
 		n.members.recordMessage(&wire.Node{
@@ -126,19 +125,19 @@
 	n.members.renew()
 }
 
-// Lost has the node take another one for dead.
+// Lost makes the node declare another one dead.
 func (n *LimitedNode) Lost(other string) {
 	n.members.suspect(other)
 	n.members.advance(time.Now().Add(time.Minute))
 	n.members.renew()
 }
 
-// Receive takes a datagram.
+// Receive handles a datagram.
 func (n *LimitedNode) Receive(ctx context.Context, d *wire.Datagram) {
 	n.limiting.messenger.handle(ctx, d)
 }
 
-// Address names the node.
+// Address returns the address of the node.
 func (n *LimitedNode) Address() string { return n.self.Address() }
 
 // Holder returns the node that allocates the limit of a workspace.
@@ -147,10 +146,10 @@
 // Run reports to allocators until the context ends.
 func (n *LimitedNode) Run(ctx context.Context) error { return n.limiting.run(ctx) }
 
-// Patience is how long a request waits for a node that starts.
+// Patience is the maximum wait of a request on a node that starts.
 const Patience = 500 * time.Millisecond
 
-// Admit takes a request of a workspace; it returns 0 if it may go on.
+// Admit admits a request of a workspace; it returns 0 if the request may proceed.
 func (n *LimitedNode) Admit(ctx context.Context, workspace string) time.Duration {
 	if over := n.limiting.admit(ctx, n.limiting.board.currentConfig().Workspace(workspace), Patience); over != nil {
 		return over.Wait
@@ -158,12 +157,12 @@
 	return 0
 }
 
-// GiveBack returns what a request took.
+// GiveBack returns the token of a request that has not run.
 func (n *LimitedNode) GiveBack(workspace string) {
 	n.limiting.giveBack(n.limiting.board.currentConfig().Workspace(workspace))
 }
 
-// NewChooserOf returns the same of another node.
+// NewChooserOf is NewChooser for another node.
 func NewChooserOf(self membership.Node, service string, entries []*wire.Entry, peers ...membership.Node) *Chooser {
 	board := &Board{}
 	members := newMembers(board, self, 0)
@@ -230,7 +229,7 @@
 // SetRegions sets the regions of data halls.
 func (c *Chooser) SetRegions(regions map[string]string) { c.dispatching.board.regions = regions }
 
-// grantOf answers an ask with a target of a data hall.
+// grantOf answers a grant request with a target of a data hall.
 func (c *Chooser) grantOf(d *wire.Datagram, hall string) *wire.Datagram {
 	g := &wire.Grant{
 		Verdict: wire.Grant_REFUSED,
@@ -250,14 +249,13 @@
 	}
 }
 
-// Home returns the data hall whose targets the node asks for first.
+// Home returns the data hall of the partition that the node tries first.
 func (c *Chooser) Home() string { return c.dispatching.home(&entry.Query{Service: c.service}).hall }
 
-// Asked returns how often each peer was asked for targets of each data hall, by both,
-// with a space between them.
+// Asked returns the number of grant requests by peer and data hall, with a space between them.
 func (c *Chooser) Asked() map[string]int { return c.asked }
 
-// Choose takes a target for one attempt, in regions that all lists allow.
+// Choose returns a target for one attempt, in regions that all lists allow.
 func (c *Chooser) Choose(ctx context.Context, regions ...fleetconfig.Regions) (entry.Choice, error) {
 	return c.dispatching.choose(ctx, &entry.Query{
 		Service:  c.service,
@@ -267,8 +265,8 @@
 	})
 }
 
-// Avoid returns the targets that the node would not take for a request that was sent
-// to tried, while it can't reach lost.
+// Avoid returns the targets that are not to be granted for a request that was sent to tried, while
+// lost is unreachable.
 func (c *Chooser) Avoid(lost string, tried ...string) []string {
 	c.dispatching.unreachableUntil[lost] = time.Now().Add(unreachableTime)
 	return c.dispatching.excludedTargets(&entry.Query{
@@ -277,7 +275,7 @@
 	})
 }
 
-// Failing returns the belief that a target is failing.
+// Failing returns the estimated failure probability of a target.
 func (c *Chooser) Failing(key string) float64 {
 	d := c.dispatching
 	d.mu.Lock()
@@ -294,7 +292,7 @@
 // Floor returns the floor that the policy of the chooser's service sets.
 func (c *Chooser) Floor() float64 { return floorOf(c.service) }
 
-// Members is the table of nodes of a node that is alone so far.
+// Members is the table of nodes of a node without peers so far.
 type Members struct {
 	members *members
 }
@@ -309,7 +307,7 @@
 // Run follows the table until the context ends.
 func (m *Members) Run(ctx context.Context) error { return m.members.run(ctx) }
 
-// Heard notes a message of a node.
+// Heard records a message of a node.
 func (m *Members) Heard(address, dataHall string) {
 	m.members.recordMessage(&wire.Node{
 		Address:     address,
@@ -318,20 +316,20 @@
 	})
 }
 
-// View returns the view that stands on the blackboard.
+// View returns the view on the blackboard.
 func (m *Members) View() *membership.View { return m.members.board.view.Load() }
 
-// LeaveTo returns the peers that a leaving node tells.
+// LeaveTo returns the peers that a draining node notifies.
 func LeaveTo(view *membership.View) []string { return drainingPeers(view) }
 
-// Currency tells how sure a node can be of its configuration.
+// Currency estimates whether the configuration of a node is the newest.
 type Currency struct {
 	currency *freshness
 }
 
-// NewCurrency returns the currency of a node whose platform is usually heard within
-// silent; age and agreed are how long ago the platform was heard and a peer had the same
-// values. trust is up to which age keys are believed, 0 for always.
+// NewCurrency returns the currency of a node that usually receives an answer of the platform within
+// silent; age is the time since the last one, agreed the time since a peer had the same values.
+// trust is the age up to which keys are trusted, 0 for always.
 func NewCurrency(silent, trust time.Duration, age, agreed func(time.Time) time.Duration, ask func()) *Currency {
 	return &Currency{
 		currency: &freshness{
@@ -345,11 +343,11 @@
 	}
 }
 
-// Current reports whether the node can know the newest configuration.
+// Current reports whether the node can have the newest configuration.
 func (c *Currency) Current() bool { return c.currency.current() }
 
 // Await waits until it can.
 func (c *Currency) Await(ctx context.Context) bool { return c.currency.await(ctx) }
 
-// Trusted reports whether keys may be believed.
+// Trusted reports whether keys may be trusted.
 func (c *Currency) Trusted() bool { return c.currency.trusted() }
--- a/internal/node/freshness_test.go
+++ b/internal/node/freshness_test.go
@@ -11,37 +11,38 @@
 	"ploverjunction.example/ploverjunction/internal/node"
 )
 
-// since returns the age of something that happened at the time given.
+// since returns a function for the age of an event at the given time.
 func since(at *time.Time) func(time.Time) time.Duration {
 	return func(now time.Time) time.Duration { return now.Sub(*at) }
 }
 
-// A node knows the newest configuration only while the fleet hears the platform and a
-// peer has the same values.
+// A node can have the newest configuration only while the fleet receives answers of the platform
+// and a peer has the same values.
 func TestCurrent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		heard, agreed := time.Now(), time.Now()
 		c := node.NewCurrency(time.Second, 4*time.Second, since(&heard), since(&agreed), func() {})
 		if !c.Current() || !c.Trusted() {
-			t.Error("not current though all is new")
+			t.Error("not current with fresh answers and an agreeing peer")
 		}
 		time.Sleep(2 * time.Second)
 		agreed = time.Now()
 		if c.Current() {
-			t.Error("current though the platform wasn't heard for two seconds")
+			t.Error("current without an answer of the platform for 2 s")
 		}
 		heard, agreed = time.Now(), time.Now().Add(-2*time.Second)
 		if c.Current() {
-			t.Error("current though no peer had the same values for two seconds")
+			t.Error("current though no peer had the same values for 2 s")
 		}
 		time.Sleep(5 * time.Second)
 		if c.Trusted() {
-			t.Error("keys are trusted though the platform wasn't heard for five seconds")
+			t.Error("keys trusted without an answer of the platform for 5 s")
 		}
 	})
 }
 
-// Who waits for news asks peers, and goes on as soon as there is some.
+// A request that waits for the newest configuration must trigger a comparison with peers, and
+// proceed as soon as one succeeds.
 func TestAwaitCurrentConfiguration(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		begun := time.Now()
@@ -53,16 +54,16 @@
 			}
 		})
 		if !c.Trusted() {
-			t.Error("keys aren't trusted though nothing asks for that")
+			t.Error("keys not trusted without a maximum age")
 		}
 		if !c.Await(t.Context()) || time.Since(begun) > 200*time.Millisecond {
-			t.Errorf("no news after %v", time.Since(begun))
+			t.Errorf("not current after %v", time.Since(begun))
 		}
 		heard = begun.Add(-time.Minute)
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
 		if c.Await(ctx) {
-			t.Error("news though there is none")
+			t.Error("current though the platform does not answer")
 		}
 	})
 }
--- a/internal/node/limits_test.go
+++ b/internal/node/limits_test.go
@@ -19,7 +19,7 @@
 	"ploverjunction.example/ploverjunction/internal/wire"
 )
 
-// limitedFleet is a fleet whose nodes keep the limit of the workspace brokers together.
+// limitedFleet is a fleet whose nodes enforce the limit of the workspace brokers together.
 type limitedFleet struct {
 	ctx    context.Context
 	nodes  map[string]*node.LimitedNode
@@ -27,10 +27,10 @@
 	random *rand.Rand
 
 	mu sync.Mutex
-	// cut are the nodes that reach no other one, loss is the share of lost datagrams.
+	// cut are the nodes that reach no other one, loss is the fraction of lost datagrams.
 	cut  map[string]bool
 	loss float64
-	// bytes counts what the nodes send.
+	// bytes counts the bytes that the nodes send.
 	bytes int
 }
 
@@ -69,7 +69,7 @@
 	return f
 }
 
-// send carries a datagram in a millisecond, unless it is lost.
+// send delivers a datagram after a millisecond, unless it is lost.
 func (f *limitedFleet) send(from, to string, d *wire.Datagram) {
 	f.mu.Lock()
 	f.bytes += proto.Size(d)
@@ -81,7 +81,7 @@
 	time.AfterFunc(time.Millisecond, func() { f.nodes[to].Receive(f.ctx, d) })
 }
 
-// start runs all nodes, which hear each other several times a second.
+// start runs all nodes, which send datagrams to each other several times a second.
 func (f *limitedFleet) start(t *testing.T) {
 	t.Helper()
 	var tasks task.Group
@@ -129,8 +129,8 @@
 	f.cut[node] = cut
 }
 
-// play plays requests that come to random nodes at a rate, for some time, and returns how
-// many were admitted of how many, and the greatest time that one waited.
+// play sends requests to random nodes at a rate, for some time, and returns how many were admitted,
+// how many were sent, and the longest wait.
 func (f *limitedFleet) play(nodes []string, rate float64, length time.Duration) (admitted, requests int, waited time.Duration) {
 	random := rand.New(rand.NewPCG(3, 4))
 	var mu sync.Mutex
@@ -154,8 +154,8 @@
 	return admitted, requests, waited
 }
 
-// Below its limit a workspace isn't refused, on whichever nodes its callers are; above it
-// the limit goes through, and no request waits long for that word.
+// Below its limit a workspace must not be refused, whichever nodes its callers use; above it the
+// limit must be used up, and no request may wait long for the decision.
 func TestFleetEnforcesLimit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newLimitedFleet(t.Context(), t, 20, 50)
@@ -170,13 +170,13 @@
 		}
 		for range 1000 {
 			if f.nodes[f.order[3]].Admit(f.ctx, "unlimited") > 0 {
-				t.Fatal("refused without a limit")
+				t.Fatal("workspace without a limit refused")
 			}
 		}
 	})
 }
 
-// Lost datagrams are sent again, and the same one takes no tokens twice.
+// Lost datagrams must be resent, and a resent one must not take tokens twice.
 func TestLimitWithLostDatagrams(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newLimitedFleet(t.Context(), t, 20, 50)
@@ -189,8 +189,8 @@
 	})
 }
 
-// A node that is cut off goes on at what its callers asked before, and the fleet without
-// its allocator goes on until it knows that it is gone.
+// An isolated node must continue at the earlier rate of its callers, and the fleet without its
+// allocator must continue until it declares it dead.
 func TestLimitOfIsolatedNodes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newLimitedFleet(t.Context(), t, 12, 60)
@@ -209,28 +209,28 @@
 		}
 		admitted, requests, _ = f.play([]string{holder}, 2.5, 6*time.Second)
 		if admitted < requests*8/10 {
-			t.Errorf("%d of %d requests admitted on the node that is cut off", admitted, requests)
+			t.Errorf("%d of %d requests admitted on the isolated node", admitted, requests)
 		}
 		admitted, _, _ = f.play([]string{holder}, 300, 10*time.Second)
 		if admitted > 10*60/4 {
-			t.Errorf("%d requests admitted in ten seconds on a node that lost the fleet, of 60 a second for all", admitted)
+			t.Errorf("%d requests admitted in 10 s on an isolated node, with a limit of 60 a second for the fleet", admitted)
 		}
 	})
 }
 
-// A node that has met nobody yet gives out no whole limit.
+// A node that has not reached any peer must not give out the whole limit.
 func TestLimitOfStartingNode(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newLimitedFleet(t.Context(), t, 1, 100)
 		admitted, _, _ := f.play(f.order, 200, 5*time.Second)
 		if admitted > 5*100/20 {
-			t.Errorf("%d requests admitted by a node that knows no other", admitted)
+			t.Errorf("%d requests admitted by a node without peers", admitted)
 		}
 	})
 }
 
-// After all nodes started at once, requests wait until they have met; on one that meets
-// nobody not for longer than their callers have patience.
+// When all nodes start at once, requests must wait until the nodes have connected; on an isolated
+// node no longer than the maximum wait.
 func TestRequestsWaitWhileNodesConnect(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newLimitedFleet(t.Context(), t, 12, 60)
@@ -247,12 +247,12 @@
 		}
 		admitted, _, waited = f.play(f.order[:1], 100, time.Second)
 		if admitted > 2 || waited > node.Patience+100*time.Millisecond {
-			t.Errorf("%d requests admitted by a node that met nobody, in at most %v", admitted, waited)
+			t.Errorf("%d requests admitted by an isolated node, in at most %v", admitted, waited)
 		}
 	})
 }
 
-// What the nodes tell each other about limits stays under 1 KB a second each.
+// Datagrams about limits must stay below 1 KB a second and node.
 func TestLimitTraffic(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newLimitedFleet(t.Context(), t, 20, 50)
@@ -268,7 +268,7 @@
 	})
 }
 
-// A draw that comes twice takes its tokens once.
+// A token request that is received twice must take its tokens once.
 func TestResentTokenRequestTakesNoTokensTwice(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newLimitedFleet(t.Context(), t, 3, 20)
@@ -306,7 +306,8 @@
 	})
 }
 
-// Guards against a node that has just begun, knows nobody yet and admits the limit of the whole fleet.
+// Guards against a node that has just started, knows no peers yet and admits the limit of the whole
+// fleet.
 func TestStartingNodeHasItsShareOfLimit(t *testing.T) {
 	const rate, seeds, most = 20, 3, 10
 	synctest.Test(t, func(t *testing.T) {
--- a/internal/node/members_test.go
+++ b/internal/node/members_test.go
@@ -14,8 +14,8 @@
 	"ploverjunction.example/ploverjunction/internal/task"
 )
 
-// A fleet of 443 that starts brings few views to each of its nodes, and all of it is in
-// the last one.
+// The start of a fleet of 443 nodes must make few views on each node, and the last one must have
+// all nodes.
 func TestFewViewsDuringFleetStart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := node.NewMembers(membership.NewNode("192.0.2.1:1", "a"))
@@ -45,7 +45,7 @@
 	})
 }
 
-// One node more is in the view at once.
+// A single new node must be in the view at once.
 func TestSingleChangeIsPublishedAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := node.NewMembers(membership.NewNode("192.0.2.1:1", "a"))
--- a/internal/node/partition_test.go
+++ b/internal/node/partition_test.go
@@ -17,7 +17,7 @@
 // slots is how many slots each target of twoHalls has.
 const slots = 3
 
-// twoHalls describes a service with as many targets in each of the data halls a and b.
+// twoHalls describes a service with the given number of targets in each of the data halls a and b.
 func twoHalls(targets int) []*wire.Entry {
 	var list []string
 	for i := range 2 * targets {
@@ -33,8 +33,8 @@
 	}
 }
 
-// The targets of the own data hall are taken first, and those of another one as soon as
-// none of them is free, though all are asked for at the same moment.
+// The targets of the own data hall must be used first, and those of the other one as soon as none
+// of them is free, even if all requests come at the same moment.
 func TestOverflowGoesToOtherDataHall(t *testing.T) {
 	const targets = 40
 	synctest.Test(t, func(t *testing.T) {
@@ -55,8 +55,8 @@
 	})
 }
 
-// When nobody answers for the own data hall the dispatcher of the other one does, and
-// the node doesn't choose alone.
+// If no dispatcher of the own data hall answers, that of the other one must be used, and not the
+// fallback.
 func TestOtherPartitionServesIfDispatchersDoNotAnswer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		first, second := membership.NewNode("192.0.2.2:1", "a"), membership.NewNode("192.0.2.3:1", "a")
@@ -70,12 +70,12 @@
 			t.Errorf("chosen by %s in data hall %s", choice.By, choice.DataHall)
 		}
 		if c.Asked()[first.Address()+" a"] == 0 || c.Asked()[second.Address()+" a"] == 0 {
-			t.Errorf("asked %v", c.Asked())
+			t.Errorf("grant requests: %v", c.Asked())
 		}
 	})
 }
 
-// A service with few targets in each data hall has one dispatcher.
+// A service with few targets in each data hall must have one dispatcher.
 func TestSmallServiceIsNotDivided(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		peer := membership.NewNode("192.0.2.2:1", "b")
@@ -84,12 +84,12 @@
 			t.Fatal(err)
 		}
 		if c.Asked()[peer.Address()+" "] == 0 {
-			t.Errorf("asked %v", c.Asked())
+			t.Errorf("grant requests: %v", c.Asked())
 		}
 	})
 }
 
-// Nodes whose data hall has no targets are shared out over those that have.
+// Nodes whose data hall has no targets must be distributed over those that have.
 func TestNodesWithoutLocalTargetsAreDistributed(t *testing.T) {
 	homes := map[string]int{}
 	for i := range 100 {
@@ -97,6 +97,6 @@
 		homes[node.NewChooserOf(self, "quotes", twoHalls(40)).Home()]++
 	}
 	if homes["a"] < 30 || homes["b"] < 30 {
-		t.Errorf("nodes by the data hall that they ask first: %v", homes)
+		t.Errorf("nodes by the data hall that they try first: %v", homes)
 	}
 }
--- a/internal/node/quarantine_test.go
+++ b/internal/node/quarantine_test.go
@@ -19,7 +19,7 @@
 	"ploverjunction.example/ploverjunction/internal/wire"
 )
 
-// quarantineFleet is a fleet whose nodes tell each other of requests under which targets ended.
+// quarantineFleet is a fleet whose nodes exchange records of requests under which targets crashed.
 type quarantineFleet struct {
 	ctx   context.Context
 	all   []membership.Node
@@ -27,10 +27,10 @@
 
 	mu     sync.Mutex
 	random *rand.Rand
-	// loss is the share of lost datagrams, dead are nodes that receive nothing.
+	// loss is the fraction of lost datagrams, dead are nodes that receive nothing.
 	loss float64
 	dead map[string]bool
-	// updates and bytes count the datagrams about requests, and their size.
+	// updates and bytes count the datagrams with records, and their size.
 	updates int
 	bytes   int
 }
@@ -51,7 +51,7 @@
 	return f
 }
 
-// restart starts a node anew.
+// restart starts a node without state.
 func (f *quarantineFleet) restart(n membership.Node) *node.QuarantineNode {
 	q := node.NewQuarantineNode(n, f.all, func(peer string, d *wire.Datagram) { f.send(peer, d) })
 	f.mu.Lock()
@@ -60,7 +60,7 @@
 	return q
 }
 
-// send carries a datagram in a millisecond, unless it is lost.
+// send delivers a datagram after a millisecond, unless it is lost.
 func (f *quarantineFleet) send(to string, d *wire.Datagram) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -80,7 +80,7 @@
 	return f.nodes[address]
 }
 
-// pings has each node ping another one each 200 ms, for a time.
+// pings lets each node ping another one every 200 ms, for the given time.
 func (f *quarantineFleet) pings(during time.Duration) {
 	for begun := time.Now(); time.Since(begun) < during; time.Sleep(200 * time.Millisecond) {
 		for _, n := range f.all {
@@ -105,7 +105,8 @@
 	return n
 }
 
-// threeCrashes has three nodes see an end each under a request, and all hear of it.
+// threeCrashes records a crash under a request on each of three nodes, and lets all nodes receive
+// them.
 func (f *quarantineFleet) threeCrashes() quarantine.Prints {
 	p := crashingRequest()
 	for i := range 3 {
@@ -123,8 +124,8 @@
 	})
 }
 
-// Three ends that three nodes saw, one each, are known to all nodes within a moment; to those
-// that missed the news within the time of some pings.
+// Three crashes on three nodes must reach all nodes almost at once, and those that missed the
+// update after some pings.
 func TestAllNodesReceiveCrashes(t *testing.T) {
 	tests := []struct {
 		name   string
@@ -143,7 +144,7 @@
 			within: 2 * time.Second,
 		},
 		{
-			name:   "links that lose one datagram in ten",
+			name:   "10 % of datagrams lost",
 			nodes:  40,
 			loss:   0.1,
 			within: 2 * time.Second,
@@ -167,11 +168,11 @@
 				}
 				f.pings(tt.within)
 				if got := f.refusing(p); got != tt.nodes {
-					t.Errorf("%d of %d nodes refuse it after %v", got, tt.nodes, tt.within)
+					t.Errorf("%d of %d nodes refuse the request after %v", got, tt.nodes, tt.within)
 				}
 				each := float64(f.bytes) / float64(tt.nodes)
 				t.Logf("%.1f datagrams and %.0f bytes a node", float64(f.updates)/float64(tt.nodes), each)
-				// What a node may send for control in a second.
+				// What a node may send in a second for control.
 				if each > 6000 {
 					t.Errorf("%.0f bytes a node for one request", each)
 				}
@@ -180,23 +181,23 @@
 	}
 }
 
-// A node that begins anew knows what the others know before anyone may blame it.
+// A restarted node must receive the records of the others within two seconds.
 func TestNewNodeReceivesCrashes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newQuarantineFleet(t.Context(), 40)
 		p := f.threeCrashes()
-		// So few that it is still refused when the last of them starts.
+		// Few enough that the request is still refused when the last of them starts.
 		for _, n := range f.all[:15] {
 			q := f.restart(n)
 			f.pings(2 * time.Second)
 			if !q.Check(p).Held() {
-				t.Fatalf("%s doesn't refuse it two seconds after its start", n.Address())
+				t.Fatalf("%s does not refuse the request 2 s after its start", n.Address())
 			}
 		}
 	})
 }
 
-// The loss of a node that adds up costs nothing: two do.
+// The loss of any one node must not lose records: two nodes count the crashes of a request.
 func TestLossOfHolder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newQuarantineFleet(t.Context(), 10)
@@ -220,26 +221,26 @@
 			}
 			f.pings(time.Second)
 			if got := f.refusing(p); got < len(f.all)-1 {
-				t.Errorf("without %s: %d of %d nodes refuse it", lost.Address(), got, len(f.all)-1)
+				t.Errorf("without %s: %d of %d nodes refuse the request", lost.Address(), got, len(f.all)-1)
 			}
 		}
 	})
 }
 
-// What is answered anywhere is let go everywhere, and what many ask for is hardly refused
-// at all.
+// An answer on any node must release the request on all nodes, and a request that many callers send
+// must hardly be refused at all.
 func TestAnswerReleasesRequest(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newQuarantineFleet(t.Context(), 40)
 		p := f.threeCrashes()
 		if f.refusing(p) != len(f.all) {
-			t.Fatal("it isn't refused")
+			t.Fatal("not all nodes refuse the request")
 		}
-		// One that was on its way when the third target ended.
+		// The answer to an attempt in flight when the third target crashed.
 		f.at(f.all[17].Address()).Answered(p)
 		f.pings(2 * time.Second)
 		if got := f.refusing(p); got > 0 {
-			t.Errorf("%d nodes still refuse what was answered", got)
+			t.Errorf("%d nodes still refuse the answered request", got)
 		}
 		other := quarantine.NewPrints(quarantine.Request{
 			Method: "GET",
@@ -250,21 +251,21 @@
 			f.at(f.all[i].Address()).Ended(other, fmt.Sprint(i))
 			time.Sleep(20 * time.Millisecond)
 		}
-		// A node that heard of the ends and missed that they don't count learns that by
-		// comparing.
+		// A node that received the crashes but not the update that they do not count receives it by
+		// comparison of digests.
 		f.pings(200 * time.Millisecond)
 		if got := f.refusing(other); got > len(f.all)/10 {
-			t.Errorf("%d nodes refuse what was answered a moment before", got)
+			t.Errorf("%d nodes refuse a request that was answered just before", got)
 		}
 		f.pings(2 * time.Second)
 		if got := f.refusing(other); got > 0 {
-			t.Errorf("%d nodes still refuse what was answered before", got)
+			t.Errorf("%d nodes still refuse the request that was answered before", got)
 		}
 	})
 }
 
-// The loss of a data hall ends many targets with as many requests on each as they have slots.
-// No node has to hear of all of them.
+// The loss of a data hall ends many targets, with as many requests on each as it has slots. Not
+// every node may receive all of them.
 func TestLossOfDataHallSendsFewBytes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const nodes, requests = 100, 3000
@@ -284,7 +285,7 @@
 	})
 }
 
-// What is forgotten isn't told any more: once its time is over nodes send nothing about it.
+// Dropped records must not be sent: after their time nodes must send nothing about them.
 func TestOldCrashesAreDropped(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newQuarantineFleet(t.Context(), 10)
@@ -298,10 +299,10 @@
 		f.mu.Lock()
 		defer f.mu.Unlock()
 		if f.updates > before {
-			t.Errorf("%d datagrams about it after an hour", f.updates-before)
+			t.Errorf("%d datagrams with dropped records after an hour", f.updates-before)
 		}
 		if s := f.nodes[f.all[0].Address()].Check(p); s.Suspect() {
-			t.Errorf("%d ends are still known", s.Ends)
+			t.Errorf("%d crashes still recorded", s.Ends)
 		}
 	})
 }
--- a/internal/node/race_test.go
+++ b/internal/node/race_test.go
@@ -4,5 +4,5 @@
 
 package node_test
 
-// raceDetector is set where the tests run with the race detector.
+// raceDetector reports whether the tests run with the race detector.
 const raceDetector = true
--- a/internal/node/signals_test.go
+++ b/internal/node/signals_test.go
@@ -20,7 +20,8 @@
 	"ploverjunction.example/ploverjunction/internal/wire"
 )
 
-// serviceWithTargets returns a service with two targets in each of some data halls, id-a0, id-a1 and so on.
+// serviceWithTargets returns a service with the given number of targets in each data hall: id-a0,
+// id-a1 and so on.
 func serviceWithTargets(halls string, each int) []*wire.Entry {
 	var targets []string
 	for at, hall := range halls {
@@ -38,8 +39,8 @@
 	}
 }
 
-// A node that was told that a target leaves tells its own desk with the next ask, and gets
-// another one.
+// A node that received the signal that a target drains must pass it to its own scheduler with the
+// next grant request, and get another target.
 func TestNodeReportsDrainingTarget(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := node.NewChooser("quotes", serviceWithTargets("a", 2))
@@ -54,12 +55,12 @@
 			choice.Done(outlier.End{}, 0)
 		}
 		if !c.Leaves("id-a0") {
-			t.Error("the desk doesn't know")
+			t.Error("the scheduler does not treat the target as draining")
 		}
 	})
 }
 
-// A word of leaving that comes with an answer reaches whoever granted the target.
+// A signal of draining in an answer must reach the dispatcher that granted the target.
 func TestDoneReportsDrainingTarget(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := node.NewChooser("quotes", serviceWithTargets("a", 2))
@@ -72,16 +73,16 @@
 		})
 		choice.Done(outlier.End{}, 0)
 		if !c.Leaves(choice.Key) {
-			t.Error("the desk doesn't know")
+			t.Error("the scheduler does not treat the target as draining")
 		}
 		if failing := c.Failing(choice.Key); failing > 0.02 {
-			t.Errorf("the word is held against the target: %v", failing)
+			t.Errorf("the signal raises the failure probability to %v", failing)
 		}
 	})
 }
 
-// A dispatcher that grants a target which the node may not use is asked again, and then the
-// node chooses alone; whatever it says, the target gets nothing.
+// If a dispatcher grants an unavailable target the node must request another one, and then use its
+// fallback; the target must get no request in any case.
 func TestGrantOfUnavailableTarget(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		other := membership.NewNode("192.0.2.2:1", "b")
@@ -97,13 +98,13 @@
 			choice.Done(outlier.End{}, 0)
 		}
 		if c.Asked()["192.0.2.2:1 "] == 0 {
-			t.Error("the dispatcher wasn't asked")
+			t.Error("no grant request to the dispatcher")
 		}
 	})
 }
 
-// A target that asked the node for rest gets nothing from it until that is over, isn't held to
-// fail, and works again after it.
+// A target that backs off must get no request from the node until that is over, must not count as
+// failing, and must get requests again afterwards.
 func TestNoRequestsDuringBackoff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const rest = 3 * time.Second
@@ -120,7 +121,7 @@
 			Shed: true,
 		}, time.Millisecond)
 		if failing := c.Failing(first.Key); failing > 0.03 {
-			t.Errorf("the refusal is held against the target: %v", failing)
+			t.Errorf("the refusal raises the failure probability to %v", failing)
 		}
 		for time.Since(begun) < 2*rest {
 			choice, err := c.Choose(context.Background())
@@ -134,13 +135,13 @@
 			choice.Done(outlier.End{}, 20*time.Millisecond)
 		}
 		if back := time.Since(begun); back < rest || back >= 2*rest {
-			t.Errorf("the target got work again after %v", back)
+			t.Errorf("first request after %v", back)
 		}
 	})
 }
 
-// Where nodes choose alone the others learn from probes that a target leaves, for as long as it
-// says so. A target that wants rest gets no probes either.
+// In the independent mode other nodes learn by probes that a target drains, for as long as it
+// signals so. A target that backs off must get no probes either.
 func TestProbesFindDrainingTargets(t *testing.T) {
 	var asked atomic.Int64
 	var wantsRest atomic.Bool
@@ -172,6 +173,6 @@
 	before := asked.Load()
 	p.Probe(context.Background())
 	if asked.Load() != before {
-		t.Error("a target that wants rest was probed")
+		t.Error("a target that backs off was probed")
 	}
 }
--- a/internal/node/stop_test.go
+++ b/internal/node/stop_test.go
@@ -12,8 +12,8 @@
 	"ploverjunction.example/ploverjunction/internal/node"
 )
 
-// A leaving node tells its own data hall and a few nodes of each other one, however many
-// those have.
+// A draining node must notify its own data hall and only a few nodes of each other one, whatever
+// their size.
 func TestDrainingNodeNotifiesFewInOtherDataHalls(t *testing.T) {
 	tab := membership.NewTable(membership.NewNode("192.0.2.1:1", "a"))
 	for i := range 400 {
@@ -26,11 +26,11 @@
 		told[hall]++
 	}
 	if told["a"] != 80 {
-		t.Errorf("%d nodes of the own data hall told, want all 80", told["a"])
+		t.Errorf("%d nodes of the own data hall notified, want all 80", told["a"])
 	}
 	for _, hall := range []string{"b", "c", "d", "e"} {
 		if told[hall] < 1 || told[hall] > 3 {
-			t.Errorf("%d nodes of data hall %s told", told[hall], hall)
+			t.Errorf("%d nodes of data hall %s notified", told[hall], hall)
 		}
 	}
 }
--- a/internal/node/targetlimits_model_test.go
+++ b/internal/node/targetlimits_model_test.go
@@ -25,12 +25,12 @@
 	scheduleNodes   = 10
 	scheduleTargets = 3
 	scheduleLength  = 26 * time.Second
-	// limitSetBy is when the first target begins to name its limit, at the latest.
+	// limitSetBy is the latest time at which the first target begins to signal its limit.
 	limitSetBy = 4 * time.Second
 	// faultsFrom and faultsTo are when faults begin.
 	faultsFrom = 5 * time.Second
 	faultsTo   = 20 * time.Second
-	// fleetPerSecond is what all callers send, more than the targets without a limit do.
+	// fleetPerSecond is the rate of all callers, more than the targets without a limit can serve.
 	fleetPerSecond = 60.0
 	minWork        = 50 * time.Millisecond
 	maxWork        = 200 * time.Millisecond
@@ -44,13 +44,13 @@
 	faultlessSlack   = 2
 )
 
-// limitStep is a limit that the target names from a time on; a negative rate is none.
+// limitStep is a limit that the target signals from a time on; a negative rate is none.
 type limitStep struct {
 	at   time.Duration
 	rate float64
 }
 
-// fleetFault is what happens to some nodes for a time.
+// fleetFault is a fault of some nodes for a time.
 type fleetFault struct {
 	kind  string
 	nodes []int
@@ -58,7 +58,7 @@
 	lasts time.Duration
 }
 
-// limitSchedule is one play.
+// limitSchedule is one simulated schedule.
 type limitSchedule struct {
 	seed   uint64
 	loss   float64
@@ -68,7 +68,7 @@
 
 var faultKinds = []string{"kill", "cut", "cut outwards", "cut inwards", "split", "lost"}
 
-// newLimitSchedule draws a schedule. calm ones have one limit and no faults.
+// newLimitSchedule draws a schedule. A calm one has one limit and no faults.
 func newLimitSchedule(seed uint64, calm bool) *limitSchedule {
 	rng := rand.New(rand.NewPCG(seed, 0x11))
 	rates := []float64{0, 0.1, 0.5, 1.6, 2.6, 5, 10, 20}
@@ -123,8 +123,8 @@
 	return rate, rate >= 0
 }
 
-// allowed returns what the target may get in the window that ends at to, and false where no bound
-// is known: the limit must have stood for limitSettled.
+// allowed returns how many requests the target may get in the window that ends at to, and false if
+// no bound is known: the limit must have been in place for limitSettled.
 func (s *limitSchedule) allowed(to time.Duration, excess, slack float64) (float64, bool) {
 	const step = 50 * time.Millisecond
 	sum := 0.0
@@ -146,13 +146,13 @@
 type arrival struct {
 	at   time.Duration
 	node int
-	// informed is set where the node had passed on an answer with the limit for a while.
+	// informed is set if the node reported an answer with the limit at least limitPropagation ago.
 	informed bool
 	// by is the node that granted it.
 	by string
 }
 
-// limitFleet is a fleet in play.
+// limitFleet is the simulated fleet.
 type limitFleet struct {
 	*limitSchedule
 	ctx   context.Context
@@ -205,7 +205,7 @@
 	for _, fault := range s.faults {
 		time.AfterFunc(fault.at, func() { f.inject(fault) })
 	}
-	// Arrivals are drawn apart, so that those of a seed stay what they are.
+	// Arrivals have their own random source, so that those of a seed do not change.
 	arrivals := rand.New(rand.NewPCG(s.seed, 0x33))
 	var calls sync.WaitGroup
 	for time.Since(f.begun) < scheduleLength {
@@ -225,7 +225,7 @@
 	return f
 }
 
-// start begins a new incarnation of a node. f.mu must not be held.
+// start starts a new incarnation of a node. f.mu must not be held.
 func (f *limitFleet) start(i int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -249,7 +249,7 @@
 	n.Run(ctx, &f.tasks)
 }
 
-// send carries a datagram, unless it is lost.
+// send delivers a datagram, unless it is lost.
 func (f *limitFleet) send(from int, peer string, d *wire.Datagram) {
 	to := 0
 	for fleetAddress(to) != peer {
@@ -333,7 +333,7 @@
 	}
 }
 
-// call plays a request that comes to a node, up to three attempts.
+// call simulates a request on a node, with up to three attempts.
 func (f *limitFleet) call(i int, work time.Duration) {
 	f.mu.Lock()
 	n, life := f.nodes[i], f.incarnations[i]
@@ -353,7 +353,7 @@
 			f.refusalTime += time.Since(begun)
 			return
 		}
-		// A connection opens, at times slowly.
+		// Opening a connection is sometimes slow.
 		f.pause()
 		f.mu.Lock()
 		alive := f.incarnations[i] == life && f.nodes[i] == n
@@ -385,7 +385,7 @@
 	time.Sleep(d)
 }
 
-// serve has a target work on a request and tells the node what it answered.
+// serve simulates the work of a target on a request and passes its answer to the node.
 func (f *limitFleet) serve(i int, life uint64, n *node.FleetNode, c entry.Choice, work time.Duration) bool {
 	const slots = 6
 	f.mu.Lock()
@@ -445,8 +445,8 @@
 	return !full
 }
 
-// worst returns the greatest part of what is allowed that the target got in any window, of those
-// arrivals that count.
+// worst returns the greatest ratio of requests to allowed requests in any window, of those arrivals
+// that count.
 func (f *limitFleet) worst(excess, slack float64, counts func(arrival) bool) (part float64, at time.Duration, got int) {
 	var window []time.Duration
 	for _, a := range f.arrivals {
--- a/internal/node/targetlimits_test.go
+++ b/internal/node/targetlimits_test.go
@@ -20,9 +20,9 @@
 	limitFirst     = flag.Uint64("limit-first", 1, "seed of the first one")
 )
 
-// limitSeeds are schedules in which a target once got more than it may: nodes that lost their
-// dispatcher together spent what each had saved up, and dispatchers that were not alone, or that
-// no other node answered, granted the whole limit.
+// limitSeeds are schedules in which a target once got more than allowed: nodes that lost their
+// dispatcher together spent the tokens that each had accumulated, or dispatchers that were not the
+// only one, or that no other node answered, granted the whole limit.
 var limitSeeds = []uint64{
 	5, 34, 50, 222, 223, 237, 258, 260, 287, 346, 350, 417, 425, 434,
 	465, 514, 918, 942, 965, 966, 970, 1001, 1003, 1066, 1111, 1170, 1203, 1267,
@@ -30,8 +30,8 @@
 	1979, 1993,
 }
 
-// Whatever happens to nodes and their network, a target with a limit gets from the nodes that it
-// told no more than one and a half times what the limit allows in four seconds, and five.
+// Whatever happens to nodes and their network, the nodes that received a target's limit must not
+// send it more than 1.5 times what the limit allows in 4 s, plus 5 requests.
 func TestLimitUnderRandomSchedules(t *testing.T) {
 	var mu sync.Mutex
 	var parts []float64
@@ -43,7 +43,7 @@
 			}
 		}
 		if raceDetector {
-			// Schedules take fifty times as long then.
+			// Schedules take 50 times as long with the race detector.
 			seeds = seeds[:8]
 		}
 		for _, seed := range seeds {
@@ -54,7 +54,7 @@
 					f := runSchedule(t, s)
 					part, at, got := f.worst(limitExcess, limitSlack, fromInformed)
 					if part > 1 {
-						t.Errorf("%d requests in the 4 s before %v, %.2f of what is allowed: limits %v, faults %+v", got, at, part, s.limits, s.faults)
+						t.Errorf("%d requests in the 4 s before %v, %.2f of the allowed number: limits %v, faults %+v", got, at, part, s.limits, s.faults)
 						for _, a := range f.arrivals {
 							if a.informed && a.at > at-limitWindow && a.at <= at {
 								t.Logf("%v at node %d by %s", a.at, a.node, a.by)
@@ -73,12 +73,12 @@
 	for _, p := range parts {
 		sum += p
 	}
-	t.Logf("%d schedules: greatest part of what is allowed %.2f in the mean, %.2f in 99 of 100, at most %.2f",
+	t.Logf("%d schedules: greatest ratio to the allowed number: mean %.2f, 99th percentile %.2f, maximum %.2f",
 		len(parts), sum/float64(len(parts)), parts[len(parts)*99/100], parts[len(parts)-1])
 }
 
-// While nothing goes wrong all nodes together, told or not, keep to the limit and use it; what
-// can't be served is refused soon.
+// Without faults all nodes together, informed or not, must stay within the limit and use it;
+// requests beyond it must be refused soon.
 func TestLimitWithoutFaults(t *testing.T) {
 	for seed := range uint64(max(*limitSchedules/4, 4)) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -88,7 +88,7 @@
 				f := runSchedule(t, s)
 				rate := s.limits[0].rate
 				if part, at, got := f.worst(faultlessExcess, faultlessSlack, fromAny); part > 1 {
-					t.Errorf("%d requests in the 4 s before %v, %.2f of what is aimed at, limit %v", got, at, part, rate)
+					t.Errorf("%d requests in the 4 s before %v, %.2f of the allowed number, limit %v", got, at, part, rate)
 				}
 				from, n := s.limits[0].at+limitSettled, 0
 				for _, a := range f.arrivals {
@@ -98,17 +98,17 @@
 				}
 				possible := rate * (scheduleLength - from).Seconds()
 				if float64(n) < 0.9*possible-1 {
-					t.Errorf("%d requests of %.0f that the limit allows", n, possible)
+					t.Errorf("%d requests, %.0f allowed by the limit", n, possible)
 				}
-				t.Logf("limit %v: %d of %.0f, served %d of %d, %d refused after %v in the mean", rate, n, possible,
+				t.Logf("limit %v: %d of %.0f, served %d of %d, %d refused after a mean of %v", rate, n, possible,
 					f.served, f.requests, f.refused, f.refusalTime/time.Duration(max(f.refused, 1)))
 			})
 		})
 	}
 }
 
-// What may be granted at the same time is one and a half times the limit at the most, and what a
-// node grants that nothing is wrong with is all of it.
+// Dispatchers that may grant at the same time must stay within 1.5 times the limit together, and a
+// node without faults must grant all of it.
 func TestSharesOfLimit(t *testing.T) {
 	const long = time.Minute
 	tests := []struct {
@@ -141,7 +141,7 @@
 			want:  0.25,
 		},
 		{
-			name:  "another one ranks before",
+			name:  "second in rank",
 			nodes: 40,
 			live:  40,
 			rank:  1,
@@ -163,7 +163,7 @@
 			want:  0.025,
 		},
 		{
-			name:  "knows nobody",
+			name:  "no known nodes",
 			nodes: 1,
 			live:  1,
 			alone: true,
@@ -173,7 +173,7 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			if got := node.Part(tt.nodes, tt.live, tt.rank, tt.alone, tt.among); got != tt.want {
-				t.Errorf("part %v, want %v", got, tt.want)
+				t.Errorf("share %v, want %v", got, tt.want)
 			}
 		})
 	}
@@ -184,8 +184,8 @@
 	}
 }
 
-// Nodes that tell each other of a limit don't make it newer than it is: once it is lifted it would
-// come back.
+// Nodes that send each other a limit must not make it newer than it is: it would come back after it
+// was lifted.
 func TestRelayedLimitsDoNotGetNewer(t *testing.T) {
 	const way = 2 * time.Millisecond
 	begun := time.Now()
@@ -195,11 +195,11 @@
 		now = now.Add(way)
 	}
 	if at.After(begun) {
-		t.Errorf("the answer is taken for %v newer than it is", at.Sub(begun))
+		t.Errorf("the limit is %v newer than at its origin", at.Sub(begun))
 	}
 }
 
-// Nodes that lose their dispatcher at the same moment have saved nothing up.
+// Nodes that lose their dispatcher at the same moment must not have accumulated tokens.
 func TestSharesOfManyNodesAreNoBurst(t *testing.T) {
 	const nodes, rate = 40, 1.6
 	all := make([]node.Shares, nodes)
@@ -221,22 +221,22 @@
 	}
 }
 
-// A caller that this node has no turn for may reach another one, whose turn comes before.
+// A caller refused by this node may reach another one, whose turn comes before.
 func TestTurnIsSharedByAllNodes(t *testing.T) {
 	var s node.Shares
 	if got := s.Turn(2); got < 500*time.Millisecond || got > 600*time.Millisecond {
-		t.Errorf("a turn each %v of a limit of 2 a second", got)
+		t.Errorf("turns %v apart with a limit of 2 a second", got)
 	}
 }
 
-// A message about a limit that makes no sense changes nothing.
+// An invalid limit in a message must change nothing.
 func TestInvalidLimitsAreIgnored(t *testing.T) {
 	for _, rate := range []float64{math.NaN(), math.Inf(1), -1} {
 		if at := node.Told(time.Now(), rate); !at.IsZero() {
-			t.Errorf("rate %v counts", rate)
+			t.Errorf("invalid rate %v accepted", rate)
 		}
 	}
 	if node.Told(time.Now(), 2).IsZero() {
-		t.Error("a rate of 2 doesn't count")
+		t.Error("rate of 2 not accepted")
 	}
 }
