--- a/internal/node/export_signals_test.go
+++ b/internal/node/export_signals_test.go
@@ -19,12 +19,12 @@
 
 // Hear records a signal in an answer of a target to the node.
 func (c *Chooser) Hear(key string, n signal.Signal) {
-	c.dispatching.board.signals.Observe(time.Now(), incarnationOf(c.service.Target(key)), n)
+	c.dispatcher.board.signals.Observe(time.Now(), incarnationOf(c.service.Target(key)), n)
 }
 
 // Leaves reports whether the node's own scheduler treats a target as draining.
 func (c *Chooser) Leaves(key string) bool {
-	d := c.dispatching
+	d := c.dispatcher
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := time.Now()
--- a/internal/node/export_test.go
+++ b/internal/node/export_test.go
@@ -49,10 +49,10 @@
 
 // Chooser is the dispatch controller of a node that is the only one of its fleet.
 type Chooser struct {
-	dispatching *dispatchController
-	service     *fleetconfig.Service
-	store       *fleetconfig.Store
-	asked       map[string]int
+	dispatcher *dispatchController
+	service    *fleetconfig.Service
+	store      *fleetconfig.Store
+	asked      map[string]int
 }
 
 // NewChooser returns the chooser of a node in data hall a for one service of the published entries.
@@ -205,7 +205,7 @@
 		return nil
 	}
 	log := logging.Part(logging.New(io.Discard, "error", "text"), "dispatch")
-	c.dispatching = newDispatchController(board, m, dispatch.Budget{
+	c.dispatcher = newDispatchController(board, m, dispatch.Budget{
 		Share:   0.2,
 		Reserve: 10,
 		Window:  10 * time.Second,
@@ -218,7 +218,7 @@
 // Offer puts entries in force.
 func (c *Chooser) Offer(entries ...*wire.Entry) {
 	c.store.Offer(entries)
-	c.dispatching.board.config.Store(&configuration{
+	c.dispatcher.board.config.Store(&configuration{
 		config: c.store.Config(),
 	})
 }
@@ -227,7 +227,7 @@
 func (c *Chooser) Config() *fleetconfig.Config { return c.store.Config() }
 
 // SetRegions sets the regions of data halls.
-func (c *Chooser) SetRegions(regions map[string]string) { c.dispatching.board.regions = regions }
+func (c *Chooser) SetRegions(regions map[string]string) { c.dispatcher.board.regions = regions }
 
 // grantOf answers a grant request with a target of a data hall.
 func (c *Chooser) grantOf(d *wire.Datagram, hall string) *wire.Datagram {
@@ -250,14 +250,14 @@
 }
 
 // Home returns the data hall of the partition that the node tries first.
-func (c *Chooser) Home() string { return c.dispatching.home(&entry.Query{Service: c.service}).hall }
+func (c *Chooser) Home() string { return c.dispatcher.home(&entry.Query{Service: c.service}).hall }
 
 // Asked returns the number of grant requests by peer and data hall, with a space between them.
 func (c *Chooser) Asked() map[string]int { return c.asked }
 
 // Choose returns a target for one attempt, in regions that all lists allow.
 func (c *Chooser) Choose(ctx context.Context, regions ...fleetconfig.Regions) (entry.Choice, error) {
-	return c.dispatching.choose(ctx, &entry.Query{
+	return c.dispatcher.choose(ctx, &entry.Query{
 		Service:  c.service,
 		Regions:  regions,
 		Aim:      time.Now().Add(time.Second),
@@ -268,8 +268,8 @@
 // Avoid returns the targets that are not to be granted for a request that was sent to tried, while
 // lost is unreachable.
 func (c *Chooser) Avoid(lost string, tried ...string) []string {
-	c.dispatching.unreachableUntil[lost] = time.Now().Add(unreachableTime)
-	return c.dispatching.excludedTargets(&entry.Query{
+	c.dispatcher.unreachableUntil[lost] = time.Now().Add(unreachableTime)
+	return c.dispatcher.excludedTargets(&entry.Query{
 		Service: c.service,
 		Tried:   tried,
 	})
@@ -277,7 +277,7 @@
 
 // Failing returns the estimated failure probability of a target.
 func (c *Chooser) Failing(key string) float64 {
-	d := c.dispatching
+	d := c.dispatcher
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := time.Now()
