--- a/internal/node/export_test.go
+++ b/internal/node/export_test.go
@@ -52,7 +52,7 @@
 	dispatcher *dispatchController
 	service    *fleetconfig.Service
 	store      *fleetconfig.Store
-	asked      map[string]int
+	requests   map[string]int
 }
 
 // NewChooser returns the chooser of a node in data hall a for one service of the published entries.
@@ -190,13 +190,13 @@
 		}
 	}
 	c := &Chooser{
-		asked: map[string]int{},
+		requests: map[string]int{},
 	}
 	m.transmit = func(peer string, d *wire.Datagram) error {
 		if d.GetAsk() == nil {
 			return nil
 		}
-		c.asked[peer+" "+d.GetAsk().GetDataHall()]++
+		c.requests[peer+" "+d.GetAsk().GetDataHall()]++
 		for _, n := range peers {
 			if n.Address() == peer && n.DataHall() != self.DataHall() {
 				m.deliverAnswer(c.grantOf(d, n.DataHall()))
@@ -253,7 +253,7 @@
 func (c *Chooser) Home() string { return c.dispatcher.home(&entry.Query{Service: c.service}).hall }
 
 // Asked returns the number of grant requests by peer and data hall, with a space between them.
-func (c *Chooser) Asked() map[string]int { return c.asked }
+func (c *Chooser) Asked() map[string]int { return c.requests }
 
 // Choose returns a target for one attempt, in regions that all lists allow.
 func (c *Chooser) Choose(ctx context.Context, regions ...fleetconfig.Regions) (entry.Choice, error) {
