--- a/internal/node/export_targetlimits_test.go
+++ b/internal/node/export_targetlimits_test.go
@@ -21,12 +21,12 @@
 
 // FleetNode is the dispatch controller of a node, on a network that a test provides.
 type FleetNode struct {
-	board       *Board
-	members     *members
-	messenger   *messenger
-	dispatching *dispatchController
-	pinging     *failureDetector
-	service     *fleetconfig.Service
+	board      *Board
+	members    *members
+	messenger  *messenger
+	dispatcher *dispatchController
+	pinging    *failureDetector
+	service    *fleetconfig.Service
 	// mu is held while a datagram is handled.
 	mu sync.Mutex
 }
@@ -74,13 +74,13 @@
 		return nil
 	}
 	log := logging.Part(logging.New(io.Discard, "error", "text"), "dispatch")
-	n.dispatching = newDispatchController(n.board, m, dispatch.Budget{
+	n.dispatcher = newDispatchController(n.board, m, dispatch.Budget{
 		Share:   0.2,
 		Reserve: 10,
 		Window:  10 * time.Second,
 	}, log)
-	n.dispatching.floor = 0.7
-	n.dispatching.seeds = len(cfg.Seeds)
+	n.dispatcher.floor = 0.7
+	n.dispatcher.seeds = len(cfg.Seeds)
 	begun := time.Now()
 	n.pinging = &failureDetector{
 		messenger: m,
@@ -97,7 +97,7 @@
 func (n *FleetNode) Run(ctx context.Context, tasks *task.Group) {
 	tasks.Go(ctx, "members", n.members.run)
 	tasks.Go(ctx, "pinging", n.pinging.run)
-	tasks.Go(ctx, "dispatching", n.dispatching.run)
+	tasks.Go(ctx, "dispatching", n.dispatcher.run)
 }
 
 // Receive handles a datagram, one at a time as from the socket.
@@ -110,7 +110,7 @@
 // Choose returns a target for an attempt.
 func (n *FleetNode) Choose(ctx context.Context, again bool, tried []string, within time.Duration) (entry.Choice, error) {
 	now := time.Now()
-	return n.dispatching.choose(ctx, &entry.Query{
+	return n.dispatcher.choose(ctx, &entry.Query{
 		Service:    n.service,
 		Repeatable: true,
 		Again:      again,
