--- a/internal/node/export_targetlimits_test.go
+++ b/internal/node/export_targetlimits_test.go
@@ -21,12 +21,12 @@
 
 // FleetNode is the dispatch controller of a node, on a network that a test provides.
 type FleetNode struct {
-	board      *Board
-	members    *members
-	messenger  *messenger
-	dispatcher *dispatchController
-	pinging    *failureDetector
-	service    *fleetconfig.Service
+	board           *Board
+	members         *members
+	messenger       *messenger
+	dispatcher      *dispatchController
+	failureDetector *failureDetector
+	service         *fleetconfig.Service
 	// mu is held while a datagram is handled.
 	mu sync.Mutex
 }
@@ -82,7 +82,7 @@
 	n.dispatcher.floor = 0.7
 	n.dispatcher.seeds = len(cfg.Seeds)
 	begun := time.Now()
-	n.pinging = &failureDetector{
+	n.failureDetector = &failureDetector{
 		messenger: m,
 		members:   n.members,
 		board:     n.board,
@@ -96,7 +96,7 @@
 // Run starts the node, which stops when the context ends.
 func (n *FleetNode) Run(ctx context.Context, tasks *task.Group) {
 	tasks.Go(ctx, "members", n.members.run)
-	tasks.Go(ctx, "pinging", n.pinging.run)
+	tasks.Go(ctx, "pinging", n.failureDetector.run)
 	tasks.Go(ctx, "dispatching", n.dispatcher.run)
 }
 
