--- a/internal/node/export_quarantine_test.go
+++ b/internal/node/export_quarantine_test.go
@@ -16,8 +16,8 @@
 
 // QuarantineNode is the quarantine controller of a node, on a network that a test provides.
 type QuarantineNode struct {
-	quarantining *quarantineController
-	messenger    *messenger
+	quarantine *quarantineController
+	messenger  *messenger
 }
 
 // NewQuarantineNode returns a node with others as its peers. send sends a datagram to a peer.
@@ -52,8 +52,8 @@
 	m.quarantineDigest, m.onQuarantine, m.onQuarantineDigest = q.digest.Load, q.merge, q.compare
 	q.messenger = m
 	return &QuarantineNode{
-		quarantining: q,
-		messenger:    m,
+		quarantine: q,
+		messenger:  m,
 	}
 }
 
@@ -71,13 +71,13 @@
 
 // Check returns the node's standing of a request.
 func (n *QuarantineNode) Check(p quarantine.Prints) quarantine.Standing {
-	return n.quarantining.check(p)
+	return n.quarantine.check(p)
 }
 
 // Ended records that a target crashed under a request.
 func (n *QuarantineNode) Ended(p quarantine.Prints, target string) quarantine.Standing {
-	return n.quarantining.ended(p, target)
+	return n.quarantine.ended(p, target)
 }
 
 // Answered records that a target answered a request.
-func (n *QuarantineNode) Answered(p quarantine.Prints) { n.quarantining.answered(p) }
+func (n *QuarantineNode) Answered(p quarantine.Prints) { n.quarantine.answered(p) }
