--- a/internal/node/export_test.go
+++ b/internal/node/export_test.go
@@ -64,9 +64,9 @@
 
 // LimitedNode is the limit controller of a node, on a network that a test provides.
 type LimitedNode struct {
-	limiting *limitController
-	members  *members
-	self     membership.Node
+	limits  *limitController
+	members *members
+	self    membership.Node
 }
 
 // NewLimitedNode returns such a node. send sends a datagram to a peer.
@@ -84,12 +84,12 @@
 		self:    self,
 	}
 	begun := time.Now()
-	n.limiting = newLimitController(board, begun, xxhash.Sum64String(self.Address()), ratelimit.Tolerance{
+	n.limits = newLimitController(board, begun, xxhash.Sum64String(self.Address()), ratelimit.Tolerance{
 		Window: 5 * time.Second,
 		Excess: 0.25,
 		Slack:  20,
 	}, logging.Part(logging.New(io.Discard, "error", "text"), "limits"))
-	n.limiting.seeds = 1
+	n.limits.seeds = 1
 	m := newMessenger()
 	m.members = n.members
 	m.replica = dissemination.NewReplica(nil)
@@ -104,14 +104,14 @@
 		send(peer, d)
 		return nil
 	}
-	m.onTokenRequest, m.onReceive, m.onIncarnation = n.limiting.handleTokenRequest, n.limiting.recordReceived, n.limiting.recordIncarnation
-	n.limiting.messenger = m
+	m.onTokenRequest, m.onReceive, m.onIncarnation = n.limits.handleTokenRequest, n.limits.recordReceived, n.limits.recordIncarnation
+	n.limits.messenger = m
 	return n
 }
 
 // ChooseAlone gives the node an equal share of each limit; seeds is the number of other nodes in
 // its settings.
-func (n *LimitedNode) ChooseAlone(seeds int) { n.limiting.messenger, n.limiting.seeds = nil, seeds }
+func (n *LimitedNode) ChooseAlone(seeds int) { n.limits.messenger, n.limits.seeds = nil, seeds }
 
 // Knows adds live peers to the node.
 func (n *LimitedNode) Knows(others []membership.Node) {
@@ -134,24 +134,24 @@
 
 // Receive handles a datagram.
 func (n *LimitedNode) Receive(ctx context.Context, d *wire.Datagram) {
-	n.limiting.messenger.handle(ctx, d)
+	n.limits.messenger.handle(ctx, d)
 }
 
 // Address returns the address of the node.
 func (n *LimitedNode) Address() string { return n.self.Address() }
 
 // Holder returns the node that allocates the limit of a workspace.
-func (n *LimitedNode) Holder(workspace string) string { return n.limiting.holder(workspace).Address() }
+func (n *LimitedNode) Holder(workspace string) string { return n.limits.holder(workspace).Address() }
 
 // Run reports to allocators until the context ends.
-func (n *LimitedNode) Run(ctx context.Context) error { return n.limiting.run(ctx) }
+func (n *LimitedNode) Run(ctx context.Context) error { return n.limits.run(ctx) }
 
 // Patience is the maximum wait of a request on a node that starts.
 const Patience = 500 * time.Millisecond
 
 // Admit admits a request of a workspace; it returns 0 if the request may proceed.
 func (n *LimitedNode) Admit(ctx context.Context, workspace string) time.Duration {
-	if over := n.limiting.admit(ctx, n.limiting.board.currentConfig().Workspace(workspace), Patience); over != nil {
+	if over := n.limits.admit(ctx, n.limits.board.currentConfig().Workspace(workspace), Patience); over != nil {
 		return over.Wait
 	}
 	return 0
@@ -159,7 +159,7 @@
 
 // GiveBack returns the token of a request that has not run.
 func (n *LimitedNode) GiveBack(workspace string) {
-	n.limiting.giveBack(n.limiting.board.currentConfig().Workspace(workspace))
+	n.limits.giveBack(n.limits.board.currentConfig().Workspace(workspace))
 }
 
 // NewChooserOf is NewChooser for another node.
