--- a/internal/node/export_test.go
+++ b/internal/node/export_test.go
@@ -22,7 +22,7 @@
 
 // Reporter is the evidence controller of a node, without a network.
 type Reporter struct {
-	observing *evidenceController
+	evidence *evidenceController
 }
 
 // NewReporter returns the reporter of a node with others as its peers.
@@ -33,18 +33,18 @@
 	board.view.Store(table.View(time.Now()))
 	log := logging.Part(logging.New(io.Discard, "error", "text"), "observing")
 	return &Reporter{
-		observing: newEvidenceController(board, observerLink{}, nil, log),
+		evidence: newEvidenceController(board, observerLink{}, nil, log),
 	}
 }
 
 // Collect adds the evidence of one tick.
 func (r *Reporter) Collect(now time.Time, evidence []outlier.Evidence) {
-	r.observing.collect(now, evidence)
+	r.evidence.collect(now, evidence)
 }
 
 // Due returns the reports that are due at now, by observer.
 func (r *Reporter) Due(now time.Time) map[string][]*wire.Report {
-	return r.observing.dueReports(now)
+	return r.evidence.dueReports(now)
 }
 
 // Chooser is the dispatch controller of a node that is the only one of its fleet.
