--- a/internal/node/export_signals_test.go
+++ b/internal/node/export_signals_test.go
@@ -38,7 +38,7 @@
 
 // Prober is the prober of a node without peers.
 type Prober struct {
-	probing *prober
+	prober  *prober
 	leaving []string
 }
 
@@ -53,7 +53,7 @@
 		config: store.Config(),
 	})
 	p := &Prober{}
-	p.probing = newProber(board, contract.Plover(), func(_ time.Time, evidence []outlier.Evidence) {
+	p.prober = newProber(board, contract.Plover(), func(_ time.Time, evidence []outlier.Evidence) {
 		for _, e := range evidence {
 			if e.Counts.Leaving {
 				p.leaving = append(p.leaving, e.Counts.Target)
@@ -66,6 +66,6 @@
 // Probe probes all targets once and returns those that answered that they are draining.
 func (p *Prober) Probe(ctx context.Context) []string {
 	p.leaving = nil
-	p.probing.probeAll(ctx)
+	p.prober.probeAll(ctx)
 	return p.leaving
 }
