--- a/internal/node/export_signals_test.go
+++ b/internal/node/export_signals_test.go
@@ -38,8 +38,8 @@
 
 // Prober is the prober of a node without peers.
 type Prober struct {
-	prober  *prober
-	leaving []string
+	prober   *prober
+	draining []string
 }
 
 // NewProber returns the prober of the targets in published entries.
@@ -56,7 +56,7 @@
 	p.prober = newProber(board, contract.Plover(), func(_ time.Time, evidence []outlier.Evidence) {
 		for _, e := range evidence {
 			if e.Counts.Leaving {
-				p.leaving = append(p.leaving, e.Counts.Target)
+				p.draining = append(p.draining, e.Counts.Target)
 			}
 		}
 	}, logging.Part(logging.New(io.Discard, "error", "text"), "probing"))
@@ -65,7 +65,7 @@
 
 // Probe probes all targets once and returns those that answered that they are draining.
 func (p *Prober) Probe(ctx context.Context) []string {
-	p.leaving = nil
+	p.draining = nil
 	p.prober.probeAll(ctx)
-	return p.leaving
+	return p.draining
 }
