--- a/internal/node/export_test.go
+++ b/internal/node/export_test.go
@@ -324,7 +324,7 @@
 
 // Currency estimates whether the configuration of a node is the newest.
 type Currency struct {
-	currency *freshness
+	freshness *freshness
 }
 
 // NewCurrency returns the currency of a node that usually receives an answer of the platform within
@@ -332,7 +332,7 @@
 // trust is the age up to which keys are trusted, 0 for always.
 func NewCurrency(silent, trust time.Duration, age, agreed func(time.Time) time.Duration, ask func()) *Currency {
 	return &Currency{
-		currency: &freshness{
+		freshness: &freshness{
 			maxAge:       time.Duration(maxAgeFactor * float64(silent)),
 			maxKeyAge:    trust,
 			platformAge:  age,
@@ -344,10 +344,10 @@
 }
 
 // Current reports whether the node can have the newest configuration.
-func (c *Currency) Current() bool { return c.currency.current() }
+func (c *Currency) Current() bool { return c.freshness.current() }
 
 // Await waits until it can.
-func (c *Currency) Await(ctx context.Context) bool { return c.currency.await(ctx) }
+func (c *Currency) Await(ctx context.Context) bool { return c.freshness.await(ctx) }
 
 // Trusted reports whether keys may be trusted.
-func (c *Currency) Trusted() bool { return c.currency.trusted() }
+func (c *Currency) Trusted() bool { return c.freshness.trusted() }
