--- a/internal/node/export_targetlimits_test.go
+++ b/internal/node/export_targetlimits_test.go
@@ -81,14 +81,14 @@
 	}, log)
 	n.dispatcher.floor = 0.7
 	n.dispatcher.seeds = len(cfg.Seeds)
-	begun := time.Now()
+	started := time.Now()
 	n.failureDetector = &failureDetector{
 		messenger: m,
 		members:   n.members,
 		board:     n.board,
 		seeds:     func() []string { return cfg.Seeds },
 		log:       log,
-		elapsed:   func(now time.Time) time.Duration { return now.Sub(begun) },
+		elapsed:   func(now time.Time) time.Duration { return now.Sub(started) },
 	}
 	return n
 }
