--- a/internal/node/export_targetlimits_test.go
+++ b/internal/node/export_targetlimits_test.go
@@ -128,8 +128,8 @@
 }
 
 // Hear records the signal in an answer of a target.
-func (n *FleetNode) Hear(c entry.Choice, said signal.Signal) {
-	n.board.signals.Observe(time.Now(), c.Incarnation, said)
+func (n *FleetNode) Hear(c entry.Choice, sig signal.Signal) {
+	n.board.signals.Observe(time.Now(), c.Incarnation, sig)
 }
 
 // Live returns how many nodes this one considers live.
