--- a/internal/node/export_targetlimits_test.go
+++ b/internal/node/export_targetlimits_test.go
@@ -137,13 +137,13 @@
 
 // Part returns the share of targets' limits that a node may grant as the dispatcher of the given
 // rank.
-func Part(nodes, live, rank int, isolated bool, among time.Duration) float64 {
+func Part(nodes, live, rank int, isolated bool, connectedFor time.Duration) float64 {
 	return holderRank{
 		nodes:        nodes,
 		live:         live,
 		rank:         rank,
 		isolated:     isolated,
-		connectedFor: among,
+		connectedFor: connectedFor,
 	}.share()
 }
 
