--- a/internal/node/export_test.go
+++ b/internal/node/export_test.go
@@ -83,8 +83,8 @@
 		members: newMembers(board, self, membership.DefaultWeight),
 		self:    self,
 	}
-	begun := time.Now()
-	n.limits = newLimitController(board, begun, xxhash.Sum64String(self.Address()), ratelimit.Tolerance{
+	started := time.Now()
+	n.limits = newLimitController(board, started, xxhash.Sum64String(self.Address()), ratelimit.Tolerance{
 		Window: 5 * time.Second,
 		Excess: 0.25,
 		Slack:  20,
