--- a/internal/node/dispatch_test.go
+++ b/internal/node/dispatch_test.go
@@ -18,7 +18,7 @@
 // The target of the ongoing attempt must be named last, after those that the node cannot reach: the
 // dispatcher decides by that target's failure to answer whether to grant a hedge.
 func TestTriedTargetIsNamedLast(t *testing.T) {
-	const lost, tried = "192.0.2.10:80", "192.0.2.11:80"
+	const unreachable, tried = "192.0.2.10:80", "192.0.2.11:80"
 	c := node.NewChooser("quotes", []*wire.Entry{
 		{
 			Key:      "services",
@@ -28,7 +28,7 @@
 				{"service":"quotes","address":"192.0.2.11:80","dataHall":"a","slots":3,"connections":200}]}`),
 		},
 	})
-	if got, want := c.Avoid(lost, tried), []string{lost, tried}; !slices.Equal(got, want) {
+	if got, want := c.Avoid(unreachable, tried), []string{unreachable, tried}; !slices.Equal(got, want) {
 		t.Errorf("got %v, want %v", got, want)
 	}
 }
