--- a/internal/node/freshness_test.go
+++ b/internal/node/freshness_test.go
@@ -20,8 +20,8 @@
 // and a peer has the same values.
 func TestCurrent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		heard, agreed := time.Now(), time.Now()
-		c := node.NewCurrency(time.Second, 4*time.Second, since(&heard), since(&agreed), func() {})
+		answered, agreed := time.Now(), time.Now()
+		c := node.NewCurrency(time.Second, 4*time.Second, since(&answered), since(&agreed), func() {})
 		if !c.Current() || !c.Trusted() {
 			t.Error("not current with fresh answers and an agreeing peer")
 		}
@@ -30,7 +30,7 @@
 		if c.Current() {
 			t.Error("current without an answer of the platform for 2 s")
 		}
-		heard, agreed = time.Now(), time.Now().Add(-2*time.Second)
+		answered, agreed = time.Now(), time.Now().Add(-2*time.Second)
 		if c.Current() {
 			t.Error("current though no peer had the same values for 2 s")
 		}
