--- a/internal/node/freshness_test.go
+++ b/internal/node/freshness_test.go
@@ -46,11 +46,11 @@
 func TestAwaitCurrentConfiguration(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		begun := time.Now()
-		heard, agreed := begun.Add(-time.Minute), begun
+		answered, agreed := begun.Add(-time.Minute), begun
 		asks := 0
-		c := node.NewCurrency(time.Second, 0, since(&heard), since(&agreed), func() {
+		c := node.NewCurrency(time.Second, 0, since(&answered), since(&agreed), func() {
 			if asks++; asks == 5 {
-				heard, agreed = time.Now(), time.Now()
+				answered, agreed = time.Now(), time.Now()
 			}
 		})
 		if !c.Trusted() {
@@ -59,7 +59,7 @@
 		if !c.Await(t.Context()) || time.Since(begun) > 200*time.Millisecond {
 			t.Errorf("not current after %v", time.Since(begun))
 		}
-		heard = begun.Add(-time.Minute)
+		answered = begun.Add(-time.Minute)
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
 		if c.Await(ctx) {
