--- a/internal/node/freshness_test.go
+++ b/internal/node/freshness_test.go
@@ -45,8 +45,8 @@
 // proceed as soon as one succeeds.
 func TestAwaitCurrentConfiguration(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		begun := time.Now()
-		answered, agreed := begun.Add(-time.Minute), begun
+		started := time.Now()
+		answered, agreed := started.Add(-time.Minute), started
 		asks := 0
 		c := node.NewCurrency(time.Second, 0, since(&answered), since(&agreed), func() {
 			if asks++; asks == 5 {
@@ -56,10 +56,10 @@
 		if !c.Trusted() {
 			t.Error("keys not trusted without a maximum age")
 		}
-		if !c.Await(t.Context()) || time.Since(begun) > 200*time.Millisecond {
-			t.Errorf("not current after %v", time.Since(begun))
+		if !c.Await(t.Context()) || time.Since(started) > 200*time.Millisecond {
+			t.Errorf("not current after %v", time.Since(started))
 		}
-		answered = begun.Add(-time.Minute)
+		answered = started.Add(-time.Minute)
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
 		if c.Await(ctx) {
