--- a/internal/node/freshness_test.go
+++ b/internal/node/freshness_test.go
@@ -47,9 +47,9 @@
 	synctest.Test(t, func(t *testing.T) {
 		started := time.Now()
 		answered, agreed := started.Add(-time.Minute), started
-		asks := 0
+		comparisons := 0
 		c := node.NewCurrency(time.Second, 0, since(&answered), since(&agreed), func() {
-			if asks++; asks == 5 {
+			if comparisons++; comparisons == 5 {
 				answered, agreed = time.Now(), time.Now()
 			}
 		})
