--- a/internal/node/quarantine_test.go
+++ b/internal/node/quarantine_test.go
@@ -208,15 +208,15 @@
 				lost.Address(): true,
 			}
 			f.mu.Unlock()
-			var seen []*node.QuarantineNode
+			var live []*node.QuarantineNode
 			for _, n := range f.all {
 				q := f.restart(n)
 				if n != lost {
-					seen = append(seen, q)
+					live = append(live, q)
 				}
 			}
 			for i := range 3 {
-				seen[i].Ended(p, fmt.Sprint(i))
+				live[i].Ended(p, fmt.Sprint(i))
 				f.pings(200 * time.Millisecond)
 			}
 			f.pings(time.Second)
