--- a/internal/node/signals_test.go
+++ b/internal/node/signals_test.go
@@ -116,14 +116,14 @@
 		c.Hear(first.Key, signal.Signal{
 			Backoff: rest,
 		})
-		begun := time.Now()
+		started := time.Now()
 		first.Done(outlier.End{
 			Shed: true,
 		}, time.Millisecond)
 		if failing := c.Failing(first.Key); failing > 0.03 {
 			t.Errorf("the refusal raises the failure probability to %v", failing)
 		}
-		for time.Since(begun) < 2*rest {
+		for time.Since(started) < 2*rest {
 			choice, err := c.Choose(context.Background())
 			if err != nil {
 				t.Fatal(err)
@@ -134,7 +134,7 @@
 			time.Sleep(20 * time.Millisecond)
 			choice.Done(outlier.End{}, 20*time.Millisecond)
 		}
-		if back := time.Since(begun); back < rest || back >= 2*rest {
+		if back := time.Since(started); back < rest || back >= 2*rest {
 			t.Errorf("first request after %v", back)
 		}
 	})
