--- a/internal/node/signals_test.go
+++ b/internal/node/signals_test.go
@@ -143,10 +143,10 @@
 // In the independent mode other nodes learn by probes that a target drains, for as long as it
 // signals so. A target that backs off must get no probes either.
 func TestProbesFindDrainingTargets(t *testing.T) {
-	var asked atomic.Int64
+	var probes atomic.Int64
 	var wantsRest atomic.Bool
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-		asked.Add(1)
+		probes.Add(1)
 		if wantsRest.Load() {
 			w.Header().Set("Retry-After", "60")
 			w.WriteHeader(http.StatusServiceUnavailable)
@@ -170,9 +170,9 @@
 	}
 	wantsRest.Store(true)
 	p.Probe(context.Background())
-	before := asked.Load()
+	before := probes.Load()
 	p.Probe(context.Background())
-	if asked.Load() != before {
+	if probes.Load() != before {
 		t.Error("a target that backs off was probed")
 	}
 }
