--- a/internal/node/signals_test.go
+++ b/internal/node/signals_test.go
@@ -144,10 +144,10 @@
 // signals so. A target that backs off must get no probes either.
 func TestProbesFindDrainingTargets(t *testing.T) {
 	var probes atomic.Int64
-	var wantsRest atomic.Bool
+	var backingOff atomic.Bool
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		probes.Add(1)
-		if wantsRest.Load() {
+		if backingOff.Load() {
 			w.Header().Set("Retry-After", "60")
 			w.WriteHeader(http.StatusServiceUnavailable)
 			return
@@ -168,7 +168,7 @@
 			t.Errorf("got %v", got)
 		}
 	}
-	wantsRest.Store(true)
+	backingOff.Store(true)
 	p.Probe(context.Background())
 	before := probes.Load()
 	p.Probe(context.Background())
