--- a/internal/node/stop_test.go
+++ b/internal/node/stop_test.go
@@ -20,17 +20,17 @@
 		hall := string(rune('a' + i%5))
 		tab.Heard(time.Now(), membership.NewNode(fmt.Sprintf("%s.%d:1", hall, i), hall), 1, false)
 	}
-	told := map[string]int{}
+	notified := map[string]int{}
 	for _, peer := range node.LeaveTo(tab.View(time.Now())) {
 		hall, _, _ := strings.Cut(peer, ".")
-		told[hall]++
+		notified[hall]++
 	}
-	if told["a"] != 80 {
-		t.Errorf("%d nodes of the own data hall notified, want all 80", told["a"])
+	if notified["a"] != 80 {
+		t.Errorf("%d nodes of the own data hall notified, want all 80", notified["a"])
 	}
 	for _, hall := range []string{"b", "c", "d", "e"} {
-		if told[hall] < 1 || told[hall] > 3 {
-			t.Errorf("%d nodes of data hall %s notified", told[hall], hall)
+		if notified[hall] < 1 || notified[hall] > 3 {
+			t.Errorf("%d nodes of data hall %s notified", notified[hall], hall)
 		}
 	}
 }
