--- a/internal/node/targetlimits_model_test.go
+++ b/internal/node/targetlimits_model_test.go
@@ -336,7 +336,7 @@
 // call simulates a request on a node, with up to three attempts.
 func (f *limitFleet) call(i int, work time.Duration) {
 	f.mu.Lock()
-	n, life := f.nodes[i], f.incarnations[i]
+	n, incarnation := f.nodes[i], f.incarnations[i]
 	f.requests++
 	f.mu.Unlock()
 	if n == nil {
@@ -356,7 +356,7 @@
 		// Opening a connection is sometimes slow.
 		f.pause()
 		f.mu.Lock()
-		alive := f.incarnations[i] == life && f.nodes[i] == n
+		alive := f.incarnations[i] == incarnation && f.nodes[i] == n
 		f.mu.Unlock()
 		if !alive {
 			return
@@ -368,7 +368,7 @@
 			}, 0)
 			continue
 		}
-		if f.serve(i, life, n, c, work) {
+		if f.serve(i, incarnation, n, c, work) {
 			return
 		}
 		tried = append(tried, c.Key)
