--- a/internal/node/targetlimits_model_test.go
+++ b/internal/node/targetlimits_model_test.go
@@ -386,7 +386,7 @@
 }
 
 // serve simulates the work of a target on a request and passes its answer to the node.
-func (f *limitFleet) serve(i int, life uint64, n *node.FleetNode, c entry.Choice, work time.Duration) bool {
+func (f *limitFleet) serve(i int, incarnation uint64, n *node.FleetNode, c entry.Choice, work time.Duration) bool {
 	const slots = 6
 	f.mu.Lock()
 	now := time.Since(f.begun)
@@ -420,7 +420,7 @@
 			Set:  true,
 		}
 	}
-	alive := f.incarnations[i] == life && f.nodes[i] == n
+	alive := f.incarnations[i] == incarnation && f.nodes[i] == n
 	f.mu.Unlock()
 	time.Sleep(time.Millisecond)
 	if !alive {
