--- a/internal/node/targetlimits_model_test.go
+++ b/internal/node/targetlimits_model_test.go
@@ -408,14 +408,14 @@
 		work = time.Millisecond
 	}
 	time.Sleep(work)
-	var said signal.Signal
+	var sig signal.Signal
 	f.mu.Lock()
 	if !full {
 		f.slots[c.Key]--
 	}
 	rate, ok := f.rate(time.Since(f.begun))
 	if ok && limited {
-		said.Limit = signal.Limit{
+		sig.Limit = signal.Limit{
 			Rate: rate,
 			Set:  true,
 		}
@@ -426,17 +426,17 @@
 	if !alive {
 		return true
 	}
-	n.Hear(c, said)
+	n.Hear(c, sig)
 	c.Done(outlier.End{
 		Shed:   full,
 		Failed: false,
 	}, work)
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if limited && said.Limit.Set && f.informedAt[i] == 0 {
+	if limited && sig.Limit.Set && f.informedAt[i] == 0 {
 		f.informedAt[i] = time.Since(f.begun)
 	}
-	if limited && !said.Limit.Set {
+	if limited && !sig.Limit.Set {
 		f.informedAt[i] = 0
 	}
 	if !full {
