--- a/internal/node/targetlimits_model_test.go
+++ b/internal/node/targetlimits_model_test.go
@@ -447,7 +447,7 @@
 
 // worst returns the greatest ratio of requests to allowed requests in any window, of those arrivals
 // that count.
-func (f *limitFleet) worst(excess, slack float64, counts func(arrival) bool) (part float64, at time.Duration, got int) {
+func (f *limitFleet) worst(excess, slack float64, counts func(arrival) bool) (ratio float64, at time.Duration, got int) {
 	var window []time.Duration
 	for _, a := range f.arrivals {
 		if !counts(a) {
@@ -460,11 +460,11 @@
 		allowed, ok := f.allowed(a.at, excess, slack)
 		// Sums of fractions may be off by less than any request.
 		const rounding = 1e-9
-		if ok && float64(len(window))/(allowed+rounding) > part {
-			part, at, got = float64(len(window))/(allowed+rounding), a.at, len(window)
+		if ok && float64(len(window))/(allowed+rounding) > ratio {
+			ratio, at, got = float64(len(window))/(allowed+rounding), a.at, len(window)
 		}
 	}
-	return part, at, got
+	return ratio, at, got
 }
 
 func fromInformed(a arrival) bool { return a.informed }
