--- a/internal/node/targetlimits_test.go
+++ b/internal/node/targetlimits_test.go
@@ -34,7 +34,7 @@
 // send it more than 1.5 times what the limit allows in 4 s, plus 5 requests.
 func TestLimitUnderRandomSchedules(t *testing.T) {
 	var mu sync.Mutex
-	var parts []float64
+	var ratios []float64
 	t.Run("schedules", func(t *testing.T) {
 		seeds := slices.Clone(limitSeeds)
 		for i := range *limitSchedules {
@@ -63,18 +63,18 @@
 					}
 					mu.Lock()
 					defer mu.Unlock()
-					parts = append(parts, part)
+					ratios = append(ratios, part)
 				})
 			})
 		}
 	})
-	slices.Sort(parts)
+	slices.Sort(ratios)
 	sum := 0.0
-	for _, p := range parts {
+	for _, p := range ratios {
 		sum += p
 	}
 	t.Logf("%d schedules: greatest ratio to the allowed number: mean %.2f, 99th percentile %.2f, maximum %.2f",
-		len(parts), sum/float64(len(parts)), parts[len(parts)*99/100], parts[len(parts)-1])
+		len(ratios), sum/float64(len(ratios)), ratios[len(ratios)*99/100], ratios[len(ratios)-1])
 }
 
 // Without faults all nodes together, informed or not, must stay within the limit and use it;
