--- a/internal/node/targetlimits_test.go
+++ b/internal/node/targetlimits_test.go
@@ -52,9 +52,9 @@
 				synctest.Test(t, func(t *testing.T) {
 					s := newLimitSchedule(seed, false)
 					f := runSchedule(t, s)
-					part, at, got := f.worst(limitExcess, limitSlack, fromInformed)
-					if part > 1 {
-						t.Errorf("%d requests in the 4 s before %v, %.2f of the allowed number: limits %v, faults %+v", got, at, part, s.limits, s.faults)
+					ratio, at, got := f.worst(limitExcess, limitSlack, fromInformed)
+					if ratio > 1 {
+						t.Errorf("%d requests in the 4 s before %v, %.2f of the allowed number: limits %v, faults %+v", got, at, ratio, s.limits, s.faults)
 						for _, a := range f.arrivals {
 							if a.informed && a.at > at-limitWindow && a.at <= at {
 								t.Logf("%v at node %d by %s", a.at, a.node, a.by)
@@ -63,7 +63,7 @@
 					}
 					mu.Lock()
 					defer mu.Unlock()
-					ratios = append(ratios, part)
+					ratios = append(ratios, ratio)
 				})
 			})
 		}
