--- a/internal/node/targetlimits_test.go
+++ b/internal/node/targetlimits_test.go
@@ -87,8 +87,8 @@
 				s := newLimitSchedule(seed, true)
 				f := runSchedule(t, s)
 				rate := s.limits[0].rate
-				if part, at, got := f.worst(faultlessExcess, faultlessSlack, fromAny); part > 1 {
-					t.Errorf("%d requests in the 4 s before %v, %.2f of the allowed number, limit %v", got, at, part, rate)
+				if ratio, at, got := f.worst(faultlessExcess, faultlessSlack, fromAny); ratio > 1 {
+					t.Errorf("%d requests in the 4 s before %v, %.2f of the allowed number, limit %v", got, at, ratio, rate)
 				}
 				from, n := s.limits[0].at+limitSettled, 0
 				for _, a := range f.arrivals {
