--- a/internal/node/targetlimits_test.go
+++ b/internal/node/targetlimits_test.go
@@ -187,12 +187,12 @@
 // Nodes that send each other a limit must not make it newer than it is: it would come back after it
 // was lifted.
 func TestRelayedLimitsDoNotGetNewer(t *testing.T) {
-	const way = 2 * time.Millisecond
+	const transit = 2 * time.Millisecond
 	begun := time.Now()
 	now, at := begun, begun
 	for range 100 {
-		at = node.Relayed(now, now.Add(way), at)
-		now = now.Add(way)
+		at = node.Relayed(now, now.Add(transit), at)
+		now = now.Add(transit)
 	}
 	if at.After(begun) {
 		t.Errorf("the limit is %v newer than at its origin", at.Sub(begun))
