--- a/internal/node/targetlimits_test.go
+++ b/internal/node/targetlimits_test.go
@@ -188,14 +188,14 @@
 // was lifted.
 func TestRelayedLimitsDoNotGetNewer(t *testing.T) {
 	const transit = 2 * time.Millisecond
-	begun := time.Now()
-	now, at := begun, begun
+	started := time.Now()
+	now, at := started, started
 	for range 100 {
 		at = node.Relayed(now, now.Add(transit), at)
 		now = now.Add(transit)
 	}
-	if at.After(begun) {
-		t.Errorf("the limit is %v newer than at its origin", at.Sub(begun))
+	if at.After(started) {
+		t.Errorf("the limit is %v newer than at its origin", at.Sub(started))
 	}
 }
 
