--- a/internal/node/targetlimits_model_test.go
+++ b/internal/node/targetlimits_model_test.go
@@ -155,11 +155,11 @@
 // limitFleet is the simulated fleet.
 type limitFleet struct {
 	*limitSchedule
-	ctx   context.Context
-	cfg   *fleetconfig.Config
-	rng   *rand.Rand
-	begun time.Time
-	tasks task.Group
+	ctx     context.Context
+	cfg     *fleetconfig.Config
+	rng     *rand.Rand
+	started time.Time
+	tasks   task.Group
 
 	mu           sync.Mutex
 	nodes        []*node.FleetNode
@@ -188,7 +188,7 @@
 		ctx:           t.Context(),
 		cfg:           store.Config(),
 		rng:           rand.New(rand.NewPCG(s.seed, 0x22)),
-		begun:         time.Now(),
+		started:       time.Now(),
 		nodes:         make([]*node.FleetNode, scheduleNodes),
 		incarnations:  make([]uint64, scheduleNodes),
 		stops:         make([]context.CancelFunc, scheduleNodes),
@@ -208,7 +208,7 @@
 	// Arrivals have their own random source, so that those of a seed do not change.
 	arrivals := rand.New(rand.NewPCG(s.seed, 0x33))
 	var calls sync.WaitGroup
-	for time.Since(f.begun) < scheduleLength {
+	for time.Since(f.started) < scheduleLength {
 		time.Sleep(time.Duration(arrivals.ExpFloat64() / fleetPerSecond * float64(time.Second)))
 		i, work := arrivals.IntN(scheduleNodes), minWork+time.Duration(arrivals.Int64N(int64(maxWork-minWork)))
 		calls.Go(func() { f.call(i, work) })
@@ -326,7 +326,7 @@
 		f.currentLoss -= 0.3
 	}
 	f.mu.Unlock()
-	if time.Since(f.begun) < scheduleLength {
+	if time.Since(f.started) < scheduleLength {
 		for _, i := range begin {
 			f.start(i)
 		}
@@ -389,7 +389,7 @@
 func (f *limitFleet) serve(i int, incarnation uint64, n *node.FleetNode, c entry.Choice, work time.Duration) bool {
 	const slots = 6
 	f.mu.Lock()
-	now := time.Since(f.begun)
+	now := time.Since(f.started)
 	limited := c.Key == "id-a0"
 	if limited {
 		f.arrivals = append(f.arrivals, arrival{
@@ -413,7 +413,7 @@
 	if !full {
 		f.slots[c.Key]--
 	}
-	rate, ok := f.rate(time.Since(f.begun))
+	rate, ok := f.rate(time.Since(f.started))
 	if ok && limited {
 		sig.Limit = signal.Limit{
 			Rate: rate,
@@ -434,7 +434,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if limited && sig.Limit.Set && f.informedAt[i] == 0 {
-		f.informedAt[i] = time.Since(f.begun)
+		f.informedAt[i] = time.Since(f.started)
 	}
 	if limited && !sig.Limit.Set {
 		f.informedAt[i] = 0
