--- a/internal/node/targetlimits_model_test.go
+++ b/internal/node/targetlimits_model_test.go
@@ -166,15 +166,15 @@
 	incarnations []uint64
 	stops        []context.CancelFunc
 	// out and in count the cuts of a node, group is its side of a split.
-	out, in, group []int
-	currentLoss    float64
-	informedAt     []time.Duration
-	arrivals       []arrival
-	served         int
-	refused        int
-	refusalTime    time.Duration
-	requests       int
-	slots          map[string]int
+	out, in, side []int
+	currentLoss   float64
+	informedAt    []time.Duration
+	arrivals      []arrival
+	served        int
+	refused       int
+	refusalTime   time.Duration
+	requests      int
+	slots         map[string]int
 }
 
 func fleetAddress(i int) string { return fmt.Sprintf("192.0.2.%d:1", i+1) }
@@ -194,7 +194,7 @@
 		stops:         make([]context.CancelFunc, scheduleNodes),
 		out:           make([]int, scheduleNodes),
 		in:            make([]int, scheduleNodes),
-		group:         make([]int, scheduleNodes),
+		side:          make([]int, scheduleNodes),
 		informedAt:    make([]time.Duration, scheduleNodes),
 		slots:         map[string]int{},
 		currentLoss:   s.loss,
@@ -257,7 +257,7 @@
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.nodes[to] == nil || f.nodes[from] == nil || f.out[from] > 0 || f.in[to] > 0 || f.group[from] != f.group[to] || f.rng.Float64() < f.currentLoss {
+	if f.nodes[to] == nil || f.nodes[from] == nil || f.out[from] > 0 || f.in[to] > 0 || f.side[from] != f.side[to] || f.rng.Float64() < f.currentLoss {
 		return
 	}
 	delay := time.Millisecond + time.Duration(f.rng.Int64N(int64(4*time.Millisecond)))
@@ -292,7 +292,7 @@
 		case "cut inwards":
 			f.in[i]++
 		case "split":
-			f.group[i] ^= 1
+			f.side[i] ^= 1
 		}
 	}
 	if x.kind == "lost" {
@@ -319,7 +319,7 @@
 		case "cut inwards":
 			f.in[i]--
 		case "split":
-			f.group[i] ^= 1
+			f.side[i] ^= 1
 		}
 	}
 	if x.kind == "lost" {
