--- a/internal/node/limits_test.go
+++ b/internal/node/limits_test.go
@@ -27,9 +27,9 @@
 	random *rand.Rand
 
 	mu sync.Mutex
-	// cut are the nodes that reach no other one, loss is the fraction of lost datagrams.
-	cut  map[string]bool
-	loss float64
+	// isolated are the nodes that reach no other one, loss is the fraction of lost datagrams.
+	isolated map[string]bool
+	loss     float64
 	// bytes counts the bytes that the nodes send.
 	bytes int
 }
@@ -39,10 +39,10 @@
 func newLimitedFleet(ctx context.Context, t *testing.T, nodes int, rate float64) *limitedFleet {
 	t.Helper()
 	f := &limitedFleet{
-		ctx:    ctx,
-		nodes:  map[string]*node.LimitedNode{},
-		random: rand.New(rand.NewPCG(1, 2)),
-		cut:    map[string]bool{},
+		ctx:      ctx,
+		nodes:    map[string]*node.LimitedNode{},
+		random:   rand.New(rand.NewPCG(1, 2)),
+		isolated: map[string]bool{},
 	}
 	doc := &wire.Document{
 		Workspaces: []*wire.Workspace{
@@ -73,7 +73,7 @@
 func (f *limitedFleet) send(from, to string, d *wire.Datagram) {
 	f.mu.Lock()
 	f.bytes += proto.Size(d)
-	lost := f.cut[from] || f.cut[to] || f.random.Float64() < f.loss
+	lost := f.isolated[from] || f.isolated[to] || f.random.Float64() < f.loss
 	f.mu.Unlock()
 	if lost {
 		return
@@ -126,7 +126,7 @@
 func (f *limitedFleet) setCut(node string, cut bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.cut[node] = cut
+	f.isolated[node] = cut
 }
 
 // play sends requests to random nodes at a rate, for some time, and returns how many were admitted,
