--- a/internal/node/limits_test.go
+++ b/internal/node/limits_test.go
@@ -123,7 +123,7 @@
 	return f.bytes
 }
 
-func (f *limitedFleet) setCut(node string, cut bool) {
+func (f *limitedFleet) setIsolated(node string, cut bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.isolated[node] = cut
@@ -197,7 +197,7 @@
 		f.start(t)
 		f.play(f.order, 30, 15*time.Second)
 		holder := f.nodes[f.order[0]].Holder(brokers)
-		f.setCut(holder, true)
+		f.setIsolated(holder, true)
 		admitted, requests, waited := f.play(f.order, 30, 1200*time.Millisecond)
 		if admitted < requests*9/10 || waited > 100*time.Millisecond {
 			t.Errorf("%d of %d requests admitted without the allocator, in at most %v", admitted, requests, waited)
@@ -235,11 +235,11 @@
 	synctest.Test(t, func(t *testing.T) {
 		f := newLimitedFleet(t.Context(), t, 12, 60)
 		for _, n := range f.order {
-			f.setCut(n, true)
+			f.setIsolated(n, true)
 		}
 		f.start(t)
 		for _, n := range f.order[1:] {
-			time.AfterFunc(400*time.Millisecond, func() { f.setCut(n, false) })
+			time.AfterFunc(400*time.Millisecond, func() { f.setIsolated(n, false) })
 		}
 		admitted, requests, waited := f.play(f.order[1:], 30, 800*time.Millisecond)
 		if admitted < requests*95/100 || waited > node.Patience+100*time.Millisecond {
