--- a/internal/node/dispatcher.go
+++ b/internal/node/dispatcher.go
@@ -343,8 +343,8 @@
 		if l := w.GetLimit(); l != nil {
 			s.Observe(now, node, limitOfWire(now, l))
 		}
-		if rest := w.GetRestMs(); rest > 0 {
-			s.BackOff(now, w.GetTarget(), id, time.Duration(rest)*time.Millisecond)
+		if backoff := w.GetRestMs(); backoff > 0 {
+			s.BackOff(now, w.GetTarget(), id, time.Duration(backoff)*time.Millisecond)
 		}
 		out = s.Done(now, id, w.GetTarget(), dispatch.Result(w.GetResult()), time.Duration(w.GetTookMs())*time.Millisecond)
 	}
