--- a/internal/node/evidence.go
+++ b/internal/node/evidence.go
@@ -138,9 +138,9 @@
 		}
 		now := time.Now()
 		o.send(ctx, &calls, o.dueReports(now), false)
-		summaries, verdicts := o.advance(now)
+		summaries, decisions := o.advance(now)
 		o.send(ctx, &calls, summaries, true)
-		o.announce(ctx, &calls, now, verdicts)
+		o.announce(ctx, &calls, now, decisions)
 		if err := calls.Reap(); err != nil {
 			o.log.WithError(err).Debug("not all peers reached")
 		}
