--- a/internal/node/observer.go
+++ b/internal/node/observer.go
@@ -98,7 +98,7 @@
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	summaries := map[string][]*wire.Report{}
-	var verdicts []outlier.Verdict
+	var decisions []outlier.Verdict
 	for name, s := range o.observedServices {
 		if now.Sub(s.lastReport) > observerTimeout {
 			delete(o.observedServices, name)
@@ -114,9 +114,9 @@
 				}
 			}
 		}
-		verdicts = append(verdicts, s.observer.Advance(now)...)
+		decisions = append(decisions, s.observer.Advance(now)...)
 	}
-	return summaries, verdicts
+	return summaries, decisions
 }
 
 // summary returns the evidence for the other data halls, or nil if it is not urgent and the slow
