--- a/internal/node/verdicts.go
+++ b/internal/node/verdicts.go
@@ -14,14 +14,14 @@
 
 // announce sends new ejection decisions to all nodes of the data hall. They are rare; a node that
 // misses one ejects the target on its own evidence.
-func (o *evidenceController) announce(ctx context.Context, calls *task.Group, now time.Time, verdicts []outlier.Verdict) {
-	if len(verdicts) == 0 {
+func (o *evidenceController) announce(ctx context.Context, calls *task.Group, now time.Time, decisions []outlier.Verdict) {
+	if len(decisions) == 0 {
 		return
 	}
 	batch := &wire.VerdictBatch{
 		From: o.link.self(),
 	}
-	for _, v := range verdicts {
+	for _, v := range decisions {
 		o.deliver(now, v, outlier.Key(v.Target))
 		batch.Verdicts = append(batch.Verdicts, &wire.Verdict{
 			Service: v.Service,
