--- a/internal/node/members.go
+++ b/internal/node/members.go
@@ -141,19 +141,19 @@
 
 // setListed applies the list of instances of a configuration.
 func (m *members) setListed(c *fleetconfig.Config) {
-	var live, leaving []membership.Node
+	var live, draining []membership.Node
 	for _, i := range c.Instances() {
 		if !i.Entry() {
 			continue
 		}
 		n := membership.NewNode(i.Address(), i.DataHall())
 		if i.Leaving() {
-			leaving = append(leaving, n)
+			draining = append(draining, n)
 		} else {
 			live = append(live, n)
 		}
 	}
-	m.change(func(t *membership.Table, _ time.Time) { t.List(live, leaving) })
+	m.change(func(t *membership.Table, _ time.Time) { t.List(live, draining) })
 }
 
 // run follows the configuration until the context ends.
