--- a/internal/node/members.go
+++ b/internal/node/members.go
@@ -160,8 +160,8 @@
 func (m *members) run(ctx context.Context) error {
 	tick := time.NewTicker(memberInterval)
 	defer tick.Stop()
-	held := time.NewTimer(minViewInterval)
-	defer held.Stop()
+	delayed := time.NewTimer(minViewInterval)
+	defer delayed.Stop()
 	var listed *fleetconfig.Config
 	for {
 		changed := m.board.config.Watch()
@@ -176,8 +176,8 @@
 			case <-changed:
 				waiting = false
 			case <-m.due:
-				held.Reset(minViewInterval)
-			case <-held.C:
+				delayed.Reset(minViewInterval)
+			case <-delayed.C:
 				m.renew()
 			case <-tick.C:
 				m.renew()
