--- a/internal/node/messenger.go
+++ b/internal/node/messenger.go
@@ -208,11 +208,11 @@
 
 // recordAnswer records that a peer answered: datagrams pass in both directions.
 func (m *messenger) recordAnswer(now time.Time) {
-	since := int64(now.Sub(m.started))
+	elapsed := int64(now.Sub(m.started))
 	if m.isolated(now) {
-		m.connectedSince.Store(since)
+		m.connectedSince.Store(elapsed)
 	}
-	m.lastAnswer.Store(since)
+	m.lastAnswer.Store(elapsed)
 }
 
 // connectedFor returns for how long peers have answered without a pause.
