--- a/internal/node/source.go
+++ b/internal/node/source.go
@@ -57,12 +57,12 @@
 // logSuperseded logs each value that was read and did not replace the local one.
 func (n *Node) logSuperseded(log logrus.FieldLogger, entries []*wire.Entry) {
 	for _, e := range entries {
-		read, kept := fleetconfig.MarkOf(e), fleetconfig.MarkOf(n.replica.Newest(e.GetKey()))
+		read, local := fleetconfig.MarkOf(e), fleetconfig.MarkOf(n.replica.Newest(e.GetKey()))
 		switch {
-		case kept.Position().Compare(read.Position()) > 0:
-			versionFields(log, e.GetKey(), read, kept).Info("value read is older than the known one")
-		case !e.GetDeleted() && kept.CompareValues(read) > 0:
-			versionFields(log, e.GetKey(), read, kept).Info("platform has an older value than the fleet")
+		case local.Position().Compare(read.Position()) > 0:
+			versionFields(log, e.GetKey(), read, local).Info("value read is older than the known one")
+		case !e.GetDeleted() && local.CompareValues(read) > 0:
+			versionFields(log, e.GetKey(), read, local).Info("platform has an older value than the fleet")
 		}
 	}
 }
