--- a/internal/node/source.go
+++ b/internal/node/source.go
@@ -67,10 +67,10 @@
 	}
 }
 
-func versionFields(log logrus.FieldLogger, key string, read, kept order.Mark) *logrus.Entry {
+func versionFields(log logrus.FieldLogger, key string, read, local order.Mark) *logrus.Entry {
 	return log.WithField("key", key).
 		WithField("read", read.Position().String()).WithField("read_sequence", read.Stamp().Sequence()).
-		WithField("kept", kept.Written().String()).WithField("kept_sequence", kept.Stamp().Sequence())
+		WithField("kept", local.Written().String()).WithField("kept_sequence", local.Stamp().Sequence())
 }
 
 // ageMS returns an age in milliseconds, -1 for never.
