--- a/internal/node/closed_test.go
+++ b/internal/node/closed_test.go
@@ -124,13 +124,13 @@
 			synctest.Test(t, func(t *testing.T) {
 				c := node.NewChooser("quotes", append(twoHalls(40), evacuations(tt.closed...)...))
 				c.SetRegions(map[string]string{"a": "north", "b": "east"})
-				begun := time.Now()
+				started := time.Now()
 				_, err := c.Choose(context.Background(), tt.regions...)
 				var none *entry.NoTargetError
 				if !errors.As(err, &none) || none.Reason() != attempt.ReasonClosed {
 					t.Fatalf("got %v", err)
 				}
-				if took := time.Since(begun); took > 0 {
+				if took := time.Since(started); took > 0 {
 					t.Errorf("refused after %v", took)
 				}
 			})
