--- a/internal/node/limits_test.go
+++ b/internal/node/limits_test.go
@@ -140,11 +140,11 @@
 		n := f.nodes[nodes[random.IntN(len(nodes))]]
 		requests++
 		wg.Go(func() {
-			begun := time.Now()
+			started := time.Now()
 			ok := n.Admit(f.ctx, brokers) == 0
 			mu.Lock()
 			defer mu.Unlock()
-			waited = max(waited, time.Since(begun))
+			waited = max(waited, time.Since(started))
 			if ok {
 				admitted++
 			}
