--- a/internal/node/quarantine_test.go
+++ b/internal/node/quarantine_test.go
@@ -82,7 +82,7 @@
 
 // pings lets each node ping another one every 200 ms, for the given time.
 func (f *quarantineFleet) pings(during time.Duration) {
-	for begun := time.Now(); time.Since(begun) < during; time.Sleep(200 * time.Millisecond) {
+	for started := time.Now(); time.Since(started) < during; time.Sleep(200 * time.Millisecond) {
 		for _, n := range f.all {
 			f.mu.Lock()
 			peer := f.all[f.random.IntN(len(f.all))]
