--- a/internal/node/signals_test.go
+++ b/internal/node/signals_test.go
@@ -107,14 +107,14 @@
 // failing, and must get requests again afterwards.
 func TestNoRequestsDuringBackoff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		const rest = 3 * time.Second
+		const backoff = 3 * time.Second
 		c := node.NewChooser("quotes", serviceWithTargets("a", 2))
 		first, err := c.Choose(context.Background())
 		if err != nil {
 			t.Fatal(err)
 		}
 		c.Hear(first.Key, signal.Signal{
-			Backoff: rest,
+			Backoff: backoff,
 		})
 		started := time.Now()
 		first.Done(outlier.End{
@@ -123,7 +123,7 @@
 		if failing := c.Failing(first.Key); failing > 0.03 {
 			t.Errorf("the refusal raises the failure probability to %v", failing)
 		}
-		for time.Since(started) < 2*rest {
+		for time.Since(started) < 2*backoff {
 			choice, err := c.Choose(context.Background())
 			if err != nil {
 				t.Fatal(err)
@@ -134,7 +134,7 @@
 			time.Sleep(20 * time.Millisecond)
 			choice.Done(outlier.End{}, 20*time.Millisecond)
 		}
-		if back := time.Since(started); back < rest || back >= 2*rest {
+		if back := time.Since(started); back < backoff || back >= 2*backoff {
 			t.Errorf("first request after %v", back)
 		}
 	})
