--- a/internal/node/targetlimits_model_test.go
+++ b/internal/node/targetlimits_model_test.go
@@ -342,7 +342,7 @@
 	if n == nil {
 		return
 	}
-	begun := time.Now()
+	started := time.Now()
 	var tried []string
 	for unsent := 0; len(tried) < 3 && unsent < 8; {
 		c, err := n.Choose(f.ctx, len(tried) > 0, tried, 3*time.Second)
@@ -350,7 +350,7 @@
 			f.mu.Lock()
 			defer f.mu.Unlock()
 			f.refused++
-			f.refusalTime += time.Since(begun)
+			f.refusalTime += time.Since(started)
 			return
 		}
 		// Opening a connection is sometimes slow.
