--- a/internal/node/export_test.go
+++ b/internal/node/export_test.go
@@ -330,7 +330,7 @@
 // NewCurrency returns the currency of a node that usually receives an answer of the platform within
 // silent; age is the time since the last one, agreed the time since a peer had the same values.
 // trust is the age up to which keys are trusted, 0 for always.
-func NewCurrency(platformTimeout, maxKeyAge time.Duration, platformAge, agreementAge func(time.Time) time.Duration, ask func()) *Currency {
+func NewCurrency(platformTimeout, maxKeyAge time.Duration, platformAge, agreementAge func(time.Time) time.Duration, compare func()) *Currency {
 	return &Currency{
 		freshness: &freshness{
 			maxAge:       time.Duration(maxAgeFactor * float64(platformTimeout)),
@@ -338,7 +338,7 @@
 			platformAge:  platformAge,
 			agreementAge: agreementAge,
 			noPeers:      func() bool { return false },
-			compareSoon:  ask,
+			compareSoon:  compare,
 		},
 	}
 }
