--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -281,7 +281,7 @@
 // Judge serves ejection decisions of observers.
 func (n *Node) Judge(_ context.Context, in *wire.VerdictBatch) (*wire.Receipt, error) {
 	n.members.recordMessage(in.GetFrom())
-	n.evidence.handleVerdicts(time.Now(), in)
+	n.evidence.handleDecisions(time.Now(), in)
 	return &wire.Receipt{}, nil
 }
 
--- a/internal/node/verdicts.go
+++ b/internal/node/verdicts.go
@@ -50,9 +50,9 @@
 	}
 }
 
-// handleVerdicts applies the ejection decisions of a node, if that is an observer of this node's
+// handleDecisions applies the ejection decisions of a node, if that is an observer of this node's
 // data hall by this node's own view of the fleet.
-func (o *evidenceController) handleVerdicts(now time.Time, in *wire.VerdictBatch) {
+func (o *evidenceController) handleDecisions(now time.Time, in *wire.VerdictBatch) {
 	for _, v := range in.GetVerdicts() {
 		if !o.hasRole(in.GetFrom(), v.GetService()) {
 			continue
