--- a/internal/node/ejection.go
+++ b/internal/node/ejection.go
@@ -223,8 +223,8 @@
 		WithField("score", r.Score).Info("target ejected on evidence of this node")
 }
 
-// applyVerdict applies an observer's ejection decision.
-func (j *ejectionController) applyVerdict(now time.Time, v outlier.Verdict, key uint32) {
+// applyDecision applies an observer's ejection decision.
+func (j *ejectionController) applyDecision(now time.Time, v outlier.Verdict, key uint32) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	s := j.services[v.Service]
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -192,7 +192,7 @@
 		judge:   n.dialer.Judge,
 		failed:  n.members.recordFailure,
 		self:    n.self,
-	}, n.ejection.applyVerdict, logging.Part(n.log, "observing"))
+	}, n.ejection.applyDecision, logging.Part(n.log, "observing"))
 	n.ejection.report = n.evidence.collect
 	n.prober = newProber(n.board, n.adapter.Contract, n.evidence.collect, logging.Part(n.log, "probing"))
 	n.lifecycle = &lifecycle{
