--- a/internal/node/ejection.go
+++ b/internal/node/ejection.go
@@ -172,7 +172,7 @@
 		return
 	}
 	j.mu.Lock()
-	j.evidence(now, evidence)
+	j.addEvidence(now, evidence)
 	for _, s := range j.services {
 		if s.judge.Advance(now) {
 			j.dirty = true
@@ -182,7 +182,7 @@
 	j.report(now, evidence)
 }
 
-func (j *ejectionController) evidence(now time.Time, evidence []outlier.Evidence) {
+func (j *ejectionController) addEvidence(now time.Time, evidence []outlier.Evidence) {
 	ticks := map[string][]outlier.Counts{}
 	for _, e := range evidence {
 		s := j.services[e.Service]
