--- a/internal/node/evidence.go
+++ b/internal/node/evidence.go
@@ -37,10 +37,10 @@
 
 // observerLink sends reports and ejection decisions to other nodes.
 type observerLink struct {
-	observe func(ctx context.Context, peer string, in *wire.ReportBatch) error
-	judge   func(ctx context.Context, peer string, in *wire.VerdictBatch) error
-	failed  func(peer string)
-	self    func() *wire.Node
+	sendReports func(ctx context.Context, peer string, in *wire.ReportBatch) error
+	judge       func(ctx context.Context, peer string, in *wire.VerdictBatch) error
+	failed      func(peer string)
+	self        func() *wire.Node
 }
 
 // pendingEvidence is the evidence about one service that has not been reported yet.
@@ -226,7 +226,7 @@
 		o.setBusy(peer, true)
 		calls.Go(ctx, "report", func(ctx context.Context) error {
 			defer o.setBusy(peer, false)
-			err := o.link.observe(ctx, peer, batch)
+			err := o.link.sendReports(ctx, peer, batch)
 			if err == nil {
 				return nil
 			}
