--- a/internal/node/evidence.go
+++ b/internal/node/evidence.go
@@ -37,10 +37,10 @@
 
 // observerLink sends reports and ejection decisions to other nodes.
 type observerLink struct {
-	sendReports func(ctx context.Context, peer string, in *wire.ReportBatch) error
-	judge       func(ctx context.Context, peer string, in *wire.VerdictBatch) error
-	failed      func(peer string)
-	self        func() *wire.Node
+	sendReports   func(ctx context.Context, peer string, in *wire.ReportBatch) error
+	sendDecisions func(ctx context.Context, peer string, in *wire.VerdictBatch) error
+	failed        func(peer string)
+	self          func() *wire.Node
 }
 
 // pendingEvidence is the evidence about one service that has not been reported yet.
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -188,10 +188,10 @@
 	collector := outlier.NewCollector(ejectionInterval)
 	n.ejection = newEjectionController(n.board, collector, logging.Part(n.log, "judging"))
 	n.evidence = newEvidenceController(n.board, observerLink{
-		sendReports: n.dialer.Observe,
-		judge:       n.dialer.Judge,
-		failed:      n.members.recordFailure,
-		self:        n.self,
+		sendReports:   n.dialer.Observe,
+		sendDecisions: n.dialer.Judge,
+		failed:        n.members.recordFailure,
+		self:          n.self,
 	}, n.ejection.applyDecision, logging.Part(n.log, "observing"))
 	n.ejection.report = n.evidence.collect
 	n.prober = newProber(n.board, n.adapter.Contract, n.evidence.collect, logging.Part(n.log, "probing"))
--- a/internal/node/verdicts.go
+++ b/internal/node/verdicts.go
@@ -41,7 +41,7 @@
 			continue
 		}
 		calls.Go(ctx, "verdict", func(ctx context.Context) error {
-			err := o.link.judge(ctx, n.Address(), batch)
+			err := o.link.sendDecisions(ctx, n.Address(), batch)
 			if err != nil {
 				o.link.failed(n.Address())
 			}
