--- a/internal/node/failuredetector.go
+++ b/internal/node/failuredetector.go
@@ -70,13 +70,13 @@
 			p.recordFailure(peer)
 		case <-tick.C:
 			now := p.elapsed(time.Now())
-			p.step(ctx, &pings, time.Now(), now-last > pingInterval+lateTickTolerance)
+			p.tick(ctx, &pings, time.Now(), now-last > pingInterval+lateTickTolerance)
 			last = now
 		}
 	}
 }
 
-func (p *failureDetector) step(ctx context.Context, pings *task.Group, now time.Time, late bool) {
+func (p *failureDetector) tick(ctx context.Context, pings *task.Group, now time.Time, late bool) {
 	if late {
 		// Missing answers during that time were caused by this node's pause.
 		p.unanswered = 0
