--- a/internal/node/failuredetector.go
+++ b/internal/node/failuredetector.go
@@ -96,13 +96,13 @@
 		return
 	}
 	pings.Go(ctx, "ping", func(ctx context.Context) error {
-		p.probe(ctx, peer)
+		p.pingPeer(ctx, peer)
 		return nil
 	})
 }
 
-// probe pings a peer, and has other nodes ping it if it does not answer.
-func (p *failureDetector) probe(ctx context.Context, peer string) {
+// pingPeer pings a peer, and has other nodes ping it if it does not answer.
+func (p *failureDetector) pingPeer(ctx context.Context, peer string) {
 	started := p.elapsed(time.Now())
 	if p.messenger.ping(ctx, peer, pingTimeout) {
 		p.answered <- struct{}{}
