--- a/internal/node/limits.go
+++ b/internal/node/limits.go
@@ -60,8 +60,8 @@
 	board     *Board
 	messenger *messenger
 	limiter   *ratelimit.Limiter
-	// equal gives each node an equal share of a limit, where nodes exchange no datagrams.
-	equal *admission.Limiter
+	// equalShares gives each node an equal share of a limit, where nodes exchange no datagrams.
+	equalShares *admission.Limiter
 	// seeds is the number of other nodes in the settings.
 	seeds       int
 	incarnation uint64
@@ -100,7 +100,7 @@
 	return &limitController{
 		board:             board,
 		limiter:           ratelimit.NewLimiter(started),
-		equal:             admission.NewLimiter(),
+		equalShares:       admission.NewLimiter(),
 		incarnation:       incarnation,
 		started:           started,
 		log:               log,
@@ -131,7 +131,7 @@
 	if l.messenger == nil {
 		// A node that has just started knows few others.
 		nodes := max(l.board.nodes(), l.seeds+1)
-		if wait := l.equal.Admit(time.Now(), w.ID(), limit.Rate, limit.Burst, nodes); wait > 0 {
+		if wait := l.equalShares.Admit(time.Now(), w.ID(), limit.Rate, limit.Burst, nodes); wait > 0 {
 			return l.limitError(w, limit, wait, byEqualShares)
 		}
 		return nil
