--- a/internal/node/evidence.go
+++ b/internal/node/evidence.go
@@ -140,7 +140,7 @@
 		o.send(ctx, &calls, o.dueReports(now), false)
 		summaries, decisions := o.advance(now)
 		o.send(ctx, &calls, summaries, true)
-		o.announce(ctx, &calls, now, decisions)
+		o.broadcastDecisions(ctx, &calls, now, decisions)
 		if err := calls.Reap(); err != nil {
 			o.log.WithError(err).Debug("not all peers reached")
 		}
--- a/internal/node/verdicts.go
+++ b/internal/node/verdicts.go
@@ -12,9 +12,9 @@
 	"ploverjunction.example/ploverjunction/internal/wire"
 )
 
-// announce sends new ejection decisions to all nodes of the data hall. They are rare; a node that
+// broadcastDecisions sends new ejection decisions to all nodes of the data hall. They are rare; a node that
 // misses one ejects the target on its own evidence.
-func (o *evidenceController) announce(ctx context.Context, calls *task.Group, now time.Time, decisions []outlier.Verdict) {
+func (o *evidenceController) broadcastDecisions(ctx context.Context, calls *task.Group, now time.Time, decisions []outlier.Verdict) {
 	if len(decisions) == 0 {
 		return
 	}
