--- a/internal/node/verdicts.go
+++ b/internal/node/verdicts.go
@@ -31,10 +31,10 @@
 			Leaving: v.Leaving,
 		})
 	}
-	o.broadcast(ctx, calls, batch)
+	o.sendDecisions(ctx, calls, batch)
 }
 
-func (o *evidenceController) broadcast(ctx context.Context, calls *task.Group, batch *wire.VerdictBatch) {
+func (o *evidenceController) sendDecisions(ctx context.Context, calls *task.Group, batch *wire.VerdictBatch) {
 	view := o.board.view.Load()
 	for _, n := range view.Peers() {
 		if n.DataHall() != view.Self().DataHall() {
