--- a/internal/node/export_test.go
+++ b/internal/node/export_test.go
@@ -328,8 +328,9 @@
 }
 
 // NewCurrency returns the currency of a node that usually receives an answer of the platform within
-// silent; age is the time since the last one, agreed the time since a peer had the same values.
-// trust is the age up to which keys are trusted, 0 for always.
+// platformTimeout; platformAge is the time since the last one, agreementAge the time since a peer
+// had the same values. maxKeyAge is the age up to which keys are trusted, 0 for always. compare is
+// called to request a comparison with peers.
 func NewCurrency(platformTimeout, maxKeyAge time.Duration, platformAge, agreementAge func(time.Time) time.Duration, compare func()) *Currency {
 	return &Currency{
 		freshness: &freshness{
--- a/internal/node/targetlimits_model_test.go
+++ b/internal/node/targetlimits_model_test.go
@@ -165,7 +165,7 @@
 	nodes        []*node.FleetNode
 	incarnations []uint64
 	stops        []context.CancelFunc
-	// out and in count the cuts of a node, group is its side of a split.
+	// out and in count the cuts of a node, side is its side of a split.
 	out, in, side []int
 	currentLoss   float64
 	informedAt    []time.Duration
