--- a/internal/node/ejection.go
+++ b/internal/node/ejection.go
@@ -147,16 +147,16 @@
 	s.config = sc
 	s.byKey = map[uint32]string{}
 	published := map[string]bool{}
-	addresses := make([]string, len(sc.Targets()))
+	keys := make([]string, len(sc.Targets()))
 	for i, t := range sc.Targets() {
-		addresses[i] = t.Key()
+		keys[i] = t.Key()
 		published[t.Key()] = true
 		s.byKey[outlier.Key(t.Key())] = t.Key()
 		if s.gauges[t.Key()] == nil {
 			s.gauges[t.Key()] = &balance.Gauge{}
 		}
 	}
-	s.judge.SetTargets(now, addresses)
+	s.judge.SetTargets(now, keys)
 	s.detector.Keep(published)
 	for a, g := range s.gauges {
 		if !published[a] && g.InFlight() == 0 {
