--- a/internal/node/lifecycle.go
+++ b/internal/node/lifecycle.go
@@ -11,9 +11,9 @@
 // Times of readiness.
 const (
 	readyInterval = 100 * time.Millisecond
-	// enoughPeers is the number of peers with which a starting node compares its configuration
+	// minComparedPeers is the number of peers with which a starting node compares its configuration
 	// before it serves: a stale platform alone could give it an old one.
-	enoughPeers = 3
+	minComparedPeers = 3
 	// maxCompareWait is the time after which a starting node that reaches the platform but too few
 	// peers serves nevertheless. Until then most of its peers may be alive and ahead of the
 	// platform's replica.
@@ -96,7 +96,7 @@
 // or waited for maxCompareWait.
 func (l *lifecycle) comparedEnough(now time.Time) bool {
 	known := max(len(l.board.view.Load().Peers()), l.seeds)
-	if l.compared() >= min(enoughPeers, known) || now.Sub(l.started) > maxCompareWait {
+	if l.compared() >= min(minComparedPeers, known) || now.Sub(l.started) > maxCompareWait {
 		l.peersCompared = true
 	}
 	return l.peersCompared
