--- a/internal/node/independent.go
+++ b/internal/node/independent.go
@@ -38,7 +38,7 @@
 		return entry.Choice{}, err
 	}
 	unavailable := a.board.unavailable(now, q.Service, "")
-	excluded := slices.Concat(unavailable.keys(), a.board.overShare(now, q.Service, ""), a.board.closedTargets(q))
+	excluded := slices.Concat(unavailable.keys(), a.board.targetsOverShare(now, q.Service, ""), a.board.closedTargets(q))
 	pick, ok := pool.Pick(rand.Uint64, q.Tried, excluded)
 	if !ok {
 		return entry.Choice{}, entry.NewNoTargetError(attempt.ReasonTargets, a.board.shareWait(now, q.Service))
--- a/internal/node/targetlimits.go
+++ b/internal/node/targetlimits.go
@@ -235,8 +235,8 @@
 	return permit, !standing.Barred() && b.shares.take(now, t.Key(), standing.Limit, b.nodes())
 }
 
-// overShare returns the keys of a partition's targets for which this node's share is used up now.
-func (b *Board) overShare(now time.Time, s *fleetconfig.Service, hall string) []string {
+// targetsOverShare returns the keys of a partition's targets for which this node's share is used up now.
+func (b *Board) targetsOverShare(now time.Time, s *fleetconfig.Service, hall string) []string {
 	var out []string
 	if b.signals.Empty() {
 		return out
