--- a/internal/node/closed.go
+++ b/internal/node/closed.go
@@ -15,8 +15,8 @@
 // when that ends.
 const closedRetryAfter = time.Second
 
-// newest returns the service in force now, or s if there is none.
-func (b *Board) newest(s *fleetconfig.Service) *fleetconfig.Service {
+// currentService returns the service in force now, or s if there is none.
+func (b *Board) currentService(s *fleetconfig.Service) *fleetconfig.Service {
 	if c := b.currentConfig(); c != nil && c.Service(s.Name()) != nil {
 		return c.Service(s.Name())
 	}
@@ -26,7 +26,7 @@
 // closedHalls returns the data halls that may not serve a request: those that are evacuated, and
 // those outside its regions.
 func (b *Board) closedHalls(q *entry.Query) []string {
-	s := b.newest(q.Service)
+	s := b.currentService(q.Service)
 	if len(q.Regions) == 0 && !s.AnyEvacuated() {
 		return nil
 	}
@@ -48,7 +48,7 @@
 // a service without targets, which may get some at any moment.
 func (b *Board) refuseClosed(q *entry.Query) error {
 	closed := len(b.closedHalls(q))
-	if closed == 0 || closed < len(b.newest(q.Service).Halls()) {
+	if closed == 0 || closed < len(b.currentService(q.Service).Halls()) {
 		return nil
 	}
 	return entry.NewNoTargetError(attempt.ReasonClosed, closedRetryAfter)
@@ -61,7 +61,7 @@
 		return nil
 	}
 	var out []string
-	for _, t := range b.newest(q.Service).Targets() {
+	for _, t := range b.currentService(q.Service).Targets() {
 		if slices.Contains(closed, t.DataHall()) {
 			out = append(out, t.Key())
 		}
--- a/internal/node/partition.go
+++ b/internal/node/partition.go
@@ -73,7 +73,7 @@
 
 // newest returns the service in force now, or s if there is none.
 func (d *dispatchController) newest(s *fleetconfig.Service) *fleetconfig.Service {
-	return d.board.newest(s)
+	return d.board.currentService(s)
 }
 
 // open returns the data halls by which the service of a request is divided and that may serve it,
