--- a/internal/node/fallback.go
+++ b/internal/node/fallback.go
@@ -16,7 +16,7 @@
 func (d *dispatchController) chooseFallback(q *entry.Query, p partition) (entry.Choice, error) {
 	now := time.Now()
 	self := d.board.view.Load().Self()
-	unavailable := d.board.unavailable(now, d.newest(q.Service), p.hall)
+	unavailable := d.board.unavailable(now, d.currentService(q.Service), p.hall)
 	a := &dispatch.Ask{
 		ID: dispatch.ID{
 			Node:   self.Address(),
@@ -32,7 +32,7 @@
 		Aim:        q.Aim,
 		Deadline:   q.Deadline,
 		Tried:      q.Tried,
-		Barred:     append(unavailable.backingOff, d.board.targetsOverShare(now, d.newest(q.Service), p.hall)...),
+		Barred:     append(unavailable.backingOff, d.board.targetsOverShare(now, d.currentService(q.Service), p.hall)...),
 		Draining:   unavailable.draining,
 		Closed:     d.board.closedHalls(q),
 		Route:      q.Route,
@@ -53,12 +53,12 @@
 	d.notify()
 	t := s.config.Target(g.Target)
 	if t == nil {
-		return entry.Choice{}, entry.NewNoTargetError(attempt.ReasonTargets, d.board.shareWait(now, d.newest(q.Service)))
+		return entry.Choice{}, entry.NewNoTargetError(attempt.ReasonTargets, d.board.shareWait(now, d.currentService(q.Service)))
 	}
 	permit, ok := d.board.sharePermit(now, t)
 	if !ok {
 		d.deliver(p, s.Cancel(now, a.ID))
-		return entry.Choice{}, entry.NewNoTargetError(attempt.ReasonTargets, d.board.shareWait(now, d.newest(q.Service)))
+		return entry.Choice{}, entry.NewNoTargetError(attempt.ReasonTargets, d.board.shareWait(now, d.currentService(q.Service)))
 	}
 	own := numberedGrant{
 		grant: &wire.Grant{
--- a/internal/node/grant.go
+++ b/internal/node/grant.go
@@ -16,7 +16,7 @@
 
 // handleGrant handles the final answer of a dispatcher.
 func (d *dispatchController) handleGrant(peer string, q *entry.Query, p partition, g numberedGrant) reply {
-	d.board.learnLimits(time.Now(), d.newest(q.Service), g.grant.GetLimits()...)
+	d.board.learnLimits(time.Now(), d.currentService(q.Service), g.grant.GetLimits()...)
 	switch g.grant.GetVerdict() {
 	case wire.Grant_FULL:
 		d.markFull(time.Now(), p)
@@ -47,7 +47,7 @@
 	default:
 		return reply{}
 	}
-	t := d.newest(q.Service).Target(g.grant.GetTarget())
+	t := d.currentService(q.Service).Target(g.grant.GetTarget())
 	if t == nil || t.Leaving() {
 		// The configurations of this node and of the dispatcher differ.
 		result := wire.Done_IGNORED
@@ -72,7 +72,7 @@
 	}
 	if l := g.grant.GetLimit(); l != nil {
 		permit.Paced = true
-		d.board.learnLimits(now, d.newest(q.Service), l)
+		d.board.learnLimits(now, d.currentService(q.Service), l)
 	}
 	if standing := d.board.standing(now, t); !standing.Permits(now, permit) {
 		// This node received the signal from the target; the dispatcher may not have.
--- a/internal/node/grantrequest.go
+++ b/internal/node/grantrequest.go
@@ -47,7 +47,7 @@
 		if err := d.board.refuseClosed(q); err != nil {
 			return entry.Choice{}, err
 		}
-		if err := d.board.refuseBackoff(time.Now(), d.newest(q.Service)); err != nil {
+		if err := d.board.refuseBackoff(time.Now(), d.currentService(q.Service)); err != nil {
 			return entry.Choice{}, err
 		}
 		r := d.chooseJointly(ctx, q)
@@ -67,7 +67,7 @@
 	if err := d.board.refuseClosed(q); err != nil {
 		return err
 	}
-	if err := d.board.refuseBackoff(time.Now(), d.newest(q.Service)); err != nil {
+	if err := d.board.refuseBackoff(time.Now(), d.currentService(q.Service)); err != nil {
 		return err
 	}
 	return refusal
@@ -255,7 +255,7 @@
 func (d *dispatchController) sendGrantRequest(peer string, id uint64, q *entry.Query, p partition, nonQueueing bool, refusals int) {
 	now := time.Now()
 	remote := d.remoteGrants(peer, p)
-	unavailable := d.board.unavailable(now, d.newest(q.Service), p.hall)
+	unavailable := d.board.unavailable(now, d.currentService(q.Service), p.hall)
 	out := &wire.Datagram{
 		Call: id,
 		Body: &wire.Datagram_Ask{
@@ -277,7 +277,7 @@
 				Route:       q.Route,
 				Refused:     uint32(refusals),
 				ClosedHalls: d.board.closedHalls(q),
-				Limits:      d.board.limits(now, d.newest(q.Service), p.hall),
+				Limits:      d.board.limits(now, d.currentService(q.Service), p.hall),
 
 				FirstsElsewhere:  uint32(remote.Firsts),
 				RepeatsElsewhere: uint32(remote.Repeats),
--- a/internal/node/partition.go
+++ b/internal/node/partition.go
@@ -71,15 +71,15 @@
 	return cached.dataHalls
 }
 
-// newest returns the service in force now, or s if there is none.
-func (d *dispatchController) newest(s *fleetconfig.Service) *fleetconfig.Service {
+// currentService returns the service in force now, or s if there is none.
+func (d *dispatchController) currentService(s *fleetconfig.Service) *fleetconfig.Service {
 	return d.board.currentService(s)
 }
 
 // open returns the data halls by which the service of a request is divided and that may serve it,
 // or nil if the service is not divided. d.mu is held.
 func (d *dispatchController) open(q *entry.Query) []string {
-	halls := d.partitionings.halls(d.newest(q.Service))
+	halls := d.partitionings.halls(d.currentService(q.Service))
 	closed := d.board.closedHalls(q)
 	if len(closed) == 0 {
 		return halls
