--- a/internal/node/export_quarantine_test.go
+++ b/internal/node/export_quarantine_test.go
@@ -76,7 +76,7 @@
 
 // Ended records that a target crashed under a request.
 func (n *QuarantineNode) Ended(p quarantine.Prints, target string) quarantine.Standing {
-	return n.quarantine.ended(p, target)
+	return n.quarantine.recordCrash(p, target)
 }
 
 // Answered records that a target answered a request.
--- a/internal/node/quarantine.go
+++ b/internal/node/quarantine.go
@@ -91,8 +91,8 @@
 	q.digest.Store(q.ledger.Digest())
 }
 
-// ended records that a target crashed under a request, and returns the standing of the request.
-func (q *quarantineController) ended(prints quarantine.Prints, target string) quarantine.Standing {
+// recordCrash records that a target crashed under a request, and returns the standing of the request.
+func (q *quarantineController) recordCrash(prints quarantine.Prints, target string) quarantine.Standing {
 	now := time.Now()
 	for _, p := range prints.All() {
 		if q.answers.Lately(now, p) {
