--- a/internal/node/export_quarantine_test.go
+++ b/internal/node/export_quarantine_test.go
@@ -80,4 +80,4 @@
 }
 
 // Answered records that a target answered a request.
-func (n *QuarantineNode) Answered(p quarantine.Prints) { n.quarantine.answered(p) }
+func (n *QuarantineNode) Answered(p quarantine.Prints) { n.quarantine.recordAnswer(p) }
--- a/internal/node/open.go
+++ b/internal/node/open.go
@@ -64,7 +64,7 @@
 		GiveBack:        n.limits.giveBack,
 		Quarantined:     n.quarantine.check,
 		Ended:           n.quarantine.recordCrash,
-		Answered:        n.quarantine.answered,
+		Answered:        n.quarantine.recordAnswer,
 		Signals:         &n.board.signals,
 		Collector:       n.ejection.collector,
 		Served:          n.metrics.Served,
--- a/internal/node/quarantine.go
+++ b/internal/node/quarantine.go
@@ -103,8 +103,8 @@
 	return q.check(prints)
 }
 
-// answered records that a target answered a request.
-func (q *quarantineController) answered(prints quarantine.Prints) {
+// recordAnswer records that a target answered a request.
+func (q *quarantineController) recordAnswer(prints quarantine.Prints) {
 	now := time.Now()
 	q.answers.Note(now, prints)
 	if q.count.Load() == 0 {
