--- a/internal/node/observer.go
+++ b/internal/node/observer.go
@@ -41,7 +41,7 @@
 			if !ok {
 				continue
 			}
-			s.take(now, in, outlier.Counts{
+			s.add(now, in, outlier.Counts{
 				Target:  target,
 				Good:    float64(t.GetGood()),
 				Bad:     float64(t.GetBad()),
@@ -52,7 +52,7 @@
 	}
 }
 
-func (s *observedService) take(now time.Time, in *wire.ReportBatch, c outlier.Counts) {
+func (s *observedService) add(now time.Time, in *wire.ReportBatch, c outlier.Counts) {
 	from := in.GetFrom()
 	if in.GetSummary() {
 		s.observer.Summary(now, from.GetDataHall(), c)
