--- a/internal/node/tokenrequest.go
+++ b/internal/node/tokenrequest.go
@@ -41,7 +41,7 @@
 		return 0, false
 	}
 	out := l.usages(now, workspaces, waiting, l.allocatorIncarnation(holder.Address()))
-	in := l.call(ctx, holder.Address(), out)
+	in := l.sendTokenRequest(ctx, holder.Address(), out)
 	if in == nil {
 		if ctx.Err() == nil && !l.limiter.Meeting(now, workspaces[0]) {
 			l.markUnresponsive(holder.Address())
@@ -65,8 +65,8 @@
 	l.allocatorIncarnations[peer] = incarnation
 }
 
-// call sends a token request until it is answered, and returns nil if it is not.
-func (l *limitController) call(ctx context.Context, peer string, out *wire.Draw) *wire.Allot {
+// sendTokenRequest sends a token request until it is answered, and returns nil if it is not.
+func (l *limitController) sendTokenRequest(ctx context.Context, peer string, out *wire.Draw) *wire.Allot {
 	id, answers, end := l.messenger.call()
 	defer end()
 	send := func() {
