--- a/internal/node/closed.go
+++ b/internal/node/closed.go
@@ -11,8 +11,8 @@
 	"ploverjunction.example/ploverjunction/internal/fleetconfig"
 )
 
-// closedRetryAfter is the time to retry for a request that no data hall may serve: operators decide
-// when that ends.
+// closedRetryAfter is after how long a caller may retry a request that no data hall may serve:
+// operators decide when that ends.
 const closedRetryAfter = time.Second
 
 // currentService returns the service in force now, or s if there is none.
--- a/internal/node/done.go
+++ b/internal/node/done.go
@@ -37,7 +37,7 @@
 	return done
 }
 
-// wireResult returns the result for the target of an end.
+// wireResult returns the result of an attempt that a message reports for its target.
 func wireResult(end outlier.End) wire.Done_Result {
 	switch {
 	case end.Other:
--- a/internal/node/freshness.go
+++ b/internal/node/freshness.go
@@ -8,8 +8,8 @@
 )
 
 const (
-	// maxAgeFactor is by how much the age of the platform's last answer may exceed its usual
-	// maximum while the configuration of a node counts as the newest.
+	// maxAgeFactor is the ratio to its usual maximum up to which the age of the platform's last
+	// answer lets the configuration of a node count as the newest.
 	maxAgeFactor = 1.5
 	// awaitInterval is the time between two checks of a request that waits for the configuration.
 	awaitInterval = 20 * time.Millisecond
--- a/internal/node/lifecycle.go
+++ b/internal/node/lifecycle.go
@@ -15,8 +15,8 @@
 	// before it serves: a stale platform alone could give it an old one.
 	minComparedPeers = 3
 	// maxCompareWait is the time after which a starting node that reaches the platform but too few
-	// peers serves nevertheless. Until then most of its peers may be alive and ahead of the
-	// platform's replica.
+	// peers serves nevertheless. It waits until then, since most of its peers may be alive and ahead
+	// of the platform's replica.
 	maxCompareWait = 30 * time.Second
 	// maxPlatformAge is the maximum age of the fleet's last answer of the platform for a node that
 	// reaches too few peers.
