--- a/internal/node/quarantine.go
+++ b/internal/node/quarantine.go
@@ -69,7 +69,7 @@
 }
 
 // check returns the standing of a request.
-func (q *quarantineController) check(prints quarantine.Prints) quarantine.Standing {
+func (q *quarantineController) check(fingerprints quarantine.Prints) quarantine.Standing {
 	if q.count.Load() == 0 {
 		return quarantine.Standing{}
 	}
@@ -77,7 +77,7 @@
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.prune(now)
-	return q.ledger.Check(now, prints)
+	return q.ledger.Check(now, fingerprints)
 }
 
 // prune drops expired records every quarantinePruneInterval and updates count and digest. q.mu is
