--- a/internal/node/quarantine.go
+++ b/internal/node/quarantine.go
@@ -92,15 +92,15 @@
 }
 
 // recordCrash records that a target crashed under a request, and returns the standing of the request.
-func (q *quarantineController) recordCrash(prints quarantine.Prints, target string) quarantine.Standing {
+func (q *quarantineController) recordCrash(fingerprints quarantine.Prints, target string) quarantine.Standing {
 	now := time.Now()
-	for _, p := range prints.All() {
+	for _, p := range fingerprints.All() {
 		if q.answers.Lately(now, p) {
 			continue
 		}
 		q.change(now, "", func() []quarantine.Record { return q.ledger.Ended(now, p, target) })
 	}
-	return q.check(prints)
+	return q.check(fingerprints)
 }
 
 // recordAnswer records that a target answered a request.
