--- a/internal/node/quarantine.go
+++ b/internal/node/quarantine.go
@@ -104,13 +104,13 @@
 }
 
 // recordAnswer records that a target answered a request.
-func (q *quarantineController) recordAnswer(prints quarantine.Prints) {
+func (q *quarantineController) recordAnswer(fingerprints quarantine.Prints) {
 	now := time.Now()
-	q.answers.Note(now, prints)
+	q.answers.Note(now, fingerprints)
 	if q.count.Load() == 0 {
 		return
 	}
-	for _, p := range prints.All() {
+	for _, p := range fingerprints.All() {
 		q.change(now, "", func() []quarantine.Record { return q.ledger.Answered(p) })
 	}
 }
