--- a/internal/node/closed.go
+++ b/internal/node/closed.go
@@ -11,22 +11,22 @@
 	"ploverjunction.example/ploverjunction/internal/fleetconfig"
 )
 
-// closedRetryAfter is when a caller may come back whose request no data hall may serve:
+// closedRetryAfter is after how long a caller may retry a request that no data hall may serve:
 // operators decide when that ends.
 const closedRetryAfter = time.Second
 
-// newest returns a service as it is in force now, or as the request knows it.
-func (b *Board) newest(s *fleetconfig.Service) *fleetconfig.Service {
+// currentService returns the service in force now, or s if there is none.
+func (b *Board) currentService(s *fleetconfig.Service) *fleetconfig.Service {
 	if c := b.currentConfig(); c != nil && c.Service(s.Name()) != nil {
 		return c.Service(s.Name())
 	}
 	return s
 }
 
-// closedHalls returns the data halls whose targets a request must not be sent to: those that
-// are evacuated, and those outside the regions where it may be served.
+// closedHalls returns the data halls that may not serve a request: those that are evacuated, and
+// those outside its regions.
 func (b *Board) closedHalls(q *entry.Query) []string {
-	s := b.newest(q.Service)
+	s := b.currentService(q.Service)
 	if len(q.Regions) == 0 && !s.AnyEvacuated() {
 		return nil
 	}
@@ -44,11 +44,11 @@
 	return !slices.ContainsFunc(all, func(r fleetconfig.Regions) bool { return !r.Allow(b.regions[hall]) })
 }
 
-// refuseClosed returns the refusal of a request that no data hall may serve, or nil. A service
-// without targets may get some at any moment.
+// refuseClosed returns the refusal of a request that no data hall may serve, or nil. It is nil for
+// a service without targets, which may get some at any moment.
 func (b *Board) refuseClosed(q *entry.Query) error {
 	closed := len(b.closedHalls(q))
-	if closed == 0 || closed < len(b.newest(q.Service).Halls()) {
+	if closed == 0 || closed < len(b.currentService(q.Service).Halls()) {
 		return nil
 	}
 	return entry.NewNoTargetError(attempt.ReasonClosed, closedRetryAfter)
@@ -61,7 +61,7 @@
 		return nil
 	}
 	var out []string
-	for _, t := range b.newest(q.Service).Targets() {
+	for _, t := range b.currentService(q.Service).Targets() {
 		if slices.Contains(closed, t.DataHall()) {
 			out = append(out, t.Key())
 		}
--- a/internal/node/announcing.go
+++ b/internal/node/decisions.go
@@ -12,16 +12,16 @@
 	"ploverjunction.example/ploverjunction/internal/wire"
 )
 
-// announce takes new verdicts to all nodes of the data hall. Verdicts are rare;
-// a lost one is found by the node's own evidence.
-func (o *observing) announce(ctx context.Context, talks *task.Group, now time.Time, verdicts []outlier.Verdict) {
-	if len(verdicts) == 0 {
+// broadcastDecisions sends new ejection decisions to all nodes of the data hall. They are rare; a node that
+// misses one ejects the target on its own evidence.
+func (o *evidenceController) broadcastDecisions(ctx context.Context, calls *task.Group, now time.Time, decisions []outlier.Verdict) {
+	if len(decisions) == 0 {
 		return
 	}
 	batch := &wire.VerdictBatch{
 		From: o.link.self(),
 	}
-	for _, v := range verdicts {
+	for _, v := range decisions {
 		o.deliver(now, v, outlier.Key(v.Target))
 		batch.Verdicts = append(batch.Verdicts, &wire.Verdict{
 			Service: v.Service,
@@ -31,17 +31,17 @@
 			Leaving: v.Leaving,
 		})
 	}
-	o.spread(ctx, talks, batch)
+	o.sendDecisions(ctx, calls, batch)
 }
 
-func (o *observing) spread(ctx context.Context, talks *task.Group, batch *wire.VerdictBatch) {
+func (o *evidenceController) sendDecisions(ctx context.Context, calls *task.Group, batch *wire.VerdictBatch) {
 	view := o.board.view.Load()
 	for _, n := range view.Peers() {
 		if n.DataHall() != view.Self().DataHall() {
 			continue
 		}
-		talks.Go(ctx, "verdict", func(ctx context.Context) error {
-			err := o.link.judge(ctx, n.Address(), batch)
+		calls.Go(ctx, "verdict", func(ctx context.Context) error {
+			err := o.link.sendDecisions(ctx, n.Address(), batch)
 			if err != nil {
 				o.link.failed(n.Address())
 			}
@@ -50,9 +50,9 @@
 	}
 }
 
-// judged takes the verdicts of an observer. Only an observer of this node's data
-// hall, by this node's own view of the fleet, is believed.
-func (o *observing) judged(now time.Time, in *wire.VerdictBatch) {
+// handleDecisions applies the ejection decisions of a node, if that is an observer of this node's
+// data hall by this node's own view of the fleet.
+func (o *evidenceController) handleDecisions(now time.Time, in *wire.VerdictBatch) {
 	for _, v := range in.GetVerdicts() {
 		if !o.hasRole(in.GetFrom(), v.GetService()) {
 			continue
@@ -66,13 +66,13 @@
 	}
 }
 
-// trustedRanks is how far down the order of observers a sender may stand: views
-// differ by the nodes that just one of them suspects.
+// trustedRanks is up to which rank an observer's ejection decisions are accepted: views differ by
+// nodes that only one of them suspects.
 const trustedRanks = 3
 
-func (o *observing) hasRole(from *wire.Node, service string) bool {
+func (o *evidenceController) hasRole(from *wire.Node, service string) bool {
 	view := o.board.view.Load()
-	for _, n := range view.Role(role(service), view.Self().DataHall(), trustedRanks) {
+	for _, n := range view.Role(observerRole(service), view.Self().DataHall(), trustedRanks) {
 		if n == membership.NewNode(from.GetAddress(), from.GetDataHall()) {
 			return true
 		}
--- a/internal/node/dispatcher.go
+++ b/internal/node/dispatcher.go
@@ -15,19 +15,18 @@
 	"ploverjunction.example/ploverjunction/internal/wire"
 )
 
-// This file is the side of a dispatcher: what a node does for the requests of
-// others.
+// This file serves the grant requests of other nodes, as a dispatcher.
 
-func (d *dispatching) advance(now time.Time) {
+func (d *dispatchController) advance(now time.Time) {
 	d.mu.Lock()
-	grants := map[part][]dispatch.Grant{}
-	for p, dk := range d.desks {
-		if now.Sub(dk.used) > deskForget {
-			delete(d.desks, p)
+	grants := map[partition][]dispatch.Grant{}
+	for p, s := range d.schedulers {
+		if now.Sub(s.lastUsed) > schedulerIdleTimeout {
+			delete(d.schedulers, p)
 			continue
 		}
-		if dk := d.current(now, p); dk != nil {
-			grants[p] = dk.Advance(now)
+		if current := d.currentScheduler(now, p); current != nil {
+			grants[p] = current.Advance(now)
 		}
 	}
 	d.mu.Unlock()
@@ -36,38 +35,38 @@
 	}
 }
 
-// report writes a line about each desk that has work, at a slow tick.
-func (d *dispatching) report(now time.Time) {
-	if now.Sub(d.reported) < reportInterval {
+// logStatus logs the status of each scheduler with enough requests, every reportInterval.
+func (d *dispatchController) logStatus(now time.Time) {
+	if now.Sub(d.statusLoggedAt) < reportInterval {
 		return
 	}
-	d.reported = now
+	d.statusLoggedAt = now
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	for p, dk := range d.desks {
-		if dk.Asked(now) < reportLeast {
-			if dk.reported {
-				// Another node has the role now, or nobody asks.
-				dk.reported = false
-				d.short(p, 0)
-				d.limited(p, 0)
+	for p, sched := range d.schedulers {
+		if sched.Asked(now) < reportMinRequests {
+			if sched.statusLogged {
+				// Another node has the role now, or there are no requests.
+				sched.statusLogged = false
+				d.setCoverageShort(p, 0)
+				d.setLimitedTargets(p, 0)
 			}
 			continue
 		}
-		dk.reported = true
-		s := dk.Status(now)
-		d.short(p, s.Short)
+		sched.statusLogged = true
+		s := sched.Status(now)
+		d.setCoverageShort(p, s.Short)
 		failing := map[string]float64{}
 		limits := map[string]string{}
 		for _, t := range s.Targets {
 			if t.Limit.Set {
 				limits[t.Key] = fmt.Sprintf("%g/s, %d in 4 s", t.Limit.Rate, t.Granted)
 			}
-			if t.Failing > reportFailing {
+			if t.Failing > reportMinProbability {
 				failing[t.Key] = math.Round(t.Failing*100) / 100
 			}
 		}
-		d.limited(p, len(limits))
+		d.setLimitedTargets(p, len(limits))
 		d.log.WithFields(logrus.Fields{
 			"service":      p.service,
 			"hall":         p.hall,
@@ -90,51 +89,51 @@
 	}
 }
 
-// desk returns the desk of a part for something that is asked or told now, or nil if
-// there is no such service. d.mu is held.
-func (d *dispatching) desk(now time.Time, p part) *desk {
-	dk := d.current(now, p)
-	if dk != nil {
-		dk.used = now
+// touchScheduler returns the scheduler of a partition and marks it as used, or returns nil if there
+// is no such service. d.mu is held.
+func (d *dispatchController) touchScheduler(now time.Time, p partition) *scheduler {
+	s := d.currentScheduler(now, p)
+	if s != nil {
+		s.lastUsed = now
 	}
-	return dk
+	return s
 }
 
-// current returns the desk of a part in the newest configuration of its service, or nil
-// if there is no such service. d.mu is held.
-func (d *dispatching) current(now time.Time, p part) *desk {
+// currentScheduler returns the scheduler of a partition, updated to the newest configuration of its
+// service, or nil if there is no such service. d.mu is held.
+func (d *dispatchController) currentScheduler(now time.Time, p partition) *scheduler {
 	c := d.board.currentConfig()
 	if c == nil || c.Service(p.service) == nil {
-		delete(d.desks, p)
+		delete(d.schedulers, p)
 		delete(d.ledgers, p)
 		return nil
 	}
 	sc := c.Service(p.service)
-	dk := d.desks[p]
-	if dk == nil {
-		dk = &desk{
-			Desk: dispatch.NewDesk(now, d.budgetOf(p, sc), rand.Float64),
-			used: now,
+	s := d.schedulers[p]
+	if s == nil {
+		s = &scheduler{
+			Desk:     dispatch.NewDesk(now, d.budgetOf(p, sc), rand.Float64),
+			lastUsed: now,
 		}
-		d.desks[p] = dk
+		d.schedulers[p] = s
 	}
-	if dk.Limited(now) {
+	if s.Limited(now) {
 		view := d.board.view.Load()
-		dk.Lead(d.place(now, view, p.holders(view)).part())
+		s.Lead(d.holderRank(now, view, p.holders(view)).share())
 	}
-	if dk.config != sc {
-		p.configure(now, dk, sc)
-		dk.Keep(max(d.floor, floorOf(sc)))
+	if s.config != sc {
+		p.configure(now, s, sc)
+		s.Keep(max(d.floor, floorOf(sc)))
 	}
-	return dk
+	return s
 }
 
-// configure brings a desk of the part to another configuration of its service.
-func (p part) configure(now time.Time, dk *desk, sc *fleetconfig.Service) {
-	before := dk.config
-	dk.config = sc
+// configure updates a scheduler of the partition to another configuration of its service.
+func (p partition) configure(now time.Time, s *scheduler, sc *fleetconfig.Service) {
+	before := s.config
+	s.config = sc
 	if before == nil || !sc.SameEvacuations(before) || sc.WarmupRate() != before.WarmupRate() {
-		dk.Configure(now, p.targets(sc, sc.Targets()))
+		s.Configure(now, p.targets(sc, sc.Targets()))
 		return
 	}
 	added, removed := sc.Changes(before)
@@ -144,20 +143,20 @@
 			gone = append(gone, t.Key())
 		}
 	}
-	dk.Change(now, p.targets(sc, added), gone)
+	s.Change(now, p.targets(sc, added), gone)
 }
 
-// budgetOf returns the retry budget of a part. The share goes by the part's own first
-// attempts; the reserve is divided, so that all parts together keep the service's.
-func (d *dispatching) budgetOf(p part, sc *fleetconfig.Service) dispatch.Budget {
+// budgetOf returns the retry budget of a partition. Its share applies to the partition's own first
+// attempts; the reserve is divided, so that all partitions together have that of the service.
+func (d *dispatchController) budgetOf(p partition, sc *fleetconfig.Service) dispatch.Budget {
 	b := d.budget
 	if p.hall != "" {
-		b.Reserve /= float64(max(len(d.divided.halls(sc)), 2))
+		b.Reserve /= float64(max(len(d.partitionings.halls(sc)), 2))
 	}
 	return b
 }
 
-// floorOf returns the share of a service's slots that its policy keeps in service.
+// floorOf returns the floor of a service's policy as a share of its slots.
 func floorOf(sc *fleetconfig.Service) float64 {
 	if sc.Slots() == 0 {
 		return 0
@@ -165,8 +164,8 @@
 	return sc.Policy().Floor(float64(sc.Slots()), len(sc.Targets())) / float64(sc.Slots())
 }
 
-// targets returns those of some targets of a service that belong to the part.
-func (p part) targets(sc *fleetconfig.Service, list []*fleetconfig.Target) []dispatch.Target {
+// targets returns those targets in list that belong to the partition.
+func (p partition) targets(sc *fleetconfig.Service, list []*fleetconfig.Target) []dispatch.Target {
 	var out []dispatch.Target
 	for _, t := range list {
 		if p.hall != "" && t.DataHall() != p.hall {
@@ -186,8 +185,8 @@
 	return out
 }
 
-// asked answers the ask of a peer.
-func (d *dispatching) asked(in *wire.Datagram) {
+// handleGrantRequest answers the grant request of a peer.
+func (d *dispatchController) handleGrantRequest(in *wire.Datagram) {
 	now := time.Now()
 	w := in.GetAsk()
 	a := &dispatch.Ask{
@@ -217,31 +216,31 @@
 		},
 	}
 	for _, l := range w.GetLimits() {
-		a.Limits = append(a.Limits, limitFrom(now, l))
+		a.Limits = append(a.Limits, limitOfWire(now, l))
 	}
-	p := part{
+	p := partition{
 		service: w.GetService(),
 		hall:    w.GetDataHall(),
 	}
 	d.mu.Lock()
-	dk := d.desk(now, p)
+	s := d.touchScheduler(now, p)
 	var g dispatch.Grant
-	if dk != nil {
-		g = dk.Ask(now, a)
+	if s != nil {
+		g = s.Ask(now, a)
 	}
 	d.mu.Unlock()
-	d.work()
-	if dk == nil {
+	d.notify()
+	if s == nil {
 		d.answer(in.GetFrom().GetAddress(), in.GetCall(), &wire.Grant{
 			Verdict: wire.Grant_UNKNOWN,
 		})
 		return
 	}
-	d.answer(a.ID.Node, a.ID.Number, grantOf(g))
+	d.answer(a.ID.Node, a.ID.Number, wireGrant(g))
 }
 
-// verdicts are the verdicts of desks in messages.
-var verdicts = [...]wire.Grant_Verdict{
+// wireDecisions maps decisions of schedulers to their values in messages.
+var wireDecisions = [...]wire.Grant_Verdict{
 	dispatch.Granted: wire.Grant_GRANTED,
 	dispatch.Queued:  wire.Grant_QUEUED,
 	dispatch.Refused: wire.Grant_REFUSED,
@@ -249,16 +248,16 @@
 	dispatch.Full:    wire.Grant_FULL,
 }
 
-func grantOf(g dispatch.Grant) *wire.Grant {
+func wireGrant(g dispatch.Grant) *wire.Grant {
 	now := time.Now()
 	var limits []*wire.TargetLimit
 	for _, l := range g.Limits {
-		limits = append(limits, limitTo(now, l))
+		limits = append(limits, wireLimit(now, l))
 	}
 	return &wire.Grant{
 		Limits:       limits,
-		Limit:        limitGranted(now, g),
-		Verdict:      verdicts[g.Verdict],
+		Limit:        grantedLimit(now, g),
+		Verdict:      wireDecisions[g.Verdict],
 		Target:       g.Target,
 		RetryAfterMs: uint32(g.RetryAfter.Milliseconds()),
 		Doubt:        uint32(1000 * g.Doubt),
@@ -267,19 +266,19 @@
 	}
 }
 
-// limitGranted returns the limit of the target that a grant names, or nil.
-func limitGranted(now time.Time, g dispatch.Grant) *wire.TargetLimit {
+// grantedLimit returns the limit of the target that a grant names, or nil.
+func grantedLimit(now time.Time, g dispatch.Grant) *wire.TargetLimit {
 	if !g.Limit.Set {
 		return nil
 	}
-	return limitTo(now, dispatch.TargetLimit{
+	return wireLimit(now, dispatch.TargetLimit{
 		Target: g.Target,
 		Limit:  g.Limit,
 		At:     g.LimitAt,
 	})
 }
 
-func (d *dispatching) answer(peer string, call uint64, g *wire.Grant) {
+func (d *dispatchController) answer(peer string, call uint64, g *wire.Grant) {
 	out := &wire.Datagram{
 		Call: call,
 		Body: &wire.Datagram_Grant{
@@ -287,14 +286,14 @@
 		},
 	}
 	if peer == d.board.view.Load().Self().Address() {
-		d.messenger.answered(out)
+		d.messenger.deliverAnswer(out)
 		return
 	}
 	d.messenger.send(peer, out)
 }
 
-// deliver sends grants that became possible later.
-func (d *dispatching) deliver(p part, grants []dispatch.Grant) {
+// deliver sends grants to requests that were queued.
+func (d *dispatchController) deliver(p partition, grants []dispatch.Grant) {
 	for _, g := range grants {
 		d.log.WithFields(logrus.Fields{
 			"service": p.service,
@@ -302,14 +301,14 @@
 			"verdict": g.Verdict.String(),
 			"target":  g.Target,
 		}).Debug("queued request answered")
-		d.answer(g.ID.Node, g.ID.Number, grantOf(g))
+		d.answer(g.ID.Node, g.ID.Number, wireGrant(g))
 	}
 }
 
-// told takes the end of an attempt from a peer.
-func (d *dispatching) told(in *wire.Datagram) {
+// handleDone handles and confirms a peer's report of the end of an attempt.
+func (d *dispatchController) handleDone(in *wire.Datagram) {
 	w := in.GetDone()
-	d.end(in.GetFrom().GetAddress(), w)
+	d.recordDone(in.GetFrom().GetAddress(), w)
 	d.messenger.send(in.GetFrom().GetAddress(), &wire.Datagram{
 		Call: in.GetCall(),
 		Body: &wire.Datagram_Taken{
@@ -318,36 +317,36 @@
 	})
 }
 
-// end takes the end of an attempt of any node.
-func (d *dispatching) end(node string, w *wire.Done) {
+// recordDone records the end of an attempt of any node.
+func (d *dispatchController) recordDone(node string, w *wire.Done) {
 	now := time.Now()
 	id := dispatch.ID{
 		Node:   node,
 		Number: w.GetRequest(),
 	}
-	p := part{
+	p := partition{
 		service: w.GetService(),
 		hall:    w.GetDataHall(),
 	}
 	d.mu.Lock()
-	dk := d.desk(now, p)
+	s := d.touchScheduler(now, p)
 	var out []dispatch.Grant
-	if dk != nil && w.GetTarget() == "" {
-		out = dk.Cancel(now, id)
-	} else if dk != nil {
+	if s != nil && w.GetTarget() == "" {
+		out = s.Cancel(now, id)
+	} else if s != nil {
 		if w.GetLeaving() {
-			dk.MarkDraining(now, w.GetTarget())
+			s.MarkDraining(now, w.GetTarget())
 		}
 		if w.GetLost() {
-			dk.Lost(w.GetTarget(), id)
+			s.Lost(w.GetTarget(), id)
 		}
 		if l := w.GetLimit(); l != nil {
-			dk.Observe(now, node, limitFrom(now, l))
+			s.Observe(now, node, limitOfWire(now, l))
 		}
-		if rest := w.GetRestMs(); rest > 0 {
-			dk.BackOff(now, w.GetTarget(), id, time.Duration(rest)*time.Millisecond)
+		if backoff := w.GetRestMs(); backoff > 0 {
+			s.BackOff(now, w.GetTarget(), id, time.Duration(backoff)*time.Millisecond)
 		}
-		out = dk.Done(now, id, w.GetTarget(), dispatch.Result(w.GetResult()), time.Duration(w.GetTookMs())*time.Millisecond)
+		out = s.Done(now, id, w.GetTarget(), dispatch.Result(w.GetResult()), time.Duration(w.GetTookMs())*time.Millisecond)
 	}
 	d.mu.Unlock()
 	d.deliver(p, out)
--- a/internal/node/done.go
+++ b/internal/node/done.go
@@ -10,8 +10,8 @@
 	"ploverjunction.example/ploverjunction/internal/wire"
 )
 
-// doneOf returns the message that tells a dispatcher of an attempt's end.
-func doneOf(p part, g granted, r wire.Done_Result, took time.Duration) *wire.Done {
+// newDone returns the message that reports the end of an attempt to a dispatcher.
+func newDone(p partition, g numberedGrant, r wire.Done_Result, took time.Duration) *wire.Done {
 	return &wire.Done{
 		Service:  p.service,
 		DataHall: p.hall,
@@ -22,23 +22,23 @@
 	}
 }
 
-// endOf returns the message about the end of an attempt that was sent, with what its target said
-// of itself to this node. A target that backs off or limits what it gets is well: what it turns
-// away isn't held against it.
-func endOf(p part, g granted, end outlier.End, said signal.Standing, took time.Duration) *wire.Done {
-	done := doneOf(p, g, resultOf(end), took)
+// doneOf returns the message about the end of an attempt that was sent, with the signals that this
+// node received from its target. A target that backs off or limits its requests is healthy: the
+// requests that it sheds do not count against it.
+func doneOf(p partition, g numberedGrant, end outlier.End, standing signal.Standing, took time.Duration) *wire.Done {
+	done := newDone(p, g, wireResult(end), took)
 	done.Lost = end.Lost
-	done.Leaving = said.Draining
-	done.Limit = limitTo(time.Now(), limitOfStanding(done.GetTarget(), said))
-	if end.Shed && (said.Backoff > 0 || said.Limit.Set) {
+	done.Leaving = standing.Draining
+	done.Limit = wireLimit(time.Now(), limitOfStanding(done.GetTarget(), standing))
+	if end.Shed && (standing.Backoff > 0 || standing.Limit.Set) {
 		done.Result = wire.Done_RESTING
-		done.RestMs = uint32(said.Backoff.Milliseconds())
+		done.RestMs = uint32(standing.Backoff.Milliseconds())
 	}
 	return done
 }
 
-// resultOf returns what an end says of its target.
-func resultOf(end outlier.End) wire.Done_Result {
+// wireResult returns the result of an attempt that a message reports for its target.
+func wireResult(end outlier.End) wire.Done_Result {
 	switch {
 	case end.Other:
 		return wire.Done_GONE
--- a/internal/node/telling.go
+++ b/internal/node/donereport.go
@@ -8,21 +8,21 @@
 	"ploverjunction.example/ploverjunction/internal/wire"
 )
 
-// unconfirmed is the end of an attempt that its dispatcher hasn't confirmed.
-type unconfirmed struct {
+// unconfirmedDone is the end of an attempt that its dispatcher has not confirmed.
+type unconfirmedDone struct {
 	peer  string
 	done  *wire.Done
 	tries int
 	at    time.Time
 }
 
-// tell tells a dispatcher how an attempt ended, until it confirms.
-func (d *dispatching) tell(peer string, w *wire.Done) {
+// reportDone reports the end of an attempt to a dispatcher, until it confirms.
+func (d *dispatchController) reportDone(peer string, w *wire.Done) {
 	if peer == d.board.view.Load().Self().Address() {
-		d.end(peer, w)
+		d.recordDone(peer, w)
 		return
 	}
-	u := &unconfirmed{
+	u := &unconfirmedDone{
 		peer: peer,
 		done: w,
 	}
@@ -30,11 +30,11 @@
 	d.mu.Lock()
 	d.pending[id] = u
 	d.mu.Unlock()
-	d.work()
+	d.notify()
 	d.sendDone(time.Now(), id, u)
 }
 
-func (d *dispatching) sendDone(now time.Time, id uint64, u *unconfirmed) {
+func (d *dispatchController) sendDone(now time.Time, id uint64, u *unconfirmedDone) {
 	d.mu.Lock()
 	u.tries++
 	u.at = now
@@ -47,9 +47,9 @@
 	})
 }
 
-func (d *dispatching) repeat(now time.Time) {
+func (d *dispatchController) resendDone(now time.Time) {
 	d.mu.Lock()
-	due := map[uint64]*unconfirmed{}
+	due := map[uint64]*unconfirmedDone{}
 	for id, u := range d.pending {
 		switch {
 		case now.Sub(u.at) < doneInterval:
@@ -65,8 +65,8 @@
 	}
 }
 
-// confirmed notes that a dispatcher took the end of an attempt.
-func (d *dispatching) confirmed(call uint64) {
+// handleTaken records that a dispatcher confirmed the end of an attempt.
+func (d *dispatchController) handleTaken(call uint64) {
 	d.mu.Lock()
 	delete(d.pending, call)
 	d.mu.Unlock()
--- a/internal/node/judging.go
+++ b/internal/node/ejection.go
@@ -15,11 +15,11 @@
 	"ploverjunction.example/ploverjunction/internal/outlier"
 )
 
-// judgeInterval is how often a node judges its targets.
-const judgeInterval = 250 * time.Millisecond
+// ejectionInterval is how often a node evaluates its targets for ejection.
+const ejectionInterval = 250 * time.Millisecond
 
-// service is what the judging controller holds of one service.
-type service struct {
+// serviceState is the ejection controller's state of one service.
+type serviceState struct {
 	config   *fleetconfig.Service
 	detector *outlier.Detector
 	judge    *outlier.Judge
@@ -27,36 +27,36 @@
 	byKey    map[uint32]string
 }
 
-// judging turns evidence and verdicts into pools. One goroutine runs it; verdict
-// may be called concurrently.
-type judging struct {
+// ejectionController builds pools from evidence and ejection decisions. One goroutine runs it;
+// applyVerdict may be called concurrently.
+type ejectionController struct {
 	board     *Board
 	collector *outlier.Collector
-	// passive is set where a dispatcher judges the targets: targets are then looked at only
-	// when an operator asks.
+	// passive is set where dispatchers rate the targets: pools are then built only when an operator
+	// requests the status.
 	passive bool
-	// report takes the evidence of each tick.
+	// report receives the evidence of each tick.
 	report   func(now time.Time, evidence []outlier.Evidence)
 	log      *logrus.Entry
 	mu       sync.Mutex
-	services map[string]*service
+	services map[string]*serviceState
 	config   *fleetconfig.Config
 	view     *membership.View
 	dirty    bool
 }
 
-func newJudging(board *Board, collector *outlier.Collector, log *logrus.Entry) *judging {
-	return &judging{
+func newEjectionController(board *Board, collector *outlier.Collector, log *logrus.Entry) *ejectionController {
+	return &ejectionController{
 		board:     board,
 		collector: collector,
 		log:       log,
-		services:  map[string]*service{},
+		services:  map[string]*serviceState{},
 	}
 }
 
-// run judges at each tick and at each change of the configuration.
-func (j *judging) run(ctx context.Context) error {
-	tick := time.NewTicker(judgeInterval)
+// run evaluates the targets at each tick and at each change of the configuration.
+func (j *ejectionController) run(ctx context.Context) error {
+	tick := time.NewTicker(ejectionInterval)
 	defer tick.Stop()
 	for {
 		changed := j.board.config.Watch()
@@ -71,54 +71,53 @@
 	}
 }
 
-// refresh takes a new configuration or view and rebuilds the pools if anything
-// changed.
-func (j *judging) refresh(now time.Time) {
+// refresh applies a new configuration or view and rebuilds the pools if anything changed.
+func (j *ejectionController) refresh(now time.Time) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	if !j.passive {
-		j.renew(now)
+		j.rebuild(now)
 	} else if j.board.currentConfig() != nil && j.board.pools.Load() == nil {
 		j.board.pools.Store(&pools{})
 	}
 }
 
-// renew takes what is new and makes pools of it. j.mu is held.
-func (j *judging) renew(now time.Time) {
+// rebuild applies what changed and rebuilds the pools. j.mu is held.
+func (j *ejectionController) rebuild(now time.Time) {
 	if c := j.board.currentConfig(); c != nil && c != j.config {
 		j.configure(now, c)
 	}
-	j.look()
+	j.refreshView()
 	if j.dirty {
 		j.publish(now)
 	}
 }
 
-// look takes the newest view if it has another number of nodes. j.mu is held.
-func (j *judging) look() {
+// refreshView applies the newest view if its number of nodes differs. j.mu is held.
+func (j *ejectionController) refreshView() {
 	if v := j.board.view.Load(); j.view == nil || v.Nodes() != j.view.Nodes() {
 		j.view = v
 		j.dirty = true
 	}
 }
 
-// pools returns the pools as they stand now, or nil before the first ones.
-func (j *judging) pools(now time.Time) *pools {
+// pools returns the current pools, or nil before the first ones.
+func (j *ejectionController) pools(now time.Time) *pools {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	if j.passive && j.board.currentConfig() != nil {
-		j.renew(now)
+		j.rebuild(now)
 	}
 	return j.board.pools.Load()
 }
 
-func (j *judging) configure(now time.Time, c *fleetconfig.Config) {
+func (j *ejectionController) configure(now time.Time, c *fleetconfig.Config) {
 	j.config = c
 	j.dirty = true
 	for name, sc := range c.Services() {
 		s := j.services[name]
 		if s == nil || s.detector.Threshold() != sc.Threshold() {
-			s = newService(s, sc)
+			s = newServiceState(s, sc)
 			j.services[name] = s
 		}
 		s.configure(now, sc)
@@ -130,10 +129,9 @@
 	}
 }
 
-// newService returns the state of a service. Of an old state all but the
-// detector is kept.
-func newService(old *service, sc *fleetconfig.Service) *service {
-	s := &service{
+// newServiceState returns the state of a service. Of an old state all but the detector is kept.
+func newServiceState(old *serviceState, sc *fleetconfig.Service) *serviceState {
+	s := &serviceState{
 		detector: outlier.NewDetector(sc.Threshold()),
 		judge:    outlier.NewJudge(),
 		gauges:   map[string]*balance.Gauge{},
@@ -145,36 +143,36 @@
 	return s
 }
 
-func (s *service) configure(now time.Time, sc *fleetconfig.Service) {
+func (s *serviceState) configure(now time.Time, sc *fleetconfig.Service) {
 	s.config = sc
 	s.byKey = map[uint32]string{}
-	known := map[string]bool{}
-	addresses := make([]string, len(sc.Targets()))
+	published := map[string]bool{}
+	keys := make([]string, len(sc.Targets()))
 	for i, t := range sc.Targets() {
-		addresses[i] = t.Key()
-		known[t.Key()] = true
+		keys[i] = t.Key()
+		published[t.Key()] = true
 		s.byKey[outlier.Key(t.Key())] = t.Key()
 		if s.gauges[t.Key()] == nil {
 			s.gauges[t.Key()] = &balance.Gauge{}
 		}
 	}
-	s.judge.SetTargets(now, addresses)
-	s.detector.Keep(known)
+	s.judge.SetTargets(now, keys)
+	s.detector.Keep(published)
 	for a, g := range s.gauges {
-		if !known[a] && g.InFlight() == 0 {
+		if !published[a] && g.InFlight() == 0 {
 			delete(s.gauges, a)
 		}
 	}
 }
 
 // tick evaluates the evidence of the last tick.
-func (j *judging) tick(now time.Time) {
+func (j *ejectionController) tick(now time.Time) {
 	evidence := j.collector.Drain(now)
 	if j.passive {
 		return
 	}
 	j.mu.Lock()
-	j.evidence(now, evidence)
+	j.addEvidence(now, evidence)
 	for _, s := range j.services {
 		if s.judge.Advance(now) {
 			j.dirty = true
@@ -184,7 +182,7 @@
 	j.report(now, evidence)
 }
 
-func (j *judging) evidence(now time.Time, evidence []outlier.Evidence) {
+func (j *ejectionController) addEvidence(now time.Time, evidence []outlier.Evidence) {
 	ticks := map[string][]outlier.Counts{}
 	for _, e := range evidence {
 		s := j.services[e.Service]
@@ -204,14 +202,13 @@
 		}
 		s.detector.Update(now, ticks[name])
 		for _, t := range s.config.Targets() {
-			j.judge(now, s, t.Key())
+			j.ejectIfSick(now, s, t.Key())
 		}
 	}
 }
 
-// judge ejects a target on this node's own evidence. A node alone can only say
-// so for itself.
-func (j *judging) judge(now time.Time, s *service, target string) {
+// ejectIfSick ejects a target on this node's own evidence, for this node only.
+func (j *ejectionController) ejectIfSick(now time.Time, s *serviceState, target string) {
 	r := s.detector.Read(target)
 	if r.Score == 0 {
 		return
@@ -223,11 +220,11 @@
 	s.detector.Reset(target)
 	j.dirty = true
 	j.log.WithField("service", s.config.Name()).WithField("target", target).
-		WithField("score", r.Score).Info("target sick here")
+		WithField("score", r.Score).Info("target ejected on evidence of this node")
 }
 
-// verdict takes an observer's word.
-func (j *judging) verdict(now time.Time, v outlier.Verdict, key uint32) {
+// applyDecision applies an observer's ejection decision.
+func (j *ejectionController) applyDecision(now time.Time, v outlier.Verdict, key uint32) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	s := j.services[v.Service]
@@ -245,12 +242,12 @@
 	}
 	s.judge.Verdict(now, target, v.Score, v.Lease)
 	j.log.WithField("service", v.Service).WithField("target", target).
-		WithField("score", v.Score).Info("target sick by verdict")
+		WithField("score", v.Score).Info("target ejected by an observer")
 }
 
-// publish writes the pools. The floor is checked here, at the last step of each
-// node, whatever the verdicts say.
-func (j *judging) publish(now time.Time) {
+// publish stores the pools. The floor is enforced here, at the last step on each node, whatever the
+// ejection decisions are.
+func (j *ejectionController) publish(now time.Time) {
 	j.dirty = false
 	out := &pools{
 		services: map[string]*poolState{},
@@ -261,7 +258,7 @@
 	j.board.pools.Store(out)
 }
 
-func (j *judging) poolOf(now time.Time, s *service) *poolState {
+func (j *ejectionController) poolOf(now time.Time, s *serviceState) *poolState {
 	p := &poolState{}
 	var members []balance.Member
 	capacity := 0
@@ -281,10 +278,10 @@
 			Gauge:       s.gauges[t.Key()],
 		})
 		p.targets = append(p.targets, targetState{
-			address:       t.Key(),
-			state:         st,
-			listedLeaving: listed,
-			inFlight:      s.gauges[t.Key()].InFlight(),
+			address:        t.Key(),
+			state:          st,
+			listedDraining: listed,
+			inFlight:       s.gauges[t.Key()].InFlight(),
 		})
 		if !st.Leaving && !listed {
 			capacity += t.Slots()
--- a/internal/node/export_quarantine_test.go
+++ b/internal/node/export_quarantine_test.go
@@ -14,26 +14,25 @@
 	"ploverjunction.example/ploverjunction/internal/wire"
 )
 
-// QuarantineNode is the part of a node that keeps requests away from targets that end under
-// them, with a network that a test makes.
+// QuarantineNode is the quarantine controller of a node, on a network that a test provides.
 type QuarantineNode struct {
-	quarantining *quarantining
-	messenger    *messenger
+	quarantine *quarantineController
+	messenger  *messenger
 }
 
-// NewQuarantineNode returns such a node, which knows others. send hands a datagram to a peer.
+// NewQuarantineNode returns a node with others as its peers. send sends a datagram to a peer.
 func NewQuarantineNode(self membership.Node, others []membership.Node, send func(peer string, d *wire.Datagram)) *QuarantineNode {
 	board := &Board{}
 	members := newMembers(board, self, membership.DefaultWeight)
 	for _, o := range others {
-		members.heard(&wire.Node{
+		members.recordMessage(&wire.Node{
 			Address:     o.Address(),
 			Incarnation: 1,
 			Weight:      membership.DefaultWeight,
 		})
 	}
 	members.renew()
-	q := newQuarantining(board, time.Now(), logging.Part(logging.New(io.Discard, "error", "text"), "quarantine"))
+	q := newQuarantineController(board, time.Now(), logging.Part(logging.New(io.Discard, "error", "text"), "quarantine"))
 	m := newMessenger()
 	m.members = members
 	m.replica = dissemination.NewReplica(nil)
@@ -50,15 +49,15 @@
 		send(peer, d)
 		return nil
 	}
-	m.quarantined, m.quarantine, m.compare = q.digest.Load, q.learn, q.compare
+	m.quarantineDigest, m.onQuarantine, m.onQuarantineDigest = q.digest.Load, q.merge, q.compare
 	q.messenger = m
 	return &QuarantineNode{
-		quarantining: q,
-		messenger:    m,
+		quarantine: q,
+		messenger:  m,
 	}
 }
 
-// Receive takes a datagram.
+// Receive handles a datagram.
 func (n *QuarantineNode) Receive(ctx context.Context, d *wire.Datagram) { n.messenger.handle(ctx, d) }
 
 // Ping sends a ping to a peer.
@@ -70,15 +69,15 @@
 	})
 }
 
-// Check returns what the node knows of a request.
+// Check returns the node's standing of a request.
 func (n *QuarantineNode) Check(p quarantine.Prints) quarantine.Standing {
-	return n.quarantining.check(p)
+	return n.quarantine.check(p)
 }
 
-// Ended notes that a target ended under a request.
+// Ended records that a target crashed under a request.
 func (n *QuarantineNode) Ended(p quarantine.Prints, target string) quarantine.Standing {
-	return n.quarantining.ended(p, target)
+	return n.quarantine.recordCrash(p, target)
 }
 
-// Answered notes that a target answered a request.
-func (n *QuarantineNode) Answered(p quarantine.Prints) { n.quarantining.answered(p) }
+// Answered records that a target answered a request.
+func (n *QuarantineNode) Answered(p quarantine.Prints) { n.quarantine.recordAnswer(p) }
--- a/internal/node/export_signals_test.go
+++ b/internal/node/export_signals_test.go
@@ -17,18 +17,18 @@
 	"ploverjunction.example/ploverjunction/internal/wire"
 )
 
-// Hear takes in what a target says in an answer to the node.
+// Hear records a signal in an answer of a target to the node.
 func (c *Chooser) Hear(key string, n signal.Signal) {
-	c.dispatching.board.signals.Observe(time.Now(), incarnationOf(c.service.Target(key)), n)
+	c.dispatcher.board.signals.Observe(time.Now(), incarnationOf(c.service.Target(key)), n)
 }
 
-// Leaves reports whether the node's own desk gives a target no work, by what it was told.
+// Leaves reports whether the node's own scheduler treats a target as draining.
 func (c *Chooser) Leaves(key string) bool {
-	d := c.dispatching
+	d := c.dispatcher
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := time.Now()
-	for _, t := range d.desk(now, d.home(&entry.Query{Service: c.service})).Status(now).Targets {
+	for _, t := range d.touchScheduler(now, d.home(&entry.Query{Service: c.service})).Status(now).Targets {
 		if t.Key == key {
 			return t.Leaving
 		}
@@ -36,13 +36,13 @@
 	return false
 }
 
-// Prober is the part of a node that asks the health endpoints of targets, alone in its fleet.
+// Prober is the prober of a node without peers.
 type Prober struct {
-	probing *probing
-	leaving []string
+	prober   *prober
+	draining []string
 }
 
-// NewProber returns the prober of the targets that published entries describe.
+// NewProber returns the prober of the targets in published entries.
 func NewProber(entries []*wire.Entry) *Prober {
 	board := &Board{}
 	members := newMembers(board, membership.NewNode("192.0.2.1:1", "a"), 0)
@@ -53,19 +53,19 @@
 		config: store.Config(),
 	})
 	p := &Prober{}
-	p.probing = newProbing(board, contract.Plover(), func(_ time.Time, evidence []outlier.Evidence) {
+	p.prober = newProber(board, contract.Plover(), func(_ time.Time, evidence []outlier.Evidence) {
 		for _, e := range evidence {
 			if e.Counts.Leaving {
-				p.leaving = append(p.leaving, e.Counts.Target)
+				p.draining = append(p.draining, e.Counts.Target)
 			}
 		}
 	}, logging.Part(logging.New(io.Discard, "error", "text"), "probing"))
 	return p
 }
 
-// Probe asks all targets once and returns those that said that they leave.
+// Probe probes all targets once and returns those that answered that they are draining.
 func (p *Prober) Probe(ctx context.Context) []string {
-	p.leaving = nil
-	p.probing.probeAll(ctx)
-	return p.leaving
+	p.draining = nil
+	p.prober.probeAll(ctx)
+	return p.draining
 }
--- a/internal/node/export_targetlimits_test.go
+++ b/internal/node/export_targetlimits_test.go
@@ -19,15 +19,14 @@
 	"ploverjunction.example/ploverjunction/internal/wire"
 )
 
-// FleetNode is the part of a node that chooses targets jointly with others, with a network that
-// a test makes.
+// FleetNode is the dispatch controller of a node, on a network that a test provides.
 type FleetNode struct {
-	board       *Board
-	members     *members
-	messenger   *messenger
-	dispatching *dispatching
-	pinging     *pinging
-	service     *fleetconfig.Service
+	board           *Board
+	members         *members
+	messenger       *messenger
+	dispatcher      *dispatchController
+	failureDetector *failureDetector
+	service         *fleetconfig.Service
 	// mu is held while a datagram is handled.
 	mu sync.Mutex
 }
@@ -41,7 +40,7 @@
 	// Config holds the service named Service.
 	Config  *fleetconfig.Config
 	Service string
-	// Send hands a datagram to a peer.
+	// Send sends a datagram to a peer.
 	Send func(peer string, d *wire.Datagram)
 }
 
@@ -54,7 +53,7 @@
 	n.board.config.Store(&configuration{
 		config: cfg.Config,
 	})
-	n.board.shares.beside = true
+	n.board.shares.withDispatchers = true
 	n.members = newMembers(n.board, cfg.Self, membership.DefaultWeight)
 	n.members.incarnation.Store(cfg.Incarnation)
 	m := newMessenger()
@@ -75,43 +74,43 @@
 		return nil
 	}
 	log := logging.Part(logging.New(io.Discard, "error", "text"), "dispatch")
-	n.dispatching = newDispatching(n.board, m, dispatch.Budget{
+	n.dispatcher = newDispatchController(n.board, m, dispatch.Budget{
 		Share:   0.2,
 		Reserve: 10,
 		Window:  10 * time.Second,
 	}, log)
-	n.dispatching.floor = 0.7
-	n.dispatching.seeds = len(cfg.Seeds)
-	begun := time.Now()
-	n.pinging = &pinging{
+	n.dispatcher.floor = 0.7
+	n.dispatcher.seeds = len(cfg.Seeds)
+	started := time.Now()
+	n.failureDetector = &failureDetector{
 		messenger: m,
 		members:   n.members,
 		board:     n.board,
 		seeds:     func() []string { return cfg.Seeds },
 		log:       log,
-		since:     func(now time.Time) time.Duration { return now.Sub(begun) },
+		elapsed:   func(now time.Time) time.Duration { return now.Sub(started) },
 	}
 	return n
 }
 
-// Run starts the node, which ends with the context.
+// Run starts the node, which stops when the context ends.
 func (n *FleetNode) Run(ctx context.Context, tasks *task.Group) {
 	tasks.Go(ctx, "members", n.members.run)
-	tasks.Go(ctx, "pinging", n.pinging.run)
-	tasks.Go(ctx, "dispatching", n.dispatching.run)
+	tasks.Go(ctx, "pinging", n.failureDetector.run)
+	tasks.Go(ctx, "dispatching", n.dispatcher.run)
 }
 
-// Receive takes a datagram, one at a time as the socket gives them.
+// Receive handles a datagram, one at a time as from the socket.
 func (n *FleetNode) Receive(ctx context.Context, d *wire.Datagram) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.messenger.handle(ctx, d)
 }
 
-// Choose takes a target for an attempt.
+// Choose returns a target for an attempt.
 func (n *FleetNode) Choose(ctx context.Context, again bool, tried []string, within time.Duration) (entry.Choice, error) {
 	now := time.Now()
-	return n.dispatching.choose(ctx, &entry.Query{
+	return n.dispatcher.choose(ctx, &entry.Query{
 		Service:    n.service,
 		Repeatable: true,
 		Again:      again,
@@ -128,29 +127,29 @@
 	return n.board.signals.Standing(now, c.Incarnation).Permits(now, c.Permit)
 }
 
-// Hear records what an answer of a target says of it.
-func (n *FleetNode) Hear(c entry.Choice, said signal.Signal) {
-	n.board.signals.Observe(time.Now(), c.Incarnation, said)
+// Hear records the signal in an answer of a target.
+func (n *FleetNode) Hear(c entry.Choice, sig signal.Signal) {
+	n.board.signals.Observe(time.Now(), c.Incarnation, sig)
 }
 
-// Live returns how many nodes this one takes for live.
+// Live returns how many nodes this one considers live.
 func (n *FleetNode) Live() int { return len(n.board.view.Load().Live()) }
 
-// Part returns the part of targets' limits that a node may grant which so many holders of the
-// role rank before, of so many nodes.
-func Part(nodes, live, rank int, alone bool, among time.Duration) float64 {
-	return place{
-		nodes: nodes,
-		live:  live,
-		rank:  rank,
-		alone: alone,
-		among: among,
-	}.part()
+// Part returns the share of targets' limits that a node may grant as the dispatcher of the given
+// rank.
+func Part(nodes, live, rank int, isolated bool, connectedFor time.Duration) float64 {
+	return holderRank{
+		nodes:        nodes,
+		live:         live,
+		rank:         rank,
+		isolated:     isolated,
+		connectedFor: connectedFor,
+	}.share()
 }
 
-// Relayed returns when a target answered with its limit, by a node that another one tells of it.
+// Relayed returns the time of a limit that one node sent to another.
 func Relayed(sent, received, at time.Time) time.Time {
-	return limitFrom(received, limitTo(sent, dispatch.TargetLimit{
+	return limitOfWire(received, wireLimit(sent, dispatch.TargetLimit{
 		At: at,
 	})).At
 }
@@ -160,7 +159,7 @@
 	shares shares
 }
 
-// Take reports whether the node may send a request to a target with a limit of a rate.
+// Take reports whether the node may send a request to a target with a limit of the given rate.
 func (s *Shares) Take(now time.Time, rate float64, nodes int) bool {
 	return s.shares.take(now, "t", signal.Limit{
 		Rate: rate,
@@ -176,9 +175,9 @@
 	})
 }
 
-// Told returns the time that a message gives a limit of a rate.
+// Told returns the time of a limit of the given rate in a message.
 func Told(now time.Time, rate float64) time.Time {
-	return limitFrom(now, &wire.TargetLimit{
+	return limitOfWire(now, &wire.TargetLimit{
 		Rate: rate,
 	}).At
 }
--- a/internal/node/alone.go
+++ b/internal/node/fallback.go
@@ -12,11 +12,11 @@
 	"ploverjunction.example/ploverjunction/internal/wire"
 )
 
-// chooseAlone takes a target of a part by what this node knows itself.
-func (d *dispatching) chooseAlone(q *entry.Query, p part) (entry.Choice, error) {
+// chooseFallback chooses a target of a partition by the state of this node alone.
+func (d *dispatchController) chooseFallback(q *entry.Query, p partition) (entry.Choice, error) {
 	now := time.Now()
 	self := d.board.view.Load().Self()
-	barred := d.board.unavailable(now, d.newest(q.Service), p.hall)
+	unavailable := d.board.unavailable(now, d.currentService(q.Service), p.hall)
 	a := &dispatch.Ask{
 		ID: dispatch.ID{
 			Node:   self.Address(),
@@ -32,8 +32,8 @@
 		Aim:        q.Aim,
 		Deadline:   q.Deadline,
 		Tried:      q.Tried,
-		Barred:     append(barred.backingOff, d.board.overShare(now, d.newest(q.Service), p.hall)...),
-		Draining:   barred.draining,
+		Barred:     append(unavailable.backingOff, d.board.targetsOverShare(now, d.currentService(q.Service), p.hall)...),
+		Draining:   unavailable.draining,
 		Closed:     d.board.closedHalls(q),
 		Route:      q.Route,
 	}
@@ -41,33 +41,33 @@
 	defer d.mu.Unlock()
 	ledger := d.ledger(p)
 	a.Elsewhere = ledger.Elsewhere(now, self.Address())
-	dk := d.desk(now, p)
-	if dk == nil {
+	s := d.touchScheduler(now, p)
+	if s == nil {
 		return entry.Choice{}, entry.NewNoTargetError(attempt.ReasonTargets, 0)
 	}
-	g := dk.AskAlone(now, a, 1/float64(d.board.nodes()))
+	g := s.AskAlone(now, a, 1/float64(d.board.nodes()))
 	if g.Verdict == dispatch.Spent {
 		return entry.Choice{}, entry.NewNoTargetError(attempt.ReasonBudget, 0)
 	}
 	ledger.Took(now, self.Address(), q.Again)
-	d.work()
-	t := dk.config.Target(g.Target)
+	d.notify()
+	t := s.config.Target(g.Target)
 	if t == nil {
-		return entry.Choice{}, entry.NewNoTargetError(attempt.ReasonTargets, d.board.shareWait(now, d.newest(q.Service)))
+		return entry.Choice{}, entry.NewNoTargetError(attempt.ReasonTargets, d.board.shareWait(now, d.currentService(q.Service)))
 	}
-	permit, ok := d.board.shared(now, t)
+	permit, ok := d.board.sharePermit(now, t)
 	if !ok {
-		d.deliver(p, dk.Cancel(now, a.ID))
-		return entry.Choice{}, entry.NewNoTargetError(attempt.ReasonTargets, d.board.shareWait(now, d.newest(q.Service)))
+		d.deliver(p, s.Cancel(now, a.ID))
+		return entry.Choice{}, entry.NewNoTargetError(attempt.ReasonTargets, d.board.shareWait(now, d.currentService(q.Service)))
 	}
-	own := granted{
+	own := numberedGrant{
 		grant: &wire.Grant{
 			Target: t.Key(),
 		},
 		number: a.ID.Number,
 	}
-	c := choiceOf(t, byItself, func(end outlier.End, took time.Duration) {
-		d.end(a.ID.Node, endOf(p, own, end, d.board.standing(time.Now(), t), took))
+	c := choiceOf(t, byThisNode, func(end outlier.End, took time.Duration) {
+		d.recordDone(a.ID.Node, doneOf(p, own, end, d.board.standing(time.Now(), t), took))
 	})
 	c.Permit = permit
 	return c, nil
--- /dev/null
+++ b/internal/node/grant.go
@@ -0,0 +1,123 @@
+// SPDX-License-Identifier: Apache-2.0
+
+package node
+
+import (
+	"slices"
+	"time"
+
+	"ploverjunction.example/ploverjunction/internal/attempt"
+	"ploverjunction.example/ploverjunction/internal/dispatch"
+	"ploverjunction.example/ploverjunction/internal/entry"
+	"ploverjunction.example/ploverjunction/internal/outlier"
+	"ploverjunction.example/ploverjunction/internal/signal"
+	"ploverjunction.example/ploverjunction/internal/wire"
+)
+
+// handleGrant handles the final answer of a dispatcher.
+func (d *dispatchController) handleGrant(peer string, q *entry.Query, p partition, g numberedGrant) reply {
+	d.board.learnLimits(time.Now(), d.currentService(q.Service), g.grant.GetLimits()...)
+	switch g.grant.GetVerdict() {
+	case wire.Grant_FULL:
+		d.markFull(time.Now(), p)
+		return reply{
+			full: true,
+		}
+	case wire.Grant_BUDGET, wire.Grant_UNKNOWN:
+	default:
+		d.recordGrant(peer, q, p)
+	}
+	return d.choiceOfGrant(peer, q, p, g)
+}
+
+// choiceOfGrant converts an answer to a choice. The reply is not usable if the target is not in
+// this node's configuration or accepts no request from it, or if the dispatcher has no such
+// service.
+func (d *dispatchController) choiceOfGrant(peer string, q *entry.Query, p partition, g numberedGrant) reply {
+	switch g.grant.GetVerdict() {
+	case wire.Grant_GRANTED:
+	case wire.Grant_REFUSED:
+		return reply{
+			err: entry.NewNoTargetError(attempt.ReasonTargets, time.Duration(g.grant.GetRetryAfterMs())*time.Millisecond),
+		}
+	case wire.Grant_BUDGET:
+		return reply{
+			err: entry.NewNoTargetError(attempt.ReasonBudget, 0),
+		}
+	default:
+		return reply{}
+	}
+	t := d.currentService(q.Service).Target(g.grant.GetTarget())
+	if t == nil || t.Leaving() {
+		// The configurations of this node and of the dispatcher differ.
+		result := wire.Done_IGNORED
+		if t != nil {
+			result = wire.Done_GONE
+		}
+		d.reportDone(peer, newDone(p, g, result, 0))
+		return reply{}
+	}
+	if slices.Contains(d.board.closedHalls(q), t.DataHall()) {
+		// The dispatcher may not have received the evacuation yet.
+		d.reportDone(peer, newDone(p, g, wire.Done_IGNORED, 0))
+		d.log.WithField("service", p.service).WithField("target", t.Key()).WithField("by", peer).
+			WithField("hall", t.DataHall()).Info("granted target is in a closed data hall")
+		return reply{
+			unavailable: true,
+		}
+	}
+	now := time.Now()
+	permit := signal.Permit{
+		At: now,
+	}
+	if l := g.grant.GetLimit(); l != nil {
+		permit.Paced = true
+		d.board.learnLimits(now, d.currentService(q.Service), l)
+	}
+	if standing := d.board.standing(now, t); !standing.Permits(now, permit) {
+		// This node received the signal from the target; the dispatcher may not have.
+		done := newDone(p, g, wire.Done_IGNORED, 0)
+		done.Leaving = standing.Draining
+		d.reportDone(peer, done)
+		d.log.WithField("service", p.service).WithField("target", t.Key()).WithField("by", peer).
+			WithField("leaving", standing.Draining).WithField("rest_ms", standing.Backoff.Milliseconds()).
+			WithField("limited", standing.Limit.Set).Info("granted target wants no request")
+		return reply{
+			unavailable: true,
+		}
+	}
+	c := choiceOf(t, peer, func(end outlier.End, took time.Duration) {
+		done := doneOf(p, g, end, d.board.standing(time.Now(), t), took)
+		d.reportDone(peer, done)
+		d.recordResult(peer, q, p, done, end)
+	})
+	c.Doubt = float64(g.grant.GetDoubt()) / 1000
+	c.Trial = g.grant.GetTrial()
+	c.Permit = permit
+	c.HedgeAfter = time.Duration(g.grant.GetHedgeAfterMs()) * time.Millisecond
+	return reply{
+		choice: c,
+		usable: true,
+	}
+}
+
+// recordResult records this node's own result with a target that a dispatcher chose, for the
+// fallback. Its own scheduler has received the result already.
+func (d *dispatchController) recordResult(dispatcher string, q *entry.Query, p partition, done *wire.Done, end outlier.End) {
+	now := time.Now()
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if end.Unreached {
+		d.unreachableUntil[done.GetTarget()] = now.Add(unreachableTime)
+	}
+	if dispatcher == d.board.view.Load().Self().Address() {
+		return
+	}
+	if home := d.home(q); home != p {
+		// The fallback chooses among the targets of the home partition only.
+		return
+	}
+	if s := d.touchScheduler(now, p); s != nil {
+		s.Note(now, done.GetTarget(), q.Route, dispatch.Result(done.GetResult()), time.Duration(done.GetTookMs())*time.Millisecond)
+	}
+}
--- a/internal/node/choosing.go
+++ b/internal/node/independent.go
@@ -17,15 +17,15 @@
 	"ploverjunction.example/ploverjunction/internal/outlier"
 )
 
-// alone chooses targets by what this node has in flight and by the verdicts on
-// the blackboard. It may be used concurrently.
-type alone struct {
+// independentChooser chooses targets by the requests that this node has in flight and by the
+// ejection decisions on the blackboard. It may be used concurrently.
+type independentChooser struct {
 	board   *Board
 	budgets sync.Map
 }
 
-// choose takes a target at once or says why there is none.
-func (a *alone) choose(_ context.Context, q *entry.Query) (entry.Choice, error) {
+// choose returns a target at once, or an error with the reason why there is none.
+func (a *independentChooser) choose(_ context.Context, q *entry.Query) (entry.Choice, error) {
 	pool := a.board.pool(q.Service.Name())
 	if pool == nil {
 		return entry.Choice{}, entry.NewNoTargetError(attempt.ReasonTargets, 0)
@@ -38,8 +38,8 @@
 		return entry.Choice{}, err
 	}
 	unavailable := a.board.unavailable(now, q.Service, "")
-	barred := slices.Concat(unavailable.keys(), a.board.overShare(now, q.Service, ""), a.board.closedTargets(q))
-	pick, ok := pool.Pick(rand.Uint64, q.Tried, barred)
+	excluded := slices.Concat(unavailable.keys(), a.board.targetsOverShare(now, q.Service, ""), a.board.closedTargets(q))
+	pick, ok := pool.Pick(rand.Uint64, q.Tried, excluded)
 	if !ok {
 		return entry.Choice{}, entry.NewNoTargetError(attempt.ReasonTargets, a.board.shareWait(now, q.Service))
 	}
@@ -51,20 +51,20 @@
 }
 
 // permitted returns the choice of a pick, if this node's share of the target's limit pays for it.
-func (a *alone) permitted(now time.Time, s *fleetconfig.Service, pick balance.Pick) (entry.Choice, bool) {
+func (a *independentChooser) permitted(now time.Time, s *fleetconfig.Service, pick balance.Pick) (entry.Choice, bool) {
 	c, ok := picked(s, pick)
 	if !ok {
 		return c, false
 	}
-	if c.Permit, ok = a.board.shared(now, s.Target(c.Key)); !ok {
+	if c.Permit, ok = a.board.sharePermit(now, s.Target(c.Key)); !ok {
 		pick.Release()
 		return entry.Choice{}, false
 	}
 	return c, true
 }
 
-// trial takes a target on trial for a copy of a repeatable request.
-func (a *alone) trial(s *fleetconfig.Service) (entry.Choice, bool) {
+// trial picks a target on trial for a copy of a repeatable request.
+func (a *independentChooser) trial(s *fleetconfig.Service) (entry.Choice, bool) {
 	pool := a.board.pool(s.Name())
 	if pool == nil || pool.Trials() == 0 {
 		return entry.Choice{}, false
@@ -76,15 +76,15 @@
 	return a.permitted(time.Now(), s, pick)
 }
 
-// picked finds the target of a pick. The pool may be of an older configuration
-// than the request's; a target that is gone from it is not used.
+// picked returns the choice of a pick. The pool may be of an older configuration than the
+// request's; a target that is not in the request's is not used.
 func picked(s *fleetconfig.Service, pick balance.Pick) (entry.Choice, bool) {
 	t := s.Target(pick.Key())
 	if t == nil {
 		pick.Release()
 		return entry.Choice{}, false
 	}
-	return choiceOf(t, byItself, func(outlier.End, time.Duration) { pick.Release() }), true
+	return choiceOf(t, byThisNode, func(outlier.End, time.Duration) { pick.Release() }), true
 }
 
 // choiceOf returns the choice of a target; by names the node that chose.
@@ -100,7 +100,7 @@
 	}
 }
 
-func (a *alone) budget(service string) *admission.Budget {
+func (a *independentChooser) budget(service string) *admission.Budget {
 	if b, ok := a.budgets.Load(service); ok {
 		return b.(*admission.Budget)
 	}
@@ -108,5 +108,5 @@
 	return b.(*admission.Budget)
 }
 
-func (a *alone) first(service string)      { a.budget(service).First() }
-func (a *alone) retry(service string) bool { return a.budget(service).Retry() }
+func (a *independentChooser) first(service string)      { a.budget(service).First() }
+func (a *independentChooser) retry(service string) bool { return a.budget(service).Retry() }
--- a/internal/node/lifecycle.go
+++ b/internal/node/lifecycle.go
@@ -11,16 +11,16 @@
 // Times of readiness.
 const (
 	readyInterval = 100 * time.Millisecond
-	// enoughPeers is how many peers a starting node compares its configuration
-	// with before it serves: a stale platform alone could give it an old one.
-	enoughPeers = 3
-	// startPatience is after how long a starting node that hears the platform
-	// but too few peers serves all the same. Until then it waits: most of its
-	// peers may be alive and ahead of the platform's replica.
-	startPatience = 30 * time.Second
-	// platformFresh is how old the fleet's last answer of the platform may be for
-	// a node that hears too few peers.
-	platformFresh = time.Minute
+	// minComparedPeers is the number of peers with which a starting node compares its configuration
+	// before it serves: a stale platform alone could give it an old one.
+	minComparedPeers = 3
+	// maxCompareWait is the time after which a starting node that reaches the platform but too few
+	// peers serves nevertheless. It waits until then, since most of its peers may be alive and ahead
+	// of the platform's replica.
+	maxCompareWait = 30 * time.Second
+	// maxPlatformAge is the maximum age of the fleet's last answer of the platform for a node that
+	// reaches too few peers.
+	maxPlatformAge = time.Minute
 )
 
 // Reasons for not being ready.
@@ -28,24 +28,24 @@
 	reasonStarting = "starting"
 	reasonConfig   = "no configuration"
 	reasonPeers    = "compared with too few peers"
-	reasonCutOff   = "neither platform nor most peers heard"
-	reasonLeaving  = "leaving"
+	reasonIsolated = "neither platform nor most peers heard"
+	reasonDraining = "leaving"
 )
 
-// lifecycle decides whether the balancer should send callers here, and writes
-// that section of the blackboard.
+// lifecycle decides whether the load balancer should send callers to this node, and writes that
+// section of the blackboard.
 type lifecycle struct {
-	board       *Board
-	begun       time.Time
-	compared    func() int
-	cutOff      func() bool
-	platformAge func(now time.Time) time.Duration
-	seeds       int
-	leaving     atomic.Bool
-	settled     bool
+	board         *Board
+	started       time.Time
+	compared      func() int
+	isolated      func() bool
+	platformAge   func(now time.Time) time.Duration
+	seeds         int
+	draining      atomic.Bool
+	peersCompared bool
 }
 
-// run renews readiness at each tick until the context ends.
+// run updates readiness at each tick until the context ends.
 func (l *lifecycle) run(ctx context.Context) error {
 	tick := time.NewTicker(readyInterval)
 	defer tick.Stop()
@@ -71,10 +71,10 @@
 	})
 }
 
-// reason says why the node is not ready, or "".
+// reason returns why the node is not ready, or "".
 func (l *lifecycle) reason(now time.Time) string {
-	if l.leaving.Load() {
-		return reasonLeaving
+	if l.draining.Load() {
+		return reasonDraining
 	}
 	cfg := l.board.currentConfig()
 	if cfg == nil || len(cfg.Services()) == 0 {
@@ -83,21 +83,21 @@
 	if l.board.pools.Load() == nil {
 		return reasonStarting
 	}
-	if !l.settled && !l.settle(now) {
+	if !l.peersCompared && !l.comparedEnough(now) {
 		return reasonPeers
 	}
-	if l.cutOff() && l.platformAge(now) > platformFresh {
-		return reasonCutOff
+	if l.isolated() && l.platformAge(now) > maxPlatformAge {
+		return reasonIsolated
 	}
 	return ""
 }
 
-// settle reports whether a starting node has compared its configuration with
-// enough peers.
-func (l *lifecycle) settle(now time.Time) bool {
+// comparedEnough reports whether a starting node has compared its configuration with enough peers,
+// or waited for maxCompareWait.
+func (l *lifecycle) comparedEnough(now time.Time) bool {
 	known := max(len(l.board.view.Load().Peers()), l.seeds)
-	if l.compared() >= min(enoughPeers, known) || now.Sub(l.begun) > startPatience {
-		l.settled = true
+	if l.compared() >= min(minComparedPeers, known) || now.Sub(l.started) > maxCompareWait {
+		l.peersCompared = true
 	}
-	return l.settled
+	return l.peersCompared
 }
--- a/internal/node/limiting_test.go
+++ b/internal/node/limits_test.go
@@ -19,30 +19,30 @@
 	"ploverjunction.example/ploverjunction/internal/wire"
 )
 
-// limited is a fleet whose nodes keep the limit of the workspace brokers together.
-type limited struct {
+// limitedFleet is a fleet whose nodes enforce the limit of the workspace brokers together.
+type limitedFleet struct {
 	ctx    context.Context
 	nodes  map[string]*node.LimitedNode
 	order  []string
 	random *rand.Rand
 
 	mu sync.Mutex
-	// cut are the nodes that reach no other one, loss is the share of lost datagrams.
-	cut  map[string]bool
-	loss float64
-	// bytes counts what the nodes send.
+	// isolated are the nodes that reach no other one, loss is the fraction of lost datagrams.
+	isolated map[string]bool
+	loss     float64
+	// bytes counts the bytes that the nodes send.
 	bytes int
 }
 
 const brokers = "brokers"
 
-func newLimited(ctx context.Context, t *testing.T, nodes int, rate float64) *limited {
+func newLimitedFleet(ctx context.Context, t *testing.T, nodes int, rate float64) *limitedFleet {
 	t.Helper()
-	f := &limited{
-		ctx:    ctx,
-		nodes:  map[string]*node.LimitedNode{},
-		random: rand.New(rand.NewPCG(1, 2)),
-		cut:    map[string]bool{},
+	f := &limitedFleet{
+		ctx:      ctx,
+		nodes:    map[string]*node.LimitedNode{},
+		random:   rand.New(rand.NewPCG(1, 2)),
+		isolated: map[string]bool{},
 	}
 	doc := &wire.Document{
 		Workspaces: []*wire.Workspace{
@@ -69,11 +69,11 @@
 	return f
 }
 
-// send carries a datagram in a millisecond, unless it is lost.
-func (f *limited) send(from, to string, d *wire.Datagram) {
+// send delivers a datagram after a millisecond, unless it is lost.
+func (f *limitedFleet) send(from, to string, d *wire.Datagram) {
 	f.mu.Lock()
 	f.bytes += proto.Size(d)
-	lost := f.cut[from] || f.cut[to] || f.random.Float64() < f.loss
+	lost := f.isolated[from] || f.isolated[to] || f.random.Float64() < f.loss
 	f.mu.Unlock()
 	if lost {
 		return
@@ -81,8 +81,8 @@
 	time.AfterFunc(time.Millisecond, func() { f.nodes[to].Receive(f.ctx, d) })
 }
 
-// start runs all nodes, which hear each other several times a second.
-func (f *limited) start(t *testing.T) {
+// start runs all nodes, which send datagrams to each other several times a second.
+func (f *limitedFleet) start(t *testing.T) {
 	t.Helper()
 	var tasks task.Group
 	ctx, cancel := context.WithCancel(f.ctx)
@@ -117,21 +117,21 @@
 	})
 }
 
-func (f *limited) sent() int {
+func (f *limitedFleet) bytesSent() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.bytes
 }
 
-func (f *limited) setCut(node string, cut bool) {
+func (f *limitedFleet) setIsolated(node string, cut bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.cut[node] = cut
+	f.isolated[node] = cut
 }
 
-// ask plays requests that come to random nodes at a rate, for some time, and returns how
-// many were admitted of how many, and the greatest time that one waited.
-func (f *limited) ask(nodes []string, rate float64, length time.Duration) (admitted, requests int, waited time.Duration) {
+// play sends requests to random nodes at a rate, for some time, and returns how many were admitted,
+// how many were sent, and the longest wait.
+func (f *limitedFleet) play(nodes []string, rate float64, length time.Duration) (admitted, requests int, waited time.Duration) {
 	random := rand.New(rand.NewPCG(3, 4))
 	var mu sync.Mutex
 	var wg sync.WaitGroup
@@ -140,11 +140,11 @@
 		n := f.nodes[nodes[random.IntN(len(nodes))]]
 		requests++
 		wg.Go(func() {
-			begun := time.Now()
+			started := time.Now()
 			ok := n.Admit(f.ctx, brokers) == 0
 			mu.Lock()
 			defer mu.Unlock()
-			waited = max(waited, time.Since(begun))
+			waited = max(waited, time.Since(started))
 			if ok {
 				admitted++
 			}
@@ -154,51 +154,51 @@
 	return admitted, requests, waited
 }
 
-// Below its limit a workspace isn't refused, on whichever nodes its callers are; above it
-// the limit goes through, and no request waits long for that word.
-func TestFleetKeepsALimit(t *testing.T) {
+// Below its limit a workspace must not be refused, whichever nodes its callers use; above it the
+// limit must be used up, and no request may wait long for the decision.
+func TestFleetEnforcesLimit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newLimited(t.Context(), t, 20, 50)
+		f := newLimitedFleet(t.Context(), t, 20, 50)
 		f.start(t)
-		admitted, requests, waited := f.ask(f.order, 30, 20*time.Second)
+		admitted, requests, waited := f.play(f.order, 30, 20*time.Second)
 		if admitted < requests || waited > 10*time.Millisecond {
 			t.Errorf("%d of %d requests admitted below the limit, in at most %v", admitted, requests, waited)
 		}
-		admitted, requests, waited = f.ask(f.order[:5], 200, 20*time.Second)
+		admitted, requests, waited = f.play(f.order[:5], 200, 20*time.Second)
 		if admitted < 20*50*95/100 || admitted > 20*50+150 || waited > 10*time.Millisecond {
 			t.Errorf("%d of %d requests admitted above the limit, in at most %v", admitted, requests, waited)
 		}
 		for range 1000 {
 			if f.nodes[f.order[3]].Admit(f.ctx, "unlimited") > 0 {
-				t.Fatal("refused without a limit")
+				t.Fatal("workspace without a limit refused")
 			}
 		}
 	})
 }
 
-// Lost datagrams are sent again, and the same one takes no tokens twice.
+// Lost datagrams must be resent, and a resent one must not take tokens twice.
 func TestLimitWithLostDatagrams(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newLimited(t.Context(), t, 20, 50)
+		f := newLimitedFleet(t.Context(), t, 20, 50)
 		f.loss = 0.1
 		f.start(t)
-		admitted, requests, _ := f.ask(f.order, 30, 30*time.Second)
+		admitted, requests, _ := f.play(f.order, 30, 30*time.Second)
 		if admitted < requests*995/1000 {
 			t.Errorf("%d of %d requests admitted below the limit", admitted, requests)
 		}
 	})
 }
 
-// A node that is cut off goes on at what its callers asked before, and the fleet without
-// its allocator goes on until it knows that it is gone.
-func TestLimitOfCutOffNodes(t *testing.T) {
+// An isolated node must continue at the earlier rate of its callers, and the fleet without its
+// allocator must continue until it declares it dead.
+func TestLimitOfIsolatedNodes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newLimited(t.Context(), t, 12, 60)
+		f := newLimitedFleet(t.Context(), t, 12, 60)
 		f.start(t)
-		f.ask(f.order, 30, 15*time.Second)
+		f.play(f.order, 30, 15*time.Second)
 		holder := f.nodes[f.order[0]].Holder(brokers)
-		f.setCut(holder, true)
-		admitted, requests, waited := f.ask(f.order, 30, 1200*time.Millisecond)
+		f.setIsolated(holder, true)
+		admitted, requests, waited := f.play(f.order, 30, 1200*time.Millisecond)
 		if admitted < requests*9/10 || waited > 100*time.Millisecond {
 			t.Errorf("%d of %d requests admitted without the allocator, in at most %v", admitted, requests, waited)
 		}
@@ -207,60 +207,60 @@
 				n.Lost(holder)
 			}
 		}
-		admitted, requests, _ = f.ask([]string{holder}, 2.5, 6*time.Second)
+		admitted, requests, _ = f.play([]string{holder}, 2.5, 6*time.Second)
 		if admitted < requests*8/10 {
-			t.Errorf("%d of %d requests admitted on the node that is cut off", admitted, requests)
+			t.Errorf("%d of %d requests admitted on the isolated node", admitted, requests)
 		}
-		admitted, _, _ = f.ask([]string{holder}, 300, 10*time.Second)
+		admitted, _, _ = f.play([]string{holder}, 300, 10*time.Second)
 		if admitted > 10*60/4 {
-			t.Errorf("%d requests admitted in ten seconds on a node that lost the fleet, of 60 a second for all", admitted)
+			t.Errorf("%d requests admitted in 10 s on an isolated node, with a limit of 60 a second for the fleet", admitted)
 		}
 	})
 }
 
-// A node that has met nobody yet gives out no whole limit.
-func TestLimitOfANodeThatStarts(t *testing.T) {
+// A node that has not reached any peer must not give out the whole limit.
+func TestLimitOfStartingNode(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newLimited(t.Context(), t, 1, 100)
-		admitted, _, _ := f.ask(f.order, 200, 5*time.Second)
+		f := newLimitedFleet(t.Context(), t, 1, 100)
+		admitted, _, _ := f.play(f.order, 200, 5*time.Second)
 		if admitted > 5*100/20 {
-			t.Errorf("%d requests admitted by a node that knows no other", admitted)
+			t.Errorf("%d requests admitted by a node without peers", admitted)
 		}
 	})
 }
 
-// After all nodes started at once, requests wait until they have met; on one that meets
-// nobody not for longer than their callers have patience.
-func TestRequestsWaitWhileNodesMeet(t *testing.T) {
+// When all nodes start at once, requests must wait until the nodes have connected; on an isolated
+// node no longer than the maximum wait.
+func TestRequestsWaitWhileNodesConnect(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newLimited(t.Context(), t, 12, 60)
+		f := newLimitedFleet(t.Context(), t, 12, 60)
 		for _, n := range f.order {
-			f.setCut(n, true)
+			f.setIsolated(n, true)
 		}
 		f.start(t)
 		for _, n := range f.order[1:] {
-			time.AfterFunc(400*time.Millisecond, func() { f.setCut(n, false) })
+			time.AfterFunc(400*time.Millisecond, func() { f.setIsolated(n, false) })
 		}
-		admitted, requests, waited := f.ask(f.order[1:], 30, 800*time.Millisecond)
+		admitted, requests, waited := f.play(f.order[1:], 30, 800*time.Millisecond)
 		if admitted < requests*95/100 || waited > node.Patience+100*time.Millisecond {
 			t.Errorf("%d of %d requests admitted below the limit, in at most %v", admitted, requests, waited)
 		}
-		admitted, _, waited = f.ask(f.order[:1], 100, time.Second)
+		admitted, _, waited = f.play(f.order[:1], 100, time.Second)
 		if admitted > 2 || waited > node.Patience+100*time.Millisecond {
-			t.Errorf("%d requests admitted by a node that met nobody, in at most %v", admitted, waited)
+			t.Errorf("%d requests admitted by an isolated node, in at most %v", admitted, waited)
 		}
 	})
 }
 
-// What the nodes tell each other about limits stays under 1 KB a second each.
-func TestBytesOfLimits(t *testing.T) {
+// Datagrams about limits must stay below 1 KB a second and node.
+func TestLimitTraffic(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newLimited(t.Context(), t, 20, 50)
+		f := newLimitedFleet(t.Context(), t, 20, 50)
 		f.start(t)
-		before := f.sent()
+		before := f.bytesSent()
 		const length = 20 * time.Second
-		_, requests, _ := f.ask(f.order, 30, length)
-		each := float64(f.sent()-before) / length.Seconds() / float64(len(f.order))
+		_, requests, _ := f.play(f.order, 30, length)
+		each := float64(f.bytesSent()-before) / length.Seconds() / float64(len(f.order))
 		t.Logf("%.0f bytes a second and node, %.1f requests", each, float64(requests)/length.Seconds()/float64(len(f.order)))
 		if each > 1000 {
 			t.Errorf("%.0f bytes a second and node", each)
@@ -268,10 +268,10 @@
 	})
 }
 
-// A draw that comes twice takes its tokens once.
-func TestRepeatedDrawTakesNoTokensTwice(t *testing.T) {
+// A token request that is received twice must take its tokens once.
+func TestResentTokenRequestTakesNoTokensTwice(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newLimited(t.Context(), t, 3, 20)
+		f := newLimitedFleet(t.Context(), t, 3, 20)
 		f.start(t)
 		time.Sleep(6 * time.Second)
 		holder := f.nodes[f.order[0]].Holder(brokers)
@@ -299,15 +299,16 @@
 		for range 10 {
 			f.nodes[holder].Receive(f.ctx, draw(1<<40))
 		}
-		admitted, requests, _ := f.ask([]string{holder}, 100, 50*time.Millisecond)
+		admitted, requests, _ := f.play([]string{holder}, 100, 50*time.Millisecond)
 		if admitted < min(requests, 4) {
 			t.Errorf("%d of %d requests admitted after 15 tokens of 20 were taken", admitted, requests)
 		}
 	})
 }
 
-// Guards against a node that has just begun, knows nobody yet and admits the limit of the whole fleet.
-func TestNodeThatBeginsHasItsPartOfALimit(t *testing.T) {
+// Guards against a node that has just started, knows no peers yet and admits the limit of the whole
+// fleet.
+func TestStartingNodeHasItsShareOfLimit(t *testing.T) {
 	const rate, seeds, most = 20, 3, 10
 	synctest.Test(t, func(t *testing.T) {
 		doc := &wire.Document{
--- a/internal/node/limitstatus.go
+++ b/internal/node/limitstatus.go
@@ -10,13 +10,13 @@
 	"ploverjunction.example/ploverjunction/internal/operator"
 )
 
-// limitStatus lists the targets with a limit that this node knows: by its own answers, and by
-// those of others where it is their dispatcher.
+// limitStatus lists the targets with a limit that this node received: in answers to it, and from
+// other nodes where it is the dispatcher.
 func (n *Node) limitStatus(now time.Time) []operator.TargetLimitStatus {
 	var out []operator.TargetLimitStatus
 	granting := map[string]bool{}
-	if n.dispatching != nil {
-		out = n.dispatching.limitStatus(now)
+	if n.dispatcher != nil {
+		out = n.dispatcher.limitStatus(now)
 	}
 	for _, l := range out {
 		granting[l.Target] = true
@@ -27,32 +27,32 @@
 	}
 	for _, s := range c.Services() {
 		for _, t := range s.Targets() {
-			said := n.board.standing(now, t)
-			if !said.Limit.Set || granting[t.Key()] {
+			standing := n.board.standing(now, t)
+			if !standing.Limit.Set || granting[t.Key()] {
 				continue
 			}
 			out = append(out, operator.TargetLimitStatus{
 				Service: s.Name(),
 				Target:  t.Key(),
-				Rate:    said.Limit.Rate,
+				Rate:    standing.Limit.Rate,
 				By:      n.address(),
-				AgeMS:   now.Sub(said.LimitAt).Milliseconds(),
+				AgeMS:   now.Sub(standing.LimitAt).Milliseconds(),
 			})
 		}
 	}
 	return out
 }
 
-// limitStatus lists the targets with a limit of the parts that this node dispatches.
-func (d *dispatching) limitStatus(now time.Time) []operator.TargetLimitStatus {
+// limitStatus lists the targets with a limit in the partitions that this node dispatches.
+func (d *dispatchController) limitStatus(now time.Time) []operator.TargetLimitStatus {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	var out []operator.TargetLimitStatus
-	for p, dk := range d.desks {
-		if !dk.Limited(now) || now.Sub(dk.used) > reportInterval {
+	for p, s := range d.schedulers {
+		if !s.Limited(now) || now.Sub(s.lastUsed) > reportInterval {
 			continue
 		}
-		for _, t := range dk.Status(now).Targets {
+		for _, t := range s.Status(now).Targets {
 			if !t.Limit.Set {
 				continue
 			}
--- a/internal/node/messenger.go
+++ b/internal/node/messenger.go
@@ -19,13 +19,13 @@
 	"ploverjunction.example/ploverjunction/internal/wire"
 )
 
-// newsPerDatagram is how much news of members travels on one datagram: about 50
-// bytes each. News of nodes that just live travels on probes only: it is as much as
-// there are nodes while a fleet starts, and there are four datagrams for each request.
-const newsPerDatagram = 4
+// updatesPerDatagram is the number of membership updates on one datagram, of about 50 bytes each.
+// Updates about nodes that are live travel on pings and their answers only: while a fleet starts
+// there are as many of them as nodes, and there are four datagrams for each request.
+const updatesPerDatagram = 4
 
-// messenger sends and receives datagrams and puts on each one what this node
-// believes. It may be used concurrently.
+// messenger sends and receives datagrams and adds this node's state to each one. It may be used
+// concurrently.
 type messenger struct {
 	socket *link.Socket
 	// transmit sends one datagram to a peer.
@@ -36,67 +36,67 @@
 	self     func() *wire.Node
 	log      *logrus.Entry
 	calls    atomic.Uint64
-	// roundTrip is when a peer last answered, joined since when peers do without a pause, as
-	// times since begun; 0 is never.
-	begun     time.Time
-	roundTrip atomic.Int64
-	joined    atomic.Int64
-	// ask and done answer the questions of peers about targets, taken notes the
-	// answer to the end of an attempt.
-	ask   func(*wire.Datagram)
-	done  func(*wire.Datagram)
-	taken func(call uint64)
-	// draw answers the reports of peers about limits, touched notes that one was heard.
-	draw    func(*wire.Datagram)
-	touched func(now time.Time)
-	// began gets each node's incarnation that a datagram names.
-	began func(node string, incarnation uint64)
-	// quarantined returns the digest of the requests that this node knows to end targets,
-	// quarantine and compare take what peers know of them and the digests of theirs.
-	quarantined func() uint64
-	quarantine  func(peer string, in *wire.Quarantine)
-	compare     func(peer string, digest uint64)
-	// helping are the pings on behalf of peers; only run uses it.
-	helping task.Group
+	// lastAnswer is when a peer last answered, connectedSince since when peers have answered
+	// without a pause, as times since started; 0 is never.
+	started        time.Time
+	lastAnswer     atomic.Int64
+	connectedSince atomic.Int64
+	// onGrantRequest and onDone handle grant requests and ends of attempts of peers, onTaken the
+	// confirmation of the end of an attempt.
+	onGrantRequest func(*wire.Datagram)
+	onDone         func(*wire.Datagram)
+	onTaken        func(call uint64)
+	// onTokenRequest handles token requests of peers, onReceive each datagram of a peer.
+	onTokenRequest func(*wire.Datagram)
+	onReceive      func(now time.Time)
+	// onIncarnation receives the incarnation of each node that a datagram names.
+	onIncarnation func(node string, incarnation uint64)
+	// quarantineDigest returns the digest of the requests that crash targets, by this node's
+	// records; onQuarantine and onQuarantineDigest receive the records and digests of peers.
+	quarantineDigest   func() uint64
+	onQuarantine       func(peer string, in *wire.Quarantine)
+	onQuarantineDigest func(peer string, digest uint64)
+	// relayedPings are the pings on behalf of peers; only run uses it.
+	relayedPings task.Group
 
 	mu sync.Mutex
-	// waits are the calls that wait for an answer.
-	waits map[uint64]chan *wire.Datagram
+	// pendingCalls are the calls that wait for an answer.
+	pendingCalls map[uint64]chan *wire.Datagram
 }
 
 func newMessenger() *messenger {
 	m := &messenger{
-		begun:   time.Now(),
-		waits:   map[uint64]chan *wire.Datagram{},
-		draw:    func(*wire.Datagram) {},
-		touched: func(time.Time) {},
-		began:   func(string, uint64) {},
+		started:        time.Now(),
+		pendingCalls:   map[uint64]chan *wire.Datagram{},
+		onTokenRequest: func(*wire.Datagram) {},
+		onReceive:      func(time.Time) {},
+		onIncarnation:  func(string, uint64) {},
 
-		quarantined: func() uint64 { return 0 },
-		quarantine:  func(string, *wire.Quarantine) {},
-		compare:     func(string, uint64) {},
+		quarantineDigest:   func() uint64 { return 0 },
+		onQuarantine:       func(string, *wire.Quarantine) {},
+		onQuarantineDigest: func(string, uint64) {},
 	}
-	// Calls of two lives of a process must not be taken for one another.
+	// Calls of two incarnations of a process must have different numbers.
 	m.calls.Store(rand.Uint64() >> 1)
 	return m
 }
 
-// send fills in what travels on each datagram and sends it. Failures show as
-// answers that don't come.
+// send adds this node's state to a datagram and sends it. A failure is seen by the caller as a
+// missing answer.
 func (m *messenger) send(peer string, d *wire.Datagram) {
-	if short(d) {
-		m.hand(peer, d)
+	if senderOnly(d) {
+		m.deliver(peer, d)
 		return
 	}
 	d.From = m.self()
 	d.Digest = m.replica.Digest()
-	d.Quarantine = m.quarantined()
+	d.Quarantine = m.quarantineDigest()
 	d.ReadTo = m.gossip.ReadTo()
 	if age := m.gossip.PlatformAge(time.Now()); age < time.Hour {
 		d.SourceAgeMs = uint64(max(age.Milliseconds(), 0)) + 1
 	}
 	d.News = nil
-	for _, n := range m.members.tell(newsPerDatagram, probes(d)) {
+	for _, n := range m.members.updates(updatesPerDatagram, isProbe(d)) {
 		d.News = append(d.News, &wire.MemberNews{
 			State: wire.MemberNews_State(n.Opinion),
 			Node: &wire.Node{
@@ -108,11 +108,11 @@
 			},
 		})
 	}
-	m.hand(peer, d)
+	m.deliver(peer, d)
 }
 
-// hand sends a datagram with what it holds.
-func (m *messenger) hand(peer string, d *wire.Datagram) {
+// deliver sends a datagram as it is, adding the sender if it is missing.
+func (m *messenger) deliver(peer string, d *wire.Datagram) {
 	if d.From == nil {
 		self := m.self()
 		d.From = &wire.Node{
@@ -126,9 +126,9 @@
 	}
 }
 
-// short reports whether a datagram says only who sent it. Those about limits of workspaces are sent
-// beside the others of each request, which carry what a node believes.
-func short(d *wire.Datagram) bool {
+// senderOnly reports whether a datagram carries only its sender. Datagrams about limits of
+// workspaces are sent besides those of each request, which carry the state of the node.
+func senderOnly(d *wire.Datagram) bool {
 	switch d.GetBody().(type) {
 	case *wire.Datagram_Draw, *wire.Datagram_Allot:
 		return true
@@ -137,8 +137,8 @@
 	}
 }
 
-// probes reports whether a datagram asks whether a node is alive, or answers that.
-func probes(d *wire.Datagram) bool {
+// isProbe reports whether a datagram is a ping or answers one.
+func isProbe(d *wire.Datagram) bool {
 	switch d.GetBody().(type) {
 	case *wire.Datagram_Ping, *wire.Datagram_Pong, *wire.Datagram_PingVia:
 		return true
@@ -147,94 +147,94 @@
 	}
 }
 
-// call opens a call; its answers come on the channel until it is ended.
+// call opens a call; its answers are received on the channel until it is ended.
 func (m *messenger) call() (uint64, <-chan *wire.Datagram, func()) {
 	id := m.calls.Add(1)
-	// A queued ask gets several answers.
+	// A queued request gets several answers.
 	c := make(chan *wire.Datagram, 4)
 	m.mu.Lock()
-	m.waits[id] = c
+	m.pendingCalls[id] = c
 	m.mu.Unlock()
 	return id, c, func() {
 		m.mu.Lock()
-		delete(m.waits, id)
+		delete(m.pendingCalls, id)
 		m.mu.Unlock()
 	}
 }
 
-// run takes datagrams until the context ends.
+// run handles datagrams until the context ends.
 func (m *messenger) run(ctx context.Context) error {
 	err := m.socket.Serve(ctx, func(d *wire.Datagram) { m.handle(ctx, d) })
-	return errors.Join(err, m.helping.Wait())
+	return errors.Join(err, m.relayedPings.Wait())
 }
 
-// reap reads the ends of the pings on behalf of peers.
-func (m *messenger) reap() {
-	if err := m.helping.Reap(); err != nil {
+// reapRelayedPings collects the ends of the pings on behalf of peers.
+func (m *messenger) reapRelayedPings() {
+	if err := m.relayedPings.Reap(); err != nil {
 		m.log.WithError(err).Debug("ping for a peer ended")
 	}
 }
 
-// handle takes one datagram.
+// handle handles one datagram.
 func (m *messenger) handle(ctx context.Context, d *wire.Datagram) {
 	now := time.Now()
-	m.learn(now, d)
+	m.readHeader(now, d)
 	switch b := d.GetBody().(type) {
 	case *wire.Datagram_Ping:
 		m.pong(d.GetFrom().GetAddress(), d.GetCall())
 	case *wire.Datagram_PingVia:
-		m.reap()
-		m.helping.Go(ctx, "ping for a peer", func(ctx context.Context) error {
-			m.pingFor(ctx, d.GetFrom().GetAddress(), d.GetCall(), b.PingVia.GetAddress())
+		m.reapRelayedPings()
+		m.relayedPings.Go(ctx, "ping for a peer", func(ctx context.Context) error {
+			m.relayPing(ctx, d.GetFrom().GetAddress(), d.GetCall(), b.PingVia.GetAddress())
 			return nil
 		})
 	case *wire.Datagram_Ask:
-		m.ask(d)
+		m.onGrantRequest(d)
 	case *wire.Datagram_Done:
-		m.done(d)
+		m.onDone(d)
 	case *wire.Datagram_Draw:
-		m.draw(d)
+		m.onTokenRequest(d)
 	case *wire.Datagram_QuarantineNews:
-		m.quarantine(d.GetFrom().GetAddress(), b.QuarantineNews)
+		m.onQuarantine(d.GetFrom().GetAddress(), b.QuarantineNews)
 	case *wire.Datagram_Announce:
 	case *wire.Datagram_Taken:
-		m.reached(now)
-		m.taken(d.GetCall())
+		m.recordAnswer(now)
+		m.onTaken(d.GetCall())
 	default:
-		m.reached(now)
-		m.answered(d)
+		m.recordAnswer(now)
+		m.deliverAnswer(d)
 	}
 }
 
-// reached notes that a peer answered: both ways to it work.
-func (m *messenger) reached(now time.Time) {
-	since := int64(now.Sub(m.begun))
-	if m.alone(now) {
-		m.joined.Store(since)
+// recordAnswer records that a peer answered: datagrams pass in both directions.
+func (m *messenger) recordAnswer(now time.Time) {
+	elapsed := int64(now.Sub(m.started))
+	if m.isolated(now) {
+		m.connectedSince.Store(elapsed)
 	}
-	m.roundTrip.Store(since)
+	m.lastAnswer.Store(elapsed)
 }
 
-// among returns for how long peers have answered without a pause.
-func (m *messenger) among(now time.Time) time.Duration {
-	return now.Sub(m.begun) - time.Duration(m.joined.Load())
+// connectedFor returns for how long peers have answered without a pause.
+func (m *messenger) connectedFor(now time.Time) time.Duration {
+	return now.Sub(m.started) - time.Duration(m.connectedSince.Load())
 }
 
-// alone reports whether no peer has answered for contactTime: each is pinged several times a
+// isolated reports whether no peer has answered for contactTimeout: each is pinged several times a
 // second.
-func (m *messenger) alone(now time.Time) bool {
-	last := m.roundTrip.Load()
-	return last == 0 || now.Sub(m.begun)-time.Duration(last) > contactTime
+func (m *messenger) isolated(now time.Time) bool {
+	last := m.lastAnswer.Load()
+	return last == 0 || now.Sub(m.started)-time.Duration(last) > contactTimeout
 }
 
-// learn takes what travels on each datagram.
-func (m *messenger) learn(now time.Time, d *wire.Datagram) {
-	m.members.heard(d.GetFrom())
-	m.touched(now)
-	m.began(d.GetFrom().GetAddress(), d.GetFrom().GetIncarnation())
+// readHeader applies the state of the sender that a datagram carries.
+func (m *messenger) readHeader(now time.Time, d *wire.Datagram) {
+	m.members.recordMessage(d.GetFrom())
+	m.onReceive(now)
+	m.onIncarnation(d.GetFrom().GetAddress(), d.GetFrom().GetIncarnation())
 	for _, n := range d.GetNews() {
-		m.began(n.GetNode().GetAddress(), n.GetNode().GetIncarnation())
-		m.members.take(now, membership.News{
+		m.onIncarnation(n.GetNode().GetAddress(), n.GetNode().GetIncarnation())
+		m.members.applyUpdate(now, membership.News{
 			Node:        membership.NewNode(n.GetNode().GetAddress(), n.GetNode().GetDataHall()),
 			Incarnation: n.GetNode().GetIncarnation(),
 			Leaving:     n.GetNode().GetLeaving(),
@@ -242,10 +242,10 @@
 			Weight:      n.GetNode().GetWeight(),
 		})
 	}
-	if short(d) {
+	if senderOnly(d) {
 		return
 	}
-	m.compare(d.GetFrom().GetAddress(), d.GetQuarantine())
+	m.onQuarantineDigest(d.GetFrom().GetAddress(), d.GetQuarantine())
 	if age := d.GetSourceAgeMs(); age > 0 {
 		m.gossip.LearnAge(now, time.Duration(age-1)*time.Millisecond)
 	}
@@ -256,9 +256,9 @@
 	m.gossip.Agrees(now)
 }
 
-func (m *messenger) answered(d *wire.Datagram) {
+func (m *messenger) deliverAnswer(d *wire.Datagram) {
 	m.mu.Lock()
-	c := m.waits[d.GetCall()]
+	c := m.pendingCalls[d.GetCall()]
 	m.mu.Unlock()
 	if c == nil {
 		return
@@ -269,7 +269,7 @@
 	}
 }
 
-// announce tells a peer that this node has learned new values.
+// announce notifies a peer that this node has new values.
 func (m *messenger) announce(peer string) {
 	m.send(peer, &wire.Datagram{
 		Body: &wire.Datagram_Announce{
@@ -278,7 +278,7 @@
 	})
 }
 
-// ping asks a peer whether it is alive and waits for its answer.
+// ping pings a peer and reports whether it answered in time.
 func (m *messenger) ping(ctx context.Context, peer string, wait time.Duration) bool {
 	id, answers, end := m.call()
 	defer end()
@@ -288,10 +288,10 @@
 			Ping: &wire.Ping{},
 		},
 	})
-	return waitFor(ctx, answers, wait)
+	return awaitAnswer(ctx, answers, wait)
 }
 
-// pingVia asks others to ping a peer.
+// pingVia has helpers ping a peer and reports whether it answered one of them in time.
 func (m *messenger) pingVia(ctx context.Context, helpers []string, peer string, wait time.Duration) bool {
 	id, answers, end := m.call()
 	defer end()
@@ -305,12 +305,12 @@
 			},
 		})
 	}
-	return waitFor(ctx, answers, wait)
+	return awaitAnswer(ctx, answers, wait)
 }
 
-// pingFor pings a node on behalf of a peer.
-func (m *messenger) pingFor(ctx context.Context, peer string, call uint64, address string) {
-	if m.ping(ctx, address, viaWait) {
+// relayPing pings a node on behalf of a peer.
+func (m *messenger) relayPing(ctx context.Context, peer string, call uint64, address string) {
+	if m.ping(ctx, address, indirectPingTimeout) {
 		m.pong(peer, call)
 	}
 }
@@ -324,7 +324,7 @@
 	})
 }
 
-func waitFor(ctx context.Context, answers <-chan *wire.Datagram, wait time.Duration) bool {
+func awaitAnswer(ctx context.Context, answers <-chan *wire.Datagram, wait time.Duration) bool {
 	t := time.NewTimer(wait)
 	defer t.Stop()
 	select {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package node is one process of the fleet: it wires the controllers around the
-// blackboard and runs them.
+// Package node is one process of the fleet: it connects the controllers by the blackboard and runs
+// them.
 package node
 
 import (
@@ -37,54 +37,54 @@
 const (
 	// readersPerHall is how many nodes of each data hall watch the platform.
 	readersPerHall = 1
-	// platformSilent is after how long without an answer of the platform to any node
-	// any node may read it. A watch without changes answers every 25 s.
-	platformSilent = 35 * time.Second
-	// startSilent is the same for a node that has just started.
-	startSilent = 2 * time.Second
-	// leaveTimes is how often a leaving node says so.
-	leaveTimes   = 3
-	idleInterval = 10 * time.Second
+	// platformTimeout is the time without an answer of the platform to any node after which any
+	// node may read it. A watch without changes answers every 25 s.
+	platformTimeout = 35 * time.Second
+	// startPlatformTimeout is the same for a node that has just started.
+	startPlatformTimeout = 2 * time.Second
+	// drainTries is how often a draining node tries to notify a peer.
+	drainTries       = 3
+	idleConnInterval = 10 * time.Second
 )
 
-// Node is one process of the fleet. Make it with New and run it once.
+// Node is one process of the fleet. It is created by New and may be run once.
 type Node struct {
-	set       *settings.Settings
-	log       *logrus.Logger
-	board     *Board
-	begun     time.Time
-	members   *members
-	replica   *dissemination.Replica
-	gossip    *dissemination.Gossip
-	traffic   *link.Traffic
-	dialer    *link.Dialer
-	peers     *link.Server
-	adapter   *Adapter
-	messenger *messenger
-	pinging   *pinging
-	// dispatching is nil where each node chooses targets alone.
-	dispatching *dispatching
-	platform    *source.Platform
-	directory   *source.Directory
-	judging     *judging
-	observing   *observing
-	probing     *probing
-	limiting    *limiting
-	// quarantining keeps requests away from targets that end under them.
-	quarantining *quarantining
-	lifecycle    *lifecycle
-	metrics      *metrics.Metrics
-	entry        *entry.Server
-	operator     *operator.Server
-	drain        chan struct{}
-	// suspended tells for how long the machine was suspended.
+	set             *settings.Settings
+	log             *logrus.Logger
+	board           *Board
+	started         time.Time
+	members         *members
+	replica         *dissemination.Replica
+	gossip          *dissemination.Gossip
+	traffic         *link.Traffic
+	dialer          *link.Dialer
+	peers           *link.Server
+	adapter         *Adapter
+	messenger       *messenger
+	failureDetector *failureDetector
+	// dispatcher is nil in the independent mode.
+	dispatcher *dispatchController
+	platform   *source.Platform
+	directory  *source.Directory
+	ejection   *ejectionController
+	evidence   *evidenceController
+	prober     *prober
+	limits     *limitController
+	// quarantine keeps requests that crash targets away from them.
+	quarantine *quarantineController
+	lifecycle  *lifecycle
+	metrics    *metrics.Metrics
+	entry      *entry.Server
+	operator   *operator.Server
+	drain      chan struct{}
+	// suspended measures for how long the machine was suspended.
 	suspended *suspend.Clock
-	// live are the settings as they were last read; set those of the start.
+	// live are the settings as last reloaded, set those at the start.
 	live atomic.Pointer[settings.Settings]
 }
 
-// New checks what settings alone can't and opens all ports. Nothing is served
-// before Run. adapter may be nil.
+// New makes the checks that settings alone cannot and opens all ports. Nothing is served before
+// Run. adapter may be nil.
 func New(set *settings.Settings, log *logrus.Logger, adapter *Adapter) (*Node, error) {
 	if adapter == nil {
 		adapter = &Adapter{
@@ -98,7 +98,7 @@
 		board: &Board{
 			regions: set.Regions(),
 		},
-		begun:   time.Now(),
+		started: time.Now(),
 		traffic: &link.Traffic{},
 		metrics: metrics.New(set.MetricWorkspaces()),
 		drain:   make(chan struct{}, 1),
@@ -112,21 +112,21 @@
 	}
 	n.dialer = link.NewDialer(keys, n.traffic)
 	n.members = newMembers(n.board, membership.NewNode(n.address(), set.DataHall()), set.Weight())
-	n.members.incarnation.Store(uint64(n.begun.UnixMilli()))
-	n.replica = dissemination.NewReplica(n.accepted)
+	n.members.incarnation.Store(uint64(n.started.UnixMilli()))
+	n.replica = dissemination.NewReplica(n.applyConfig)
 	n.gossip = dissemination.New(n.gossipConfig(), n.replica)
-	n.control()
+	n.makeControllers()
 	if err := n.open(keys); err != nil {
 		return nil, err
 	}
 	return n, nil
 }
 
-// newClock returns the clock that counts the time for which the machine is suspended.
+// newClock returns the clock that measures for how long the machine is suspended.
 func (n *Node) newClock() *suspend.Clock {
 	c, err := suspend.NewClock()
 	if err != nil {
-		logging.Part(n.log, "node").WithError(err).Warn("time for which the machine is suspended doesn't count")
+		logging.Part(n.log, "node").WithError(err).Warn("suspended time of the machine is not measured")
 	}
 	return c
 }
@@ -143,7 +143,7 @@
 	return keys, nil
 }
 
-// address names this node in the fleet.
+// address returns the address that identifies this node in the fleet.
 func (n *Node) address() string {
 	if !n.set.PeerListen().IsValid() {
 		return n.set.EntryListen().String()
@@ -156,7 +156,7 @@
 		Address:     n.address(),
 		DataHall:    n.set.DataHall(),
 		Incarnation: n.members.incarnation.Load(),
-		Leaving:     n.lifecycle.leaving.Load(),
+		Leaving:     n.lifecycle.draining.Load(),
 		Weight:      n.set.Weight(),
 	}
 }
@@ -169,51 +169,51 @@
 		Seeds:     n.seeds,
 		Announce:  n.announce,
 		Call:      n.dialer.Sync,
-		Heard:     n.members.heard,
-		Mentioned: n.members.mentioned,
-		Failed:    n.members.failed,
+		Heard:     n.members.recordMessage,
+		Mentioned: n.members.recordMention,
+		Failed:    n.members.recordFailure,
 		Suspended: n.suspended.Total,
 	}
 }
 
-// announce tells a peer that this node has learned new values, where datagrams can.
+// announce notifies a peer that this node has new values, if the nodes exchange datagrams.
 func (n *Node) announce(peer string) {
 	if n.messenger != nil {
 		n.messenger.announce(peer)
 	}
 }
 
-// control makes the controllers.
-func (n *Node) control() {
-	collector := outlier.NewCollector(judgeInterval)
-	n.judging = newJudging(n.board, collector, logging.Part(n.log, "judging"))
-	n.observing = newObserving(n.board, peerLink{
-		observe: n.dialer.Observe,
-		judge:   n.dialer.Judge,
-		failed:  n.members.failed,
-		self:    n.self,
-	}, n.judging.verdict, logging.Part(n.log, "observing"))
-	n.judging.report = n.observing.collect
-	n.probing = newProbing(n.board, n.adapter.Contract, n.observing.collect, logging.Part(n.log, "probing"))
+// makeControllers creates the controllers.
+func (n *Node) makeControllers() {
+	collector := outlier.NewCollector(ejectionInterval)
+	n.ejection = newEjectionController(n.board, collector, logging.Part(n.log, "judging"))
+	n.evidence = newEvidenceController(n.board, observerLink{
+		sendReports:   n.dialer.Observe,
+		sendDecisions: n.dialer.Judge,
+		failed:        n.members.recordFailure,
+		self:          n.self,
+	}, n.ejection.applyDecision, logging.Part(n.log, "observing"))
+	n.ejection.report = n.evidence.collect
+	n.prober = newProber(n.board, n.adapter.Contract, n.evidence.collect, logging.Part(n.log, "probing"))
 	n.lifecycle = &lifecycle{
 		board:       n.board,
-		begun:       n.begun,
+		started:     n.started,
 		compared:    n.gossip.Compared,
-		cutOff:      n.gossip.CutOff,
+		isolated:    n.gossip.CutOff,
 		platformAge: n.gossip.PlatformAge,
 		seeds:       len(n.set.Seeds()),
-		// An adapter's reads are never stale.
-		settled: n.adapter.Silent > 0,
+		// Reads of an adapter are never stale.
+		peersCompared: n.adapter.Silent > 0,
 	}
 	window, excess, slack := n.set.Workspaces().Tolerance()
-	n.limiting = newLimiting(n.board, n.begun, uint64(n.begun.UnixNano()), ratelimit.Tolerance{
+	n.limits = newLimitController(n.board, n.started, uint64(n.started.UnixNano()), ratelimit.Tolerance{
 		Window: window,
 		Excess: excess,
 		Slack:  slack,
 	}, logging.Part(n.log, "limits"))
-	n.limiting.seeds = len(slices.DeleteFunc(n.seeds(), func(s string) bool { return s == n.address() }))
-	n.quarantining = newQuarantining(n.board, n.begun, logging.Part(n.log, "quarantine"))
-	n.quarantining.shared = func(shared int) { n.metrics.Gauge("quarantined_requests", float64(shared)) }
+	n.limits.seeds = len(slices.DeleteFunc(n.seeds(), func(s string) bool { return s == n.address() }))
+	n.quarantine = newQuarantineController(n.board, n.started, logging.Part(n.log, "quarantine"))
+	n.quarantine.setShared = func(shared int) { n.metrics.Gauge("quarantined_requests", float64(shared)) }
 	switch {
 	case n.adapter.Read != nil:
 	case n.set.Source() == settings.SourcePlatform:
@@ -225,8 +225,8 @@
 	}
 }
 
-// accepted takes each new state of the replica.
-func (n *Node) accepted(c *fleetconfig.Config, refusals []fleetconfig.Refusal) {
+// applyConfig applies each new configuration of the replica.
+func (n *Node) applyConfig(c *fleetconfig.Config, refusals []fleetconfig.Refusal) {
 	log := logging.Part(n.log, "config")
 	n.metrics.Gauge("config_revision", float64(c.Position().Revision()))
 	n.metrics.Gauge("config_era", float64(c.Position().Era()))
@@ -246,8 +246,7 @@
 	n.board.pruneSignals(time.Now(), c)
 }
 
-// logEvacuations writes a line for each data hall whose evacuation begins or ends with a
-// configuration.
+// logEvacuations logs each data hall whose evacuation begins or ends with a configuration.
 func (n *Node) logEvacuations(log *logrus.Entry, c *fleetconfig.Config) {
 	now := c.Evacuations()
 	var before []string
@@ -267,27 +266,27 @@
 	}
 }
 
-// Sync serves dissemination to peers.
+// Sync serves the exchange of configuration with peers.
 func (n *Node) Sync(ctx context.Context, in *wire.SyncRequest) (*wire.SyncReply, error) {
 	return n.gossip.Sync(ctx, in)
 }
 
-// Observe serves evidence of peers.
+// Observe serves reports of evidence of peers.
 func (n *Node) Observe(_ context.Context, in *wire.ReportBatch) (*wire.Receipt, error) {
-	n.members.heard(in.GetFrom())
-	n.observing.observe(time.Now(), in)
+	n.members.recordMessage(in.GetFrom())
+	n.evidence.observe(time.Now(), in)
 	return &wire.Receipt{}, nil
 }
 
-// Judge serves verdicts of observers.
+// Judge serves ejection decisions of observers.
 func (n *Node) Judge(_ context.Context, in *wire.VerdictBatch) (*wire.Receipt, error) {
-	n.members.heard(in.GetFrom())
-	n.observing.judged(time.Now(), in)
+	n.members.recordMessage(in.GetFrom())
+	n.evidence.handleDecisions(time.Now(), in)
 	return &wire.Receipt{}, nil
 }
 
-// Run serves until a planned stop has finished or the context ends. The end of
-// the context stops at once; Drain stops after all requests in flight.
+// Run serves until a planned stop has finished or the context ends. The end of the context stops at
+// once; Drain stops after all requests in flight.
 func (n *Node) Run(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -314,7 +313,7 @@
 func (n *Node) start(ctx context.Context) []*task.Task {
 	run := map[string]func(context.Context) error{
 		"members":   n.members.run,
-		"judging":   n.judging.run,
+		"judging":   n.ejection.run,
 		"lifecycle": n.lifecycle.run,
 		"entry":     n.entry.Serve,
 		"operator":  n.operator.Serve,
@@ -322,14 +321,14 @@
 	}
 	if n.messenger != nil {
 		run["datagrams"] = n.messenger.run
-		run["pinging"] = n.pinging.run
-		run["limiting"] = n.limiting.run
+		run["pinging"] = n.failureDetector.run
+		run["limiting"] = n.limits.run
 	}
-	if n.dispatching != nil {
-		run["dispatching"] = n.dispatching.run
+	if n.dispatcher != nil {
+		run["dispatching"] = n.dispatcher.run
 	} else {
-		run["observing"] = n.observing.run
-		run["probing"] = n.probing.run
+		run["observing"] = n.evidence.run
+		run["probing"] = n.prober.run
 	}
 	if n.peers != nil {
 		run["link"] = n.peers.Serve
@@ -356,7 +355,7 @@
 }
 
 func (n *Node) closeIdle(ctx context.Context) error {
-	tick := time.NewTicker(idleInterval)
+	tick := time.NewTicker(idleConnInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -383,8 +382,8 @@
 	}
 }
 
-// StoppedError is a part of a node that ended though nobody asked it to.
+// StoppedError is the error of a controller or server that returned while the node was running.
 type StoppedError struct{}
 
-// Error says that a part ended.
-func (*StoppedError) Error() string { return "node: a part ended unasked" }
+// Error describes the stop.
+func (*StoppedError) Error() string { return "node: a controller or server stopped unexpectedly" }
--- a/internal/node/role.go
+++ b/internal/node/observer.go
@@ -10,19 +10,19 @@
 	"ploverjunction.example/ploverjunction/internal/wire"
 )
 
-// observed is one service that this node observes for its data hall.
-type observed struct {
-	observer *outlier.Observer
-	config   *fleetconfig.Service
-	byKey    map[uint32]string
-	heard    time.Time
-	// summed is when the last summary went out.
-	summed time.Time
+// observedService is the state of one service that this node observes for its data hall.
+type observedService struct {
+	observer   *outlier.Observer
+	config     *fleetconfig.Service
+	byKey      map[uint32]string
+	lastReport time.Time
+	// lastSummary is when the last summary was sent.
+	lastSummary time.Time
 }
 
-// observe takes the reports of one node as an observer. Any node that reports
-// come to serves as one: the sender may know the fleet better.
-func (o *observing) observe(now time.Time, in *wire.ReportBatch) {
+// observe adds the reports of one node. Any node that receives reports serves as an observer: the
+// sender may have a newer view of the fleet.
+func (o *evidenceController) observe(now time.Time, in *wire.ReportBatch) {
 	cfg := o.board.currentConfig()
 	if cfg == nil {
 		return
@@ -34,14 +34,14 @@
 		if sc == nil {
 			continue
 		}
-		s := o.observed(sc)
-		s.heard = now
+		s := o.observedService(sc)
+		s.lastReport = now
 		for _, t := range r.GetTargets() {
 			target, ok := s.byKey[t.GetTarget()]
 			if !ok {
 				continue
 			}
-			s.take(now, in, outlier.Counts{
+			s.add(now, in, outlier.Counts{
 				Target:  target,
 				Good:    float64(t.GetGood()),
 				Bad:     float64(t.GetBad()),
@@ -52,7 +52,7 @@
 	}
 }
 
-func (s *observed) take(now time.Time, in *wire.ReportBatch, c outlier.Counts) {
+func (s *observedService) add(now time.Time, in *wire.ReportBatch, c outlier.Counts) {
 	from := in.GetFrom()
 	if in.GetSummary() {
 		s.observer.Summary(now, from.GetDataHall(), c)
@@ -61,9 +61,9 @@
 	s.observer.Report(now, from.GetAddress(), from.GetDataHall(), c)
 }
 
-// observed returns the state for a service, in its newest configuration.
-func (o *observing) observed(sc *fleetconfig.Service) *observed {
-	s := o.served[sc.Name()]
+// observedService returns the state of a service, in its newest configuration.
+func (o *evidenceController) observedService(sc *fleetconfig.Service) *observedService {
+	s := o.observedServices[sc.Name()]
 	if s != nil && s.config == sc {
 		return s
 	}
@@ -78,10 +78,10 @@
 		byKey[outlier.Key(t.Key())] = t.Key()
 	}
 	if s == nil {
-		s = &observed{
+		s = &observedService{
 			observer: outlier.NewObserver(info),
 		}
-		o.served[sc.Name()] = s
+		o.observedServices[sc.Name()] = s
 	} else {
 		s.observer.Configure(info)
 	}
@@ -90,18 +90,18 @@
 	return s
 }
 
-// advance judges all observed services. It returns the summaries for the
-// observers of the other data halls and the new verdicts.
-func (o *observing) advance(now time.Time) (map[string][]*wire.Report, []outlier.Verdict) {
+// advance evaluates all observed services. It returns the summaries for the observers of the other
+// data halls and the new ejection decisions.
+func (o *evidenceController) advance(now time.Time) (map[string][]*wire.Report, []outlier.Verdict) {
 	view := o.board.view.Load()
 	halls := view.DataHalls()
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	summaries := map[string][]*wire.Report{}
-	var verdicts []outlier.Verdict
-	for name, s := range o.served {
-		if now.Sub(s.heard) > observerForget {
-			delete(o.served, name)
+	var decisions []outlier.Verdict
+	for name, s := range o.observedServices {
+		if now.Sub(s.lastReport) > observerTimeout {
+			delete(o.observedServices, name)
 			continue
 		}
 		if r := s.summary(now, slowInterval(view.Nodes())); r != nil {
@@ -109,23 +109,23 @@
 				if h == view.Self().DataHall() {
 					continue
 				}
-				for _, n := range view.Role(role(name), h, observersPerService) {
+				for _, n := range view.Role(observerRole(name), h, observersPerService) {
 					summaries[n.Address()] = append(summaries[n.Address()], r)
 				}
 			}
 		}
-		verdicts = append(verdicts, s.observer.Advance(now)...)
+		decisions = append(decisions, s.observer.Advance(now)...)
 	}
-	return summaries, verdicts
+	return summaries, decisions
 }
 
-// summary returns what the other data halls should know, or nil if that can wait
-// for the slow tick.
-func (s *observed) summary(now time.Time, slow time.Duration) *wire.Report {
-	if !s.observer.Urgent() && now.Sub(s.summed) < slow {
+// summary returns the evidence for the other data halls, or nil if it is not urgent and the slow
+// interval has not passed.
+func (s *observedService) summary(now time.Time, slow time.Duration) *wire.Report {
+	if !s.observer.Urgent() && now.Sub(s.lastSummary) < slow {
 		return nil
 	}
-	s.summed = now
+	s.lastSummary = now
 	counts := s.observer.TakeSummary()
 	if len(counts) == 0 {
 		return nil
--- a/internal/node/open.go
+++ b/internal/node/open.go
@@ -13,9 +13,10 @@
 	"ploverjunction.example/ploverjunction/internal/settings"
 )
 
-// bodyMemoryPart is which part of its memory a node holds of bodies in each direction: the rest is
-// for the kernel's buffers of the same connections, the tables and the collector's slack.
-const bodyMemoryPart = 8
+// bodyMemoryDivisor is which fraction of its memory, 1/8, a node holds of bodies in each direction:
+// the rest is for the kernel's buffers of the same connections, the tables and the slack of the
+// garbage collector.
+const bodyMemoryDivisor = 8
 
 // open opens the three listeners.
 func (n *Node) open(keys *link.Keys) error {
@@ -23,26 +24,26 @@
 	if err := n.openSocket(); err != nil {
 		return err
 	}
-	a := &alone{
+	a := &independentChooser{
 		board: n.board,
 	}
 	choose, trial, retry := a.choose, a.trial, a.retry
 	unserved := func(string) {}
-	if n.dispatching != nil {
-		// The dispatcher holds the retry budget, and targets that failed come back
-		// with requests of callers.
-		choose = n.dispatching.choose
+	if n.dispatcher != nil {
+		// The dispatcher holds the retry budget, and targets that failed are tried again with
+		// requests of callers.
+		choose = n.dispatcher.choose
 		trial = func(*fleetconfig.Service) (entry.Choice, bool) { return entry.Choice{}, false }
 		retry = func(string) bool { return true }
-		unserved = n.dispatching.unserved
+		unserved = n.dispatcher.countRefused
 	}
-	currency := n.currency()
+	currency := n.newFreshness()
 	n.entry, err = entry.New(entry.Config{
 		Listen:          n.set.EntryListen(),
 		MaxBody:         n.set.MaxBody(),
 		MaxHeader:       n.set.MaxHeader(),
 		HoldBody:        n.set.HoldBody(),
-		Memory:          n.set.Memory() / bodyMemoryPart,
+		Memory:          n.set.Memory() / bodyMemoryDivisor,
 		Deadline:        n.set.Deadline(),
 		Stall:           n.set.Stall(),
 		Outgoing:        n.set.Outgoing(),
@@ -59,13 +60,13 @@
 		Unserved:        unserved,
 		First:           a.first,
 		Retry:           retry,
-		Limit:           n.limiting.admit,
-		GiveBack:        n.limiting.giveBack,
-		Quarantined:     n.quarantining.check,
-		Ended:           n.quarantining.ended,
-		Answered:        n.quarantining.answered,
+		Limit:           n.limits.admit,
+		GiveBack:        n.limits.giveBack,
+		Quarantined:     n.quarantine.check,
+		Ended:           n.quarantine.recordCrash,
+		Answered:        n.quarantine.recordAnswer,
 		Signals:         &n.board.signals,
-		Collector:       n.judging.collector,
+		Collector:       n.ejection.collector,
 		Served:          n.metrics.Served,
 		Log:             logging.Part(n.log, "entry"),
 	})
--- a/internal/node/probing.go
+++ b/internal/node/prober.go
@@ -25,11 +25,10 @@
 	probesPerHost = 1
 )
 
-// probing asks the health endpoints of targets whether they are leaving. One
-// node of the fleet probes the targets of a service. A probe's answer never
-// clears a target and its failure never condemns one: such endpoints answer
-// while real work stalls.
-type probing struct {
+// prober requests the health endpoints of targets to find those that are draining. One node of the
+// fleet probes the targets of a service. The answer of a probe never clears a target and its
+// failure never ejects one: such endpoints answer while real requests stall.
+type prober struct {
 	board    *Board
 	report   func(now time.Time, evidence []outlier.Evidence)
 	contract *contract.Contract
@@ -37,8 +36,8 @@
 	log      *logrus.Entry
 }
 
-func newProbing(board *Board, c *contract.Contract, report func(time.Time, []outlier.Evidence), log *logrus.Entry) *probing {
-	return &probing{
+func newProber(board *Board, c *contract.Contract, report func(time.Time, []outlier.Evidence), log *logrus.Entry) *prober {
+	return &prober{
 		board:    board,
 		report:   report,
 		contract: c,
@@ -54,7 +53,7 @@
 }
 
 // run probes at each tick until the context ends.
-func (p *probing) run(ctx context.Context) error {
+func (p *prober) run(ctx context.Context) error {
 	defer p.client.CloseIdleConnections()
 	tick := time.NewTicker(probeInterval)
 	defer tick.Stop()
@@ -68,7 +67,7 @@
 	}
 }
 
-func (p *probing) probeAll(ctx context.Context) {
+func (p *prober) probeAll(ctx context.Context) {
 	cfg := p.board.currentConfig()
 	if cfg == nil {
 		return
@@ -77,14 +76,14 @@
 	slots := make(chan struct{}, probesAtOnce)
 	var all task.Group
 	for _, s := range cfg.Services() {
-		first := view.Role(role(s.Name()), "", 1)
+		first := view.Role(observerRole(s.Name()), "", 1)
 		if s.HealthPath() == "" || len(first) == 0 || first[0] != view.Self() {
 			continue
 		}
 		for _, t := range s.Targets() {
 			now := time.Now()
-			said := p.board.standing(now, t)
-			if said.Backoff > 0 || !p.board.shares.take(now, t.Key(), said.Limit, p.board.nodes()) {
+			standing := p.board.standing(now, t)
+			if standing.Backoff > 0 || !p.board.shares.take(now, t.Key(), standing.Limit, p.board.nodes()) {
 				continue
 			}
 			slots <- struct{}{}
@@ -95,11 +94,11 @@
 		}
 	}
 	if err := all.Wait(); err != nil {
-		p.log.WithError(err).Debug("probes without answer")
+		p.log.WithError(err).Debug("probes failed")
 	}
 }
 
-func (p *probing) probe(ctx context.Context, s *fleetconfig.Service, t *fleetconfig.Target) error {
+func (p *prober) probe(ctx context.Context, s *fleetconfig.Service, t *fleetconfig.Target) error {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+t.Address()+s.HealthPath(), nil)
 	if err != nil {
 		return fmt.Errorf("node: probe: %w", err)
@@ -109,15 +108,15 @@
 		return fmt.Errorf("node: probe: %w", err)
 	}
 	_ = res.Body.Close()
-	said, err := forward.SignalOf(p.contract, res)
-	if p.board.signals.Observe(time.Now(), incarnationOf(t), said) {
-		p.log.WithField("service", s.Name()).WithField("target", t.Key()).WithField("leaving", said.Draining).
-			WithField("rest_ms", said.Backoff.Milliseconds()).Info("target says what it wants")
+	sig, err := forward.SignalOf(p.contract, res)
+	if p.board.signals.Observe(time.Now(), incarnationOf(t), sig) {
+		p.log.WithField("service", s.Name()).WithField("target", t.Key()).WithField("leaving", sig.Draining).
+			WithField("rest_ms", sig.Backoff.Milliseconds()).Info("target says what it wants")
 	}
 	if err != nil {
 		p.log.WithField("service", s.Name()).WithField("target", t.Key()).WithError(err).Warn("target asks for what can't be read")
 	}
-	if !said.Draining {
+	if !sig.Draining {
 		return nil
 	}
 	p.report(time.Now(), []outlier.Evidence{
--- a/internal/node/signals.go
+++ b/internal/node/signals.go
@@ -61,7 +61,7 @@
 }
 
 // allBackingOff reports whether all targets of a service that are not draining back off, and
-// returns the standing of the first to accept requests again. Where all are draining it is false:
+// returns the standing of the first to accept requests again. It is false if all are draining:
 // others may appear at any moment.
 func (b *Board) allBackingOff(now time.Time, s *fleetconfig.Service) (first signal.Standing, all bool) {
 	if b.signals.Empty() {
@@ -71,13 +71,13 @@
 		if s.Drained(t) {
 			continue
 		}
-		said := b.standing(now, t)
+		standing := b.standing(now, t)
 		switch {
-		case said.Draining:
-		case !said.Barred():
+		case standing.Draining:
+		case !standing.Barred():
 			return first, false
-		case !all || said.Backoff < first.Backoff:
-			first, all = said, true
+		case !all || standing.Backoff < first.Backoff:
+			first, all = standing, true
 		}
 	}
 	return first, all
@@ -101,12 +101,12 @@
 	var out []operator.SignalStatus
 	for _, s := range c.Services() {
 		for _, t := range s.Targets() {
-			if said := b.standing(now, t); said.Barred() {
+			if standing := b.standing(now, t); standing.Barred() {
 				out = append(out, operator.SignalStatus{
 					Service: s.Name(),
 					Target:  t.Key(),
-					Leaving: said.Draining,
-					RestMS:  said.Backoff.Milliseconds(),
+					Leaving: standing.Draining,
+					RestMS:  standing.Backoff.Milliseconds(),
 				})
 			}
 		}
--- a/internal/node/signals_test.go
+++ b/internal/node/signals_test.go
@@ -20,8 +20,9 @@
 	"ploverjunction.example/ploverjunction/internal/wire"
 )
 
-// saying returns a service with two targets in each of some data halls, id-a0, id-a1 and so on.
-func saying(halls string, each int) []*wire.Entry {
+// serviceWithTargets returns a service with the given number of targets in each data hall: id-a0,
+// id-a1 and so on.
+func serviceWithTargets(halls string, each int) []*wire.Entry {
 	var targets []string
 	for at, hall := range halls {
 		for i := range each {
@@ -38,11 +39,11 @@
 	}
 }
 
-// A node that was told that a target leaves tells its own desk with the next ask, and gets
-// another one.
-func TestNodeTellsThatATargetLeaves(t *testing.T) {
+// A node that received the signal that a target drains must pass it to its own scheduler with the
+// next grant request, and get another target.
+func TestNodeReportsDrainingTarget(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := node.NewChooser("quotes", saying("a", 2))
+		c := node.NewChooser("quotes", serviceWithTargets("a", 2))
 		c.Hear("id-a0", signal.Signal{
 			Draining: true,
 		})
@@ -54,15 +55,15 @@
 			choice.Done(outlier.End{}, 0)
 		}
 		if !c.Leaves("id-a0") {
-			t.Error("the desk doesn't know")
+			t.Error("the scheduler does not treat the target as draining")
 		}
 	})
 }
 
-// A word of leaving that comes with an answer reaches whoever granted the target.
-func TestEndTellsThatATargetLeaves(t *testing.T) {
+// A signal of draining in an answer must reach the dispatcher that granted the target.
+func TestDoneReportsDrainingTarget(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := node.NewChooser("quotes", saying("a", 2))
+		c := node.NewChooser("quotes", serviceWithTargets("a", 2))
 		choice, err := c.Choose(context.Background())
 		if err != nil {
 			t.Fatal(err)
@@ -72,20 +73,20 @@
 		})
 		choice.Done(outlier.End{}, 0)
 		if !c.Leaves(choice.Key) {
-			t.Error("the desk doesn't know")
+			t.Error("the scheduler does not treat the target as draining")
 		}
 		if failing := c.Failing(choice.Key); failing > 0.02 {
-			t.Errorf("the word is held against the target: %v", failing)
+			t.Errorf("the signal raises the failure probability to %v", failing)
 		}
 	})
 }
 
-// A dispatcher that grants a target which the node may not use is asked again, and then the
-// node chooses alone; whatever it says, the target gets nothing.
-func TestGrantOfABarredTarget(t *testing.T) {
+// If a dispatcher grants an unavailable target the node must request another one, and then use its
+// fallback; the target must get no request in any case.
+func TestGrantOfUnavailableTarget(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		other := membership.NewNode("192.0.2.2:1", "b")
-		c := node.NewChooserOf(membership.NewNode("192.0.2.1:1", "c"), "quotes", saying("b", 3), other)
+		c := node.NewChooserOf(membership.NewNode("192.0.2.1:1", "c"), "quotes", serviceWithTargets("b", 3), other)
 		c.Hear("id-b2", signal.Signal{
 			Draining: true,
 		})
@@ -97,32 +98,32 @@
 			choice.Done(outlier.End{}, 0)
 		}
 		if c.Asked()["192.0.2.2:1 "] == 0 {
-			t.Error("the dispatcher wasn't asked")
+			t.Error("no grant request to the dispatcher")
 		}
 	})
 }
 
-// A target that asked the node for rest gets nothing from it until that is over, isn't held to
-// fail, and works again after it.
-func TestNodeLeavesATargetAlone(t *testing.T) {
+// A target that backs off must get no request from the node until that is over, must not count as
+// failing, and must get requests again afterwards.
+func TestNoRequestsDuringBackoff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		const rest = 3 * time.Second
-		c := node.NewChooser("quotes", saying("a", 2))
+		const backoff = 3 * time.Second
+		c := node.NewChooser("quotes", serviceWithTargets("a", 2))
 		first, err := c.Choose(context.Background())
 		if err != nil {
 			t.Fatal(err)
 		}
 		c.Hear(first.Key, signal.Signal{
-			Backoff: rest,
+			Backoff: backoff,
 		})
-		begun := time.Now()
+		started := time.Now()
 		first.Done(outlier.End{
 			Shed: true,
 		}, time.Millisecond)
 		if failing := c.Failing(first.Key); failing > 0.03 {
-			t.Errorf("the refusal is held against the target: %v", failing)
+			t.Errorf("the refusal raises the failure probability to %v", failing)
 		}
-		for time.Since(begun) < 2*rest {
+		for time.Since(started) < 2*backoff {
 			choice, err := c.Choose(context.Background())
 			if err != nil {
 				t.Fatal(err)
@@ -133,20 +134,20 @@
 			time.Sleep(20 * time.Millisecond)
 			choice.Done(outlier.End{}, 20*time.Millisecond)
 		}
-		if back := time.Since(begun); back < rest || back >= 2*rest {
-			t.Errorf("the target got work again after %v", back)
+		if back := time.Since(started); back < backoff || back >= 2*backoff {
+			t.Errorf("first request after %v", back)
 		}
 	})
 }
 
-// Where nodes choose alone the others learn from probes that a target leaves, for as long as it
-// says so. A target that wants rest gets no probes either.
-func TestProbesHearWhatTargetsSay(t *testing.T) {
-	var asked atomic.Int64
-	var wantsRest atomic.Bool
+// In the independent mode other nodes learn by probes that a target drains, for as long as it
+// signals so. A target that backs off must get no probes either.
+func TestProbesFindDrainingTargets(t *testing.T) {
+	var probes atomic.Int64
+	var backingOff atomic.Bool
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-		asked.Add(1)
-		if wantsRest.Load() {
+		probes.Add(1)
+		if backingOff.Load() {
 			w.Header().Set("Retry-After", "60")
 			w.WriteHeader(http.StatusServiceUnavailable)
 			return
@@ -167,11 +168,11 @@
 			t.Errorf("got %v", got)
 		}
 	}
-	wantsRest.Store(true)
+	backingOff.Store(true)
 	p.Probe(context.Background())
-	before := asked.Load()
+	before := probes.Load()
 	p.Probe(context.Background())
-	if asked.Load() != before {
-		t.Error("a target that wants rest was probed")
+	if probes.Load() != before {
+		t.Error("a target that backs off was probed")
 	}
 }
--- a/internal/node/socket.go
+++ b/internal/node/socket.go
@@ -11,7 +11,7 @@
 	"ploverjunction.example/ploverjunction/internal/settings"
 )
 
-// openSocket opens the socket for datagrams and makes the controllers that use it.
+// openSocket opens the socket for datagrams and creates the controllers that use it.
 func (n *Node) openSocket() error {
 	if !n.set.PeerListen().IsValid() || n.set.PeerListen().Port() == 0 {
 		return nil
@@ -28,32 +28,34 @@
 	m := n.messenger
 	m.socket, m.members, m.gossip, m.replica, m.self, m.log = socket, n.members, n.gossip, n.replica, n.self, log
 	m.transmit = socket.Send
-	n.pinging = &pinging{
+	n.failureDetector = &failureDetector{
 		messenger: m,
 		members:   n.members,
 		board:     n.board,
 		seeds:     n.seeds,
 		log:       logging.Part(n.log, "members"),
-		since:     n.suspended.Since,
+		elapsed:   n.suspended.Since,
 	}
-	n.limiting.messenger = m
-	m.draw, m.touched, m.began = n.limiting.drawn, n.limiting.touched, n.limiting.began
-	n.quarantining.messenger = m
-	m.quarantined, m.quarantine, m.compare = n.quarantining.digest.Load, n.quarantining.learn, n.quarantining.compare
+	n.limits.messenger = m
+	m.onTokenRequest, m.onReceive, m.onIncarnation = n.limits.handleTokenRequest, n.limits.recordReceived, n.limits.recordIncarnation
+	n.quarantine.messenger = m
+	m.quarantineDigest, m.onQuarantine, m.onQuarantineDigest = n.quarantine.digest.Load, n.quarantine.merge, n.quarantine.compare
 	share, reserve, window := n.set.Retries()
-	d := newDispatching(n.board, m, dispatch.Budget{
+	d := newDispatchController(n.board, m, dispatch.Budget{
 		Share:   share,
 		Reserve: reserve,
 		Window:  window,
 	}, logging.Part(n.log, "dispatch"))
 	d.floor = n.set.Floor()
-	d.short = func(p part, short float64) { n.metrics.PartGauge("coverage_short", p.service, p.hall, short) }
-	d.seeds = n.limiting.seeds
-	d.limited = func(p part, targets int) { n.metrics.PartGauge("limited_targets", p.service, p.hall, float64(targets)) }
+	d.setCoverageShort = func(p partition, short float64) { n.metrics.PartGauge("coverage_short", p.service, p.hall, short) }
+	d.seeds = n.limits.seeds
+	d.setLimitedTargets = func(p partition, targets int) {
+		n.metrics.PartGauge("limited_targets", p.service, p.hall, float64(targets))
+	}
 	if n.set.Choice() == settings.ChoiceJoint {
-		n.board.shares.beside = true
-		n.dispatching = d
-		n.judging.passive = true
+		n.board.shares.withDispatchers = true
+		n.dispatcher = d
+		n.ejection.passive = true
 	}
 	return nil
 }
--- a/internal/node/reading.go
+++ b/internal/node/source.go
@@ -23,7 +23,7 @@
 	failed := func(err error) { log.WithError(err).Warn("source not read") }
 	deliver := func(entries []*wire.Entry, upTo order.Position) {
 		n.gossip.PublishTo(entries, upTo)
-		n.logKept(log, entries)
+		n.logSuperseded(log, entries)
 	}
 	if n.directory != nil {
 		return n.directory.Run(ctx, func(entries []*wire.Entry) { deliver(entries, order.Position{}) }, failed)
@@ -54,26 +54,26 @@
 	})
 }
 
-// logKept writes a line for each value that was read and did not replace the known one.
-func (n *Node) logKept(log logrus.FieldLogger, entries []*wire.Entry) {
+// logSuperseded logs each value that was read and did not replace the local one.
+func (n *Node) logSuperseded(log logrus.FieldLogger, entries []*wire.Entry) {
 	for _, e := range entries {
-		read, kept := fleetconfig.MarkOf(e), fleetconfig.MarkOf(n.replica.Newest(e.GetKey()))
+		read, local := fleetconfig.MarkOf(e), fleetconfig.MarkOf(n.replica.Newest(e.GetKey()))
 		switch {
-		case kept.Position().Compare(read.Position()) > 0:
-			logMarks(log, e.GetKey(), read, kept).Info("value read is older than the known one")
-		case !e.GetDeleted() && kept.CompareValues(read) > 0:
-			logMarks(log, e.GetKey(), read, kept).Info("platform has an older value than the fleet")
+		case local.Position().Compare(read.Position()) > 0:
+			versionFields(log, e.GetKey(), read, local).Info("value read is older than the known one")
+		case !e.GetDeleted() && local.CompareValues(read) > 0:
+			versionFields(log, e.GetKey(), read, local).Info("platform has an older value than the fleet")
 		}
 	}
 }
 
-func logMarks(log logrus.FieldLogger, key string, read, kept order.Mark) *logrus.Entry {
+func versionFields(log logrus.FieldLogger, key string, read, local order.Mark) *logrus.Entry {
 	return log.WithField("key", key).
 		WithField("read", read.Position().String()).WithField("read_sequence", read.Stamp().Sequence()).
-		WithField("kept", kept.Written().String()).WithField("kept_sequence", kept.Stamp().Sequence())
+		WithField("kept", local.Written().String()).WithField("kept_sequence", local.Stamp().Sequence())
 }
 
-// ageMS returns an age in milliseconds, -1 for what was never heard.
+// ageMS returns an age in milliseconds, -1 for never.
 func ageMS(age time.Duration) int64 {
 	if age > time.Hour {
 		return -1
@@ -81,51 +81,51 @@
 	return age.Milliseconds()
 }
 
-// reader reports whether this node should read the platform: it has the role, or
-// nobody seems to do it.
+// reader reports whether this node should read the platform: it has the role, or no node seems to
+// read.
 func (n *Node) reader() bool {
 	now := time.Now()
 	view := n.board.view.Load()
-	age, up := n.gossip.PlatformAge(now), now.Sub(n.begun)
+	age, uptime := n.gossip.PlatformAge(now), now.Sub(n.started)
 	if len(view.Peers()) == 0 && len(n.set.Seeds()) == 0 {
 		return true
 	}
-	silent := age > n.silent()
+	silent := age > n.platformTimeout()
 	if n.adapter.Silent == 0 {
 		return hasRole(view, view.Role("reader", n.set.DataHall(), readersPerHall)) ||
-			silent && up > startSilent && stepsIn(view)
+			silent && uptime > startPlatformTimeout && readsByChance(view)
 	}
 	if silent && slices.Contains(n.seeds(), n.address()) {
-		// When the whole fleet starts the others ask the seeds.
+		// When the whole fleet starts the other nodes read from the seeds.
 		return true
 	}
-	return up > meetTime && (hasRole(view, fleetReaders(view)) || silent && stepsIn(view))
+	return uptime > discoveryTime && (hasRole(view, fleetReaders(view)) || silent && readsByChance(view))
 }
 
-// silent returns after how long without an answer of the platform to any node any node may
-// read it.
-func (n *Node) silent() time.Duration {
+// platformTimeout returns the time without an answer of the platform to any node after which any
+// node may read it.
+func (n *Node) platformTimeout() time.Duration {
 	if n.adapter.Silent > 0 {
 		return n.adapter.Silent
 	}
-	return platformSilent
+	return platformTimeout
 }
 
-// stepsIn reports, by chance, whether this node reads though others have the role. All
-// nodes come here when the platform is down for long: as many of them ask at a
-// time, on average, however large the fleet is.
-func stepsIn(view *membership.View) bool { return rand.IntN(len(view.Live())) == 0 }
+// readsByChance reports, at random, whether this node reads though others have the role. While the
+// platform is down for long all nodes get here: on average one of them reads at a time, however
+// large the fleet is.
+func readsByChance(view *membership.View) bool { return rand.IntN(len(view.Live())) == 0 }
 
-// meetTime is how long a node that has just started looks for others before it
-// takes up roles or believes that nobody reads.
-const meetTime = 500 * time.Millisecond
+// discoveryTime is how long a node that has just started looks for others before it takes roles or
+// assumes that no node reads.
+const discoveryTime = 500 * time.Millisecond
 
 func hasRole(view *membership.View, holders []membership.Node) bool {
 	return slices.Contains(holders, view.Self())
 }
 
-// fleetReaders returns the two nodes that read for the whole fleet: the first in
-// rank and the first of the other data halls.
+// fleetReaders returns the two nodes that read for the whole fleet: the first in rank and the first
+// in rank of the other data halls.
 func fleetReaders(view *membership.View) []membership.Node {
 	ranked := view.Role("reader", "", len(view.Live()))
 	for _, other := range ranked {
--- a/internal/node/status.go
+++ b/internal/node/status.go
@@ -20,8 +20,8 @@
 	return r.ready, r.reason
 }
 
-// status describes the node for operators; brief leaves out what grows with the
-// fleet and its configuration.
+// status returns the status of the node; brief omits what grows with the fleet and its
+// configuration.
 func (n *Node) status(brief bool) *operator.Status {
 	ready, reason := n.ready()
 	s := &operator.Status{
@@ -29,7 +29,7 @@
 		DataHall: n.set.DataHall(),
 		Ready:    ready,
 		Reason:   reason,
-		UpFor:    time.Since(n.begun).Round(time.Millisecond).String(),
+		UpFor:    time.Since(n.started).Round(time.Millisecond).String(),
 		InFlight: n.entry.InFlight(),
 		Config:   n.configStatus(),
 		Control: operator.ControlStatus{
@@ -50,11 +50,11 @@
 	for key, position := range n.replica.InForce() {
 		s.Revision[key] = position.Revision()
 	}
-	s.Limits = n.limiting.status(time.Now())
-	s.Quarantine = n.quarantining.status(time.Now())
+	s.Limits = n.limits.status(time.Now())
+	s.Quarantine = n.quarantine.status(time.Now())
 	s.Signals = n.board.signalStatus(time.Now())
 	s.TargetLimits = n.limitStatus(time.Now())
-	if p := n.judging.pools(time.Now()); p != nil {
+	if p := n.ejection.pools(time.Now()); p != nil {
 		for name := range p.services {
 			s.Services = append(s.Services, *n.serviceStatus(name))
 		}
@@ -104,9 +104,9 @@
 	return out
 }
 
-// serviceStatus describes a service, or gives nil for an unknown one.
+// serviceStatus returns the status of a service, or nil for an unknown one.
 func (n *Node) serviceStatus(name string) *operator.ServiceStatus {
-	all := n.judging.pools(time.Now())
+	all := n.ejection.pools(time.Now())
 	if all == nil || all.services[name] == nil {
 		return nil
 	}
@@ -124,7 +124,7 @@
 		s.Targets = append(s.Targets, operator.TargetStatus{
 			Address:  t.address,
 			Phase:    t.state.Phase.String(),
-			Leaving:  t.state.Leaving || t.listedLeaving,
+			Leaving:  t.state.Leaving || t.listedDraining,
 			Score:    t.state.Score,
 			Warmth:   t.state.Warmth,
 			InFlight: t.inFlight,
@@ -134,7 +134,7 @@
 	return s
 }
 
-// explain says where a request would go.
+// explain returns how a request would be routed.
 func (n *Node) explain(q operator.Question) *operator.Explanation {
 	c := n.board.currentConfig()
 	if c == nil {
--- a/internal/node/stop.go
+++ b/internal/node/stop.go
@@ -22,14 +22,14 @@
 	}
 }
 
-// stop is the planned stop: the balancer is told first and callers are accepted
-// until it has had time to notice; then what is in flight ends in its own time.
+// stop is the planned stop: the load balancer is notified first, and callers are accepted until it
+// has had time to react; then the requests in flight run to their end.
 func (n *Node) stop(ctx context.Context) error {
 	log := logging.Part(n.log, "node")
 	log.Info("leaving")
-	n.lifecycle.leaving.Store(true)
+	n.lifecycle.draining.Store(true)
 	n.entry.Closing()
-	n.sayLeaving(ctx)
+	n.announceDraining(ctx)
 	wait := time.NewTimer(n.live.Load().DrainWait())
 	defer wait.Stop()
 	select {
@@ -45,51 +45,51 @@
 	return nil
 }
 
-// leaveFar is how many nodes of each other data hall a leaving node tells by datagram.
-const leaveFar = 2
+// drainingFarPeers is how many nodes of each other data hall a draining node notifies by datagram.
+const drainingFarPeers = 2
 
-// sayLeaving tells peers: they must give this node's roles to others. Where datagrams carry the
-// news on, those of the own data hall and a few others are enough; a leaving node still fulfils
-// its roles until it ends.
-func (n *Node) sayLeaving(ctx context.Context) {
+// announceDraining notifies peers, which must assign this node's roles to others. Where datagrams
+// spread membership updates, the nodes of the same data hall and a few others are enough; a
+// draining node fulfils its roles until it ends.
+func (n *Node) announceDraining(ctx context.Context) {
 	if n.peers == nil {
 		return
 	}
 	if n.messenger != nil {
-		for _, peer := range leaveTo(n.board.view.Load()) {
+		for _, peer := range drainingPeers(n.board.view.Load()) {
 			n.messenger.pong(peer, 0)
 		}
 		return
 	}
 	var all task.Group
 	for _, p := range n.board.view.Load().Peers() {
-		all.Go(ctx, "leave", func(ctx context.Context) error { return n.sayLeavingTo(ctx, p.Address()) })
+		all.Go(ctx, "leave", func(ctx context.Context) error { return n.announceDrainingTo(ctx, p.Address()) })
 	}
 	if err := all.Wait(); err != nil {
-		logging.Part(n.log, "node").WithError(err).Debug("not all peers told")
+		logging.Part(n.log, "node").WithError(err).Debug("not all peers notified")
 	}
 }
 
-// leaveTo returns the peers that a leaving node tells.
-func leaveTo(view *membership.View) []string {
+// drainingPeers returns the peers that a draining node notifies.
+func drainingPeers(view *membership.View) []string {
 	var out []string
 	near, far := view.Halls()
 	for _, p := range near {
 		out = append(out, p.Address())
 	}
-	told := map[string]int{}
+	sent := map[string]int{}
 	rand.Shuffle(len(far), func(i, j int) { far[i], far[j] = far[j], far[i] })
 	for _, p := range far {
-		if told[p.DataHall()]++; told[p.DataHall()] <= leaveFar {
+		if sent[p.DataHall()]++; sent[p.DataHall()] <= drainingFarPeers {
 			out = append(out, p.Address())
 		}
 	}
 	return out
 }
 
-func (n *Node) sayLeavingTo(ctx context.Context, peer string) error {
+func (n *Node) announceDrainingTo(ctx context.Context, peer string) error {
 	var err error
-	for range leaveTimes {
+	for range drainTries {
 		_, err = n.dialer.Sync(ctx, peer, &wire.SyncRequest{
 			From:   n.self(),
 			Digest: n.replica.Digest(),
--- a/internal/node/targetlimits_model_test.go
+++ b/internal/node/targetlimits_model_test.go
@@ -25,32 +25,32 @@
 	scheduleNodes   = 10
 	scheduleTargets = 3
 	scheduleLength  = 26 * time.Second
-	// namedFrom is when the first target begins to name its limit, at the latest.
-	namedFrom = 4 * time.Second
+	// limitSetBy is the latest time at which the first target begins to signal its limit.
+	limitSetBy = 4 * time.Second
 	// faultsFrom and faultsTo are when faults begin.
 	faultsFrom = 5 * time.Second
 	faultsTo   = 20 * time.Second
-	// fleetPerSecond is what all callers send, more than the targets without a limit do.
+	// fleetPerSecond is the rate of all callers, more than the targets without a limit can serve.
 	fleetPerSecond = 60.0
-	workLeast      = 50 * time.Millisecond
-	workMost       = 200 * time.Millisecond
+	minWork        = 50 * time.Millisecond
+	maxWork        = 200 * time.Millisecond
 
-	limitWindow  = 4 * time.Second
-	limitExcess  = 1.5
-	limitSlack   = 5
-	limitHeard   = 500 * time.Millisecond
-	limitSettled = 2 * time.Second
-	calmExcess   = 1.1
-	calmSlack    = 2
+	limitWindow      = 4 * time.Second
+	limitExcess      = 1.5
+	limitSlack       = 5
+	limitPropagation = 500 * time.Millisecond
+	limitSettled     = 2 * time.Second
+	faultlessExcess  = 1.1
+	faultlessSlack   = 2
 )
 
-// limitStep is a limit that the target names from a time on; a negative rate is none.
+// limitStep is a limit that the target signals from a time on; a negative rate is none.
 type limitStep struct {
 	at   time.Duration
 	rate float64
 }
 
-// fleetFault is what happens to some nodes for a time.
+// fleetFault is a fault of some nodes for a time.
 type fleetFault struct {
 	kind  string
 	nodes []int
@@ -58,7 +58,7 @@
 	lasts time.Duration
 }
 
-// limitSchedule is one play.
+// limitSchedule is one simulated schedule.
 type limitSchedule struct {
 	seed   uint64
 	loss   float64
@@ -68,7 +68,7 @@
 
 var faultKinds = []string{"kill", "cut", "cut outwards", "cut inwards", "split", "lost"}
 
-// newLimitSchedule draws a schedule. calm ones have one limit and no faults.
+// newLimitSchedule draws a schedule. A calm one has one limit and no faults.
 func newLimitSchedule(seed uint64, calm bool) *limitSchedule {
 	rng := rand.New(rand.NewPCG(seed, 0x11))
 	rates := []float64{0, 0.1, 0.5, 1.6, 2.6, 5, 10, 20}
@@ -76,7 +76,7 @@
 		seed: seed,
 		limits: []limitStep{
 			{
-				at:   time.Duration(rng.Int64N(int64(namedFrom))),
+				at:   time.Duration(rng.Int64N(int64(limitSetBy))),
 				rate: rates[rng.IntN(len(rates))],
 			},
 		},
@@ -85,7 +85,7 @@
 		return s
 	}
 	s.loss = 0.1 * rng.Float64() * float64(rng.IntN(2))
-	for at := namedFrom; rng.IntN(2) == 0 && at < faultsTo; {
+	for at := limitSetBy; rng.IntN(2) == 0 && at < faultsTo; {
 		at += time.Duration(rng.Int64N(int64(6 * time.Second)))
 		step := limitStep{
 			at:   at,
@@ -123,8 +123,8 @@
 	return rate, rate >= 0
 }
 
-// allowed returns what the target may get in the window that ends at to, and false where no bound
-// is known: the limit must have stood for limitSettled.
+// allowed returns how many requests the target may get in the window that ends at to, and false if
+// no bound is known: the limit must have been in place for limitSettled.
 func (s *limitSchedule) allowed(to time.Duration, excess, slack float64) (float64, bool) {
 	const step = 50 * time.Millisecond
 	sum := 0.0
@@ -142,75 +142,75 @@
 	return excess*sum + slack, true
 }
 
-// sent is one request that reached the target with the limit.
-type sent struct {
+// arrival is one request that reached the target with the limit.
+type arrival struct {
 	at   time.Duration
 	node int
-	// told is set where the node had passed on an answer with the limit for a while.
-	told bool
+	// informed is set if the node reported an answer with the limit at least limitPropagation ago.
+	informed bool
 	// by is the node that granted it.
 	by string
 }
 
-// limitFleet is a fleet in play.
+// limitFleet is the simulated fleet.
 type limitFleet struct {
 	*limitSchedule
-	ctx   context.Context
-	cfg   *fleetconfig.Config
-	rng   *rand.Rand
-	begun time.Time
-	tasks task.Group
+	ctx     context.Context
+	cfg     *fleetconfig.Config
+	rng     *rand.Rand
+	started time.Time
+	tasks   task.Group
 
-	mu    sync.Mutex
-	nodes []*node.FleetNode
-	lives []uint64
-	stops []context.CancelFunc
-	// out and in count the cuts of a node, group is its side of a split.
-	out, in, group []int
-	lossNow        float64
-	told           []time.Duration
-	arrivals       []sent
-	served         int
-	refused        int
-	held           time.Duration
-	requests       int
-	slots          map[string]int
+	mu           sync.Mutex
+	nodes        []*node.FleetNode
+	incarnations []uint64
+	stops        []context.CancelFunc
+	// out and in count the cuts of a node, side is its side of a split.
+	out, in, side []int
+	currentLoss   float64
+	informedAt    []time.Duration
+	arrivals      []arrival
+	served        int
+	refused       int
+	refusalTime   time.Duration
+	requests      int
+	slots         map[string]int
 }
 
 func fleetAddress(i int) string { return fmt.Sprintf("192.0.2.%d:1", i+1) }
 
-func playLimits(t *testing.T, s *limitSchedule) *limitFleet {
+func runSchedule(t *testing.T, s *limitSchedule) *limitFleet {
 	t.Helper()
 	store := fleetconfig.NewStore()
-	store.Offer(saying("a", scheduleTargets))
+	store.Offer(serviceWithTargets("a", scheduleTargets))
 	f := &limitFleet{
 		limitSchedule: s,
 		ctx:           t.Context(),
 		cfg:           store.Config(),
 		rng:           rand.New(rand.NewPCG(s.seed, 0x22)),
-		begun:         time.Now(),
+		started:       time.Now(),
 		nodes:         make([]*node.FleetNode, scheduleNodes),
-		lives:         make([]uint64, scheduleNodes),
+		incarnations:  make([]uint64, scheduleNodes),
 		stops:         make([]context.CancelFunc, scheduleNodes),
 		out:           make([]int, scheduleNodes),
 		in:            make([]int, scheduleNodes),
-		group:         make([]int, scheduleNodes),
-		told:          make([]time.Duration, scheduleNodes),
+		side:          make([]int, scheduleNodes),
+		informedAt:    make([]time.Duration, scheduleNodes),
 		slots:         map[string]int{},
-		lossNow:       s.loss,
+		currentLoss:   s.loss,
 	}
 	for i := range f.nodes {
 		f.start(i)
 	}
 	for _, fault := range s.faults {
-		time.AfterFunc(fault.at, func() { f.strike(fault) })
+		time.AfterFunc(fault.at, func() { f.inject(fault) })
 	}
-	// Arrivals are drawn apart, so that those of a seed stay what they are.
+	// Arrivals have their own random source, so that those of a seed do not change.
 	arrivals := rand.New(rand.NewPCG(s.seed, 0x33))
 	var calls sync.WaitGroup
-	for time.Since(f.begun) < scheduleLength {
+	for time.Since(f.started) < scheduleLength {
 		time.Sleep(time.Duration(arrivals.ExpFloat64() / fleetPerSecond * float64(time.Second)))
-		i, work := arrivals.IntN(scheduleNodes), workLeast+time.Duration(arrivals.Int64N(int64(workMost-workLeast)))
+		i, work := arrivals.IntN(scheduleNodes), minWork+time.Duration(arrivals.Int64N(int64(maxWork-minWork)))
 		calls.Go(func() { f.call(i, work) })
 	}
 	calls.Wait()
@@ -225,11 +225,11 @@
 	return f
 }
 
-// start begins a new incarnation of a node. f.mu must not be held.
+// start starts a new incarnation of a node. f.mu must not be held.
 func (f *limitFleet) start(i int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.lives[i]++
+	f.incarnations[i]++
 	var seeds []string
 	for s := range 3 {
 		if s != i {
@@ -239,17 +239,17 @@
 	ctx, stop := context.WithCancel(f.ctx)
 	n := node.NewFleetNode(node.FleetNodeConfig{
 		Self:        membership.NewNode(fleetAddress(i), "a"),
-		Incarnation: f.lives[i],
+		Incarnation: f.incarnations[i],
 		Seeds:       seeds,
 		Config:      f.cfg,
 		Service:     "quotes",
 		Send:        func(peer string, d *wire.Datagram) { f.send(i, peer, d) },
 	})
-	f.nodes[i], f.stops[i], f.told[i] = n, stop, 0
+	f.nodes[i], f.stops[i], f.informedAt[i] = n, stop, 0
 	n.Run(ctx, &f.tasks)
 }
 
-// send carries a datagram, unless it is lost.
+// send delivers a datagram, unless it is lost.
 func (f *limitFleet) send(from int, peer string, d *wire.Datagram) {
 	to := 0
 	for fleetAddress(to) != peer {
@@ -257,7 +257,7 @@
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.nodes[to] == nil || f.nodes[from] == nil || f.out[from] > 0 || f.in[to] > 0 || f.group[from] != f.group[to] || f.rng.Float64() < f.lossNow {
+	if f.nodes[to] == nil || f.nodes[from] == nil || f.out[from] > 0 || f.in[to] > 0 || f.side[from] != f.side[to] || f.rng.Float64() < f.currentLoss {
 		return
 	}
 	delay := time.Millisecond + time.Duration(f.rng.Int64N(int64(4*time.Millisecond)))
@@ -274,8 +274,8 @@
 	})
 }
 
-// strike begins a fault and ends it after its time.
-func (f *limitFleet) strike(x fleetFault) {
+// inject begins a fault and ends it after its time.
+func (f *limitFleet) inject(x fleetFault) {
 	f.mu.Lock()
 	for _, i := range x.nodes {
 		switch x.kind {
@@ -292,17 +292,17 @@
 		case "cut inwards":
 			f.in[i]++
 		case "split":
-			f.group[i] ^= 1
+			f.side[i] ^= 1
 		}
 	}
 	if x.kind == "lost" {
-		f.lossNow += 0.3
+		f.currentLoss += 0.3
 	}
 	f.mu.Unlock()
-	time.AfterFunc(x.lasts, func() { f.heal(x) })
+	time.AfterFunc(x.lasts, func() { f.endFault(x) })
 }
 
-func (f *limitFleet) heal(x fleetFault) {
+func (f *limitFleet) endFault(x fleetFault) {
 	f.mu.Lock()
 	var begin []int
 	for _, i := range x.nodes {
@@ -319,30 +319,30 @@
 		case "cut inwards":
 			f.in[i]--
 		case "split":
-			f.group[i] ^= 1
+			f.side[i] ^= 1
 		}
 	}
 	if x.kind == "lost" {
-		f.lossNow -= 0.3
+		f.currentLoss -= 0.3
 	}
 	f.mu.Unlock()
-	if time.Since(f.begun) < scheduleLength {
+	if time.Since(f.started) < scheduleLength {
 		for _, i := range begin {
 			f.start(i)
 		}
 	}
 }
 
-// call plays a request that comes to a node, up to three attempts.
+// call simulates a request on a node, with up to three attempts.
 func (f *limitFleet) call(i int, work time.Duration) {
 	f.mu.Lock()
-	n, life := f.nodes[i], f.lives[i]
+	n, incarnation := f.nodes[i], f.incarnations[i]
 	f.requests++
 	f.mu.Unlock()
 	if n == nil {
 		return
 	}
-	begun := time.Now()
+	started := time.Now()
 	var tried []string
 	for unsent := 0; len(tried) < 3 && unsent < 8; {
 		c, err := n.Choose(f.ctx, len(tried) > 0, tried, 3*time.Second)
@@ -350,13 +350,13 @@
 			f.mu.Lock()
 			defer f.mu.Unlock()
 			f.refused++
-			f.held += time.Since(begun)
+			f.refusalTime += time.Since(started)
 			return
 		}
-		// A connection opens, at times slowly.
+		// Opening a connection is sometimes slow.
 		f.pause()
 		f.mu.Lock()
-		alive := f.lives[i] == life && f.nodes[i] == n
+		alive := f.incarnations[i] == incarnation && f.nodes[i] == n
 		f.mu.Unlock()
 		if !alive {
 			return
@@ -368,7 +368,7 @@
 			}, 0)
 			continue
 		}
-		if f.serve(i, life, n, c, work) {
+		if f.serve(i, incarnation, n, c, work) {
 			return
 		}
 		tried = append(tried, c.Key)
@@ -385,18 +385,18 @@
 	time.Sleep(d)
 }
 
-// serve has a target work on a request and tells the node what it answered.
-func (f *limitFleet) serve(i int, life uint64, n *node.FleetNode, c entry.Choice, work time.Duration) bool {
+// serve simulates the work of a target on a request and passes its answer to the node.
+func (f *limitFleet) serve(i int, incarnation uint64, n *node.FleetNode, c entry.Choice, work time.Duration) bool {
 	const slots = 6
 	f.mu.Lock()
-	now := time.Since(f.begun)
+	now := time.Since(f.started)
 	limited := c.Key == "id-a0"
 	if limited {
-		f.arrivals = append(f.arrivals, sent{
-			at:   now,
-			node: i,
-			told: f.told[i] > 0 && now-f.told[i] >= limitHeard,
-			by:   c.By,
+		f.arrivals = append(f.arrivals, arrival{
+			at:       now,
+			node:     i,
+			informed: f.informedAt[i] > 0 && now-f.informedAt[i] >= limitPropagation,
+			by:       c.By,
 		})
 	}
 	full := f.slots[c.Key] >= slots
@@ -408,36 +408,36 @@
 		work = time.Millisecond
 	}
 	time.Sleep(work)
-	var said signal.Signal
+	var sig signal.Signal
 	f.mu.Lock()
 	if !full {
 		f.slots[c.Key]--
 	}
-	rate, ok := f.rate(time.Since(f.begun))
+	rate, ok := f.rate(time.Since(f.started))
 	if ok && limited {
-		said.Limit = signal.Limit{
+		sig.Limit = signal.Limit{
 			Rate: rate,
 			Set:  true,
 		}
 	}
-	alive := f.lives[i] == life && f.nodes[i] == n
+	alive := f.incarnations[i] == incarnation && f.nodes[i] == n
 	f.mu.Unlock()
 	time.Sleep(time.Millisecond)
 	if !alive {
 		return true
 	}
-	n.Hear(c, said)
+	n.Hear(c, sig)
 	c.Done(outlier.End{
 		Shed:   full,
 		Failed: false,
 	}, work)
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if limited && said.Limit.Set && f.told[i] == 0 {
-		f.told[i] = time.Since(f.begun)
+	if limited && sig.Limit.Set && f.informedAt[i] == 0 {
+		f.informedAt[i] = time.Since(f.started)
 	}
-	if limited && !said.Limit.Set {
-		f.told[i] = 0
+	if limited && !sig.Limit.Set {
+		f.informedAt[i] = 0
 	}
 	if !full {
 		f.served++
@@ -445,9 +445,9 @@
 	return !full
 }
 
-// worst returns the greatest part of what is allowed that the target got in any window, of those
-// arrivals that count.
-func (f *limitFleet) worst(excess, slack float64, counts func(sent) bool) (part float64, at time.Duration, got int) {
+// worst returns the greatest ratio of requests to allowed requests in any window, of those arrivals
+// that count.
+func (f *limitFleet) worst(excess, slack float64, counts func(arrival) bool) (ratio float64, at time.Duration, got int) {
 	var window []time.Duration
 	for _, a := range f.arrivals {
 		if !counts(a) {
@@ -460,12 +460,12 @@
 		allowed, ok := f.allowed(a.at, excess, slack)
 		// Sums of fractions may be off by less than any request.
 		const rounding = 1e-9
-		if ok && float64(len(window))/(allowed+rounding) > part {
-			part, at, got = float64(len(window))/(allowed+rounding), a.at, len(window)
+		if ok && float64(len(window))/(allowed+rounding) > ratio {
+			ratio, at, got = float64(len(window))/(allowed+rounding), a.at, len(window)
 		}
 	}
-	return part, at, got
+	return ratio, at, got
 }
 
-func fromTold(a sent) bool { return a.told }
-func fromAny(sent) bool    { return true }
+func fromInformed(a arrival) bool { return a.informed }
+func fromAny(arrival) bool        { return true }
--- a/internal/node/usage.go
+++ b/internal/node/usage.go
@@ -10,10 +10,10 @@
 	"ploverjunction.example/ploverjunction/internal/wire"
 )
 
-// This file translates reports about limits into messages and for operators.
+// This file converts reports about limits to and from messages and to their status.
 
-// status tells operators of the limits of the workspaces that have callers here.
-func (l *limiting) status(now time.Time) []operator.LimitStatus {
+// status returns the status of the limits of the workspaces that have callers on this node.
+func (l *limitController) status(now time.Time) []operator.LimitStatus {
 	var out []operator.LimitStatus
 	for _, s := range l.limiter.Standings(now) {
 		w := operator.LimitStatus{
@@ -35,9 +35,9 @@
 	return out
 }
 
-// usageOf returns the report of a workspace to the allocator whose life is known as to, 0
-// if it isn't.
-func usageOf(workspace string, r ratelimit.Report, to uint64) *wire.Usage {
+// wireUsage returns the report of a workspace to the allocator whose incarnation is to, 0 if it is
+// not known.
+func wireUsage(workspace string, r ratelimit.Report, to uint64) *wire.Usage {
 	u := &wire.Usage{
 		Workspace: workspace,
 		Returned:  r.Returned,
@@ -59,7 +59,7 @@
 	return u
 }
 
-func reportOf(u *wire.Usage) ratelimit.Report {
+func reportOfWire(u *wire.Usage) ratelimit.Report {
 	return ratelimit.Report{
 		Returned: u.GetReturned(),
 		Alone:    u.GetAlone(),
@@ -90,7 +90,7 @@
 	a.Kept = float32(s.Kept)
 }
 
-func shareOf(by uint64, a *wire.Allotment) ratelimit.Share {
+func shareOfWire(by uint64, a *wire.Allotment) ratelimit.Share {
 	return ratelimit.Share{
 		By:       by,
 		Admitted: int(a.GetAdmitted()),
