--- a/internal/dispatch/backoff.go
+++ b/internal/dispatch/backoff.go
@@ -43,7 +43,7 @@
 
 // anyAccepting reports whether any target that is not draining accepted its last request. If none
 // did, backing off only delays the refusal.
-func (d *Desk) anyAccepting(now time.Time) bool {
+func (d *Scheduler) anyAccepting(now time.Time) bool {
 	if !d.accepting.at.Equal(now) {
 		d.accepting = accepting{
 			at: now,
@@ -56,7 +56,7 @@
 }
 
 // BackOff records the backoff that a target sent, before the end of its attempt is recorded.
-func (d *Desk) BackOff(now time.Time, key string, id ID, wanted time.Duration) {
+func (d *Scheduler) BackOff(now time.Time, key string, id ID, wanted time.Duration) {
 	t := d.targets[key]
 	if t == nil {
 		return
--- a/internal/dispatch/backoff_model_test.go
+++ b/internal/dispatch/backoff_model_test.go
@@ -48,7 +48,7 @@
 	// receives the backoff.
 	result    dispatch.Result
 	signalled bool
-	scheduler *dispatch.Desk
+	scheduler *dispatch.Scheduler
 	rng       *rand.Rand
 	steps     eventQueue
 	now       time.Duration
--- a/internal/dispatch/choose.go
+++ b/internal/dispatch/choose.go
@@ -12,7 +12,7 @@
 const bestCostInterval = 50 * time.Millisecond
 
 // free returns the targets with a free slot. The result is valid until the next call.
-func (d *Desk) free(now time.Time) []*target {
+func (d *Scheduler) free(now time.Time) []*target {
 	d.freeBuffer = d.freeBuffer[:0]
 	for _, t := range d.order {
 		if !t.drains(now) && len(t.flights) < d.slots(now, t) {
@@ -23,7 +23,7 @@
 }
 
 // best returns the free target that a request should get now, or nil if it should wait.
-func (d *Desk) best(now time.Time, w *waiting, free []*target) *target {
+func (d *Scheduler) best(now time.Time, w *waiting, free []*target) *target {
 	t := d.cheapest(now, w.request, free)
 	if t == nil || !d.accepts(now, w, t) {
 		return nil
@@ -32,7 +32,7 @@
 }
 
 // accepts reports whether a request should take the target now rather than wait for a better one.
-func (d *Desk) accepts(now time.Time, w *waiting, t *target) bool {
+func (d *Scheduler) accepts(now time.Time, w *waiting, t *target) bool {
 	a := w.request
 	waited := float64(now.Sub(w.since)) / float64(max(d.maxWait(w.since, a), 1))
 	if waited >= 1 {
@@ -54,14 +54,14 @@
 // maxWait returns how long a request waits for a better target than is free. A request that can be
 // retried waits as long as an answer can still be in time. A final attempt waits longer: a late
 // answer is worth more than a failure, and failing targets always have free slots.
-func (d *Desk) maxWait(since time.Time, a *Ask) time.Duration {
+func (d *Scheduler) maxWait(since time.Time, a *Ask) time.Duration {
 	if !a.Repeatable || a.Again {
 		return time.Duration(finalWaitShare * float64(a.Deadline.Sub(since)))
 	}
 	return max(a.Aim.Sub(since)-d.model.Route(since, a.Route).Within(safeTimeShare), 0)
 }
 
-func (d *Desk) slots(now time.Time, t *target) int {
+func (d *Scheduler) slots(now time.Time, t *target) int {
 	if d.exhausted(now, t) {
 		return 0
 	}
@@ -76,7 +76,7 @@
 
 // cheapest returns the candidate of the lowest cost. Targets already tried are chosen only
 // if there is no other.
-func (d *Desk) cheapest(now time.Time, a *Ask, candidates []*target) *target {
+func (d *Scheduler) cheapest(now time.Time, a *Ask, candidates []*target) *target {
 	var best *target
 	least, bestTried := 0.0, false
 	d.examined += len(candidates)
--- a/internal/dispatch/configure.go
+++ b/internal/dispatch/configure.go
@@ -10,7 +10,7 @@
 )
 
 // Configure sets the targets in force. The state of targets that stay is kept.
-func (d *Desk) Configure(now time.Time, list []Target) {
+func (d *Scheduler) Configure(now time.Time, list []Target) {
 	old := d.targets
 	first := len(old) == 0
 	d.targets = make(map[string]*target, len(list))
@@ -35,7 +35,7 @@
 }
 
 // update applies the published data of a target. A changed warm-up begins now.
-func (d *Desk) update(now time.Time, t *target, published Target) {
+func (d *Scheduler) update(now time.Time, t *target, published Target) {
 	changed := published.Warmup != t.Warmup
 	t.Target = published
 	if changed {
@@ -51,7 +51,7 @@
 	return 0
 }
 
-func (d *Desk) newTarget(now time.Time) *target {
+func (d *Scheduler) newTarget(now time.Time) *target {
 	return &target{
 		health:  health.NewTarget(now, d.model),
 		flights: map[ID]flight{},
@@ -59,14 +59,14 @@
 }
 
 // join records that a target joins the others.
-func (d *Desk) join(now time.Time, t *target, published Target) {
+func (d *Scheduler) join(now time.Time, t *target, published Target) {
 	t.warmupUntil = now.Add(published.Warmup)
 	d.newTargets = append(d.newTargets, published.Key)
 }
 
 // Change applies targets that are new or changed and removes those with the keys in gone. All others
 // stay as they are.
-func (d *Desk) Change(now time.Time, changed []Target, gone []string) {
+func (d *Scheduler) Change(now time.Time, changed []Target, gone []string) {
 	dropped := false
 	for _, key := range gone {
 		if t := d.targets[key]; t != nil {
--- a/internal/dispatch/cost.go
+++ b/internal/dispatch/cost.go
@@ -54,7 +54,7 @@
 }
 
 // baseCost returns the cost of a target without its load.
-func (d *Desk) baseCost(now time.Time, t *target, a *Ask) float64 {
+func (d *Scheduler) baseCost(now time.Time, t *target, a *Ask) float64 {
 	c := a.failureCost() * t.lossProbability(now)
 	if t.DataHall != a.DataHall {
 		c += crossHallCost * float64(a.Kilobytes)
@@ -66,7 +66,7 @@
 }
 
 // cost returns the cost of a target including its load.
-func (d *Desk) cost(now time.Time, t *target, a *Ask) float64 {
+func (d *Scheduler) cost(now time.Time, t *target, a *Ask) float64 {
 	c := d.baseCost(now, t, a)
 	c += loadCost * float64(len(t.flights)+1) / float64(max(t.Slots, 1))
 	return c + tieBreakNoise*d.random()
--- a/internal/dispatch/coverage.go
+++ b/internal/dispatch/coverage.go
@@ -50,10 +50,10 @@
 
 // Keep sets the floor: the share, from 0 to 1, of the working targets that should have had work
 // within the last 1.5 s.
-func (d *Desk) Keep(floor float64) { d.floor = floor }
+func (d *Scheduler) Keep(floor float64) { d.floor = floor }
 
 // coverage returns the coverage at now and updates the uncovered probability of each target.
-func (d *Desk) coverage(now time.Time) *coverage {
+func (d *Scheduler) coverage(now time.Time) *coverage {
 	c := &d.lastCoverage
 	if past := now.Sub(c.at); past >= 0 && past < coverInterval {
 		return c
@@ -88,7 +88,7 @@
 // headroom returns, from 0 to 1, how easily the arriving requests keep the floor within spreadTime;
 // 0 where they are too few. They are counted over the window of the retry budget, so that a new
 // scheduler first learns their rate.
-func (d *Desk) headroom(now time.Time, working float64) float64 {
+func (d *Scheduler) headroom(now time.Time, working float64) float64 {
 	d.window.advance(now, d.started, d.budget)
 	own, _ := d.window.sums()
 	others, _ := d.remote.sums(now, d.budget)
@@ -99,7 +99,7 @@
 // coverageGain returns the value of granting the target for the coverage: the price, weighted by the
 // probability that the target should have had work. Retries have no gain, because they are the final
 // attempts of their requests.
-func (d *Desk) coverageGain(now time.Time, t *target, a *Ask) float64 {
+func (d *Scheduler) coverageGain(now time.Time, t *target, a *Ask) float64 {
 	price := d.coverage(now).price
 	if a.Again || len(t.flights) >= d.slots(now, t) {
 		return 0
--- a/internal/dispatch/end.go
+++ b/internal/dispatch/end.go
@@ -9,7 +9,7 @@
 )
 
 // Done records the end of a granted attempt and returns the grants that its slot makes possible.
-func (d *Desk) Done(now time.Time, id ID, key string, r Result, took time.Duration) []Grant {
+func (d *Scheduler) Done(now time.Time, id ID, key string, r Result, took time.Duration) []Grant {
 	delete(d.granted, id)
 	d.ended[id] = now
 	t := d.targets[key]
@@ -46,7 +46,7 @@
 }
 
 // Lost marks an attempt, before its end is reported, as the final one of its request.
-func (d *Desk) Lost(key string, id ID) {
+func (d *Scheduler) Lost(key string, id ID) {
 	if t := d.targets[key]; t != nil {
 		if f, ok := t.flights[id]; ok {
 			f.final = true
@@ -56,7 +56,7 @@
 }
 
 // Note records the result of an attempt that another scheduler granted.
-func (d *Desk) Note(now time.Time, key, route string, r Result, took time.Duration) {
+func (d *Scheduler) Note(now time.Time, key, route string, r Result, took time.Duration) {
 	rt := d.model.Route(now, route)
 	if t := d.targets[key]; t != nil {
 		if r != ResultUnreached {
@@ -69,7 +69,7 @@
 }
 
 // recordResponseTime records the response time of a good answer.
-func (d *Desk) recordResponseTime(route *health.Route, r Result, took time.Duration) {
+func (d *Scheduler) recordResponseTime(route *health.Route, r Result, took time.Duration) {
 	if r != ResultGood {
 		return
 	}
--- a/internal/dispatch/hedge_test.go
+++ b/internal/dispatch/hedge_test.go
@@ -14,7 +14,7 @@
 
 // newTrainedScheduler returns a scheduler whose targets have answered for some time, and the time
 // after that. The response times lie between half the usual time and one and a half.
-func newTrainedScheduler(targets ...dispatch.Target) (*dispatch.Desk, time.Time) {
+func newTrainedScheduler(targets ...dispatch.Target) (*dispatch.Scheduler, time.Time) {
 	d := newScheduler(targets...)
 	now := start
 	for n := range uint64(400) {
--- a/internal/dispatch/limit.go
+++ b/internal/dispatch/limit.go
@@ -128,13 +128,13 @@
 
 // Lead sets the share of the targets' limits that this scheduler may use, 1 for all: others may
 // grant the same targets at the same time.
-func (d *Desk) Lead(share float64) { d.limitShare = share }
+func (d *Scheduler) Lead(share float64) { d.limitShare = share }
 
 // Limited reports whether any target has a limit.
-func (d *Desk) Limited(now time.Time) bool { return d.limits > 0 || now.Before(d.warmupUntil) }
+func (d *Scheduler) Limited(now time.Time) bool { return d.limits > 0 || now.Before(d.warmupUntil) }
 
 // startWarmup applies the published warm-up of a target, from now on.
-func (d *Desk) startWarmup(now time.Time, t *target) {
+func (d *Scheduler) startWarmup(now time.Time, t *target) {
 	if t.Warmup <= 0 {
 		return
 	}
@@ -146,7 +146,7 @@
 
 // Observe records the limit of a target as reported by a node, unless a later answer of the target
 // is known. It reports whether the limit changed.
-func (d *Desk) Observe(now time.Time, by string, s TargetLimit) bool {
+func (d *Scheduler) Observe(now time.Time, by string, s TargetLimit) bool {
 	t := d.targets[s.Target]
 	if t == nil || !s.At.After(t.limit.at) {
 		return false
@@ -175,7 +175,7 @@
 
 // limitUpdates returns the target limits that differ from those in the request, lifted ones
 // included. A node receives them before it may have to choose in isolation.
-func (d *Desk) limitUpdates(a *Ask) []TargetLimit {
+func (d *Scheduler) limitUpdates(a *Ask) []TargetLimit {
 	if d.limits == 0 && len(a.Limits) == 0 {
 		return nil
 	}
@@ -207,7 +207,9 @@
 }
 
 // exhausted reports whether the target's limit pays for no grant now.
-func (d *Desk) exhausted(now time.Time, t *target) bool { return t.limit.wait(now, d.limitShare) > 0 }
+func (d *Scheduler) exhausted(now time.Time, t *target) bool {
+	return t.limit.wait(now, d.limitShare) > 0
+}
 
 // capacity is what the targets that do not drain can serve where each of them has a limit.
 type capacity struct {
@@ -218,7 +220,7 @@
 }
 
 // limitedCapacity returns the capacity of the targets that do not drain if each of them has a limit.
-func (d *Desk) limitedCapacity(now time.Time) (c capacity, all bool) {
+func (d *Scheduler) limitedCapacity(now time.Time) (c capacity, all bool) {
 	if !d.Limited(now) {
 		return c, false
 	}
--- a/internal/dispatch/limit_test.go
+++ b/internal/dispatch/limit_test.go
@@ -33,7 +33,7 @@
 
 // limitSimulation sends requests to a scheduler; each attempt takes a fixed time.
 type limitSimulation struct {
-	scheduler *dispatch.Desk
+	scheduler *dispatch.Scheduler
 	now       time.Time
 	next      uint64
 	// duration is the duration of an attempt.
@@ -53,7 +53,7 @@
 	target string
 }
 
-func newLimitSimulation(d *dispatch.Desk) *limitSimulation {
+func newLimitSimulation(d *dispatch.Scheduler) *limitSimulation {
 	return &limitSimulation{
 		scheduler:   d,
 		now:         start,
--- a/internal/dispatch/overload.go
+++ b/internal/dispatch/overload.go
@@ -16,7 +16,7 @@
 )
 
 // updateFreeSlot records whether a good slot is left over.
-func (d *Desk) updateFreeSlot(now time.Time, free []*target) {
+func (d *Scheduler) updateFreeSlot(now time.Time, free []*target) {
 	for _, t := range free {
 		if t.failureProbability(now) < goodSlotBelow {
 			d.lastFreeSlot = now
@@ -27,17 +27,17 @@
 }
 
 // slotsShort reports whether requests wait for slots rather than for better targets.
-func (d *Desk) slotsShort(now time.Time) bool { return now.Sub(d.lastFreeSlot) > slotsShortAfter }
+func (d *Scheduler) slotsShort(now time.Time) bool { return now.Sub(d.lastFreeSlot) > slotsShortAfter }
 
 // overloaded reports whether a request that cannot be answered in time is unlikely to be served: for
 // as long as it could wait, requests that can be answered in time left over no good slot. A shorter
 // burst is worked off, because a late answer is worth more than none.
-func (d *Desk) overloaded(now time.Time, a *Ask) bool {
+func (d *Scheduler) overloaded(now time.Time, a *Ask) bool {
 	return now.Sub(d.lastFreeSlot) > a.Deadline.Sub(a.Aim)
 }
 
 // maxExpectedWait returns the longest expected wait with which a request is still queued.
-func (d *Desk) maxExpectedWait(now time.Time, a *Ask) time.Duration {
+func (d *Scheduler) maxExpectedWait(now time.Time, a *Ask) time.Duration {
 	if d.overloaded(now, a) {
 		return a.Aim.Sub(now) - d.margin(now, a)
 	}
@@ -45,6 +45,6 @@
 }
 
 // retryAfter returns when a refused caller may retry: about when the waiting requests are served.
-func (d *Desk) retryAfter(wait time.Duration) time.Duration {
+func (d *Scheduler) retryAfter(wait time.Duration) time.Duration {
 	return wait + time.Duration(retryAfterJitter*(d.random()-0.5)*float64(wait))
 }
--- a/internal/dispatch/overload_test.go
+++ b/internal/dispatch/overload_test.go
@@ -29,7 +29,7 @@
 // overloadSimulation simulates a service under more load than it can serve, and counts what its
 // callers get.
 type overloadSimulation struct {
-	scheduler *dispatch.Desk
+	scheduler *dispatch.Scheduler
 	rng       *rand.Rand
 	steps     eventQueue
 	now       time.Duration
--- a/internal/dispatch/partition_test.go
+++ b/internal/dispatch/partition_test.go
@@ -131,7 +131,7 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			desks := make([]*dispatch.Desk, parts)
+			desks := make([]*dispatch.Scheduler, parts)
 			for i := range desks {
 				desks[i] = dispatch.NewDesk(start, dispatch.Budget{
 					Share:   share,
--- a/internal/dispatch/retries.go
+++ b/internal/dispatch/retries.go
@@ -6,7 +6,7 @@
 
 // affords reports whether the retry budget allows a request. share is the usable share of the
 // reserve.
-func (d *Desk) affords(now time.Time, a *Ask, share float64) bool {
+func (d *Scheduler) affords(now time.Time, a *Ask, share float64) bool {
 	d.window.advance(now, d.started, d.budget)
 	d.window.recordRequest(now, d.budget)
 	d.remote.record(now, a.ID.Node, a.Elsewhere)
@@ -14,7 +14,7 @@
 }
 
 // charge counts a request n times in the retry budget.
-func (d *Desk) charge(a *Ask, n float64) {
+func (d *Scheduler) charge(a *Ask, n float64) {
 	if a.Again {
 		d.window.addRetry(n)
 		return
@@ -24,14 +24,14 @@
 
 // retries returns the retries that the budget allows in the window and those spent, remote grants
 // included. share is the usable share of the reserve.
-func (d *Desk) retries(now time.Time, share float64) (all, spent float64) {
+func (d *Scheduler) retries(now time.Time, share float64) (all, spent float64) {
 	firsts, retries := d.remote.sums(now, d.budget)
 	all, spent = d.window.allowed(now, d.budget, share)
 	return all + usableShare*d.budget.Share*firsts, spent + retries
 }
 
 // retriesLeft returns the retries that the budget still allows.
-func (d *Desk) retriesLeft(now time.Time, share float64) float64 {
+func (d *Scheduler) retriesLeft(now time.Time, share float64) float64 {
 	all, spent := d.retries(now, share)
 	return all - spent
 }
--- a/internal/dispatch/scheduler.go
+++ b/internal/dispatch/scheduler.go
@@ -28,8 +28,8 @@
 	warmupSlotShare = 0.5
 )
 
-// Desk chooses the targets of one service. It is not safe for concurrent use.
-type Desk struct {
+// Scheduler chooses the targets of one service. It is not safe for concurrent use.
+type Scheduler struct {
 	started time.Time
 	budget  Budget
 	random  func() float64
@@ -75,8 +75,8 @@
 }
 
 // NewDesk returns a scheduler without targets. random returns values in [0, 1).
-func NewDesk(now time.Time, b Budget, random func() float64) *Desk {
-	return &Desk{
+func NewDesk(now time.Time, b Budget, random func() float64) *Scheduler {
+	return &Scheduler{
 		started:      now,
 		lastFreeSlot: now,
 		budget:       b,
@@ -92,7 +92,7 @@
 }
 
 // Ask answers a grant request at once. A repeated request with the same ID gets the same answer.
-func (d *Desk) Ask(now time.Time, a *Ask) Grant {
+func (d *Scheduler) Ask(now time.Time, a *Ask) Grant {
 	d.recordSignals(now, a)
 	g := d.answer(now, a)
 	g.Limits = d.limitUpdates(a)
@@ -100,7 +100,7 @@
 }
 
 // answer answers a grant request or repeats its previous answer.
-func (d *Desk) answer(now time.Time, a *Ask) Grant {
+func (d *Scheduler) answer(now time.Time, a *Ask) Grant {
 	if g, known := d.previousAnswer(a.ID); known {
 		if g.Verdict == Queued {
 			return d.renew(now, a)
@@ -131,7 +131,7 @@
 }
 
 // recordSignals records the target signals that the requesting node has received.
-func (d *Desk) recordSignals(now time.Time, a *Ask) {
+func (d *Scheduler) recordSignals(now time.Time, a *Ask) {
 	for _, key := range a.Draining {
 		d.MarkDraining(now, key)
 	}
@@ -141,7 +141,7 @@
 }
 
 // decide answers a request that the retry budget allows.
-func (d *Desk) decide(now time.Time, a *Ask) Grant {
+func (d *Scheduler) decide(now time.Time, a *Ask) Grant {
 	if d.unavailable(now, a) {
 		return a.withoutTarget(Refused, 0)
 	}
@@ -190,7 +190,7 @@
 
 // wait estimates how long a request of the given priority would wait: the work ahead of it, divided
 // by the slots of working targets.
-func (d *Desk) wait(now time.Time, priority int) time.Duration {
+func (d *Scheduler) wait(now time.Time, priority int) time.Duration {
 	work, n := d.queue.ahead(now, priority)
 	if c, all := d.limitedCapacity(now); all {
 		return c.wait(n)
@@ -209,24 +209,24 @@
 
 // infeasible reports whether so little time is left that an answer is unlikely; other requests make
 // better use of the slot.
-func (d *Desk) infeasible(now time.Time, a *Ask) bool {
+func (d *Scheduler) infeasible(now time.Time, a *Ask) bool {
 	return a.Deadline.Sub(now) < d.minResponseTime(now, a)
 }
 
 // minResponseTime returns the time within which infeasibleShare of the answers come.
-func (d *Desk) minResponseTime(now time.Time, a *Ask) time.Duration {
+func (d *Scheduler) minResponseTime(now time.Time, a *Ask) time.Duration {
 	return d.model.Route(now, a.Route).Within(infeasibleShare)
 }
 
 // margin returns the time within which nearly all answers come, or the usual time while that is
 // unknown.
-func (d *Desk) margin(now time.Time, a *Ask) time.Duration {
+func (d *Scheduler) margin(now time.Time, a *Ask) time.Duration {
 	route := d.model.Route(now, a.Route)
 	return max(route.Within(safeTimeShare), route.Usual())
 }
 
 // previousAnswer returns the answer that a request got before, if any.
-func (d *Desk) previousAnswer(id ID) (Grant, bool) {
+func (d *Scheduler) previousAnswer(id ID) (Grant, bool) {
 	if key, ok := d.granted[id]; ok {
 		g := Grant{
 			ID:      id,
@@ -256,7 +256,7 @@
 
 // AskAlone answers a grant request on a node that reaches no dispatcher. It ignores slots, because
 // the attempts of other nodes are unknown. share is this node's share of the retry reserve.
-func (d *Desk) AskAlone(now time.Time, a *Ask, share float64) Grant {
+func (d *Scheduler) AskAlone(now time.Time, a *Ask, share float64) Grant {
 	d.recordSignals(now, a)
 	if !d.affords(now, a, share) {
 		return Grant{
@@ -275,7 +275,7 @@
 }
 
 // grant grants a target. trial is set where the target is chosen only because it lacks work.
-func (d *Desk) grant(now time.Time, t *target, a *Ask, trial bool) Grant {
+func (d *Scheduler) grant(now time.Time, t *target, a *Ask, trial bool) Grant {
 	trial = trial || d.coverageGain(now, t, a) >= trialMinGain
 	if trial {
 		d.trials++
@@ -322,11 +322,11 @@
 const idleInterval = time.Second
 
 // Busy reports whether any request waits or any attempt is under way.
-func (d *Desk) Busy() bool { return len(d.granted) > 0 || len(d.queue.list) > 0 }
+func (d *Scheduler) Busy() bool { return len(d.granted) > 0 || len(d.queue.list) > 0 }
 
 // Advance drops attempts whose end was never reported and returns the grants and refusals that are
 // due.
-func (d *Desk) Advance(now time.Time) []Grant {
+func (d *Scheduler) Advance(now time.Time) []Grant {
 	if !d.Busy() && now.Sub(d.lastAdvance) < idleInterval {
 		return nil
 	}
@@ -354,7 +354,7 @@
 }
 
 // Cancel ends a waiting request or a granted attempt without a result for the target.
-func (d *Desk) Cancel(now time.Time, id ID) []Grant {
+func (d *Scheduler) Cancel(now time.Time, id ID) []Grant {
 	if key, ok := d.granted[id]; ok {
 		return d.Done(now, id, key, ResultIgnored, 0)
 	}
--- a/internal/dispatch/scheduler_test.go
+++ b/internal/dispatch/scheduler_test.go
@@ -14,7 +14,7 @@
 // start is the time at which the schedulers of these tests are created.
 var start = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-func newScheduler(targets ...dispatch.Target) *dispatch.Desk {
+func newScheduler(targets ...dispatch.Target) *dispatch.Scheduler {
 	d := dispatch.NewDesk(start, dispatch.Budget{
 		Share:   0.2,
 		Reserve: 50,
--- a/internal/dispatch/serve.go
+++ b/internal/dispatch/serve.go
@@ -40,7 +40,7 @@
 
 // serve refuses the requests that cannot be served any more and grants what the others can have now.
 // A slot goes to a request of its own data hall first.
-func (d *Desk) serve(now time.Time) []Grant {
+func (d *Scheduler) serve(now time.Time) []Grant {
 	out := d.expire(now)
 	defer func() { d.updateFreeSlot(now, d.free(now)) }()
 	examinedBefore := d.examined
@@ -80,7 +80,7 @@
 }
 
 // expire refuses the waiting requests that cannot be served any more.
-func (d *Desk) expire(now time.Time) []Grant {
+func (d *Scheduler) expire(now time.Time) []Grant {
 	out := d.queue.expire(now, func(a *Ask) bool { return d.overloaded(now, a) })
 	if len(out) == 0 {
 		return nil
@@ -96,7 +96,7 @@
 }
 
 // serveFreed grants a freed slot to a waiting request without examining the other targets.
-func (d *Desk) serveFreed(now time.Time, t *target) []Grant {
+func (d *Scheduler) serveFreed(now time.Time, t *target) []Grant {
 	out := d.expire(now)
 	defer func() {
 		if len(t.flights) < d.slots(now, t) {
--- a/internal/dispatch/serve_test.go
+++ b/internal/dispatch/serve_test.go
@@ -12,7 +12,7 @@
 
 // newOverloadedScheduler returns a scheduler without a free slot, with waiting requests of several
 // routes, and the grants under way.
-func newOverloadedScheduler(tb testing.TB, targets, waiting int, now time.Time) (*dispatch.Desk, []dispatch.Grant) {
+func newOverloadedScheduler(tb testing.TB, targets, waiting int, now time.Time) (*dispatch.Scheduler, []dispatch.Grant) {
 	tb.Helper()
 	list := pool(targets)
 	for i := range list {
--- a/internal/dispatch/simulation_test.go
+++ b/internal/dispatch/simulation_test.go
@@ -88,7 +88,7 @@
 // nodes would have violated the users' floor.
 type simulation struct {
 	s         *serviceModel
-	scheduler *dispatch.Desk
+	scheduler *dispatch.Scheduler
 	rng       *rand.Rand
 	targets   []*modelTarget
 	list      []dispatch.Target
@@ -233,7 +233,7 @@
 	p.after(took, func() { p.end(by, g, a, result, took) })
 }
 
-func (p *simulation) end(by *dispatch.Desk, g dispatch.Grant, a *dispatch.Ask, r dispatch.Result, took time.Duration) {
+func (p *simulation) end(by *dispatch.Scheduler, g dispatch.Grant, a *dispatch.Ask, r dispatch.Result, took time.Duration) {
 	p.start(by.Done(p.clock(), g.ID, g.Target, r, took))
 	if r == dispatch.ResultGood {
 		return
--- a/internal/dispatch/sparse.go
+++ b/internal/dispatch/sparse.go
@@ -23,7 +23,7 @@
 // arrivalRate returns the rate of first attempts, per second, since this scheduler took up the role
 // of dispatcher, and whether enough of them were counted. Nodes have schedulers long before they
 // take up the role.
-func (d *Desk) arrivalRate(now time.Time) (rate float64, known bool) {
+func (d *Scheduler) arrivalRate(now time.Time) (rate float64, known bool) {
 	d.window.advance(now, d.started, d.budget)
 	firsts, _ := d.window.sums()
 	counted := min(max(now.Sub(d.window.since), time.Millisecond), d.budget.Window)
@@ -32,7 +32,7 @@
 
 // sparse reports whether requests are too few to reach the floor of the targets within spreadTime,
 // however they are spread.
-func (d *Desk) sparse(now time.Time) bool {
+func (d *Scheduler) sparse(now time.Time) bool {
 	staying := float64(len(d.order) - d.draining)
 	rate, known := d.arrivalRate(now)
 	return known && rate*spreadTime.Seconds() < d.floor*staying
@@ -40,7 +40,7 @@
 
 // nextNewTarget returns the target that has waited longest for its first request, or nil if none is
 // due.
-func (d *Desk) nextNewTarget(now time.Time, a *Ask) *target {
+func (d *Scheduler) nextNewTarget(now time.Time, a *Ask) *target {
 	for len(d.newTargets) > 0 {
 		t := d.targets[d.newTargets[0]]
 		if t != nil && t.lastGranted.IsZero() && !t.drains(now) {
--- a/internal/dispatch/status.go
+++ b/internal/dispatch/status.go
@@ -54,14 +54,14 @@
 }
 
 // Asked returns the number of requests in the window of the retry budget.
-func (d *Desk) Asked(now time.Time) int {
+func (d *Scheduler) Asked(now time.Time) int {
 	d.window.advance(now, d.started, d.budget)
 	firsts, retries := d.window.sums()
 	return int(firsts + retries)
 }
 
 // Status returns the state of the scheduler.
-func (d *Desk) Status(now time.Time) Status {
+func (d *Scheduler) Status(now time.Time) Status {
 	s := Status{
 		Waiting:     len(d.queue.list),
 		Unlearned:   d.rejectedSamples,
--- a/internal/dispatch/unavailable_test.go
+++ b/internal/dispatch/unavailable_test.go
@@ -15,10 +15,10 @@
 // A target that signalled to any node that it drains gets no more requests from any node, also from
 // a new scheduler that receives the signal with a grant request. Its next incarnation gets work.
 func TestDrainSignal(t *testing.T) {
-	drain := func(d *dispatch.Desk) { d.MarkDraining(start, "t0") }
+	drain := func(d *dispatch.Scheduler) { d.MarkDraining(start, "t0") }
 	tests := []struct {
 		name   string
-		signal func(d *dispatch.Desk)
+		signal func(d *dispatch.Scheduler)
 		modify func(a *dispatch.Ask)
 	}{
 		{
@@ -28,7 +28,7 @@
 		},
 		{
 			name:   "signalled with the request",
-			signal: func(*dispatch.Desk) {},
+			signal: func(*dispatch.Scheduler) {},
 			modify: func(a *dispatch.Ask) { a.Draining = []string{"t0"} },
 		},
 		{
@@ -81,7 +81,7 @@
 }
 
 // grantCounts sends requests one after another and counts the grants by target.
-func grantCounts(d *dispatch.Desk, now time.Time, requests uint64) map[string]int {
+func grantCounts(d *dispatch.Scheduler, now time.Time, requests uint64) map[string]int {
 	out := map[string]int{}
 	for n := range requests {
 		g := d.Ask(now, newRequest(now, 10_000+n))
--- a/internal/dispatch/warmup_test.go
+++ b/internal/dispatch/warmup_test.go
@@ -25,7 +25,7 @@
 
 // saturate sends a grant request every few milliseconds from one time to another; each attempt takes
 // 100 ms. It returns the grant times by target.
-func saturate(d *dispatch.Desk, from, to time.Time) map[string][]time.Time {
+func saturate(d *dispatch.Scheduler, from, to time.Time) map[string][]time.Time {
 	out := map[string][]time.Time{}
 	type running struct {
 		ends time.Time
@@ -77,15 +77,15 @@
 	const left = 3 * time.Second
 	tests := []struct {
 		name string
-		desk func() *dispatch.Desk
+		desk func() *dispatch.Scheduler
 	}{
 		{
 			name: "from the start",
-			desk: func() *dispatch.Desk { return newScheduler(warmingTargets(2, left)...) },
+			desk: func() *dispatch.Scheduler { return newScheduler(warmingTargets(2, left)...) },
 		},
 		{
 			name: "new warm-up",
-			desk: func() *dispatch.Desk {
+			desk: func() *dispatch.Scheduler {
 				d := newScheduler(pool(2)...)
 				d.Change(start, warmingTargets(2, left), nil)
 				return d
@@ -93,7 +93,7 @@
 		},
 		{
 			name: "a third joins",
-			desk: func() *dispatch.Desk {
+			desk: func() *dispatch.Scheduler {
 				d := newScheduler(warmingTargets(2, left)...)
 				d.Change(start, append(warmingTargets(3, left)[2:], warmingTargets(2, left)...), nil)
 				return d
@@ -101,7 +101,7 @@
 		},
 		{
 			name: "remaining time is updated",
-			desk: func() *dispatch.Desk {
+			desk: func() *dispatch.Scheduler {
 				d := newScheduler(warmingTargets(2, left+time.Second)...)
 				d.Change(start, warmingTargets(2, left), nil)
 				return d
--- a/internal/node/dispatch.go
+++ b/internal/node/dispatch.go
@@ -96,7 +96,7 @@
 
 // scheduler is the state of one partition on this node.
 type scheduler struct {
-	*dispatch.Desk
+	*dispatch.Scheduler
 	config *fleetconfig.Service
 	// lastUsed is when the scheduler last received a request or a result.
 	lastUsed time.Time
