--- a/internal/dispatch/backoff_model_test.go
+++ b/internal/dispatch/backoff_model_test.go
@@ -106,7 +106,7 @@
 	for i := range p.unavailableUntil {
 		p.unavailableUntil[i] = map[string]time.Duration{}
 	}
-	p.scheduler = dispatch.NewDesk(start, dispatch.Budget{
+	p.scheduler = dispatch.NewScheduler(start, dispatch.Budget{
 		Share:   0.2,
 		Reserve: 60,
 		Window:  10 * time.Second,
--- a/internal/dispatch/budget_test.go
+++ b/internal/dispatch/budget_test.go
@@ -67,7 +67,7 @@
 	number := uint64(0)
 	for move := range 6 {
 		now := start.Add(time.Duration(move) * 1500 * time.Millisecond)
-		d := dispatch.NewDesk(now, dispatch.Budget{
+		d := dispatch.NewScheduler(now, dispatch.Budget{
 			Share:   0.2,
 			Reserve: 50,
 			Window:  10 * time.Second,
@@ -110,7 +110,7 @@
 	now, number := start, uint64(0)
 	for move := range moves {
 		name := fmt.Sprintf("dispatcher-%d", move)
-		d := dispatch.NewDesk(now, budget, rand.New(rand.NewPCG(1, 2)).Float64)
+		d := dispatch.NewScheduler(now, budget, rand.New(rand.NewPCG(1, 2)).Float64)
 		d.Configure(now, pool(20))
 		requests := 250
 		if move == 0 {
--- a/internal/dispatch/overload_test.go
+++ b/internal/dispatch/overload_test.go
@@ -73,7 +73,7 @@
 		gray:     gray,
 		requests: map[uint64]*overRequest{},
 	}
-	o.scheduler = dispatch.NewDesk(start, dispatch.Budget{
+	o.scheduler = dispatch.NewScheduler(start, dispatch.Budget{
 		Share:   0.2,
 		Reserve: 190,
 		Window:  10 * time.Second,
--- a/internal/dispatch/partition_test.go
+++ b/internal/dispatch/partition_test.go
@@ -133,7 +133,7 @@
 		t.Run(tt.name, func(t *testing.T) {
 			desks := make([]*dispatch.Scheduler, parts)
 			for i := range desks {
-				desks[i] = dispatch.NewDesk(start, dispatch.Budget{
+				desks[i] = dispatch.NewScheduler(start, dispatch.Budget{
 					Share:   share,
 					Reserve: reserve / parts,
 					Window:  window,
--- a/internal/dispatch/scheduler.go
+++ b/internal/dispatch/scheduler.go
@@ -74,8 +74,8 @@
 	trials int
 }
 
-// NewDesk returns a scheduler without targets. random returns values in [0, 1).
-func NewDesk(now time.Time, b Budget, random func() float64) *Scheduler {
+// NewScheduler returns a scheduler without targets. random returns values in [0, 1).
+func NewScheduler(now time.Time, b Budget, random func() float64) *Scheduler {
 	return &Scheduler{
 		started:      now,
 		lastFreeSlot: now,
--- a/internal/dispatch/scheduler_test.go
+++ b/internal/dispatch/scheduler_test.go
@@ -15,7 +15,7 @@
 var start = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
 func newScheduler(targets ...dispatch.Target) *dispatch.Scheduler {
-	d := dispatch.NewDesk(start, dispatch.Budget{
+	d := dispatch.NewScheduler(start, dispatch.Budget{
 		Share:   0.2,
 		Reserve: 50,
 		Window:  10 * time.Second,
--- a/internal/dispatch/simulation_test.go
+++ b/internal/dispatch/simulation_test.go
@@ -138,7 +138,7 @@
 
 // newDispatcher moves the role to a new scheduler without any state.
 func (p *simulation) newDispatcher() {
-	p.scheduler = dispatch.NewDesk(p.clock(), dispatch.Budget{
+	p.scheduler = dispatch.NewScheduler(p.clock(), dispatch.Budget{
 		Share:   0.2,
 		Reserve: 50,
 		Window:  10 * time.Second,
--- a/internal/dispatch/sparse_test.go
+++ b/internal/dispatch/sparse_test.go
@@ -86,7 +86,7 @@
 
 func (s *sparseService) simulate(seed uint64) sparseResult {
 	rng := rand.New(rand.NewPCG(seed, 586))
-	d := dispatch.NewDesk(start, dispatch.Budget{
+	d := dispatch.NewScheduler(start, dispatch.Budget{
 		Share:   0.2,
 		Reserve: 100,
 		Window:  10 * time.Second,
--- a/internal/node/dispatch_test.go
+++ b/internal/node/dispatch_test.go
@@ -50,7 +50,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		d := dispatch.NewDesk(time.Now(), dispatch.Budget{
+		d := dispatch.NewScheduler(time.Now(), dispatch.Budget{
 			Window: 10 * time.Second,
 		}, func() float64 { return 0 })
 		d.Configure(time.Now(), []dispatch.Target{
--- a/internal/node/dispatcher.go
+++ b/internal/node/dispatcher.go
@@ -112,8 +112,8 @@
 	s := d.schedulers[p]
 	if s == nil {
 		s = &scheduler{
-			Desk:     dispatch.NewDesk(now, d.budgetOf(p, sc), rand.Float64),
-			lastUsed: now,
+			Scheduler: dispatch.NewScheduler(now, d.budgetOf(p, sc), rand.Float64),
+			lastUsed:  now,
 		}
 		d.schedulers[p] = s
 	}
