--- a/internal/dispatch/backoff_model_test.go
+++ b/internal/dispatch/backoff_model_test.go
@@ -62,7 +62,7 @@
 }
 
 type backoffRequest struct {
-	request  *dispatch.Ask
+	request  *dispatch.Request
 	came     time.Duration
 	attempts int
 	counts   bool
@@ -163,7 +163,7 @@
 	r := &backoffRequest{
 		came:   p.now,
 		counts: p.now >= backoffWarmup,
-		request: &dispatch.Ask{
+		request: &dispatch.Request{
 			ID: dispatch.ID{
 				Node: fmt.Sprint(p.rng.IntN(backoffNodes)),
 			},
--- a/internal/dispatch/choose.go
+++ b/internal/dispatch/choose.go
@@ -54,7 +54,7 @@
 // maxWait returns how long a request waits for a better target than is free. A request that can be
 // retried waits as long as an answer can still be in time. A final attempt waits longer: a late
 // answer is worth more than a failure, and failing targets always have free slots.
-func (d *Scheduler) maxWait(since time.Time, a *Ask) time.Duration {
+func (d *Scheduler) maxWait(since time.Time, a *Request) time.Duration {
 	if !a.Repeatable || a.Again {
 		return time.Duration(finalWaitShare * float64(a.Deadline.Sub(since)))
 	}
@@ -76,7 +76,7 @@
 
 // cheapest returns the candidate of the lowest cost. Targets already tried are chosen only
 // if there is no other.
-func (d *Scheduler) cheapest(now time.Time, a *Ask, candidates []*target) *target {
+func (d *Scheduler) cheapest(now time.Time, a *Request, candidates []*target) *target {
 	var best *target
 	least, bestTried := 0.0, false
 	d.examined += len(candidates)
--- a/internal/dispatch/cost.go
+++ b/internal/dispatch/cost.go
@@ -33,7 +33,7 @@
 )
 
 // failureCost returns the cost of a failure of this attempt.
-func (a *Ask) failureCost() float64 {
+func (a *Request) failureCost() float64 {
 	switch {
 	case !a.Repeatable:
 		return unrepeatableFailureCost
@@ -45,7 +45,7 @@
 }
 
 // waitCost returns the cost of having waited.
-func (a *Ask) waitCost(waited time.Duration) float64 {
+func (a *Request) waitCost(waited time.Duration) float64 {
 	c := waitRate * waited.Seconds()
 	if !a.Repeatable || a.Again {
 		c = min(c, maxWaitCost)
@@ -54,7 +54,7 @@
 }
 
 // baseCost returns the cost of a target without its load.
-func (d *Scheduler) baseCost(now time.Time, t *target, a *Ask) float64 {
+func (d *Scheduler) baseCost(now time.Time, t *target, a *Request) float64 {
 	c := a.failureCost() * t.lossProbability(now)
 	if t.DataHall != a.DataHall {
 		c += crossHallCost * float64(a.Kilobytes)
@@ -66,7 +66,7 @@
 }
 
 // cost returns the cost of a target including its load.
-func (d *Scheduler) cost(now time.Time, t *target, a *Ask) float64 {
+func (d *Scheduler) cost(now time.Time, t *target, a *Request) float64 {
 	c := d.baseCost(now, t, a)
 	c += loadCost * float64(len(t.flights)+1) / float64(max(t.Slots, 1))
 	return c + tieBreakNoise*d.random()
--- a/internal/dispatch/coverage.go
+++ b/internal/dispatch/coverage.go
@@ -99,7 +99,7 @@
 // coverageGain returns the value of granting the target for the coverage: the price, weighted by the
 // probability that the target should have had work. Retries have no gain, because they are the final
 // attempts of their requests.
-func (d *Scheduler) coverageGain(now time.Time, t *target, a *Ask) float64 {
+func (d *Scheduler) coverageGain(now time.Time, t *target, a *Request) float64 {
 	price := d.coverage(now).price
 	if a.Again || len(t.flights) >= d.slots(now, t) {
 		return 0
--- a/internal/dispatch/hedge.go
+++ b/internal/dispatch/hedge.go
@@ -19,7 +19,7 @@
 
 // allowsHedge reports whether a hedge is worth a retry: the more of the retry budget is spent, the
 // surer it must be that the first attempt gets no answer.
-func (d *Scheduler) allowsHedge(now time.Time, a *Ask) bool {
+func (d *Scheduler) allowsHedge(now time.Time, a *Request) bool {
 	d.window.advance(now, d.started, d.budget)
 	all, retries := d.retries(now, 1)
 	if all < 1 || a.Age <= 0 || d.infeasible(now, a) {
@@ -31,7 +31,7 @@
 }
 
 // silenceProbability returns the probability that the attempt under way gets no answer.
-func (d *Scheduler) silenceProbability(now time.Time, a *Ask) float64 {
+func (d *Scheduler) silenceProbability(now time.Time, a *Request) float64 {
 	route := d.model.Route(now, a.Route)
 	p := d.model.Share()
 	if n := len(a.Tried); n > 0 && d.targets[a.Tried[n-1]] != nil {
--- a/internal/dispatch/hedge_test.go
+++ b/internal/dispatch/hedge_test.go
@@ -30,7 +30,7 @@
 }
 
 // newHedge returns a request for a hedge of an attempt at first that has been silent for age.
-func newHedge(now time.Time, n uint64, age time.Duration, first string) *dispatch.Ask {
+func newHedge(now time.Time, n uint64, age time.Duration, first string) *dispatch.Request {
 	a := newRequest(now, n)
 	a.Repeatable, a.Again, a.Hedge, a.Age = true, true, true, age
 	a.Tried = []string{first}
--- a/internal/dispatch/limit.go
+++ b/internal/dispatch/limit.go
@@ -175,7 +175,7 @@
 
 // limitUpdates returns the target limits that differ from those in the request, lifted ones
 // included. A node receives them before it may have to choose in isolation.
-func (d *Scheduler) limitUpdates(a *Ask) []TargetLimit {
+func (d *Scheduler) limitUpdates(a *Request) []TargetLimit {
 	if d.limits == 0 && len(a.Limits) == 0 {
 		return nil
 	}
--- a/internal/dispatch/overload.go
+++ b/internal/dispatch/overload.go
@@ -32,12 +32,12 @@
 // overloaded reports whether a request that cannot be answered in time is unlikely to be served: for
 // as long as it could wait, requests that can be answered in time left over no good slot. A shorter
 // burst is worked off, because a late answer is worth more than none.
-func (d *Scheduler) overloaded(now time.Time, a *Ask) bool {
+func (d *Scheduler) overloaded(now time.Time, a *Request) bool {
 	return now.Sub(d.lastFreeSlot) > a.Deadline.Sub(a.Aim)
 }
 
 // maxExpectedWait returns the longest expected wait with which a request is still queued.
-func (d *Scheduler) maxExpectedWait(now time.Time, a *Ask) time.Duration {
+func (d *Scheduler) maxExpectedWait(now time.Time, a *Request) time.Duration {
 	if d.overloaded(now, a) {
 		return a.Aim.Sub(now) - d.margin(now, a)
 	}
--- a/internal/dispatch/overload_test.go
+++ b/internal/dispatch/overload_test.go
@@ -43,7 +43,7 @@
 }
 
 type overRequest struct {
-	request *dispatch.Ask
+	request *dispatch.Request
 	came    time.Duration
 }
 
@@ -117,7 +117,7 @@
 	}
 	o.next++
 	r := &overRequest{
-		request: &dispatch.Ask{
+		request: &dispatch.Request{
 			ID: dispatch.ID{
 				Node:   "n",
 				Number: o.next,
--- a/internal/dispatch/queue.go
+++ b/internal/dispatch/queue.go
@@ -9,7 +9,7 @@
 
 // waiting is a queued request.
 type waiting struct {
-	request *Ask
+	request *Request
 	since   time.Time
 	// usualTime is the usual response time, margin the time within which nearly all answers come.
 	usualTime time.Duration
@@ -65,7 +65,7 @@
 
 // updateUnavailable updates the unavailable targets and closed data halls of a waiting request from
 // a repeated one.
-func (q *queue) updateUnavailable(a *Ask) {
+func (q *queue) updateUnavailable(a *Request) {
 	for _, w := range q.list {
 		if w.request.ID == a.ID && !(slices.Equal(w.request.Barred, a.Barred) && slices.Equal(w.request.Closed, a.Closed)) {
 			w.request.Barred, w.request.Closed = a.Barred, a.Closed
@@ -91,7 +91,7 @@
 
 // expire removes and refuses the requests that cannot be served any more. Those for which overloaded
 // returns true are refused as soon as they cannot be answered in time.
-func (q *queue) expire(now time.Time, overloaded func(*Ask) bool) []Grant {
+func (q *queue) expire(now time.Time, overloaded func(*Request) bool) []Grant {
 	var out []Grant
 	q.list = slices.DeleteFunc(q.list, func(w *waiting) bool {
 		if w.request.Deadline.Sub(now) >= w.minResponseTime && (q.inTime(now, w) || !overloaded(w.request)) {
--- a/internal/dispatch/request.go
+++ b/internal/dispatch/request.go
@@ -30,8 +30,8 @@
 	Number uint64
 }
 
-// Ask requests a grant for one attempt.
-type Ask struct {
+// Request requests a grant for one attempt.
+type Request struct {
 	ID         ID
 	DataHall   string
 	Repeatable bool
@@ -74,7 +74,7 @@
 }
 
 // final reports whether no other attempt can follow a failure of this one.
-func (a *Ask) final() bool { return !a.Repeatable || a.Again && !a.Hedge }
+func (a *Request) final() bool { return !a.Repeatable || a.Again && !a.Hedge }
 
 // Verdict is the decision on a grant request.
 type Verdict uint8
--- a/internal/dispatch/retries.go
+++ b/internal/dispatch/retries.go
@@ -6,7 +6,7 @@
 
 // affords reports whether the retry budget allows a request. share is the usable share of the
 // reserve.
-func (d *Scheduler) affords(now time.Time, a *Ask, share float64) bool {
+func (d *Scheduler) affords(now time.Time, a *Request, share float64) bool {
 	d.window.advance(now, d.started, d.budget)
 	d.window.recordRequest(now, d.budget)
 	d.remote.record(now, a.ID.Node, a.Elsewhere)
@@ -14,7 +14,7 @@
 }
 
 // charge counts a request n times in the retry budget.
-func (d *Scheduler) charge(a *Ask, n float64) {
+func (d *Scheduler) charge(a *Request, n float64) {
 	if a.Again {
 		d.window.addRetry(n)
 		return
--- a/internal/dispatch/scheduler.go
+++ b/internal/dispatch/scheduler.go
@@ -92,7 +92,7 @@
 }
 
 // Ask answers a grant request at once. A repeated request with the same ID gets the same answer.
-func (d *Scheduler) Ask(now time.Time, a *Ask) Grant {
+func (d *Scheduler) Ask(now time.Time, a *Request) Grant {
 	d.recordSignals(now, a)
 	g := d.answer(now, a)
 	g.Limits = d.limitUpdates(a)
@@ -100,7 +100,7 @@
 }
 
 // answer answers a grant request or repeats its previous answer.
-func (d *Scheduler) answer(now time.Time, a *Ask) Grant {
+func (d *Scheduler) answer(now time.Time, a *Request) Grant {
 	if g, known := d.previousAnswer(a.ID); known {
 		if g.Verdict == Queued {
 			return d.renew(now, a)
@@ -131,7 +131,7 @@
 }
 
 // recordSignals records the target signals that the requesting node has received.
-func (d *Scheduler) recordSignals(now time.Time, a *Ask) {
+func (d *Scheduler) recordSignals(now time.Time, a *Request) {
 	for _, key := range a.Draining {
 		d.MarkDraining(now, key)
 	}
@@ -141,7 +141,7 @@
 }
 
 // decide answers a request that the retry budget allows.
-func (d *Scheduler) decide(now time.Time, a *Ask) Grant {
+func (d *Scheduler) decide(now time.Time, a *Request) Grant {
 	if d.unavailable(now, a) {
 		return a.withoutTarget(Refused, 0)
 	}
@@ -177,7 +177,7 @@
 
 // withoutTarget returns the answer to a request that gets no target. A non-queueing request gets
 // Full instead of a refusal.
-func (a *Ask) withoutTarget(v Verdict, wait time.Duration) Grant {
+func (a *Request) withoutTarget(v Verdict, wait time.Duration) Grant {
 	if a.Passing {
 		v, wait = Full, 0
 	}
@@ -209,18 +209,18 @@
 
 // infeasible reports whether so little time is left that an answer is unlikely; other requests make
 // better use of the slot.
-func (d *Scheduler) infeasible(now time.Time, a *Ask) bool {
+func (d *Scheduler) infeasible(now time.Time, a *Request) bool {
 	return a.Deadline.Sub(now) < d.minResponseTime(now, a)
 }
 
 // minResponseTime returns the time within which infeasibleShare of the answers come.
-func (d *Scheduler) minResponseTime(now time.Time, a *Ask) time.Duration {
+func (d *Scheduler) minResponseTime(now time.Time, a *Request) time.Duration {
 	return d.model.Route(now, a.Route).Within(infeasibleShare)
 }
 
 // margin returns the time within which nearly all answers come, or the usual time while that is
 // unknown.
-func (d *Scheduler) margin(now time.Time, a *Ask) time.Duration {
+func (d *Scheduler) margin(now time.Time, a *Request) time.Duration {
 	route := d.model.Route(now, a.Route)
 	return max(route.Within(safeTimeShare), route.Usual())
 }
@@ -256,7 +256,7 @@
 
 // AskAlone answers a grant request on a node that reaches no dispatcher. It ignores slots, because
 // the attempts of other nodes are unknown. share is this node's share of the retry reserve.
-func (d *Scheduler) AskAlone(now time.Time, a *Ask, share float64) Grant {
+func (d *Scheduler) AskAlone(now time.Time, a *Request, share float64) Grant {
 	d.recordSignals(now, a)
 	if !d.affords(now, a, share) {
 		return Grant{
@@ -275,7 +275,7 @@
 }
 
 // grant grants a target. trial is set where the target is chosen only because it lacks work.
-func (d *Scheduler) grant(now time.Time, t *target, a *Ask, trial bool) Grant {
+func (d *Scheduler) grant(now time.Time, t *target, a *Request, trial bool) Grant {
 	trial = trial || d.coverageGain(now, t, a) >= trialMinGain
 	if trial {
 		d.trials++
--- a/internal/dispatch/scheduler_test.go
+++ b/internal/dispatch/scheduler_test.go
@@ -55,8 +55,8 @@
 }
 
 // newRequest returns a grant request for an attempt that cannot be repeated.
-func newRequest(now time.Time, n uint64) *dispatch.Ask {
-	return &dispatch.Ask{
+func newRequest(now time.Time, n uint64) *dispatch.Request {
+	return &dispatch.Request{
 		ID: dispatch.ID{
 			Node:   "n",
 			Number: n,
--- a/internal/dispatch/serve.go
+++ b/internal/dispatch/serve.go
@@ -81,7 +81,7 @@
 
 // expire refuses the waiting requests that cannot be served any more.
 func (d *Scheduler) expire(now time.Time) []Grant {
-	out := d.queue.expire(now, func(a *Ask) bool { return d.overloaded(now, a) })
+	out := d.queue.expire(now, func(a *Request) bool { return d.overloaded(now, a) })
 	if len(out) == 0 {
 		return nil
 	}
--- a/internal/dispatch/simulation_test.go
+++ b/internal/dispatch/simulation_test.go
@@ -97,7 +97,7 @@
 	steps     eventQueue
 	now       time.Duration
 	next      uint64
-	requests  map[uint64]*dispatch.Ask
+	requests  map[uint64]*dispatch.Request
 	// all and lost count requests, crossed the answers from other data halls.
 	all, lost, crossed int
 }
@@ -108,7 +108,7 @@
 		rng:      rand.New(rand.NewPCG(seed, 77)),
 		byKey:    map[string]*modelTarget{},
 		hallOf:   map[string]string{},
-		requests: map[uint64]*dispatch.Ask{},
+		requests: map[uint64]*dispatch.Request{},
 	}
 	var list []dispatch.Target
 	for hall, n := range s.halls {
@@ -180,7 +180,7 @@
 func (p *simulation) arrive() {
 	p.all++
 	p.next++
-	a := &dispatch.Ask{
+	a := &dispatch.Request{
 		ID: dispatch.ID{
 			Node:   "n",
 			Number: p.next,
@@ -195,7 +195,7 @@
 	p.after(time.Duration(p.rng.ExpFloat64()/p.s.perSecond*float64(time.Second)), p.arrive)
 }
 
-func (p *simulation) request(a *dispatch.Ask) {
+func (p *simulation) request(a *dispatch.Request) {
 	p.requests[a.ID.Number] = a
 	p.start([]dispatch.Grant{p.scheduler.Ask(p.clock(), a)})
 }
@@ -212,7 +212,7 @@
 	}
 }
 
-func (p *simulation) attempt(g dispatch.Grant, a *dispatch.Ask) {
+func (p *simulation) attempt(g dispatch.Grant, a *dispatch.Request) {
 	m := p.byKey[g.Target]
 	m.reached = append(m.reached, p.now)
 	if p.hallOf[g.Target] != a.DataHall {
@@ -233,7 +233,7 @@
 	p.after(took, func() { p.end(by, g, a, result, took) })
 }
 
-func (p *simulation) end(by *dispatch.Scheduler, g dispatch.Grant, a *dispatch.Ask, r dispatch.Result, took time.Duration) {
+func (p *simulation) end(by *dispatch.Scheduler, g dispatch.Grant, a *dispatch.Request, r dispatch.Result, took time.Duration) {
 	p.start(by.Done(p.clock(), g.ID, g.Target, r, took))
 	if r == dispatch.ResultGood {
 		return
--- a/internal/dispatch/sparse.go
+++ b/internal/dispatch/sparse.go
@@ -40,7 +40,7 @@
 
 // nextNewTarget returns the target that has waited longest for its first request, or nil if none is
 // due.
-func (d *Scheduler) nextNewTarget(now time.Time, a *Ask) *target {
+func (d *Scheduler) nextNewTarget(now time.Time, a *Request) *target {
 	for len(d.newTargets) > 0 {
 		t := d.targets[d.newTargets[0]]
 		if t != nil && t.lastGranted.IsZero() && !t.drains(now) {
--- a/internal/dispatch/sparse_test.go
+++ b/internal/dispatch/sparse_test.go
@@ -142,7 +142,7 @@
 			Number: number,
 		}
 		arrived[id] = at
-		granted(at, d.Ask(start.Add(at), &dispatch.Ask{
+		granted(at, d.Ask(start.Add(at), &dispatch.Request{
 			ID:       id,
 			Aim:      start.Add(at + 1200*time.Millisecond),
 			Deadline: start.Add(at + 8*time.Second),
--- a/internal/dispatch/spread.go
+++ b/internal/dispatch/spread.go
@@ -102,7 +102,7 @@
 }
 
 // spreadFor returns how far a request may spread work.
-func (d *Scheduler) spreadFor(now time.Time, a *Ask) spread {
+func (d *Scheduler) spreadFor(now time.Time, a *Request) spread {
 	switch {
 	case d.outcomes.failing(now):
 		return spread{
@@ -126,7 +126,7 @@
 
 // starved returns the target least likely to fail among those without recent work, or nil if these
 // are few. Estimates may be wrong, and leaving out working targets would overload the rest.
-func (d *Scheduler) starved(now time.Time, a *Ask) *target {
+func (d *Scheduler) starved(now time.Time, a *Request) *target {
 	if a.Again {
 		return nil
 	}
--- a/internal/dispatch/target.go
+++ b/internal/dispatch/target.go
@@ -61,7 +61,7 @@
 func (t *target) drains(now time.Time) bool { return t.Leaving || now.Before(t.drainingUntil) }
 
 // open reports whether the target may be granted to the request.
-func (t *target) open(now time.Time, a *Ask) bool {
+func (t *target) open(now time.Time, a *Request) bool {
 	return !t.drains(now) && !slices.Contains(a.Closed, t.DataHall) && !slices.Contains(a.Barred, t.Key)
 }
 
--- a/internal/dispatch/unavailable.go
+++ b/internal/dispatch/unavailable.go
@@ -6,7 +6,7 @@
 
 // unavailable reports whether none of the targets that do not drain is available to the requesting
 // node. Where all are draining, others may join at any time.
-func (d *Scheduler) unavailable(now time.Time, a *Ask) bool {
+func (d *Scheduler) unavailable(now time.Time, a *Request) bool {
 	if len(a.Barred)+len(a.Closed) == 0 {
 		return false
 	}
@@ -23,7 +23,7 @@
 }
 
 // renew updates the unavailable targets of a waiting request from a repeated one.
-func (d *Scheduler) renew(now time.Time, a *Ask) Grant {
+func (d *Scheduler) renew(now time.Time, a *Request) Grant {
 	if d.unavailable(now, a) {
 		d.queue.drop(a.ID)
 		d.ended[a.ID] = now
--- a/internal/dispatch/unavailable_test.go
+++ b/internal/dispatch/unavailable_test.go
@@ -19,27 +19,27 @@
 	tests := []struct {
 		name   string
 		signal func(d *dispatch.Scheduler)
-		modify func(a *dispatch.Ask)
+		modify func(a *dispatch.Request)
 	}{
 		{
 			name:   "signalled at the end of an attempt",
 			signal: drain,
-			modify: func(*dispatch.Ask) {},
+			modify: func(*dispatch.Request) {},
 		},
 		{
 			name:   "signalled with the request",
 			signal: func(*dispatch.Scheduler) {},
-			modify: func(a *dispatch.Ask) { a.Draining = []string{"t0"} },
+			modify: func(a *dispatch.Request) { a.Draining = []string{"t0"} },
 		},
 		{
 			name:   "repeatable request",
 			signal: drain,
-			modify: func(a *dispatch.Ask) { a.Repeatable = true },
+			modify: func(a *dispatch.Request) { a.Repeatable = true },
 		},
 		{
 			name:   "retry",
 			signal: drain,
-			modify: func(a *dispatch.Ask) {
+			modify: func(a *dispatch.Request) {
 				a.Again = true
 				a.Tried = []string{"t1", "t2"}
 			},
@@ -123,7 +123,7 @@
 func simulateUnavailable(t *testing.T, rng *rand.Rand) {
 	const targets, requests = 8, 400
 	d := newScheduler(pool(targets)...)
-	open := map[uint64]*dispatch.Ask{}
+	open := map[uint64]*dispatch.Request{}
 	running := map[uint64]string{}
 	now := start
 	take := func(g dispatch.Grant) {
@@ -140,7 +140,7 @@
 			take(g)
 		}
 	}
-	setUnavailable := func(a *dispatch.Ask) {
+	setUnavailable := func(a *dispatch.Request) {
 		a.Barred = nil
 		for i := range targets {
 			if rng.Float64() < 0.3 {
@@ -180,7 +180,7 @@
 // waiting ones included; requests of other nodes are served.
 func TestAllTargetsUnavailable(t *testing.T) {
 	d := newScheduler(pool(2)...)
-	withoutTargets := func(n uint64) *dispatch.Ask {
+	withoutTargets := func(n uint64) *dispatch.Request {
 		a := newRequest(start, n)
 		a.Barred = []string{"t0", "t1"}
 		return a
--- a/internal/node/dispatcher.go
+++ b/internal/node/dispatcher.go
@@ -189,7 +189,7 @@
 func (d *dispatchController) handleGrantRequest(in *wire.Datagram) {
 	now := time.Now()
 	w := in.GetAsk()
-	a := &dispatch.Ask{
+	a := &dispatch.Request{
 		ID: dispatch.ID{
 			Node:   in.GetFrom().GetAddress(),
 			Number: in.GetCall(),
--- a/internal/node/fallback.go
+++ b/internal/node/fallback.go
@@ -17,7 +17,7 @@
 	now := time.Now()
 	self := d.board.view.Load().Self()
 	unavailable := d.board.unavailable(now, d.currentService(q.Service), p.hall)
-	a := &dispatch.Ask{
+	a := &dispatch.Request{
 		ID: dispatch.ID{
 			Node:   self.Address(),
 			Number: d.messenger.calls.Add(1),
