--- a/internal/dispatch/backoff_model_test.go
+++ b/internal/dispatch/backoff_model_test.go
@@ -210,7 +210,7 @@
 		return
 	}
 	p.requests[p.next] = r
-	p.start([]dispatch.Grant{p.scheduler.Ask(p.clock(), &a)})
+	p.start([]dispatch.Grant{p.scheduler.RequestGrant(p.clock(), &a)})
 }
 
 func (p *backoffSimulation) refuse(r *backoffRequest) {
--- a/internal/dispatch/backoff_test.go
+++ b/internal/dispatch/backoff_test.go
@@ -90,7 +90,7 @@
 	d := newScheduler(pool(2)...)
 	now := start
 	for n := uint64(0); ; n++ {
-		g := d.Ask(now, newRequest(now, n))
+		g := d.RequestGrant(now, newRequest(now, n))
 		if g.Target == "t0" {
 			d.BackOff(now, g.Target, g.ID, 3*time.Second)
 			d.Done(now, g.ID, g.Target, dispatch.ResultBackoff, time.Millisecond)
@@ -105,7 +105,7 @@
 		t.Errorf("failure probability of the target is %v", before)
 	}
 	for n := range uint64(20) {
-		if g := d.Ask(now, newRequest(now, 1000+n)); g.Target == "t0" {
+		if g := d.RequestGrant(now, newRequest(now, 1000+n)); g.Target == "t0" {
 			t.Fatal("another node got the target at once")
 		}
 	}
--- a/internal/dispatch/bench_test.go
+++ b/internal/dispatch/bench_test.go
@@ -26,7 +26,7 @@
 				if old.Target != "" {
 					d.Done(now, old.ID, old.Target, dispatch.ResultGood, usualTime)
 				}
-				running[n%targets] = d.Ask(now, newRequest(now, uint64(n)))
+				running[n%targets] = d.RequestGrant(now, newRequest(now, uint64(n)))
 				if n%targets == 0 {
 					d.Advance(now)
 				}
--- a/internal/dispatch/budget_test.go
+++ b/internal/dispatch/budget_test.go
@@ -20,12 +20,12 @@
 		now = now.Add(20 * time.Millisecond)
 		a := newRequest(now, 2*n)
 		a.Repeatable = true
-		g := d.Ask(now, a)
+		g := d.RequestGrant(now, a)
 		firsts++
 		d.Done(now, g.ID, g.Target, dispatch.ResultBad, 0)
 		b := newRequest(now, 2*n+1)
 		b.Repeatable, b.Again = true, true
-		if g := d.Ask(now, b); g.Verdict == dispatch.Granted {
+		if g := d.RequestGrant(now, b); g.Verdict == dispatch.Granted {
 			retries++
 			d.Done(now, g.ID, g.Target, dispatch.ResultBad, 0)
 		}
@@ -41,7 +41,7 @@
 	now := start
 	// The reserve grows with the time since the node became the dispatcher.
 	for n := range uint64(25) {
-		g := d.Ask(now, newRequest(now, 2000+n))
+		g := d.RequestGrant(now, newRequest(now, 2000+n))
 		d.Done(now, g.ID, g.Target, dispatch.ResultGood, 200*time.Millisecond)
 		now = now.Add(500 * time.Millisecond)
 	}
@@ -49,14 +49,14 @@
 	for n := range uint64(100) {
 		a := newRequest(now, n)
 		a.Repeatable, a.Again, a.Hedge, a.Age = true, true, true, 900*time.Millisecond
-		if g := d.Ask(now, a); g.Verdict == dispatch.Granted {
+		if g := d.RequestGrant(now, a); g.Verdict == dispatch.Granted {
 			hedges++
 			d.Done(now, g.ID, g.Target, dispatch.ResultIgnored, 0)
 		}
 	}
 	a := newRequest(now, 1000)
 	a.Repeatable, a.Again = true, true
-	if g := d.Ask(now, a); hedges == 0 || g.Verdict != dispatch.Granted {
+	if g := d.RequestGrant(now, a); hedges == 0 || g.Verdict != dispatch.Granted {
 		t.Fatalf("after %d hedges the retry of a failed request is %v", hedges, g.Verdict)
 	}
 }
@@ -77,7 +77,7 @@
 			number++
 			a := newRequest(now, number)
 			a.Repeatable, a.Again = true, true
-			if g := d.Ask(now, a); g.Verdict == dispatch.Granted {
+			if g := d.RequestGrant(now, a); g.Verdict == dispatch.Granted {
 				retries++
 				d.Done(now, g.ID, g.Target, dispatch.ResultBad, 0)
 			}
@@ -129,7 +129,7 @@
 				a.ID.Node = fmt.Sprintf("node-%d", number%nodes)
 				a.Again = attempt > 0
 				a.Elsewhere = ledger.Elsewhere(now, name)
-				g := d.Ask(now, a)
+				g := d.RequestGrant(now, a)
 				if g.Verdict != dispatch.Granted {
 					break
 				}
--- a/internal/dispatch/choose_test.go
+++ b/internal/dispatch/choose_test.go
@@ -29,10 +29,10 @@
 // another one.
 func TestRequestWaitsForOwnDataHall(t *testing.T) {
 	d, now := newTrainedScheduler(twoHalls()...)
-	d.Ask(now, newRequest(now, 1))
+	d.RequestGrant(now, newRequest(now, 1))
 	a := newRequest(now, 2)
 	a.Kilobytes = 5
-	if g := d.Ask(now, a); g.Verdict != dispatch.Queued {
+	if g := d.RequestGrant(now, a); g.Verdict != dispatch.Queued {
 		t.Fatalf("at once: %v %q", g.Verdict, g.Target)
 	}
 	grants := d.Advance(now.Add(100 * time.Millisecond))
@@ -50,7 +50,7 @@
 		a := newRequest(now, uint64(n+1))
 		a.DataHall = hall
 		a.Kilobytes = 5
-		if g := d.Ask(now, a); n == 0 {
+		if g := d.RequestGrant(now, a); n == 0 {
 			far = g
 		}
 	}
@@ -70,7 +70,7 @@
 	tried := time.Duration(0)
 	for n := range uint64(400) {
 		at := now.Add(time.Duration(n) * 20 * time.Millisecond)
-		g := d.Ask(at, newRequest(at, n))
+		g := d.RequestGrant(at, newRequest(at, n))
 		if g.Target == "t0" {
 			tried = at.Sub(now)
 			break
@@ -96,7 +96,7 @@
 		if n < 200 {
 			a.Kilobytes = 90
 		}
-		g := d.Ask(at, a)
+		g := d.RequestGrant(at, a)
 		if g.Target == "t1" {
 			tried[a.Kilobytes] = true
 		}
@@ -118,7 +118,7 @@
 	for n := range uint64(20) {
 		a := newRequest(now, n)
 		a.Deadline = now.Add(6 * usualTime)
-		g := d.Ask(now, a)
+		g := d.RequestGrant(now, a)
 		if g.Verdict == dispatch.Refused {
 			if g.RetryAfter < 3*usualTime || g.RetryAfter > 6*usualTime {
 				t.Errorf("RetryAfter is %v", g.RetryAfter)
--- a/internal/dispatch/coverage_test.go
+++ b/internal/dispatch/coverage_test.go
@@ -131,7 +131,7 @@
 		}
 		a := newRequest(now, 1)
 		a.Tried = []string{"t1", "t2"}
-		g := d.Ask(now, a)
+		g := d.RequestGrant(now, a)
 		if g.Target != "t0" {
 			t.Fatalf("got %q", g.Target)
 		}
@@ -173,7 +173,7 @@
 		}
 		a := newRequest(now, 1)
 		a.Repeatable, a.Again = true, retry
-		if g := d.Ask(now, a); g.Trial == retry || (g.Target == "t1") == retry {
+		if g := d.RequestGrant(now, a); g.Trial == retry || (g.Target == "t1") == retry {
 			t.Errorf("retry: %v; got %q, trial %v", retry, g.Target, g.Trial)
 		}
 	}
@@ -192,7 +192,7 @@
 		now := start.Add(time.Duration(n) * 500 * time.Millisecond)
 		a := newRequest(now, n)
 		a.Repeatable, a.Kilobytes = true, 90
-		g := d.Ask(now, a)
+		g := d.RequestGrant(now, a)
 		if g.Target != "t0" && g.Target != "t1" {
 			t.Fatalf("request %d: %q", n, g.Target)
 		}
--- a/internal/dispatch/hedge_test.go
+++ b/internal/dispatch/hedge_test.go
@@ -22,7 +22,7 @@
 		a := newRequest(now, 1_000_000+n)
 		a.DataHall = string(rune('a' + n%2))
 		a.Kilobytes = 5
-		g := d.Ask(now, a)
+		g := d.RequestGrant(now, a)
 		took := usualTime/2 + time.Duration(n%20)*usualTime/20
 		d.Done(now, g.ID, g.Target, dispatch.ResultGood, took)
 	}
@@ -64,9 +64,9 @@
 			d, now := newTrainedScheduler(pool(6)...)
 			first := newRequest(now, 1)
 			first.Repeatable = true
-			g := d.Ask(now, first)
+			g := d.RequestGrant(now, first)
 			later := now.Add(tt.age)
-			if got := d.Ask(later, newHedge(later, 2, tt.age, g.Target)); got.Verdict != tt.want {
+			if got := d.RequestGrant(later, newHedge(later, 2, tt.age, g.Target)); got.Verdict != tt.want {
 				t.Errorf("got %v, want %v", got.Verdict, tt.want)
 			}
 		})
@@ -80,17 +80,17 @@
 	for n := range uint64(200) {
 		a := newRequest(now, n)
 		a.Repeatable, a.Again = true, true
-		g := d.Ask(now, a)
+		g := d.RequestGrant(now, a)
 		if g.Verdict != dispatch.Granted {
 			t.Fatalf("retry %d: %v", n, g.Verdict)
 		}
 		d.Done(now, g.ID, g.Target, dispatch.ResultGood, usualTime)
-		h := d.Ask(now, newHedge(now, 1000+n, age, "t0"))
+		h := d.RequestGrant(now, newHedge(now, 1000+n, age, "t0"))
 		if h.Verdict == dispatch.Spent {
 			if n == 0 {
 				t.Fatal("no hedge while the budget was hardly used")
 			}
-			sure := d.Ask(now, newHedge(now, 2000+n, 8*usualTime, "t0"))
+			sure := d.RequestGrant(now, newHedge(now, 2000+n, 8*usualTime, "t0"))
 			if sure.Verdict != dispatch.Granted {
 				t.Errorf("hedge of a surely silent attempt: %v, with %.0f retries left", sure.Verdict, d.Status(now).RepeatsLeft)
 			}
@@ -107,13 +107,13 @@
 	for range 4 {
 		d.Note(now, "bad", "", dispatch.ResultBad, time.Millisecond)
 	}
-	if g := d.Ask(now, newRequest(now, 1)); g.Target != "good" {
+	if g := d.RequestGrant(now, newRequest(now, 1)); g.Target != "good" {
 		t.Fatalf("first request got %q", g.Target)
 	}
 	a := newHedge(now, 2, 4*usualTime, "bad")
 	a.Tried = []string{"elsewhere"}
 	a.Aim = now.Add(usualTime)
-	if g := d.Ask(now, a); g.Verdict != dispatch.Queued {
+	if g := d.RequestGrant(now, a); g.Verdict != dispatch.Queued {
 		t.Fatalf("hedge: %v %q", g.Verdict, g.Target)
 	}
 	if grants := d.Advance(now.Add(usualTime / 2)); len(grants) != 0 {
@@ -129,14 +129,14 @@
 		DataHall: "a",
 		Slots:    1,
 	})
-	first := d.Ask(now, newRequest(now, 1))
+	first := d.RequestGrant(now, newRequest(now, 1))
 	waiting, late := newRequest(now, 2), newRequest(now, 3)
 	waiting.Deadline = now.Add(2 * usualTime)
 	late.Deadline = now.Add(usualTime / 4)
-	if g := d.Ask(now, late); g.Verdict != dispatch.Refused {
+	if g := d.RequestGrant(now, late); g.Verdict != dispatch.Refused {
 		t.Errorf("with hardly any time left: %v", g.Verdict)
 	}
-	if g := d.Ask(now, waiting); g.Verdict != dispatch.Queued {
+	if g := d.RequestGrant(now, waiting); g.Verdict != dispatch.Queued {
 		t.Fatalf("with time left: %v", g.Verdict)
 	}
 	grants := d.Done(now.Add(2*usualTime-usualTime/4), first.ID, first.Target, dispatch.ResultGood, usualTime)
--- a/internal/dispatch/limit_test.go
+++ b/internal/dispatch/limit_test.go
@@ -76,7 +76,7 @@
 		for due += rate * step.Seconds(); due >= 1; due-- {
 			p.next++
 			p.requestedAt[p.next] = p.now
-			p.start([]dispatch.Grant{p.scheduler.Ask(p.now, newRequest(p.now, p.next))})
+			p.start([]dispatch.Grant{p.scheduler.RequestGrant(p.now, newRequest(p.now, p.next))})
 		}
 		if p.now.Sub(start)%(50*time.Millisecond) == 0 {
 			p.start(p.scheduler.Advance(p.now))
@@ -160,7 +160,7 @@
 	a.Limits = []dispatch.TargetLimit{
 		limitOf("t0", 2, start.Add(-10*time.Second)),
 	}
-	if g := d.Ask(start, a); g.Verdict == dispatch.Granted {
+	if g := d.RequestGrant(start, a); g.Verdict == dispatch.Granted {
 		t.Error("granted at once")
 	}
 	if at := start.Add(520 * time.Millisecond); len(d.Advance(at)) != 1 {
@@ -239,7 +239,7 @@
 	for range 10 {
 		p.now = p.now.Add(2 * time.Second)
 		p.next++
-		if g := d.Ask(p.now, newRequest(p.now, p.next)); g.Target == "t0" {
+		if g := d.RequestGrant(p.now, newRequest(p.now, p.next)); g.Target == "t0" {
 			d.Done(p.now, g.ID, g.Target, dispatch.ResultBackoff, time.Millisecond)
 		}
 	}
@@ -273,11 +273,11 @@
 	d := newScheduler(pool(1)...)
 	d.Observe(start, "n", limitOf("t0", 1, start))
 	now := start.Add(time.Second)
-	if g := d.Ask(now, newRequest(now, 1)); g.Verdict != dispatch.Granted {
+	if g := d.RequestGrant(now, newRequest(now, 1)); g.Verdict != dispatch.Granted {
 		t.Fatalf("%v", g.Verdict)
 	}
 	d.Done(now, newRequest(now, 1).ID, "t0", dispatch.ResultUnreached, 0)
-	if g := d.Ask(now, newRequest(now, 2)); g.Verdict != dispatch.Granted {
+	if g := d.RequestGrant(now, newRequest(now, 2)); g.Verdict != dispatch.Granted {
 		t.Errorf("%v", g.Verdict)
 	}
 }
@@ -323,7 +323,7 @@
 func TestLimitTooLowForDeadlineIsRefused(t *testing.T) {
 	d := newScheduler(pool(1)...)
 	d.Observe(start, "n", limitOf("t0", 0.1, start))
-	g := d.Ask(start, newRequest(start, 1))
+	g := d.RequestGrant(start, newRequest(start, 1))
 	if g.Verdict != dispatch.Refused || g.RetryAfter < 7*time.Second || g.RetryAfter > 13*time.Second {
 		t.Errorf("%v, RetryAfter is %v", g.Verdict, g.RetryAfter)
 	}
@@ -340,13 +340,13 @@
 	a.Limits = []dispatch.TargetLimit{
 		limitOf("t1", 3, start),
 	}
-	sent := d.Ask(start, a).Limits
+	sent := d.RequestGrant(start, a).Limits
 	if len(sent) != 2 || sent[0] != limitOf("t0", 2, start) || sent[1] != lifted("t1", start.Add(time.Second)) {
 		t.Errorf("sent %+v", sent)
 	}
 	a = newRequest(start, 2)
 	a.Limits = sent[:1]
-	if sent := d.Ask(start, a).Limits; len(sent) != 0 {
+	if sent := d.RequestGrant(start, a).Limits; len(sent) != 0 {
 		t.Errorf("sent again %+v", sent)
 	}
 }
@@ -360,7 +360,7 @@
 	}
 	sent := map[string]bool{}
 	for i := range uint64(100) {
-		limits := d.Ask(start, newRequest(start, i)).Limits
+		limits := d.RequestGrant(start, newRequest(start, i)).Limits
 		if len(limits) > dispatch.MaxLimits {
 			t.Fatalf("%d in one message", len(limits))
 		}
@@ -377,16 +377,16 @@
 // meanwhile did not pay for it.
 func TestRepeatedGrantKeepsItsLimit(t *testing.T) {
 	d := newScheduler(pool(1)...)
-	if g := d.Ask(start, newRequest(start, 1)); g.Verdict != dispatch.Granted || g.Limit.Set {
+	if g := d.RequestGrant(start, newRequest(start, 1)); g.Verdict != dispatch.Granted || g.Limit.Set {
 		t.Fatalf("%+v", g)
 	}
 	d.Observe(start, "n", limitOf("t0", 2, start))
-	if g := d.Ask(start.Add(25*time.Millisecond), newRequest(start, 1)); g.Target != "t0" || g.Limit.Set {
+	if g := d.RequestGrant(start.Add(25*time.Millisecond), newRequest(start, 1)); g.Target != "t0" || g.Limit.Set {
 		t.Errorf("%+v", g)
 	}
 	now := start.Add(time.Second)
 	for range 2 {
-		if g := d.Ask(now, newRequest(now, 2)); g.Target != "t0" || !g.Limit.Set || !g.LimitAt.Equal(start) {
+		if g := d.RequestGrant(now, newRequest(now, 2)); g.Target != "t0" || !g.Limit.Set || !g.LimitAt.Equal(start) {
 			t.Errorf("%+v", g)
 		}
 	}
--- a/internal/dispatch/overload_test.go
+++ b/internal/dispatch/overload_test.go
@@ -135,7 +135,7 @@
 	if r.came >= overWarm {
 		o.got.all++
 	}
-	o.start([]dispatch.Grant{o.scheduler.Ask(o.clock(), r.request)})
+	o.start([]dispatch.Grant{o.scheduler.RequestGrant(o.clock(), r.request)})
 }
 
 func (o *overloadSimulation) start(grants []dispatch.Grant) {
--- a/internal/dispatch/partition_test.go
+++ b/internal/dispatch/partition_test.go
@@ -89,14 +89,14 @@
 	})
 	// Waiting requests pay for retries.
 	for n := range uint64(20) {
-		d.Ask(start, newRequest(start, 100+n))
+		d.RequestGrant(start, newRequest(start, 100+n))
 	}
 	before := d.Status(start)
 	for n := range uint64(20) {
 		a := newRequest(start, 200+n)
 		a.Passing = true
 		a.Again = n%2 == 1
-		if g := d.Ask(start, a); g.Verdict != dispatch.Full {
+		if g := d.RequestGrant(start, a); g.Verdict != dispatch.Full {
 			t.Fatalf("request %d: %v", n, g.Verdict)
 		}
 	}
@@ -146,13 +146,13 @@
 				for i, d := range desks {
 					for range tt.load[i] {
 						n++
-						d.Ask(now, newRequest(now, n))
+						d.RequestGrant(now, newRequest(now, n))
 						firsts++
 						for range 3 {
 							n++
 							a := newRequest(now, n)
 							a.Repeatable, a.Again = true, true
-							if g := d.Ask(now, a); g.Verdict != dispatch.Spent {
+							if g := d.RequestGrant(now, a); g.Verdict != dispatch.Spent {
 								retries++
 							}
 						}
--- a/internal/dispatch/scheduler.go
+++ b/internal/dispatch/scheduler.go
@@ -91,8 +91,8 @@
 	}
 }
 
-// Ask answers a grant request at once. A repeated request with the same ID gets the same answer.
-func (d *Scheduler) Ask(now time.Time, a *Request) Grant {
+// RequestGrant answers a grant request at once. A repeated request with the same ID gets the same answer.
+func (d *Scheduler) RequestGrant(now time.Time, a *Request) Grant {
 	d.recordSignals(now, a)
 	g := d.answer(now, a)
 	g.Limits = d.limitUpdates(a)
--- a/internal/dispatch/scheduler_test.go
+++ b/internal/dispatch/scheduler_test.go
@@ -73,8 +73,8 @@
 		Key:   "only",
 		Slots: 1,
 	})
-	fmt.Println(d.Ask(start, newRequest(start, 1)).Verdict)
-	fmt.Println(d.Ask(start, newRequest(start, 2)).Verdict)
+	fmt.Println(d.RequestGrant(start, newRequest(start, 1)).Verdict)
+	fmt.Println(d.RequestGrant(start, newRequest(start, 2)).Verdict)
 	later := start.Add(200 * time.Millisecond)
 	for _, g := range d.Done(later, dispatch.ID{
 		Node:   "n",
@@ -113,7 +113,7 @@
 		}
 		for n := range uint64(300) {
 			now = now.Add(time.Duration(rng.IntN(20)) * time.Millisecond)
-			take(d.Ask(now, newRequest(now, n)))
+			take(d.RequestGrant(now, newRequest(now, n)))
 			for id, key := range running {
 				if rng.IntN(3) == 0 {
 					delete(running, id)
@@ -142,13 +142,13 @@
 // gets work again.
 func TestFailedTargetIsAvoidedThenReused(t *testing.T) {
 	d := newScheduler(pool(6)...)
-	first := d.Ask(start, newRequest(start, 1))
+	first := d.RequestGrant(start, newRequest(start, 1))
 	d.Done(start.Add(3*time.Millisecond), first.ID, first.Target, dispatch.ResultBad, 3*time.Millisecond)
 	used := func(from time.Time, n uint64) int {
 		hits := 0
 		for i := range n {
 			now := from.Add(time.Duration(i) * 10 * time.Millisecond)
-			g := d.Ask(now, newRequest(now, uint64(from.Sub(start))+10+i))
+			g := d.RequestGrant(now, newRequest(now, uint64(from.Sub(start))+10+i))
 			if g.Target == first.Target {
 				hits++
 			}
@@ -162,13 +162,13 @@
 	// A target without a good answer in the other data hall gets work only under load, so the second
 	// half uses a single target.
 	d = newScheduler(pool(1)...)
-	d.Ask(start, newRequest(start, 1))
+	d.RequestGrant(start, newRequest(start, 1))
 	d.Done(start, dispatch.ID{
 		Node:   "n",
 		Number: 1,
 	}, "t0", dispatch.ResultBad, 0)
 	later := start.Add(6 * time.Second)
-	if g := d.Ask(later, newRequest(later, 2)); g.Verdict != dispatch.Granted {
+	if g := d.RequestGrant(later, newRequest(later, 2)); g.Verdict != dispatch.Granted {
 		t.Errorf("the only target got no work after it failed: %v", g.Verdict)
 	}
 }
@@ -179,10 +179,10 @@
 	d := newScheduler(goodAndBad(3)...)
 	d.Note(start, "bad", "", dispatch.ResultBad, time.Millisecond)
 	d.Note(start, "bad", "", dispatch.ResultBad, time.Millisecond)
-	if g := d.Ask(start, newRequest(start, 1)); g.Target != "good" {
+	if g := d.RequestGrant(start, newRequest(start, 1)); g.Target != "good" {
 		t.Fatalf("first request got %q", g.Target)
 	}
-	if g := d.Ask(start, newRequest(start, 2)); g.Verdict != dispatch.Queued {
+	if g := d.RequestGrant(start, newRequest(start, 2)); g.Verdict != dispatch.Queued {
 		t.Fatalf("second request: %v %q", g.Verdict, g.Target)
 	}
 	grants := d.Done(start.Add(300*time.Millisecond), dispatch.ID{
@@ -199,19 +199,19 @@
 func TestFinalAttemptWaitsForWorkingTarget(t *testing.T) {
 	d := newScheduler(goodAndBad(3)...)
 	// The retry budget must not be empty.
-	first := d.Ask(start, newRequest(start, 1))
+	first := d.RequestGrant(start, newRequest(start, 1))
 	d.Done(start, first.ID, first.Target, dispatch.ResultGood, time.Millisecond)
 	now := start.Add(4 * time.Second)
 	for range 3 {
 		d.Note(now, "bad", "", dispatch.ResultBad, time.Millisecond)
 	}
-	if g := d.Ask(now, newRequest(now, 2)); g.Target != "good" {
+	if g := d.RequestGrant(now, newRequest(now, 2)); g.Target != "good" {
 		t.Fatalf("first attempt got %q", g.Target)
 	}
 	a := newRequest(now, 3)
 	a.Repeatable = true
 	a.Again = true
-	if g := d.Ask(now, a); g.Verdict != dispatch.Queued {
+	if g := d.RequestGrant(now, a); g.Verdict != dispatch.Queued {
 		t.Fatalf("second attempt: %v %q", g.Verdict, g.Target)
 	}
 	if grants := d.Advance(now.Add(500 * time.Millisecond)); len(grants) != 0 {
@@ -222,9 +222,9 @@
 // A datagram that arrives again after its attempt ended takes no slot.
 func TestRepeatedDatagramDoesNotReopenRequest(t *testing.T) {
 	d := newScheduler(pool(1)...)
-	g := d.Ask(start, newRequest(start, 1))
+	g := d.RequestGrant(start, newRequest(start, 1))
 	d.Done(start, g.ID, g.Target, dispatch.ResultGood, time.Millisecond)
-	d.Ask(start.Add(time.Millisecond), newRequest(start, 1))
+	d.RequestGrant(start.Add(time.Millisecond), newRequest(start, 1))
 	if s := d.Status(start); s.InFlight != 0 {
 		t.Fatalf("%d in flight", s.InFlight)
 	}
@@ -242,7 +242,7 @@
 	}
 	for _, r := range results {
 		d := newScheduler(pool(1)...)
-		g := d.Ask(start, newRequest(start, 1))
+		g := d.RequestGrant(start, newRequest(start, 1))
 		d.Done(start, g.ID, g.Target, r, time.Millisecond)
 		if s := d.Status(start); s.InFlight != 0 {
 			t.Errorf("%v: %d in flight", r, s.InFlight)
@@ -256,9 +256,9 @@
 		Key:   "only",
 		Slots: 1,
 	})
-	d.Ask(start, newRequest(start, 1))
+	d.RequestGrant(start, newRequest(start, 1))
 	late := start.Add(3 * time.Second)
-	d.Ask(late, newRequest(late, 2))
+	d.RequestGrant(late, newRequest(late, 2))
 	grants := d.Advance(late.Add(600 * time.Millisecond))
 	if len(grants) != 1 || grants[0].Verdict != dispatch.Granted {
 		t.Fatalf("got %v", grants)
@@ -271,12 +271,12 @@
 		Key:   "only",
 		Slots: 1,
 	})
-	d.Ask(start, newRequest(start, 1))
+	d.RequestGrant(start, newRequest(start, 1))
 	old := newRequest(start, 2)
 	old.Aim = start.Add(100 * time.Millisecond)
-	d.Ask(start, old)
+	d.RequestGrant(start, old)
 	now := start.Add(200 * time.Millisecond)
-	d.Ask(now, newRequest(now, 3))
+	d.RequestGrant(now, newRequest(now, 3))
 	grants := d.Done(now, dispatch.ID{
 		Node:   "n",
 		Number: 1,
@@ -292,11 +292,11 @@
 		Key:   "only",
 		Slots: 1,
 	})
-	d.Ask(start, newRequest(start, 1))
+	d.RequestGrant(start, newRequest(start, 1))
 	low, high := newRequest(start, 2), newRequest(start, 3)
 	low.Priority, high.Priority = 2, 1
-	d.Ask(start, low)
-	d.Ask(start, high)
+	d.RequestGrant(start, low)
+	d.RequestGrant(start, high)
 	grants := d.Done(start, dispatch.ID{
 		Node:   "n",
 		Number: 1,
@@ -318,7 +318,7 @@
 	got := false
 	for n := range uint64(200) {
 		now := start.Add(2*time.Second + time.Duration(n)*10*time.Millisecond)
-		g := d.Ask(now, newRequest(now, n))
+		g := d.RequestGrant(now, newRequest(now, n))
 		got = got || g.Target == "new"
 		if n >= 6 {
 			d.Done(now, dispatch.ID{
@@ -338,7 +338,7 @@
 	for n := range uint64(6) {
 		a := newRequest(start, n)
 		a.Repeatable, a.Kilobytes = true, 90
-		g := d.Ask(start, a)
+		g := d.RequestGrant(start, a)
 		if g.Verdict != dispatch.Granted || g.Target != "t0" && g.Target != "t2" {
 			t.Fatalf("request %d: %v %q", n, g.Verdict, g.Target)
 		}
@@ -362,7 +362,7 @@
 		Slots:   3,
 		Leaving: true,
 	})
-	if g := d.Ask(start, newRequest(start, 1)); g.Verdict != dispatch.Queued {
+	if g := d.RequestGrant(start, newRequest(start, 1)); g.Verdict != dispatch.Queued {
 		t.Errorf("got %v", g.Verdict)
 	}
 	if g := d.AskAlone(start, newRequest(start, 2), 1); g.Verdict != dispatch.Refused {
--- a/internal/dispatch/serve_test.go
+++ b/internal/dispatch/serve_test.go
@@ -25,7 +25,7 @@
 		a.Route = fmt.Sprint("route-", n%20)
 		a.Deadline = now.Add(time.Hour)
 		a.Aim = a.Deadline
-		switch g := d.Ask(now, a); g.Verdict {
+		switch g := d.RequestGrant(now, a); g.Verdict {
 		case dispatch.Granted:
 			running = append(running, g)
 		case dispatch.Queued:
@@ -53,7 +53,7 @@
 				a.Route = fmt.Sprint("route-", n%20)
 				a.Deadline = now.Add(time.Hour)
 				a.Aim = a.Deadline
-				if g := d.Ask(now, a); g.Verdict == dispatch.Granted {
+				if g := d.RequestGrant(now, a); g.Verdict == dispatch.Granted {
 					running = append(running, g)
 				}
 			}
--- a/internal/dispatch/simulation_test.go
+++ b/internal/dispatch/simulation_test.go
@@ -197,7 +197,7 @@
 
 func (p *simulation) request(a *dispatch.Request) {
 	p.requests[a.ID.Number] = a
-	p.start([]dispatch.Grant{p.scheduler.Ask(p.clock(), a)})
+	p.start([]dispatch.Grant{p.scheduler.RequestGrant(p.clock(), a)})
 }
 
 // start starts the attempts that were granted.
--- a/internal/dispatch/sparse_test.go
+++ b/internal/dispatch/sparse_test.go
@@ -142,7 +142,7 @@
 			Number: number,
 		}
 		arrived[id] = at
-		granted(at, d.Ask(start.Add(at), &dispatch.Request{
+		granted(at, d.RequestGrant(start.Add(at), &dispatch.Request{
 			ID:       id,
 			Aim:      start.Add(at + 1200*time.Millisecond),
 			Deadline: start.Add(at + 8*time.Second),
@@ -276,7 +276,7 @@
 	from := start.Add(20 * time.Second)
 	for n := range uint64(900) {
 		now := from.Add(time.Duration(n) * 3 * time.Millisecond)
-		g := d.Ask(now, newRequest(now, n))
+		g := d.RequestGrant(now, newRequest(now, n))
 		last[g.Target] = now
 		r := dispatch.ResultGood
 		if n%3 == 0 {
--- a/internal/dispatch/spread_test.go
+++ b/internal/dispatch/spread_test.go
@@ -34,7 +34,7 @@
 		now = now.Add(12 * time.Millisecond)
 		a := newRequest(now, n)
 		a.DataHall = string(rune('a' + n%2))
-		g := d.Ask(now, a)
+		g := d.RequestGrant(now, a)
 		last[g.Target] = now
 		if n < failUntil && g.Target < "t15" {
 			d.Done(now, g.ID, g.Target, dispatch.ResultBad, time.Millisecond)
@@ -62,7 +62,7 @@
 	now := start
 	for n := range uint64(600) {
 		now = now.Add(15 * time.Millisecond)
-		g := d.Ask(now, newRequest(now, n))
+		g := d.RequestGrant(now, newRequest(now, n))
 		if g.Verdict != dispatch.Granted {
 			t.Fatalf("request %d: %v", n, g.Verdict)
 		}
@@ -100,7 +100,7 @@
 		now := start.Add(time.Duration(n) * 2500 * time.Microsecond)
 		a := newRequest(now, n)
 		a.Repeatable = true
-		g := d.Ask(now, a)
+		g := d.RequestGrant(now, a)
 		last[g.Target] = now
 		d.Done(now, g.ID, g.Target, dispatch.ResultGood, 300*time.Millisecond)
 		if n < 1200 {
@@ -122,7 +122,7 @@
 		now = now.Add(15 * time.Millisecond)
 		a := newRequest(now, n)
 		a.Repeatable = true
-		g := d.Ask(now, a)
+		g := d.RequestGrant(now, a)
 		if g.Verdict != dispatch.Granted {
 			t.Fatalf("request %d: %v", n, g.Verdict)
 		}
@@ -162,7 +162,7 @@
 			now = now.Add(15 * time.Millisecond)
 			a := newRequest(now, n)
 			a.Repeatable, a.Kilobytes = true, 90
-			g := d.Ask(now, a)
+			g := d.RequestGrant(now, a)
 			last[g.Target] = now
 			if g.Target[1]%2 == 1 {
 				crossed++
@@ -198,7 +198,7 @@
 	last := map[string]time.Time{}
 	for n := range uint64(3200) {
 		now := start.Add(time.Duration(n) * 2500 * time.Microsecond)
-		g := d.Ask(now, newRequest(now, n))
+		g := d.RequestGrant(now, newRequest(now, n))
 		last[g.Target] = now
 		var index int
 		if _, err := fmt.Sscanf(g.Target, "t%d", &index); err != nil {
@@ -234,7 +234,7 @@
 		if n%5 == 0 {
 			a.Refused = 1
 		}
-		g := d.Ask(now, a)
+		g := d.RequestGrant(now, a)
 		last[g.Target] = now
 		r := dispatch.ResultGood
 		if g.Target > "t2" && n < 400 {
--- a/internal/dispatch/unavailable_test.go
+++ b/internal/dispatch/unavailable_test.go
@@ -57,7 +57,7 @@
 			for n := range uint64(200) {
 				a := newRequest(now, n)
 				tt.modify(a)
-				g := d.Ask(now, a)
+				g := d.RequestGrant(now, a)
 				if n%2 == 1 {
 					g = d.AskAlone(now, a, 1)
 				}
@@ -84,7 +84,7 @@
 func grantCounts(d *dispatch.Scheduler, now time.Time, requests uint64) map[string]int {
 	out := map[string]int{}
 	for n := range requests {
-		g := d.Ask(now, newRequest(now, 10_000+n))
+		g := d.RequestGrant(now, newRequest(now, 10_000+n))
 		out[g.Target]++
 		now = now.Add(50 * time.Millisecond)
 		d.Done(now, g.ID, g.Target, dispatch.ResultGood, 50*time.Millisecond)
@@ -103,7 +103,7 @@
 	later := start.Add(61 * time.Second)
 	got := 0
 	for n := range uint64(6) {
-		if d.Ask(later, newRequest(later, n)).Target == "t0" {
+		if d.RequestGrant(later, newRequest(later, n)).Target == "t0" {
 			got++
 		}
 	}
@@ -156,7 +156,7 @@
 			setUnavailable(a)
 		}
 		open[n] = a
-		take(d.Ask(now, a))
+		take(d.RequestGrant(now, a))
 		for number, key := range running {
 			if rng.IntN(4) > 0 {
 				continue
@@ -170,7 +170,7 @@
 			repeated := *waiting
 			setUnavailable(&repeated)
 			open[n] = &repeated
-			take(d.Ask(now, &repeated))
+			take(d.RequestGrant(now, &repeated))
 		}
 		all(d.Advance(now))
 	}
@@ -185,24 +185,24 @@
 		a.Barred = []string{"t0", "t1"}
 		return a
 	}
-	if g := d.Ask(start, withoutTargets(1)); g.Verdict != dispatch.Refused {
+	if g := d.RequestGrant(start, withoutTargets(1)); g.Verdict != dispatch.Refused {
 		t.Errorf("got %v", g.Verdict)
 	}
 	nonQueueing := withoutTargets(2)
 	nonQueueing.Passing = true
-	if g := d.Ask(start, nonQueueing); g.Verdict != dispatch.Full {
+	if g := d.RequestGrant(start, nonQueueing); g.Verdict != dispatch.Full {
 		t.Errorf("non-queueing request: got %v", g.Verdict)
 	}
 	for n := range uint64(6) {
-		if g := d.Ask(start, newRequest(start, 10+n)); g.Verdict != dispatch.Granted {
+		if g := d.RequestGrant(start, newRequest(start, 10+n)); g.Verdict != dispatch.Granted {
 			t.Fatalf("request of another node: got %v", g.Verdict)
 		}
 	}
 	waiting := newRequest(start, 20)
-	if g := d.Ask(start, waiting); g.Verdict != dispatch.Queued {
+	if g := d.RequestGrant(start, waiting); g.Verdict != dispatch.Queued {
 		t.Fatalf("got %v", g.Verdict)
 	}
-	if g := d.Ask(start, withoutTargets(20)); g.Verdict != dispatch.Refused {
+	if g := d.RequestGrant(start, withoutTargets(20)); g.Verdict != dispatch.Refused {
 		t.Errorf("waiting request: got %v", g.Verdict)
 	}
 	if s := d.Status(start); s.Waiting != 0 {
--- a/internal/dispatch/warmup_test.go
+++ b/internal/dispatch/warmup_test.go
@@ -52,7 +52,7 @@
 		}
 		granted(now, d.Advance(now)...)
 		number++
-		granted(now, d.Ask(now, newRequest(now, number)))
+		granted(now, d.RequestGrant(now, newRequest(now, number)))
 	}
 	return out
 }
@@ -134,7 +134,7 @@
 	refused := 0
 	for n := range uint64(requests) {
 		now := start.Add(time.Duration(n) * 2 * time.Millisecond)
-		g := d.Ask(now, newRequest(now, n))
+		g := d.RequestGrant(now, newRequest(now, n))
 		if g.Verdict == dispatch.Refused {
 			refused++
 			if g.RetryAfter <= 0 {
--- a/internal/node/dispatch_test.go
+++ b/internal/node/dispatch_test.go
@@ -60,7 +60,7 @@
 				Slots:    3,
 			},
 		})
-		g := d.Ask(time.Now(), &dispatch.Request{
+		g := d.RequestGrant(time.Now(), &dispatch.Request{
 			Deadline: time.Now().Add(time.Second),
 		})
 		time.Sleep(took)
--- a/internal/node/dispatcher.go
+++ b/internal/node/dispatcher.go
@@ -226,7 +226,7 @@
 	s := d.touchScheduler(now, p)
 	var g dispatch.Grant
 	if s != nil {
-		g = s.Ask(now, a)
+		g = s.RequestGrant(now, a)
 	}
 	d.mu.Unlock()
 	d.notify()
