--- a/internal/dispatch/scheduler.go
+++ b/internal/dispatch/scheduler.go
@@ -254,9 +254,9 @@
 	}, d.queue.has(id)
 }
 
-// AskAlone answers a grant request on a node that reaches no dispatcher. It ignores slots, because
+// GrantIsolated answers a grant request on a node that reaches no dispatcher. It ignores slots, because
 // the attempts of other nodes are unknown. share is this node's share of the retry reserve.
-func (d *Scheduler) AskAlone(now time.Time, a *Request, share float64) Grant {
+func (d *Scheduler) GrantIsolated(now time.Time, a *Request, share float64) Grant {
 	d.recordSignals(now, a)
 	if !d.affords(now, a, share) {
 		return Grant{
--- a/internal/dispatch/scheduler_test.go
+++ b/internal/dispatch/scheduler_test.go
@@ -349,7 +349,7 @@
 func TestIsolatedRequestsNeverWait(t *testing.T) {
 	d := newScheduler(pool(1)...)
 	for n := range uint64(10) {
-		if g := d.AskAlone(start, newRequest(start, n), 0.1); g.Verdict != dispatch.Granted {
+		if g := d.GrantIsolated(start, newRequest(start, n), 0.1); g.Verdict != dispatch.Granted {
 			t.Fatalf("request %d: %v", n, g.Verdict)
 		}
 	}
@@ -365,7 +365,7 @@
 	if g := d.RequestGrant(start, newRequest(start, 1)); g.Verdict != dispatch.Queued {
 		t.Errorf("got %v", g.Verdict)
 	}
-	if g := d.AskAlone(start, newRequest(start, 2), 1); g.Verdict != dispatch.Refused {
+	if g := d.GrantIsolated(start, newRequest(start, 2), 1); g.Verdict != dispatch.Refused {
 		t.Errorf("isolated: got %v", g.Verdict)
 	}
 }
--- a/internal/dispatch/unavailable_test.go
+++ b/internal/dispatch/unavailable_test.go
@@ -59,7 +59,7 @@
 				tt.modify(a)
 				g := d.RequestGrant(now, a)
 				if n%2 == 1 {
-					g = d.AskAlone(now, a, 1)
+					g = d.GrantIsolated(now, a, 1)
 				}
 				if g.Target == "t0" {
 					t.Fatalf("request %d got the draining target", n)
--- a/internal/node/fallback.go
+++ b/internal/node/fallback.go
@@ -45,7 +45,7 @@
 	if s == nil {
 		return entry.Choice{}, entry.NewNoTargetError(attempt.ReasonTargets, 0)
 	}
-	g := s.AskAlone(now, a, 1/float64(d.board.nodes()))
+	g := s.GrantIsolated(now, a, 1/float64(d.board.nodes()))
 	if g.Verdict == dispatch.Spent {
 		return entry.Choice{}, entry.NewNoTargetError(attempt.ReasonBudget, 0)
 	}
