--- a/internal/dispatch/status.go
+++ b/internal/dispatch/status.go
@@ -53,8 +53,8 @@
 	Granted int
 }
 
-// Asked returns the number of requests in the window of the retry budget.
-func (d *Scheduler) Asked(now time.Time) int {
+// RequestCount returns the number of requests in the window of the retry budget.
+func (d *Scheduler) RequestCount(now time.Time) int {
 	d.window.advance(now, d.started, d.budget)
 	firsts, retries := d.window.sums()
 	return int(firsts + retries)
@@ -67,7 +67,7 @@
 		Unlearned:   d.rejectedSamples,
 		Prior:       d.model.Share(),
 		LostFailing: d.model.LostFailing(),
-		Asked:       d.Asked(now),
+		Asked:       d.RequestCount(now),
 		RepeatsLeft: d.retriesLeft(now, 1),
 		Trials:      d.trials,
 	}
--- a/internal/node/dispatcher.go
+++ b/internal/node/dispatcher.go
@@ -44,7 +44,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for p, sched := range d.schedulers {
-		if sched.Asked(now) < reportMinRequests {
+		if sched.RequestCount(now) < reportMinRequests {
 			if sched.statusLogged {
 				// Another node has the role now, or there are no requests.
 				sched.statusLogged = false
