--- a/internal/dispatch/end.go
+++ b/internal/dispatch/end.go
@@ -45,8 +45,8 @@
 	return d.serve(now)
 }
 
-// Lost marks an attempt, before its end is reported, as the final one of its request.
-func (d *Scheduler) Lost(key string, id ID) {
+// MarkFinal marks an attempt, before its end is reported, as the final one of its request.
+func (d *Scheduler) MarkFinal(key string, id ID) {
 	if t := d.targets[key]; t != nil {
 		if f, ok := t.flights[id]; ok {
 			f.final = true
--- a/internal/dispatch/spread_test.go
+++ b/internal/dispatch/spread_test.go
@@ -131,7 +131,7 @@
 		case g.Target < "t4":
 			d.Done(now, g.ID, g.Target, dispatch.ResultBad, 3*time.Millisecond)
 		case n%5 == 0:
-			d.Lost(g.Target, g.ID)
+			d.MarkFinal(g.Target, g.ID)
 			d.Done(now, g.ID, g.Target, dispatch.ResultIgnored, 300*time.Millisecond)
 		default:
 			d.Done(now, g.ID, g.Target, dispatch.ResultGood, 300*time.Millisecond)
@@ -171,7 +171,7 @@
 				least = min(least, recentlyUsed(last, now))
 			}
 			if abandon && n%5 == 0 {
-				d.Lost(g.Target, g.ID)
+				d.MarkFinal(g.Target, g.ID)
 				d.Done(now, g.ID, g.Target, dispatch.ResultIgnored, 300*time.Millisecond)
 				continue
 			}
--- a/internal/node/dispatcher.go
+++ b/internal/node/dispatcher.go
@@ -338,7 +338,7 @@
 			s.MarkDraining(now, w.GetTarget())
 		}
 		if w.GetLost() {
-			s.Lost(w.GetTarget(), id)
+			s.MarkFinal(w.GetTarget(), id)
 		}
 		if l := w.GetLimit(); l != nil {
 			s.Observe(now, node, limitOfWire(now, l))
