--- a/internal/dispatch/choose_test.go
+++ b/internal/dispatch/choose_test.go
@@ -65,7 +65,7 @@
 func TestFailedTargetIsTriedByUnrepeatableRequests(t *testing.T) {
 	d, now := newTrainedScheduler(pool(6)...)
 	for range 3 {
-		d.Note(now, "t0", "", dispatch.ResultBad, time.Millisecond)
+		d.RecordRemote(now, "t0", "", dispatch.ResultBad, time.Millisecond)
 	}
 	tried := time.Duration(0)
 	for n := range uint64(400) {
@@ -86,7 +86,7 @@
 func TestTrialsOfLargeAnswersStayInTheDataHall(t *testing.T) {
 	d, now := newTrainedScheduler(pool(6)...)
 	for range 3 {
-		d.Note(now, "t1", "", dispatch.ResultBad, time.Millisecond)
+		d.RecordRemote(now, "t1", "", dispatch.ResultBad, time.Millisecond)
 	}
 	tried := map[int]bool{}
 	for n := range uint64(400) {
@@ -112,7 +112,7 @@
 func TestFailingTargetsDoNotCountAsCapacity(t *testing.T) {
 	d, now := newTrainedScheduler(goodAndBad(2)...)
 	for range 4 {
-		d.Note(now, "bad", "", dispatch.ResultBad, time.Millisecond)
+		d.RecordRemote(now, "bad", "", dispatch.ResultBad, time.Millisecond)
 	}
 	queued := 0
 	for n := range uint64(20) {
--- a/internal/dispatch/coverage_test.go
+++ b/internal/dispatch/coverage_test.go
@@ -104,12 +104,12 @@
 	d, now := newTrainedScheduler(pool(6)...)
 	for _, key := range []string{"t0", "t1", "t2"} {
 		for range 3 {
-			d.Note(now, key, "", dispatch.ResultBad, time.Millisecond)
+			d.RecordRemote(now, key, "", dispatch.ResultBad, time.Millisecond)
 		}
 	}
 	short := func(at time.Time) float64 {
 		for _, key := range []string{"t3", "t4", "t5"} {
-			d.Note(at, key, "", dispatch.ResultGood, usualTime)
+			d.RecordRemote(at, key, "", dispatch.ResultGood, usualTime)
 		}
 		return d.Status(at).Short
 	}
@@ -127,7 +127,7 @@
 		d, now := newTrainedScheduler(pool(3)...)
 		now = now.Add(3 * time.Second)
 		for _, key := range []string{"t1", "t2"} {
-			d.Note(now, key, "", dispatch.ResultGood, usualTime)
+			d.RecordRemote(now, key, "", dispatch.ResultGood, usualTime)
 		}
 		a := newRequest(now, 1)
 		a.Tried = []string{"t1", "t2"}
@@ -152,9 +152,9 @@
 		d, now := newTrainedScheduler(pool(3)...)
 		now = now.Add(3 * time.Second)
 		for _, key := range []string{"t1", "t2"} {
-			d.Note(now, key, "", dispatch.ResultGood, usualTime)
+			d.RecordRemote(now, key, "", dispatch.ResultGood, usualTime)
 		}
-		d.Note(now, "t0", "", r, 0)
+		d.RecordRemote(now, "t0", "", r, 0)
 		if short := d.Status(now).Short > 0.3; short != (r == dispatch.ResultUnreached) {
 			t.Errorf("%v; short: %v", r, d.Status(now).Short)
 		}
@@ -166,10 +166,10 @@
 func TestRetriesDoNotServeCoverage(t *testing.T) {
 	for _, retry := range []bool{false, true} {
 		d, now := newTrainedScheduler(pool(3)...)
-		d.Note(now, "t1", "", dispatch.ResultBad, time.Millisecond)
+		d.RecordRemote(now, "t1", "", dispatch.ResultBad, time.Millisecond)
 		now = now.Add(6 * time.Second)
 		for _, key := range []string{"t0", "t2"} {
-			d.Note(now, key, "", dispatch.ResultGood, usualTime)
+			d.RecordRemote(now, key, "", dispatch.ResultGood, usualTime)
 		}
 		a := newRequest(now, 1)
 		a.Repeatable, a.Again = true, retry
--- a/internal/dispatch/end.go
+++ b/internal/dispatch/end.go
@@ -55,8 +55,8 @@
 	}
 }
 
-// Note records the result of an attempt that another scheduler granted.
-func (d *Scheduler) Note(now time.Time, key, route string, r Result, took time.Duration) {
+// RecordRemote records the result of an attempt that another scheduler granted.
+func (d *Scheduler) RecordRemote(now time.Time, key, route string, r Result, took time.Duration) {
 	rt := d.model.Route(now, route)
 	if t := d.targets[key]; t != nil {
 		if r != ResultUnreached {
--- a/internal/dispatch/hedge_test.go
+++ b/internal/dispatch/hedge_test.go
@@ -105,7 +105,7 @@
 func TestHedgeWaitsForWorkingTarget(t *testing.T) {
 	d, now := newTrainedScheduler(goodAndBad(3)...)
 	for range 4 {
-		d.Note(now, "bad", "", dispatch.ResultBad, time.Millisecond)
+		d.RecordRemote(now, "bad", "", dispatch.ResultBad, time.Millisecond)
 	}
 	if g := d.RequestGrant(now, newRequest(now, 1)); g.Target != "good" {
 		t.Fatalf("first request got %q", g.Target)
--- a/internal/dispatch/scheduler_test.go
+++ b/internal/dispatch/scheduler_test.go
@@ -177,8 +177,8 @@
 // of a failing one.
 func TestRequestWaitsForWorkingTarget(t *testing.T) {
 	d := newScheduler(goodAndBad(3)...)
-	d.Note(start, "bad", "", dispatch.ResultBad, time.Millisecond)
-	d.Note(start, "bad", "", dispatch.ResultBad, time.Millisecond)
+	d.RecordRemote(start, "bad", "", dispatch.ResultBad, time.Millisecond)
+	d.RecordRemote(start, "bad", "", dispatch.ResultBad, time.Millisecond)
 	if g := d.RequestGrant(start, newRequest(start, 1)); g.Target != "good" {
 		t.Fatalf("first request got %q", g.Target)
 	}
@@ -203,7 +203,7 @@
 	d.Done(start, first.ID, first.Target, dispatch.ResultGood, time.Millisecond)
 	now := start.Add(4 * time.Second)
 	for range 3 {
-		d.Note(now, "bad", "", dispatch.ResultBad, time.Millisecond)
+		d.RecordRemote(now, "bad", "", dispatch.ResultBad, time.Millisecond)
 	}
 	if g := d.RequestGrant(now, newRequest(now, 2)); g.Target != "good" {
 		t.Fatalf("first attempt got %q", g.Target)
--- a/internal/dispatch/sparse_test.go
+++ b/internal/dispatch/sparse_test.go
@@ -270,7 +270,7 @@
 	d := newScheduler(pool(targets)...)
 	d.Keep(floorShare)
 	for i := range targets {
-		d.Note(start, fmt.Sprintf("t%d", i), "", dispatch.ResultGood, 300*time.Millisecond)
+		d.RecordRemote(start, fmt.Sprintf("t%d", i), "", dispatch.ResultGood, 300*time.Millisecond)
 	}
 	last := map[string]time.Time{}
 	from := start.Add(20 * time.Second)
--- a/internal/dispatch/spread_test.go
+++ b/internal/dispatch/spread_test.go
@@ -92,7 +92,7 @@
 	d := newScheduler(pool(targets)...)
 	for i := range 40 {
 		for range 2 {
-			d.Note(start, fmt.Sprintf("t%d", i), "", dispatch.ResultBad, time.Millisecond)
+			d.RecordRemote(start, fmt.Sprintf("t%d", i), "", dispatch.ResultBad, time.Millisecond)
 		}
 	}
 	last := map[string]time.Time{}
--- a/internal/node/grant.go
+++ b/internal/node/grant.go
@@ -118,6 +118,6 @@
 		return
 	}
 	if s := d.touchScheduler(now, p); s != nil {
-		s.Note(now, done.GetTarget(), q.Route, dispatch.Result(done.GetResult()), time.Duration(done.GetTookMs())*time.Millisecond)
+		s.RecordRemote(now, done.GetTarget(), q.Route, dispatch.Result(done.GetResult()), time.Duration(done.GetTookMs())*time.Millisecond)
 	}
 }
