--- a/internal/dispatch/coverage.go
+++ b/internal/dispatch/coverage.go
@@ -48,9 +48,9 @@
 	at    time.Time
 }
 
-// Keep sets the floor: the share, from 0 to 1, of the working targets that should have had work
+// SetFloor sets the floor: the share, from 0 to 1, of the working targets that should have had work
 // within the last 1.5 s.
-func (d *Scheduler) Keep(floor float64) { d.floor = floor }
+func (d *Scheduler) SetFloor(floor float64) { d.floor = floor }
 
 // coverage returns the coverage at now and updates the uncovered probability of each target.
 func (d *Scheduler) coverage(now time.Time) *coverage {
--- a/internal/dispatch/sparse_test.go
+++ b/internal/dispatch/sparse_test.go
@@ -92,7 +92,7 @@
 		Window:  10 * time.Second,
 	}, rng.Float64)
 	d.Configure(start, s.pool(0, s.targets))
-	d.Keep(floorShare)
+	d.SetFloor(floorShare)
 	var out sparseResult
 	var events eventQueue
 	firstGrant := map[string]time.Duration{}
@@ -268,7 +268,7 @@
 func TestNewDispatcherOfABusyServiceSpreadsWork(t *testing.T) {
 	const targets = 88
 	d := newScheduler(pool(targets)...)
-	d.Keep(floorShare)
+	d.SetFloor(floorShare)
 	for i := range targets {
 		d.RecordRemote(start, fmt.Sprintf("t%d", i), "", dispatch.ResultGood, 300*time.Millisecond)
 	}
--- a/internal/dispatch/spread_test.go
+++ b/internal/dispatch/spread_test.go
@@ -226,7 +226,7 @@
 func TestRequestsRefusedForLimitsSpreadWork(t *testing.T) {
 	const targets = 40
 	d := newScheduler(pool(targets)...)
-	d.Keep(0)
+	d.SetFloor(0)
 	last := map[string]time.Time{}
 	for n := range uint64(2000) {
 		now := start.Add(time.Duration(n) * 5 * time.Millisecond)
--- a/internal/node/dispatcher.go
+++ b/internal/node/dispatcher.go
@@ -123,7 +123,7 @@
 	}
 	if s.config != sc {
 		p.configure(now, s, sc)
-		s.Keep(max(d.floor, floorOf(sc)))
+		s.SetFloor(max(d.floor, floorOf(sc)))
 	}
 	return s
 }
