--- a/internal/dispatch/limit.go
+++ b/internal/dispatch/limit.go
@@ -126,9 +126,9 @@
 	Window: limitWindow,
 }
 
-// Lead sets the share of the targets' limits that this scheduler may use, 1 for all: others may
+// SetLimitShare sets the share of the targets' limits that this scheduler may use, 1 for all: others may
 // grant the same targets at the same time.
-func (d *Scheduler) Lead(share float64) { d.limitShare = share }
+func (d *Scheduler) SetLimitShare(share float64) { d.limitShare = share }
 
 // Limited reports whether any target has a limit.
 func (d *Scheduler) Limited(now time.Time) bool { return d.limits > 0 || now.Before(d.warmupUntil) }
--- a/internal/node/dispatcher.go
+++ b/internal/node/dispatcher.go
@@ -119,7 +119,7 @@
 	}
 	if s.Limited(now) {
 		view := d.board.view.Load()
-		s.Lead(d.holderRank(now, view, p.holders(view)).share())
+		s.SetLimitShare(d.holderRank(now, view, p.holders(view)).share())
 	}
 	if s.config != sc {
 		p.configure(now, s, sc)
