--- a/internal/dispatch/configure.go
+++ b/internal/dispatch/configure.go
@@ -64,9 +64,9 @@
 	d.newTargets = append(d.newTargets, published.Key)
 }
 
-// Change applies targets that are new or changed and removes those with the keys in gone. All others
+// Update applies targets that are new or changed and removes those with the keys in gone. All others
 // stay as they are.
-func (d *Scheduler) Change(now time.Time, changed []Target, gone []string) {
+func (d *Scheduler) Update(now time.Time, changed []Target, gone []string) {
 	dropped := false
 	for _, key := range gone {
 		if t := d.targets[key]; t != nil {
--- a/internal/dispatch/sparse_test.go
+++ b/internal/dispatch/sparse_test.go
@@ -172,7 +172,7 @@
 	})
 	heap.Push(&events, event{
 		at: sparseJoins,
-		do: func() { d.Change(start.Add(sparseJoins), s.pool(s.targets, s.joins), nil) },
+		do: func() { d.Update(start.Add(sparseJoins), s.pool(s.targets, s.joins), nil) },
 	})
 	for len(events) > 0 {
 		e := heap.Pop(&events).(event)
--- a/internal/dispatch/warmup_test.go
+++ b/internal/dispatch/warmup_test.go
@@ -87,7 +87,7 @@
 			name: "new warm-up",
 			desk: func() *dispatch.Scheduler {
 				d := newScheduler(pool(2)...)
-				d.Change(start, warmingTargets(2, left), nil)
+				d.Update(start, warmingTargets(2, left), nil)
 				return d
 			},
 		},
@@ -95,7 +95,7 @@
 			name: "a third joins",
 			desk: func() *dispatch.Scheduler {
 				d := newScheduler(warmingTargets(2, left)...)
-				d.Change(start, append(warmingTargets(3, left)[2:], warmingTargets(2, left)...), nil)
+				d.Update(start, append(warmingTargets(3, left)[2:], warmingTargets(2, left)...), nil)
 				return d
 			},
 		},
@@ -103,7 +103,7 @@
 			name: "remaining time is updated",
 			desk: func() *dispatch.Scheduler {
 				d := newScheduler(warmingTargets(2, left+time.Second)...)
-				d.Change(start, warmingTargets(2, left), nil)
+				d.Update(start, warmingTargets(2, left), nil)
 				return d
 			},
 		},
--- a/internal/node/dispatcher.go
+++ b/internal/node/dispatcher.go
@@ -143,7 +143,7 @@
 			gone = append(gone, t.Key())
 		}
 	}
-	s.Change(now, p.targets(sc, added), gone)
+	s.Update(now, p.targets(sc, added), gone)
 }
 
 // budgetOf returns the retry budget of a partition. Its share applies to the partition's own first
