--- a/internal/dispatch/backoff_model_test.go
+++ b/internal/dispatch/backoff_model_test.go
@@ -202,7 +202,7 @@
 	p.next++
 	a := *r.request
 	a.ID.Number = p.next
-	a.Again = r.attempts > 0
+	a.Retry = r.attempts > 0
 	a.Barred = p.unavailable(r.node())
 	r.request = &a
 	if len(a.Barred) == backoffTargets {
--- a/internal/dispatch/budget_test.go
+++ b/internal/dispatch/budget_test.go
@@ -24,7 +24,7 @@
 		firsts++
 		d.Done(now, g.ID, g.Target, dispatch.ResultBad, 0)
 		b := newRequest(now, 2*n+1)
-		b.Repeatable, b.Again = true, true
+		b.Repeatable, b.Retry = true, true
 		if g := d.RequestGrant(now, b); g.Verdict == dispatch.Granted {
 			retries++
 			d.Done(now, g.ID, g.Target, dispatch.ResultBad, 0)
@@ -48,14 +48,14 @@
 	hedges := 0
 	for n := range uint64(100) {
 		a := newRequest(now, n)
-		a.Repeatable, a.Again, a.Hedge, a.Age = true, true, true, 900*time.Millisecond
+		a.Repeatable, a.Retry, a.Hedge, a.Age = true, true, true, 900*time.Millisecond
 		if g := d.RequestGrant(now, a); g.Verdict == dispatch.Granted {
 			hedges++
 			d.Done(now, g.ID, g.Target, dispatch.ResultIgnored, 0)
 		}
 	}
 	a := newRequest(now, 1000)
-	a.Repeatable, a.Again = true, true
+	a.Repeatable, a.Retry = true, true
 	if g := d.RequestGrant(now, a); hedges == 0 || g.Verdict != dispatch.Granted {
 		t.Fatalf("after %d hedges the retry of a failed request is %v", hedges, g.Verdict)
 	}
@@ -76,7 +76,7 @@
 		for range 60 {
 			number++
 			a := newRequest(now, number)
-			a.Repeatable, a.Again = true, true
+			a.Repeatable, a.Retry = true, true
 			if g := d.RequestGrant(now, a); g.Verdict == dispatch.Granted {
 				retries++
 				d.Done(now, g.ID, g.Target, dispatch.ResultBad, 0)
@@ -127,15 +127,15 @@
 				number++
 				a := newRequest(now, number)
 				a.ID.Node = fmt.Sprintf("node-%d", number%nodes)
-				a.Again = attempt > 0
+				a.Retry = attempt > 0
 				a.Elsewhere = ledger.Elsewhere(now, name)
 				g := d.RequestGrant(now, a)
 				if g.Verdict != dispatch.Granted {
 					break
 				}
-				ledger.Took(now, name, a.Again)
+				ledger.Took(now, name, a.Retry)
 				d.Done(now, g.ID, g.Target, result, 0)
-				if a.Again {
+				if a.Retry {
 					retries = append(retries, now)
 				} else {
 					firsts = append(firsts, now)
--- a/internal/dispatch/choose.go
+++ b/internal/dispatch/choose.go
@@ -55,7 +55,7 @@
 // retried waits as long as an answer can still be in time. A final attempt waits longer: a late
 // answer is worth more than a failure, and failing targets always have free slots.
 func (d *Scheduler) maxWait(since time.Time, a *Request) time.Duration {
-	if !a.Repeatable || a.Again {
+	if !a.Repeatable || a.Retry {
 		return time.Duration(finalWaitShare * float64(a.Deadline.Sub(since)))
 	}
 	return max(a.Aim.Sub(since)-d.model.Route(since, a.Route).Within(safeTimeShare), 0)
--- a/internal/dispatch/cost.go
+++ b/internal/dispatch/cost.go
@@ -37,7 +37,7 @@
 	switch {
 	case !a.Repeatable:
 		return unrepeatableFailureCost
-	case a.Again:
+	case a.Retry:
 		return retryFailureCost
 	default:
 		return repeatableFailureCost
@@ -47,7 +47,7 @@
 // waitCost returns the cost of having waited.
 func (a *Request) waitCost(waited time.Duration) float64 {
 	c := waitRate * waited.Seconds()
-	if !a.Repeatable || a.Again {
+	if !a.Repeatable || a.Retry {
 		c = min(c, maxWaitCost)
 	}
 	return waitCost + c
--- a/internal/dispatch/coverage.go
+++ b/internal/dispatch/coverage.go
@@ -101,7 +101,7 @@
 // attempts of their requests.
 func (d *Scheduler) coverageGain(now time.Time, t *target, a *Request) float64 {
 	price := d.coverage(now).price
-	if a.Again || len(t.flights) >= d.slots(now, t) {
+	if a.Retry || len(t.flights) >= d.slots(now, t) {
 		return 0
 	}
 	return price * t.uncovered
--- a/internal/dispatch/coverage_test.go
+++ b/internal/dispatch/coverage_test.go
@@ -172,7 +172,7 @@
 			d.RecordRemote(now, key, "", dispatch.ResultGood, usualTime)
 		}
 		a := newRequest(now, 1)
-		a.Repeatable, a.Again = true, retry
+		a.Repeatable, a.Retry = true, retry
 		if g := d.RequestGrant(now, a); g.Trial == retry || (g.Target == "t1") == retry {
 			t.Errorf("retry: %v; got %q, trial %v", retry, g.Target, g.Trial)
 		}
--- a/internal/dispatch/hedge_test.go
+++ b/internal/dispatch/hedge_test.go
@@ -32,7 +32,7 @@
 // newHedge returns a request for a hedge of an attempt at first that has been silent for age.
 func newHedge(now time.Time, n uint64, age time.Duration, first string) *dispatch.Request {
 	a := newRequest(now, n)
-	a.Repeatable, a.Again, a.Hedge, a.Age = true, true, true, age
+	a.Repeatable, a.Retry, a.Hedge, a.Age = true, true, true, age
 	a.Tried = []string{first}
 	return a
 }
@@ -79,7 +79,7 @@
 	age := 2 * usualTime
 	for n := range uint64(200) {
 		a := newRequest(now, n)
-		a.Repeatable, a.Again = true, true
+		a.Repeatable, a.Retry = true, true
 		g := d.RequestGrant(now, a)
 		if g.Verdict != dispatch.Granted {
 			t.Fatalf("retry %d: %v", n, g.Verdict)
--- a/internal/dispatch/partition_test.go
+++ b/internal/dispatch/partition_test.go
@@ -95,7 +95,7 @@
 	for n := range uint64(20) {
 		a := newRequest(start, 200+n)
 		a.Passing = true
-		a.Again = n%2 == 1
+		a.Retry = n%2 == 1
 		if g := d.RequestGrant(start, a); g.Verdict != dispatch.Full {
 			t.Fatalf("request %d: %v", n, g.Verdict)
 		}
@@ -151,7 +151,7 @@
 						for range 3 {
 							n++
 							a := newRequest(now, n)
-							a.Repeatable, a.Again = true, true
+							a.Repeatable, a.Retry = true, true
 							if g := d.RequestGrant(now, a); g.Verdict != dispatch.Spent {
 								retries++
 							}
--- a/internal/dispatch/request.go
+++ b/internal/dispatch/request.go
@@ -35,8 +35,8 @@
 	ID         ID
 	DataHall   string
 	Repeatable bool
-	// Again is set for attempts after the first one of a request.
-	Again bool
+	// Retry is set for attempts after the first one of a request.
+	Retry bool
 	// Hedge is set where an earlier attempt is still under way; Age is how long that one has waited
 	// for its answer.
 	Hedge bool
@@ -74,7 +74,7 @@
 }
 
 // final reports whether no other attempt can follow a failure of this one.
-func (a *Request) final() bool { return !a.Repeatable || a.Again && !a.Hedge }
+func (a *Request) final() bool { return !a.Repeatable || a.Retry && !a.Hedge }
 
 // Verdict is the decision on a grant request.
 type Verdict uint8
--- a/internal/dispatch/retries.go
+++ b/internal/dispatch/retries.go
@@ -10,12 +10,12 @@
 	d.window.advance(now, d.started, d.budget)
 	d.window.recordRequest(now, d.budget)
 	d.remote.record(now, a.ID.Node, a.Elsewhere)
-	return !a.Again || d.retriesLeft(now, share) >= 1
+	return !a.Retry || d.retriesLeft(now, share) >= 1
 }
 
 // charge counts a request n times in the retry budget.
 func (d *Scheduler) charge(a *Request, n float64) {
-	if a.Again {
+	if a.Retry {
 		d.window.addRetry(n)
 		return
 	}
--- a/internal/dispatch/scheduler_test.go
+++ b/internal/dispatch/scheduler_test.go
@@ -210,7 +210,7 @@
 	}
 	a := newRequest(now, 3)
 	a.Repeatable = true
-	a.Again = true
+	a.Retry = true
 	if g := d.RequestGrant(now, a); g.Verdict != dispatch.Queued {
 		t.Fatalf("second attempt: %v %q", g.Verdict, g.Target)
 	}
--- a/internal/dispatch/serve.go
+++ b/internal/dispatch/serve.go
@@ -31,7 +31,7 @@
 		dataHall:   a.DataHall,
 		route:      a.Route,
 		repeatable: a.Repeatable,
-		retry:      a.Again,
+		retry:      a.Retry,
 		kilobytes:  a.Kilobytes,
 		restricted: len(a.Barred)+len(a.Closed) > 0,
 		late:       !q.inTime(now, w),
--- a/internal/dispatch/simulation_test.go
+++ b/internal/dispatch/simulation_test.go
@@ -238,14 +238,14 @@
 	if r == dispatch.ResultGood {
 		return
 	}
-	if !a.Repeatable || a.Again {
+	if !a.Repeatable || a.Retry {
 		p.lost++
 		return
 	}
 	p.next++
 	retry := *a
 	retry.ID.Number = p.next
-	retry.Again = true
+	retry.Retry = true
 	retry.Tried = []string{g.Target}
 	p.request(&retry)
 }
--- a/internal/dispatch/spread.go
+++ b/internal/dispatch/spread.go
@@ -127,7 +127,7 @@
 // starved returns the target least likely to fail among those without recent work, or nil if these
 // are few. Estimates may be wrong, and leaving out working targets would overload the rest.
 func (d *Scheduler) starved(now time.Time, a *Request) *target {
-	if a.Again {
+	if a.Retry {
 		return nil
 	}
 	if d.sparse(now) {
--- a/internal/dispatch/unavailable_test.go
+++ b/internal/dispatch/unavailable_test.go
@@ -40,7 +40,7 @@
 			name:   "retry",
 			signal: drain,
 			modify: func(a *dispatch.Request) {
-				a.Again = true
+				a.Retry = true
 				a.Tried = []string{"t1", "t2"}
 			},
 		},
--- a/internal/node/dispatcher.go
+++ b/internal/node/dispatcher.go
@@ -196,7 +196,7 @@
 		},
 		DataHall:   in.GetFrom().GetDataHall(),
 		Repeatable: w.GetRepeatable(),
-		Again:      w.GetAgain(),
+		Retry:      w.GetAgain(),
 		Hedge:      w.GetHedge(),
 		Age:        time.Duration(w.GetAgeMs()) * time.Millisecond,
 		Kilobytes:  int(w.GetKilobytes()),
--- a/internal/node/fallback.go
+++ b/internal/node/fallback.go
@@ -24,7 +24,7 @@
 		},
 		DataHall:   self.DataHall(),
 		Repeatable: q.Repeatable,
-		Again:      q.Again,
+		Retry:      q.Again,
 		Hedge:      q.Hedge,
 		Age:        q.Age,
 		Kilobytes:  q.Kilobytes,
