--- a/internal/dispatch/backoff_model_test.go
+++ b/internal/dispatch/backoff_model_test.go
@@ -167,12 +167,12 @@
 			ID: dispatch.ID{
 				Node: fmt.Sprint(p.rng.IntN(backoffNodes)),
 			},
-			DataHall:   "a",
-			Route:      "drafts",
-			Repeatable: true,
-			Kilobytes:  1,
-			Aim:        p.clock().Add(backoffSoftDeadline),
-			Deadline:   p.clock().Add(backoffDeadline),
+			DataHall:     "a",
+			Route:        "drafts",
+			Repeatable:   true,
+			Kilobytes:    1,
+			SoftDeadline: p.clock().Add(backoffSoftDeadline),
+			Deadline:     p.clock().Add(backoffDeadline),
 		},
 	}
 	if r.counts {
--- a/internal/dispatch/hedge_test.go
+++ b/internal/dispatch/hedge_test.go
@@ -112,7 +112,7 @@
 	}
 	a := newHedge(now, 2, 4*usualTime, "bad")
 	a.Tried = []string{"elsewhere"}
-	a.Aim = now.Add(usualTime)
+	a.SoftDeadline = now.Add(usualTime)
 	if g := d.RequestGrant(now, a); g.Verdict != dispatch.Queued {
 		t.Fatalf("hedge: %v %q", g.Verdict, g.Target)
 	}
--- a/internal/dispatch/overload.go
+++ b/internal/dispatch/overload.go
@@ -33,13 +33,13 @@
 // as long as it could wait, requests that can be answered in time left over no good slot. A shorter
 // burst is worked off, because a late answer is worth more than none.
 func (d *Scheduler) overloaded(now time.Time, a *Request) bool {
-	return now.Sub(d.lastFreeSlot) > a.Deadline.Sub(a.Aim)
+	return now.Sub(d.lastFreeSlot) > a.Deadline.Sub(a.SoftDeadline)
 }
 
 // maxExpectedWait returns the longest expected wait with which a request is still queued.
 func (d *Scheduler) maxExpectedWait(now time.Time, a *Request) time.Duration {
 	if d.overloaded(now, a) {
-		return a.Aim.Sub(now) - d.margin(now, a)
+		return a.SoftDeadline.Sub(now) - d.margin(now, a)
 	}
 	return time.Duration(maxQueueShare * float64(a.Deadline.Sub(now)))
 }
--- a/internal/dispatch/queue.go
+++ b/internal/dispatch/queue.go
@@ -54,9 +54,9 @@
 // failing target.
 func (q *queue) inTime(now time.Time, w *waiting) bool {
 	if q.slotsShort && !w.request.final() {
-		return now.Add(w.margin).Before(w.request.Aim)
+		return now.Add(w.margin).Before(w.request.SoftDeadline)
 	}
-	return now.Add(w.usualTime).Before(w.request.Aim)
+	return now.Add(w.usualTime).Before(w.request.SoftDeadline)
 }
 
 func (q *queue) has(id ID) bool {
--- a/internal/dispatch/request.go
+++ b/internal/dispatch/request.go
@@ -47,10 +47,10 @@
 	Priority int
 	// Route is the route name; requests of one route have similar response times.
 	Route string
-	// Aim is the soft deadline, after which an answer is worth less; after Deadline it is worth
+	// SoftDeadline is the soft deadline, after which an answer is worth less; after Deadline it is worth
 	// nothing.
-	Aim      time.Time
-	Deadline time.Time
+	SoftDeadline time.Time
+	Deadline     time.Time
 	// Tried are keys of targets that the node cannot reach or that the request was sent to before.
 	// For a hedge, the attempt at the last one is still under way.
 	Tried []string
--- a/internal/dispatch/scheduler_test.go
+++ b/internal/dispatch/scheduler_test.go
@@ -61,10 +61,10 @@
 			Node:   "n",
 			Number: n,
 		},
-		DataHall:  "a",
-		Kilobytes: 1,
-		Aim:       now.Add(time.Second),
-		Deadline:  now.Add(3 * time.Second),
+		DataHall:     "a",
+		Kilobytes:    1,
+		SoftDeadline: now.Add(time.Second),
+		Deadline:     now.Add(3 * time.Second),
 	}
 }
 
@@ -273,7 +273,7 @@
 	})
 	d.RequestGrant(start, newRequest(start, 1))
 	old := newRequest(start, 2)
-	old.Aim = start.Add(100 * time.Millisecond)
+	old.SoftDeadline = start.Add(100 * time.Millisecond)
 	d.RequestGrant(start, old)
 	now := start.Add(200 * time.Millisecond)
 	d.RequestGrant(now, newRequest(now, 3))
--- a/internal/dispatch/serve_test.go
+++ b/internal/dispatch/serve_test.go
@@ -24,7 +24,7 @@
 		a := newRequest(now, n)
 		a.Route = fmt.Sprint("route-", n%20)
 		a.Deadline = now.Add(time.Hour)
-		a.Aim = a.Deadline
+		a.SoftDeadline = a.Deadline
 		switch g := d.RequestGrant(now, a); g.Verdict {
 		case dispatch.Granted:
 			running = append(running, g)
@@ -52,7 +52,7 @@
 				a := newRequest(now, n)
 				a.Route = fmt.Sprint("route-", n%20)
 				a.Deadline = now.Add(time.Hour)
-				a.Aim = a.Deadline
+				a.SoftDeadline = a.Deadline
 				if g := d.RequestGrant(now, a); g.Verdict == dispatch.Granted {
 					running = append(running, g)
 				}
--- a/internal/dispatch/simulation_test.go
+++ b/internal/dispatch/simulation_test.go
@@ -185,11 +185,11 @@
 			Node:   "n",
 			Number: p.next,
 		},
-		DataHall:   hallName(p.rng.IntN(len(p.s.halls))),
-		Repeatable: p.s.repeatable,
-		Kilobytes:  p.s.kilobytes,
-		Aim:        p.clock().Add(time.Second),
-		Deadline:   p.clock().Add(5 * time.Second),
+		DataHall:     hallName(p.rng.IntN(len(p.s.halls))),
+		Repeatable:   p.s.repeatable,
+		Kilobytes:    p.s.kilobytes,
+		SoftDeadline: p.clock().Add(time.Second),
+		Deadline:     p.clock().Add(5 * time.Second),
 	}
 	p.request(a)
 	p.after(time.Duration(p.rng.ExpFloat64()/p.s.perSecond*float64(time.Second)), p.arrive)
--- a/internal/dispatch/sparse_test.go
+++ b/internal/dispatch/sparse_test.go
@@ -143,9 +143,9 @@
 		}
 		arrived[id] = at
 		granted(at, d.RequestGrant(start.Add(at), &dispatch.Request{
-			ID:       id,
-			Aim:      start.Add(at + 1200*time.Millisecond),
-			Deadline: start.Add(at + 8*time.Second),
+			ID:           id,
+			SoftDeadline: start.Add(at + 1200*time.Millisecond),
+			Deadline:     start.Add(at + 8*time.Second),
 		}))
 		next := at + time.Duration(rng.ExpFloat64()/s.rate*float64(time.Second))
 		if next < sparseEnd {
