--- a/internal/dispatch/backoff_model_test.go
+++ b/internal/dispatch/backoff_model_test.go
@@ -203,9 +203,9 @@
 	a := *r.request
 	a.ID.Number = p.next
 	a.Retry = r.attempts > 0
-	a.Barred = p.unavailable(r.node())
+	a.Unavailable = p.unavailable(r.node())
 	r.request = &a
-	if len(a.Barred) == backoffTargets {
+	if len(a.Unavailable) == backoffTargets {
 		p.refuse(r)
 		return
 	}
--- a/internal/dispatch/request.go
+++ b/internal/dispatch/request.go
@@ -54,9 +54,9 @@
 	// Tried are keys of targets that the node cannot reach or that the request was sent to before.
 	// For a hedge, the attempt at the last one is still under way.
 	Tried []string
-	// Barred are keys of targets that are unavailable to the node because they asked it to back off.
+	// Unavailable are keys of targets that are unavailable to the node because they asked it to back off.
 	// They are never granted to it.
-	Barred []string
+	Unavailable []string
 	// Draining are keys of targets that signalled to the node that they drain.
 	Draining []string
 	// Closed are the data halls that the request must not be sent to.
--- a/internal/dispatch/unavailable_test.go
+++ b/internal/dispatch/unavailable_test.go
@@ -130,7 +130,7 @@
 		if g.Verdict != dispatch.Granted {
 			return
 		}
-		if slices.Contains(open[g.ID.Number].Barred, g.Target) {
+		if slices.Contains(open[g.ID.Number].Unavailable, g.Target) {
 			t.Fatalf("request %d got %s, which is unavailable to it", g.ID.Number, g.Target)
 		}
 		running[g.ID.Number] = g.Target
@@ -141,10 +141,10 @@
 		}
 	}
 	setUnavailable := func(a *dispatch.Request) {
-		a.Barred = nil
+		a.Unavailable = nil
 		for i := range targets {
 			if rng.Float64() < 0.3 {
-				a.Barred = append(a.Barred, fmt.Sprintf("t%d", i))
+				a.Unavailable = append(a.Unavailable, fmt.Sprintf("t%d", i))
 			}
 		}
 	}
@@ -182,7 +182,7 @@
 	d := newScheduler(pool(2)...)
 	withoutTargets := func(n uint64) *dispatch.Request {
 		a := newRequest(start, n)
-		a.Barred = []string{"t0", "t1"}
+		a.Unavailable = []string{"t0", "t1"}
 		return a
 	}
 	if g := d.RequestGrant(start, withoutTargets(1)); g.Verdict != dispatch.Refused {
--- a/internal/node/dispatcher.go
+++ b/internal/node/dispatcher.go
@@ -204,7 +204,7 @@
 		SoftDeadline: now.Add(time.Duration(w.GetAimMs()) * time.Millisecond),
 		Deadline:     now.Add(time.Duration(w.GetDeadlineMs()) * time.Millisecond),
 		Tried:        w.GetTried(),
-		Barred:       w.GetBarred(),
+		Unavailable:  w.GetBarred(),
 		Draining:     w.GetLeaving(),
 		Closed:       w.GetClosedHalls(),
 		Refused:      int(w.GetRefused()),
--- a/internal/node/fallback.go
+++ b/internal/node/fallback.go
@@ -32,7 +32,7 @@
 		SoftDeadline: q.Aim,
 		Deadline:     q.Deadline,
 		Tried:        q.Tried,
-		Barred:       append(unavailable.backingOff, d.board.targetsOverShare(now, d.currentService(q.Service), p.hall)...),
+		Unavailable:  append(unavailable.backingOff, d.board.targetsOverShare(now, d.currentService(q.Service), p.hall)...),
 		Draining:     unavailable.draining,
 		Closed:       d.board.closedHalls(q),
 		Route:        q.Route,
