--- a/internal/dispatch/queue.go
+++ b/internal/dispatch/queue.go
@@ -67,8 +67,8 @@
 // a repeated one.
 func (q *queue) updateUnavailable(a *Request) {
 	for _, w := range q.list {
-		if w.request.ID == a.ID && !(slices.Equal(w.request.Unavailable, a.Unavailable) && slices.Equal(w.request.Closed, a.Closed)) {
-			w.request.Unavailable, w.request.Closed = a.Unavailable, a.Closed
+		if w.request.ID == a.ID && !(slices.Equal(w.request.Unavailable, a.Unavailable) && slices.Equal(w.request.ClosedHalls, a.ClosedHalls)) {
+			w.request.Unavailable, w.request.ClosedHalls = a.Unavailable, a.ClosedHalls
 			w.bestCostAt = time.Time{}
 		}
 	}
--- a/internal/dispatch/request.go
+++ b/internal/dispatch/request.go
@@ -59,8 +59,8 @@
 	Unavailable []string
 	// Draining are keys of targets that signalled to the node that they drain.
 	Draining []string
-	// Closed are the data halls that the request must not be sent to.
-	Closed []string
+	// ClosedHalls are the data halls that the request must not be sent to.
+	ClosedHalls []string
 	// Refused is the number of requests for the service that the node refused since its last grant
 	// request, before a target was requested for them.
 	Refused int
--- a/internal/dispatch/serve.go
+++ b/internal/dispatch/serve.go
@@ -33,7 +33,7 @@
 		repeatable: a.Repeatable,
 		retry:      a.Retry,
 		kilobytes:  a.Kilobytes,
-		restricted: len(a.Unavailable)+len(a.Closed) > 0,
+		restricted: len(a.Unavailable)+len(a.ClosedHalls) > 0,
 		late:       !q.inTime(now, w),
 	}
 }
@@ -60,7 +60,7 @@
 			}
 			t := d.best(now, w, free)
 			if t == nil {
-				declined[k] = len(w.request.Tried)+len(w.request.Unavailable)+len(w.request.Closed) == 0
+				declined[k] = len(w.request.Tried)+len(w.request.Unavailable)+len(w.request.ClosedHalls) == 0
 				return false
 			}
 			if near && t.DataHall != w.request.DataHall {
--- a/internal/dispatch/target.go
+++ b/internal/dispatch/target.go
@@ -62,7 +62,7 @@
 
 // open reports whether the target may be granted to the request.
 func (t *target) open(now time.Time, a *Request) bool {
-	return !t.drains(now) && !slices.Contains(a.Closed, t.DataHall) && !slices.Contains(a.Unavailable, t.Key)
+	return !t.drains(now) && !slices.Contains(a.ClosedHalls, t.DataHall) && !slices.Contains(a.Unavailable, t.Key)
 }
 
 func (t *target) markGone(now time.Time, r Result) {
--- a/internal/dispatch/unavailable.go
+++ b/internal/dispatch/unavailable.go
@@ -7,7 +7,7 @@
 // unavailable reports whether none of the targets that do not drain is available to the requesting
 // node. Where all are draining, others may join at any time.
 func (d *Scheduler) unavailable(now time.Time, a *Request) bool {
-	if len(a.Unavailable)+len(a.Closed) == 0 {
+	if len(a.Unavailable)+len(a.ClosedHalls) == 0 {
 		return false
 	}
 	staying := 0
--- a/internal/node/dispatcher.go
+++ b/internal/node/dispatcher.go
@@ -206,7 +206,7 @@
 		Tried:        w.GetTried(),
 		Unavailable:  w.GetBarred(),
 		Draining:     w.GetLeaving(),
-		Closed:       w.GetClosedHalls(),
+		ClosedHalls:  w.GetClosedHalls(),
 		Refused:      int(w.GetRefused()),
 		Route:        w.GetRoute(),
 		Passing:      w.GetPassing(),
--- a/internal/node/fallback.go
+++ b/internal/node/fallback.go
@@ -34,7 +34,7 @@
 		Tried:        q.Tried,
 		Unavailable:  append(unavailable.backingOff, d.board.targetsOverShare(now, d.currentService(q.Service), p.hall)...),
 		Draining:     unavailable.draining,
-		Closed:       d.board.closedHalls(q),
+		ClosedHalls:  d.board.closedHalls(q),
 		Route:        q.Route,
 	}
 	d.mu.Lock()
