--- a/internal/dispatch/partition_test.go
+++ b/internal/dispatch/partition_test.go
@@ -94,7 +94,7 @@
 	before := d.Status(start)
 	for n := range uint64(20) {
 		a := newRequest(start, 200+n)
-		a.Passing = true
+		a.NonQueueing = true
 		a.Retry = n%2 == 1
 		if g := d.RequestGrant(start, a); g.Verdict != dispatch.Full {
 			t.Fatalf("request %d: %v", n, g.Verdict)
--- a/internal/dispatch/request.go
+++ b/internal/dispatch/request.go
@@ -66,9 +66,9 @@
 	Refused int
 	// Limits are the target limits known to the node, received from targets or from other nodes.
 	Limits []TargetLimit
-	// Passing is set where the node can request a target in another data hall instead: the request
+	// NonQueueing is set where the node can request a target in another data hall instead: the request
 	// is then not queued.
-	Passing bool
+	NonQueueing bool
 	// Elsewhere counts the attempts that other dispatchers of the same targets granted to the node.
 	Elsewhere Spending
 }
--- a/internal/dispatch/scheduler.go
+++ b/internal/dispatch/scheduler.go
@@ -165,7 +165,7 @@
 			return d.grant(now, t, a, false)
 		}
 	}
-	if a.Passing || d.infeasible(now, a) {
+	if a.NonQueueing || d.infeasible(now, a) {
 		return a.withoutTarget(Refused, 0)
 	}
 	d.queue.add(w)
@@ -178,7 +178,7 @@
 // withoutTarget returns the answer to a request that gets no target. A non-queueing request gets
 // Full instead of a refusal.
 func (a *Request) withoutTarget(v Verdict, wait time.Duration) Grant {
-	if a.Passing {
+	if a.NonQueueing {
 		v, wait = Full, 0
 	}
 	return Grant{
--- a/internal/dispatch/unavailable_test.go
+++ b/internal/dispatch/unavailable_test.go
@@ -189,7 +189,7 @@
 		t.Errorf("got %v", g.Verdict)
 	}
 	nonQueueing := withoutTargets(2)
-	nonQueueing.Passing = true
+	nonQueueing.NonQueueing = true
 	if g := d.RequestGrant(start, nonQueueing); g.Verdict != dispatch.Full {
 		t.Errorf("non-queueing request: got %v", g.Verdict)
 	}
--- a/internal/node/dispatcher.go
+++ b/internal/node/dispatcher.go
@@ -209,7 +209,7 @@
 		ClosedHalls:  w.GetClosedHalls(),
 		Refused:      int(w.GetRefused()),
 		Route:        w.GetRoute(),
-		Passing:      w.GetPassing(),
+		NonQueueing:  w.GetPassing(),
 		Elsewhere: dispatch.Spending{
 			Firsts:  int(w.GetFirstsElsewhere()),
 			Repeats: int(w.GetRepeatsElsewhere()),
