--- a/internal/dispatch/request.go
+++ b/internal/dispatch/request.go
@@ -69,8 +69,8 @@
 	// NonQueueing is set where the node can request a target in another data hall instead: the request
 	// is then not queued.
 	NonQueueing bool
-	// Elsewhere counts the attempts that other dispatchers of the same targets granted to the node.
-	Elsewhere Spending
+	// RemoteGrants counts the attempts that other dispatchers of the same targets granted to the node.
+	RemoteGrants Spending
 }
 
 // final reports whether no other attempt can follow a failure of this one.
--- a/internal/dispatch/retries.go
+++ b/internal/dispatch/retries.go
@@ -9,7 +9,7 @@
 func (d *Scheduler) affords(now time.Time, a *Request, share float64) bool {
 	d.window.advance(now, d.started, d.budget)
 	d.window.recordRequest(now, d.budget)
-	d.remote.record(now, a.ID.Node, a.Elsewhere)
+	d.remote.record(now, a.ID.Node, a.RemoteGrants)
 	return !a.Retry || d.retriesLeft(now, share) >= 1
 }
 
