--- a/internal/dispatch/hedge_test.go
+++ b/internal/dispatch/hedge_test.go
@@ -42,7 +42,7 @@
 	tests := []struct {
 		name string
 		age  time.Duration
-		want dispatch.Verdict
+		want dispatch.Decision
 	}{
 		{
 			name: "not sent yet",
--- a/internal/dispatch/request.go
+++ b/internal/dispatch/request.go
@@ -76,13 +76,13 @@
 // final reports whether no other attempt can follow a failure of this one.
 func (a *Request) final() bool { return !a.Repeatable || a.Retry && !a.Hedge }
 
-// Verdict is the decision on a grant request.
-type Verdict uint8
+// Decision is the decision on a grant request.
+type Decision uint8
 
 // Possible decisions.
 const (
 	// Granted means that the request may go to the target.
-	Granted Verdict = iota
+	Granted Decision = iota
 	// Queued means that a grant or a refusal will follow.
 	Queued
 	// Refused means that no target can take the request in time.
@@ -94,14 +94,14 @@
 )
 
 // String returns the decision as logged.
-func (v Verdict) String() string {
+func (v Decision) String() string {
 	return [...]string{"granted", "queued", "refused", "spent", "full"}[v]
 }
 
 // Grant is the answer to a grant request.
 type Grant struct {
 	ID      ID
-	Verdict Verdict
+	Verdict Decision
 	Target  string
 	// RetryAfter is the delay after which a refused caller may retry.
 	RetryAfter time.Duration
--- a/internal/dispatch/scheduler.go
+++ b/internal/dispatch/scheduler.go
@@ -177,7 +177,7 @@
 
 // withoutTarget returns the answer to a request that gets no target. A non-queueing request gets
 // Full instead of a refusal.
-func (a *Request) withoutTarget(v Verdict, wait time.Duration) Grant {
+func (a *Request) withoutTarget(v Decision, wait time.Duration) Grant {
 	if a.NonQueueing {
 		v, wait = Full, 0
 	}
