--- a/internal/dispatch/backoff_model_test.go
+++ b/internal/dispatch/backoff_model_test.go
@@ -224,8 +224,8 @@
 	for _, g := range grants {
 		r := p.requests[g.ID.Number]
 		switch {
-		case r == nil || g.Verdict == dispatch.Queued:
-		case g.Verdict == dispatch.Granted:
+		case r == nil || g.Decision == dispatch.Queued:
+		case g.Decision == dispatch.Granted:
 			p.send(r, g)
 		default:
 			delete(p.requests, g.ID.Number)
--- a/internal/dispatch/budget_test.go
+++ b/internal/dispatch/budget_test.go
@@ -25,7 +25,7 @@
 		d.Done(now, g.ID, g.Target, dispatch.ResultBad, 0)
 		b := newRequest(now, 2*n+1)
 		b.Repeatable, b.Retry = true, true
-		if g := d.RequestGrant(now, b); g.Verdict == dispatch.Granted {
+		if g := d.RequestGrant(now, b); g.Decision == dispatch.Granted {
 			retries++
 			d.Done(now, g.ID, g.Target, dispatch.ResultBad, 0)
 		}
@@ -49,15 +49,15 @@
 	for n := range uint64(100) {
 		a := newRequest(now, n)
 		a.Repeatable, a.Retry, a.Hedge, a.Age = true, true, true, 900*time.Millisecond
-		if g := d.RequestGrant(now, a); g.Verdict == dispatch.Granted {
+		if g := d.RequestGrant(now, a); g.Decision == dispatch.Granted {
 			hedges++
 			d.Done(now, g.ID, g.Target, dispatch.ResultIgnored, 0)
 		}
 	}
 	a := newRequest(now, 1000)
 	a.Repeatable, a.Retry = true, true
-	if g := d.RequestGrant(now, a); hedges == 0 || g.Verdict != dispatch.Granted {
-		t.Fatalf("after %d hedges the retry of a failed request is %v", hedges, g.Verdict)
+	if g := d.RequestGrant(now, a); hedges == 0 || g.Decision != dispatch.Granted {
+		t.Fatalf("after %d hedges the retry of a failed request is %v", hedges, g.Decision)
 	}
 }
 
@@ -77,7 +77,7 @@
 			number++
 			a := newRequest(now, number)
 			a.Repeatable, a.Retry = true, true
-			if g := d.RequestGrant(now, a); g.Verdict == dispatch.Granted {
+			if g := d.RequestGrant(now, a); g.Decision == dispatch.Granted {
 				retries++
 				d.Done(now, g.ID, g.Target, dispatch.ResultBad, 0)
 			}
@@ -130,7 +130,7 @@
 				a.Retry = attempt > 0
 				a.RemoteGrants = ledger.Elsewhere(now, name)
 				g := d.RequestGrant(now, a)
-				if g.Verdict != dispatch.Granted {
+				if g.Decision != dispatch.Granted {
 					break
 				}
 				ledger.Took(now, name, a.Retry)
--- a/internal/dispatch/choose_test.go
+++ b/internal/dispatch/choose_test.go
@@ -32,8 +32,8 @@
 	d.RequestGrant(now, newRequest(now, 1))
 	a := newRequest(now, 2)
 	a.Kilobytes = 5
-	if g := d.RequestGrant(now, a); g.Verdict != dispatch.Queued {
-		t.Fatalf("at once: %v %q", g.Verdict, g.Target)
+	if g := d.RequestGrant(now, a); g.Decision != dispatch.Queued {
+		t.Fatalf("at once: %v %q", g.Decision, g.Target)
 	}
 	grants := d.Advance(now.Add(100 * time.Millisecond))
 	if len(grants) != 1 || grants[0].Target != "far" {
@@ -119,7 +119,7 @@
 		a := newRequest(now, n)
 		a.Deadline = now.Add(6 * usualTime)
 		g := d.RequestGrant(now, a)
-		if g.Verdict == dispatch.Refused {
+		if g.Decision == dispatch.Refused {
 			if g.RetryAfter < 3*usualTime || g.RetryAfter > 6*usualTime {
 				t.Errorf("RetryAfter is %v", g.RetryAfter)
 			}
--- a/internal/dispatch/hedge_test.go
+++ b/internal/dispatch/hedge_test.go
@@ -66,8 +66,8 @@
 			first.Repeatable = true
 			g := d.RequestGrant(now, first)
 			later := now.Add(tt.age)
-			if got := d.RequestGrant(later, newHedge(later, 2, tt.age, g.Target)); got.Verdict != tt.want {
-				t.Errorf("got %v, want %v", got.Verdict, tt.want)
+			if got := d.RequestGrant(later, newHedge(later, 2, tt.age, g.Target)); got.Decision != tt.want {
+				t.Errorf("got %v, want %v", got.Decision, tt.want)
 			}
 		})
 	}
@@ -81,18 +81,18 @@
 		a := newRequest(now, n)
 		a.Repeatable, a.Retry = true, true
 		g := d.RequestGrant(now, a)
-		if g.Verdict != dispatch.Granted {
-			t.Fatalf("retry %d: %v", n, g.Verdict)
+		if g.Decision != dispatch.Granted {
+			t.Fatalf("retry %d: %v", n, g.Decision)
 		}
 		d.Done(now, g.ID, g.Target, dispatch.ResultGood, usualTime)
 		h := d.RequestGrant(now, newHedge(now, 1000+n, age, "t0"))
-		if h.Verdict == dispatch.Spent {
+		if h.Decision == dispatch.Spent {
 			if n == 0 {
 				t.Fatal("no hedge while the budget was hardly used")
 			}
 			sure := d.RequestGrant(now, newHedge(now, 2000+n, 8*usualTime, "t0"))
-			if sure.Verdict != dispatch.Granted {
-				t.Errorf("hedge of a surely silent attempt: %v, with %.0f retries left", sure.Verdict, d.Status(now).RepeatsLeft)
+			if sure.Decision != dispatch.Granted {
+				t.Errorf("hedge of a surely silent attempt: %v, with %.0f retries left", sure.Decision, d.Status(now).RepeatsLeft)
 			}
 			return
 		}
@@ -113,8 +113,8 @@
 	a := newHedge(now, 2, 4*usualTime, "bad")
 	a.Tried = []string{"elsewhere"}
 	a.SoftDeadline = now.Add(usualTime)
-	if g := d.RequestGrant(now, a); g.Verdict != dispatch.Queued {
-		t.Fatalf("hedge: %v %q", g.Verdict, g.Target)
+	if g := d.RequestGrant(now, a); g.Decision != dispatch.Queued {
+		t.Fatalf("hedge: %v %q", g.Decision, g.Target)
 	}
 	if grants := d.Advance(now.Add(usualTime / 2)); len(grants) != 0 {
 		t.Fatalf("after half of the usual time: %v", grants)
@@ -133,14 +133,14 @@
 	waiting, late := newRequest(now, 2), newRequest(now, 3)
 	waiting.Deadline = now.Add(2 * usualTime)
 	late.Deadline = now.Add(usualTime / 4)
-	if g := d.RequestGrant(now, late); g.Verdict != dispatch.Refused {
-		t.Errorf("with hardly any time left: %v", g.Verdict)
+	if g := d.RequestGrant(now, late); g.Decision != dispatch.Refused {
+		t.Errorf("with hardly any time left: %v", g.Decision)
 	}
-	if g := d.RequestGrant(now, waiting); g.Verdict != dispatch.Queued {
-		t.Fatalf("with time left: %v", g.Verdict)
+	if g := d.RequestGrant(now, waiting); g.Decision != dispatch.Queued {
+		t.Fatalf("with time left: %v", g.Decision)
 	}
 	grants := d.Done(now.Add(2*usualTime-usualTime/4), first.ID, first.Target, dispatch.ResultGood, usualTime)
-	if len(grants) != 1 || grants[0].Verdict != dispatch.Refused {
+	if len(grants) != 1 || grants[0].Decision != dispatch.Refused {
 		t.Errorf("after the wait: %v", grants)
 	}
 }
--- a/internal/dispatch/limit_test.go
+++ b/internal/dispatch/limit_test.go
@@ -86,7 +86,7 @@
 
 func (p *limitSimulation) start(grants []dispatch.Grant) {
 	for _, g := range grants {
-		switch g.Verdict {
+		switch g.Decision {
 		case dispatch.Granted:
 			p.granted[g.Target] = append(p.granted[g.Target], p.now)
 			p.ends = append(p.ends, limitEnd{
@@ -160,7 +160,7 @@
 	a.Limits = []dispatch.TargetLimit{
 		limitOf("t0", 2, start.Add(-10*time.Second)),
 	}
-	if g := d.RequestGrant(start, a); g.Verdict == dispatch.Granted {
+	if g := d.RequestGrant(start, a); g.Decision == dispatch.Granted {
 		t.Error("granted at once")
 	}
 	if at := start.Add(520 * time.Millisecond); len(d.Advance(at)) != 1 {
@@ -273,12 +273,12 @@
 	d := newScheduler(pool(1)...)
 	d.Observe(start, "n", limitOf("t0", 1, start))
 	now := start.Add(time.Second)
-	if g := d.RequestGrant(now, newRequest(now, 1)); g.Verdict != dispatch.Granted {
-		t.Fatalf("%v", g.Verdict)
+	if g := d.RequestGrant(now, newRequest(now, 1)); g.Decision != dispatch.Granted {
+		t.Fatalf("%v", g.Decision)
 	}
 	d.Done(now, newRequest(now, 1).ID, "t0", dispatch.ResultUnreached, 0)
-	if g := d.RequestGrant(now, newRequest(now, 2)); g.Verdict != dispatch.Granted {
-		t.Errorf("%v", g.Verdict)
+	if g := d.RequestGrant(now, newRequest(now, 2)); g.Decision != dispatch.Granted {
+		t.Errorf("%v", g.Decision)
 	}
 }
 
@@ -324,8 +324,8 @@
 	d := newScheduler(pool(1)...)
 	d.Observe(start, "n", limitOf("t0", 0.1, start))
 	g := d.RequestGrant(start, newRequest(start, 1))
-	if g.Verdict != dispatch.Refused || g.RetryAfter < 7*time.Second || g.RetryAfter > 13*time.Second {
-		t.Errorf("%v, RetryAfter is %v", g.Verdict, g.RetryAfter)
+	if g.Decision != dispatch.Refused || g.RetryAfter < 7*time.Second || g.RetryAfter > 13*time.Second {
+		t.Errorf("%v, RetryAfter is %v", g.Decision, g.RetryAfter)
 	}
 }
 
@@ -377,7 +377,7 @@
 // meanwhile did not pay for it.
 func TestRepeatedGrantKeepsItsLimit(t *testing.T) {
 	d := newScheduler(pool(1)...)
-	if g := d.RequestGrant(start, newRequest(start, 1)); g.Verdict != dispatch.Granted || g.Limit.Set {
+	if g := d.RequestGrant(start, newRequest(start, 1)); g.Decision != dispatch.Granted || g.Limit.Set {
 		t.Fatalf("%+v", g)
 	}
 	d.Observe(start, "n", limitOf("t0", 2, start))
--- a/internal/dispatch/overload_test.go
+++ b/internal/dispatch/overload_test.go
@@ -142,8 +142,8 @@
 	for _, g := range grants {
 		r := o.requests[g.ID.Number]
 		switch {
-		case r == nil || g.Verdict == dispatch.Queued:
-		case g.Verdict == dispatch.Granted:
+		case r == nil || g.Decision == dispatch.Queued:
+		case g.Decision == dispatch.Granted:
 			o.work(r, g)
 		default:
 			delete(o.requests, g.ID.Number)
--- a/internal/dispatch/partition_test.go
+++ b/internal/dispatch/partition_test.go
@@ -96,8 +96,8 @@
 		a := newRequest(start, 200+n)
 		a.NonQueueing = true
 		a.Retry = n%2 == 1
-		if g := d.RequestGrant(start, a); g.Verdict != dispatch.Full {
-			t.Fatalf("request %d: %v", n, g.Verdict)
+		if g := d.RequestGrant(start, a); g.Decision != dispatch.Full {
+			t.Fatalf("request %d: %v", n, g.Decision)
 		}
 	}
 	after := d.Status(start)
@@ -152,7 +152,7 @@
 							n++
 							a := newRequest(now, n)
 							a.Repeatable, a.Retry = true, true
-							if g := d.RequestGrant(now, a); g.Verdict != dispatch.Spent {
+							if g := d.RequestGrant(now, a); g.Decision != dispatch.Spent {
 								retries++
 							}
 						}
--- a/internal/dispatch/queue.go
+++ b/internal/dispatch/queue.go
@@ -98,8 +98,8 @@
 			return false
 		}
 		out = append(out, Grant{
-			ID:      w.request.ID,
-			Verdict: Refused,
+			ID:       w.request.ID,
+			Decision: Refused,
 		})
 		return true
 	})
--- a/internal/dispatch/request.go
+++ b/internal/dispatch/request.go
@@ -100,9 +100,9 @@
 
 // Grant is the answer to a grant request.
 type Grant struct {
-	ID      ID
-	Verdict Decision
-	Target  string
+	ID       ID
+	Decision Decision
+	Target   string
 	// RetryAfter is the delay after which a refused caller may retry.
 	RetryAfter time.Duration
 	// HedgeAfter is the time without an answer after which a hedge may be requested.
--- a/internal/dispatch/scheduler.go
+++ b/internal/dispatch/scheduler.go
@@ -102,7 +102,7 @@
 // answer answers a grant request or repeats its previous answer.
 func (d *Scheduler) answer(now time.Time, a *Request) Grant {
 	if g, known := d.previousAnswer(a.ID); known {
-		if g.Verdict == Queued {
+		if g.Decision == Queued {
 			return d.renew(now, a)
 		}
 		return g
@@ -114,14 +114,14 @@
 			d.outcomes.record(now, false)
 		}
 		return Grant{
-			ID:      a.ID,
-			Verdict: Spent,
+			ID:       a.ID,
+			Decision: Spent,
 		}
 	}
 	// The request itself counts in the decision: it is one of those that keep the floor.
 	d.charge(a, 1)
 	g := d.decide(now, a)
-	switch g.Verdict {
+	switch g.Decision {
 	case Full:
 		d.charge(a, -1)
 	case Refused:
@@ -170,8 +170,8 @@
 	}
 	d.queue.add(w)
 	return Grant{
-		ID:      a.ID,
-		Verdict: Queued,
+		ID:       a.ID,
+		Decision: Queued,
 	}
 }
 
@@ -183,7 +183,7 @@
 	}
 	return Grant{
 		ID:         a.ID,
-		Verdict:    v,
+		Decision:   v,
 		RetryAfter: wait,
 	}
 }
@@ -229,9 +229,9 @@
 func (d *Scheduler) previousAnswer(id ID) (Grant, bool) {
 	if key, ok := d.granted[id]; ok {
 		g := Grant{
-			ID:      id,
-			Verdict: Granted,
-			Target:  key,
+			ID:       id,
+			Decision: Granted,
+			Target:   key,
 
 			HedgeAfter: d.targets[key].hedgeAfter(id),
 		}
@@ -244,13 +244,13 @@
 	}
 	if _, over := d.ended[id]; over {
 		return Grant{
-			ID:      id,
-			Verdict: Refused,
+			ID:       id,
+			Decision: Refused,
 		}, true
 	}
 	return Grant{
-		ID:      id,
-		Verdict: Queued,
+		ID:       id,
+		Decision: Queued,
 	}, d.queue.has(id)
 }
 
@@ -260,8 +260,8 @@
 	d.recordSignals(now, a)
 	if !d.affords(now, a, share) {
 		return Grant{
-			ID:      a.ID,
-			Verdict: Spent,
+			ID:       a.ID,
+			Decision: Spent,
 		}
 	}
 	d.charge(a, 1)
@@ -269,8 +269,8 @@
 		return d.grant(now, t, a, false)
 	}
 	return Grant{
-		ID:      a.ID,
-		Verdict: Refused,
+		ID:       a.ID,
+		Decision: Refused,
 	}
 }
 
@@ -305,9 +305,9 @@
 	}
 	d.granted[a.ID] = t.Key
 	return Grant{
-		ID:      a.ID,
-		Verdict: Granted,
-		Target:  t.Key,
+		ID:       a.ID,
+		Decision: Granted,
+		Target:   t.Key,
 
 		HedgeAfter: route.Within(hedgeQuantile),
 		Doubt:      lossProbability,
--- a/internal/dispatch/scheduler_test.go
+++ b/internal/dispatch/scheduler_test.go
@@ -73,14 +73,14 @@
 		Key:   "only",
 		Slots: 1,
 	})
-	fmt.Println(d.RequestGrant(start, newRequest(start, 1)).Verdict)
-	fmt.Println(d.RequestGrant(start, newRequest(start, 2)).Verdict)
+	fmt.Println(d.RequestGrant(start, newRequest(start, 1)).Decision)
+	fmt.Println(d.RequestGrant(start, newRequest(start, 2)).Decision)
 	later := start.Add(200 * time.Millisecond)
 	for _, g := range d.Done(later, dispatch.ID{
 		Node:   "n",
 		Number: 1,
 	}, "only", dispatch.ResultGood, 200*time.Millisecond) {
-		fmt.Println(g.ID.Number, g.Verdict, g.Target)
+		fmt.Println(g.ID.Number, g.Decision, g.Target)
 	}
 	// Output:
 	// granted
@@ -99,11 +99,11 @@
 		answers := map[uint64]int{}
 		now := start
 		take := func(g dispatch.Grant) {
-			if g.Verdict == dispatch.Queued {
+			if g.Decision == dispatch.Queued {
 				return
 			}
 			answers[g.ID.Number]++
-			if g.Verdict == dispatch.Granted {
+			if g.Decision == dispatch.Granted {
 				running[g.ID.Number] = g.Target
 				busy[g.Target]++
 				if busy[g.Target] > 3 {
@@ -168,8 +168,8 @@
 		Number: 1,
 	}, "t0", dispatch.ResultBad, 0)
 	later := start.Add(6 * time.Second)
-	if g := d.RequestGrant(later, newRequest(later, 2)); g.Verdict != dispatch.Granted {
-		t.Errorf("the only target got no work after it failed: %v", g.Verdict)
+	if g := d.RequestGrant(later, newRequest(later, 2)); g.Decision != dispatch.Granted {
+		t.Errorf("the only target got no work after it failed: %v", g.Decision)
 	}
 }
 
@@ -182,8 +182,8 @@
 	if g := d.RequestGrant(start, newRequest(start, 1)); g.Target != "good" {
 		t.Fatalf("first request got %q", g.Target)
 	}
-	if g := d.RequestGrant(start, newRequest(start, 2)); g.Verdict != dispatch.Queued {
-		t.Fatalf("second request: %v %q", g.Verdict, g.Target)
+	if g := d.RequestGrant(start, newRequest(start, 2)); g.Decision != dispatch.Queued {
+		t.Fatalf("second request: %v %q", g.Decision, g.Target)
 	}
 	grants := d.Done(start.Add(300*time.Millisecond), dispatch.ID{
 		Node:   "n",
@@ -211,8 +211,8 @@
 	a := newRequest(now, 3)
 	a.Repeatable = true
 	a.Retry = true
-	if g := d.RequestGrant(now, a); g.Verdict != dispatch.Queued {
-		t.Fatalf("second attempt: %v %q", g.Verdict, g.Target)
+	if g := d.RequestGrant(now, a); g.Decision != dispatch.Queued {
+		t.Fatalf("second attempt: %v %q", g.Decision, g.Target)
 	}
 	if grants := d.Advance(now.Add(500 * time.Millisecond)); len(grants) != 0 {
 		t.Fatalf("after half a second: %v", grants)
@@ -260,7 +260,7 @@
 	late := start.Add(3 * time.Second)
 	d.RequestGrant(late, newRequest(late, 2))
 	grants := d.Advance(late.Add(600 * time.Millisecond))
-	if len(grants) != 1 || grants[0].Verdict != dispatch.Granted {
+	if len(grants) != 1 || grants[0].Decision != dispatch.Granted {
 		t.Fatalf("got %v", grants)
 	}
 }
@@ -339,8 +339,8 @@
 		a := newRequest(start, n)
 		a.Repeatable, a.Kilobytes = true, 90
 		g := d.RequestGrant(start, a)
-		if g.Verdict != dispatch.Granted || g.Target != "t0" && g.Target != "t2" {
-			t.Fatalf("request %d: %v %q", n, g.Verdict, g.Target)
+		if g.Decision != dispatch.Granted || g.Target != "t0" && g.Target != "t2" {
+			t.Fatalf("request %d: %v %q", n, g.Decision, g.Target)
 		}
 	}
 }
@@ -349,8 +349,8 @@
 func TestIsolatedRequestsNeverWait(t *testing.T) {
 	d := newScheduler(pool(1)...)
 	for n := range uint64(10) {
-		if g := d.GrantIsolated(start, newRequest(start, n), 0.1); g.Verdict != dispatch.Granted {
-			t.Fatalf("request %d: %v", n, g.Verdict)
+		if g := d.GrantIsolated(start, newRequest(start, n), 0.1); g.Decision != dispatch.Granted {
+			t.Fatalf("request %d: %v", n, g.Decision)
 		}
 	}
 }
@@ -362,10 +362,10 @@
 		Slots:   3,
 		Leaving: true,
 	})
-	if g := d.RequestGrant(start, newRequest(start, 1)); g.Verdict != dispatch.Queued {
-		t.Errorf("got %v", g.Verdict)
+	if g := d.RequestGrant(start, newRequest(start, 1)); g.Decision != dispatch.Queued {
+		t.Errorf("got %v", g.Decision)
 	}
-	if g := d.GrantIsolated(start, newRequest(start, 2), 1); g.Verdict != dispatch.Refused {
-		t.Errorf("isolated: got %v", g.Verdict)
+	if g := d.GrantIsolated(start, newRequest(start, 2), 1); g.Decision != dispatch.Refused {
+		t.Errorf("isolated: got %v", g.Decision)
 	}
 }
--- a/internal/dispatch/serve_test.go
+++ b/internal/dispatch/serve_test.go
@@ -25,13 +25,13 @@
 		a.Route = fmt.Sprint("route-", n%20)
 		a.Deadline = now.Add(time.Hour)
 		a.SoftDeadline = a.Deadline
-		switch g := d.RequestGrant(now, a); g.Verdict {
+		switch g := d.RequestGrant(now, a); g.Decision {
 		case dispatch.Granted:
 			running = append(running, g)
 		case dispatch.Queued:
 			waiting--
 		default:
-			tb.Fatalf("request %d: %v", n, g.Verdict)
+			tb.Fatalf("request %d: %v", n, g.Decision)
 		}
 	}
 	return d, running
@@ -53,7 +53,7 @@
 				a.Route = fmt.Sprint("route-", n%20)
 				a.Deadline = now.Add(time.Hour)
 				a.SoftDeadline = a.Deadline
-				if g := d.RequestGrant(now, a); g.Verdict == dispatch.Granted {
+				if g := d.RequestGrant(now, a); g.Decision == dispatch.Granted {
 					running = append(running, g)
 				}
 			}
--- a/internal/dispatch/simulation_test.go
+++ b/internal/dispatch/simulation_test.go
@@ -203,7 +203,7 @@
 // start starts the attempts that were granted.
 func (p *simulation) start(grants []dispatch.Grant) {
 	for _, g := range grants {
-		switch g.Verdict {
+		switch g.Decision {
 		case dispatch.Granted:
 			p.attempt(g, p.requests[g.ID.Number])
 		case dispatch.Refused, dispatch.Spent:
--- a/internal/dispatch/sparse_test.go
+++ b/internal/dispatch/sparse_test.go
@@ -108,7 +108,7 @@
 	// granted simulates the attempt of a granted request.
 	granted = func(at time.Duration, g dispatch.Grant) {
 		warm := arrived[g.ID] > sparseWarm
-		switch g.Verdict {
+		switch g.Decision {
 		case dispatch.Queued:
 			return
 		case dispatch.Granted:
--- a/internal/dispatch/spread_test.go
+++ b/internal/dispatch/spread_test.go
@@ -63,8 +63,8 @@
 	for n := range uint64(600) {
 		now = now.Add(15 * time.Millisecond)
 		g := d.RequestGrant(now, newRequest(now, n))
-		if g.Verdict != dispatch.Granted {
-			t.Fatalf("request %d: %v", n, g.Verdict)
+		if g.Decision != dispatch.Granted {
+			t.Fatalf("request %d: %v", n, g.Decision)
 		}
 		last[g.Target] = now
 		r := dispatch.ResultGood
@@ -123,8 +123,8 @@
 		a := newRequest(now, n)
 		a.Repeatable = true
 		g := d.RequestGrant(now, a)
-		if g.Verdict != dispatch.Granted {
-			t.Fatalf("request %d: %v", n, g.Verdict)
+		if g.Decision != dispatch.Granted {
+			t.Fatalf("request %d: %v", n, g.Decision)
 		}
 		last[g.Target] = now
 		switch {
--- a/internal/dispatch/unavailable.go
+++ b/internal/dispatch/unavailable.go
@@ -32,8 +32,8 @@
 	}
 	d.queue.updateUnavailable(a)
 	return Grant{
-		ID:      a.ID,
-		Verdict: Queued,
+		ID:       a.ID,
+		Decision: Queued,
 	}
 }
 
--- a/internal/dispatch/unavailable_test.go
+++ b/internal/dispatch/unavailable_test.go
@@ -127,7 +127,7 @@
 	running := map[uint64]string{}
 	now := start
 	take := func(g dispatch.Grant) {
-		if g.Verdict != dispatch.Granted {
+		if g.Decision != dispatch.Granted {
 			return
 		}
 		if slices.Contains(open[g.ID.Number].Unavailable, g.Target) {
@@ -185,25 +185,25 @@
 		a.Unavailable = []string{"t0", "t1"}
 		return a
 	}
-	if g := d.RequestGrant(start, withoutTargets(1)); g.Verdict != dispatch.Refused {
-		t.Errorf("got %v", g.Verdict)
+	if g := d.RequestGrant(start, withoutTargets(1)); g.Decision != dispatch.Refused {
+		t.Errorf("got %v", g.Decision)
 	}
 	nonQueueing := withoutTargets(2)
 	nonQueueing.NonQueueing = true
-	if g := d.RequestGrant(start, nonQueueing); g.Verdict != dispatch.Full {
-		t.Errorf("non-queueing request: got %v", g.Verdict)
+	if g := d.RequestGrant(start, nonQueueing); g.Decision != dispatch.Full {
+		t.Errorf("non-queueing request: got %v", g.Decision)
 	}
 	for n := range uint64(6) {
-		if g := d.RequestGrant(start, newRequest(start, 10+n)); g.Verdict != dispatch.Granted {
-			t.Fatalf("request of another node: got %v", g.Verdict)
+		if g := d.RequestGrant(start, newRequest(start, 10+n)); g.Decision != dispatch.Granted {
+			t.Fatalf("request of another node: got %v", g.Decision)
 		}
 	}
 	waiting := newRequest(start, 20)
-	if g := d.RequestGrant(start, waiting); g.Verdict != dispatch.Queued {
-		t.Fatalf("got %v", g.Verdict)
+	if g := d.RequestGrant(start, waiting); g.Decision != dispatch.Queued {
+		t.Fatalf("got %v", g.Decision)
 	}
-	if g := d.RequestGrant(start, withoutTargets(20)); g.Verdict != dispatch.Refused {
-		t.Errorf("waiting request: got %v", g.Verdict)
+	if g := d.RequestGrant(start, withoutTargets(20)); g.Decision != dispatch.Refused {
+		t.Errorf("waiting request: got %v", g.Decision)
 	}
 	if s := d.Status(start); s.Waiting != 0 {
 		t.Errorf("%d requests wait", s.Waiting)
--- a/internal/dispatch/warmup_test.go
+++ b/internal/dispatch/warmup_test.go
@@ -34,7 +34,7 @@
 	var attempts []running
 	granted := func(now time.Time, list ...dispatch.Grant) {
 		for _, g := range list {
-			if g.Verdict == dispatch.Granted {
+			if g.Decision == dispatch.Granted {
 				out[g.Target] = append(out[g.Target], now)
 				attempts = append(attempts, running{
 					ends: now.Add(100 * time.Millisecond),
@@ -135,7 +135,7 @@
 	for n := range uint64(requests) {
 		now := start.Add(time.Duration(n) * 2 * time.Millisecond)
 		g := d.RequestGrant(now, newRequest(now, n))
-		if g.Verdict == dispatch.Refused {
+		if g.Decision == dispatch.Refused {
 			refused++
 			if g.RetryAfter <= 0 {
 				t.Fatal("refused without a RetryAfter")
--- a/internal/node/dispatcher.go
+++ b/internal/node/dispatcher.go
@@ -257,7 +257,7 @@
 	return &wire.Grant{
 		Limits:       limits,
 		Limit:        grantedLimit(now, g),
-		Verdict:      wireDecisions[g.Verdict],
+		Verdict:      wireDecisions[g.Decision],
 		Target:       g.Target,
 		RetryAfterMs: uint32(g.RetryAfter.Milliseconds()),
 		Doubt:        uint32(1000 * g.Doubt),
@@ -298,7 +298,7 @@
 		d.log.WithFields(logrus.Fields{
 			"service": p.service,
 			"node":    g.ID.Node,
-			"verdict": g.Verdict.String(),
+			"verdict": g.Decision.String(),
 			"target":  g.Target,
 		}).Debug("queued request answered")
 		d.answer(g.ID.Node, g.ID.Number, wireGrant(g))
