--- a/internal/dispatch/hedge_test.go
+++ b/internal/dispatch/hedge_test.go
@@ -46,12 +46,12 @@
 	}{
 		{
 			name: "not sent yet",
-			want: dispatch.Spent,
+			want: dispatch.OverBudget,
 		},
 		{
 			name: "usual time",
 			age:  usualTime,
-			want: dispatch.Spent,
+			want: dispatch.OverBudget,
 		},
 		{
 			name: "three times the usual time",
@@ -86,7 +86,7 @@
 		}
 		d.Done(now, g.ID, g.Target, dispatch.ResultGood, usualTime)
 		h := d.RequestGrant(now, newHedge(now, 1000+n, age, "t0"))
-		if h.Decision == dispatch.Spent {
+		if h.Decision == dispatch.OverBudget {
 			if n == 0 {
 				t.Fatal("no hedge while the budget was hardly used")
 			}
--- a/internal/dispatch/partition_test.go
+++ b/internal/dispatch/partition_test.go
@@ -152,7 +152,7 @@
 							n++
 							a := newRequest(now, n)
 							a.Repeatable, a.Retry = true, true
-							if g := d.RequestGrant(now, a); g.Decision != dispatch.Spent {
+							if g := d.RequestGrant(now, a); g.Decision != dispatch.OverBudget {
 								retries++
 							}
 						}
--- a/internal/dispatch/request.go
+++ b/internal/dispatch/request.go
@@ -87,8 +87,8 @@
 	Queued
 	// Refused means that no target can take the request in time.
 	Refused
-	// Spent means that the retry budget is exhausted.
-	Spent
+	// OverBudget means that the retry budget is exhausted.
+	OverBudget
 	// Full means that no target is free for a non-queueing request, which was not counted.
 	Full
 )
--- a/internal/dispatch/scheduler.go
+++ b/internal/dispatch/scheduler.go
@@ -115,7 +115,7 @@
 		}
 		return Grant{
 			ID:       a.ID,
-			Decision: Spent,
+			Decision: OverBudget,
 		}
 	}
 	// The request itself counts in the decision: it is one of those that keep the floor.
@@ -261,7 +261,7 @@
 	if !d.affords(now, a, share) {
 		return Grant{
 			ID:       a.ID,
-			Decision: Spent,
+			Decision: OverBudget,
 		}
 	}
 	d.charge(a, 1)
--- a/internal/dispatch/simulation_test.go
+++ b/internal/dispatch/simulation_test.go
@@ -206,7 +206,7 @@
 		switch g.Decision {
 		case dispatch.Granted:
 			p.attempt(g, p.requests[g.ID.Number])
-		case dispatch.Refused, dispatch.Spent:
+		case dispatch.Refused, dispatch.OverBudget:
 			p.lost++
 		}
 	}
--- a/internal/node/dispatcher.go
+++ b/internal/node/dispatcher.go
@@ -241,11 +241,11 @@
 
 // wireDecisions maps decisions of schedulers to their values in messages.
 var wireDecisions = [...]wire.Grant_Verdict{
-	dispatch.Granted: wire.Grant_GRANTED,
-	dispatch.Queued:  wire.Grant_QUEUED,
-	dispatch.Refused: wire.Grant_REFUSED,
-	dispatch.Spent:   wire.Grant_BUDGET,
-	dispatch.Full:    wire.Grant_FULL,
+	dispatch.Granted:    wire.Grant_GRANTED,
+	dispatch.Queued:     wire.Grant_QUEUED,
+	dispatch.Refused:    wire.Grant_REFUSED,
+	dispatch.OverBudget: wire.Grant_BUDGET,
+	dispatch.Full:       wire.Grant_FULL,
 }
 
 func wireGrant(g dispatch.Grant) *wire.Grant {
--- a/internal/node/fallback.go
+++ b/internal/node/fallback.go
@@ -46,7 +46,7 @@
 		return entry.Choice{}, entry.NewNoTargetError(attempt.ReasonTargets, 0)
 	}
 	g := s.GrantIsolated(now, a, 1/float64(d.board.nodes()))
-	if g.Decision == dispatch.Spent {
+	if g.Decision == dispatch.OverBudget {
 		return entry.Choice{}, entry.NewNoTargetError(attempt.ReasonBudget, 0)
 	}
 	ledger.Took(now, self.Address(), q.Again)
