--- a/internal/dispatch/partition_test.go
+++ b/internal/dispatch/partition_test.go
@@ -96,7 +96,7 @@
 		a := newRequest(start, 200+n)
 		a.NonQueueing = true
 		a.Retry = n%2 == 1
-		if g := d.RequestGrant(start, a); g.Decision != dispatch.Full {
+		if g := d.RequestGrant(start, a); g.Decision != dispatch.NoneFree {
 			t.Fatalf("request %d: %v", n, g.Decision)
 		}
 	}
--- a/internal/dispatch/request.go
+++ b/internal/dispatch/request.go
@@ -89,8 +89,8 @@
 	Refused
 	// OverBudget means that the retry budget is exhausted.
 	OverBudget
-	// Full means that no target is free for a non-queueing request, which was not counted.
-	Full
+	// NoneFree means that no target is free for a non-queueing request, which was not counted.
+	NoneFree
 )
 
 // String returns the decision as logged.
--- a/internal/dispatch/scheduler.go
+++ b/internal/dispatch/scheduler.go
@@ -122,7 +122,7 @@
 	d.charge(a, 1)
 	g := d.decide(now, a)
 	switch g.Decision {
-	case Full:
+	case NoneFree:
 		d.charge(a, -1)
 	case Refused:
 		d.outcomes.record(now, false)
@@ -179,7 +179,7 @@
 // Full instead of a refusal.
 func (a *Request) withoutTarget(v Decision, wait time.Duration) Grant {
 	if a.NonQueueing {
-		v, wait = Full, 0
+		v, wait = NoneFree, 0
 	}
 	return Grant{
 		ID:         a.ID,
--- a/internal/dispatch/unavailable_test.go
+++ b/internal/dispatch/unavailable_test.go
@@ -190,7 +190,7 @@
 	}
 	nonQueueing := withoutTargets(2)
 	nonQueueing.NonQueueing = true
-	if g := d.RequestGrant(start, nonQueueing); g.Decision != dispatch.Full {
+	if g := d.RequestGrant(start, nonQueueing); g.Decision != dispatch.NoneFree {
 		t.Errorf("non-queueing request: got %v", g.Decision)
 	}
 	for n := range uint64(6) {
--- a/internal/node/dispatcher.go
+++ b/internal/node/dispatcher.go
@@ -245,7 +245,7 @@
 	dispatch.Queued:     wire.Grant_QUEUED,
 	dispatch.Refused:    wire.Grant_REFUSED,
 	dispatch.OverBudget: wire.Grant_BUDGET,
-	dispatch.Full:       wire.Grant_FULL,
+	dispatch.NoneFree:   wire.Grant_FULL,
 }
 
 func wireGrant(g dispatch.Grant) *wire.Grant {
