--- a/internal/dispatch/scheduler.go
+++ b/internal/dispatch/scheduler.go
@@ -309,11 +309,11 @@
 		Decision: Granted,
 		Target:   t.Key,
 
-		HedgeAfter: route.Within(hedgeQuantile),
-		Doubt:      lossProbability,
-		Trial:      trial,
-		Limit:      t.limit.Limit,
-		LimitAt:    t.limit.at,
+		HedgeAfter:         route.Within(hedgeQuantile),
+		FailureProbability: lossProbability,
+		Trial:              trial,
+		Limit:              t.limit.Limit,
+		LimitAt:            t.limit.at,
 	}
 }
 
