--- a/internal/dispatch/ledger.go
+++ b/internal/dispatch/ledger.go
@@ -4,9 +4,9 @@
 
 import "time"
 
-// Spending counts first attempts, and retries charged to the retry budget of a service, in one
+// AttemptCounts counts first attempts, and retries charged to the retry budget of a service, in one
 // window.
-type Spending struct {
+type AttemptCounts struct {
 	Firsts  int
 	Repeats int
 }
@@ -45,8 +45,8 @@
 }
 
 // Elsewhere returns what dispatchers other than the named one granted.
-func (l *Ledger) Elsewhere(now time.Time, dispatcher string) Spending {
-	var s Spending
+func (l *Ledger) Elsewhere(now time.Time, dispatcher string) AttemptCounts {
+	var s AttemptCounts
 	for name, w := range l.windows {
 		w.advance(now, l.started, l.budget)
 		firsts, retries := w.sums()
@@ -62,7 +62,7 @@
 
 // remoteReport is what a node reported of the grants of other dispatchers.
 type remoteReport struct {
-	Spending
+	AttemptCounts
 	at time.Time
 }
 
@@ -70,14 +70,14 @@
 // until the window has passed.
 type remoteGrants map[string]remoteReport
 
-func (e remoteGrants) record(now time.Time, node string, s Spending) {
-	if s == (Spending{}) {
+func (e remoteGrants) record(now time.Time, node string, s AttemptCounts) {
+	if s == (AttemptCounts{}) {
 		delete(e, node)
 		return
 	}
 	e[node] = remoteReport{
-		Spending: s,
-		at:       now,
+		AttemptCounts: s,
+		at:            now,
 	}
 }
 
--- a/internal/dispatch/request.go
+++ b/internal/dispatch/request.go
@@ -70,7 +70,7 @@
 	// is then not queued.
 	NonQueueing bool
 	// RemoteGrants counts the attempts that other dispatchers of the same targets granted to the node.
-	RemoteGrants Spending
+	RemoteGrants AttemptCounts
 }
 
 // final reports whether no other attempt can follow a failure of this one.
--- a/internal/node/dispatcher.go
+++ b/internal/node/dispatcher.go
@@ -210,7 +210,7 @@
 		Refused:      int(w.GetRefused()),
 		Route:        w.GetRoute(),
 		NonQueueing:  w.GetPassing(),
-		RemoteGrants: dispatch.Spending{
+		RemoteGrants: dispatch.AttemptCounts{
 			Firsts:  int(w.GetFirstsElsewhere()),
 			Repeats: int(w.GetRepeatsElsewhere()),
 		},
--- a/internal/node/grantrequest.go
+++ b/internal/node/grantrequest.go
@@ -236,7 +236,7 @@
 }
 
 // remoteGrants returns what dispatchers other than by granted to this node.
-func (d *dispatchController) remoteGrants(by string, p partition) dispatch.Spending {
+func (d *dispatchController) remoteGrants(by string, p partition) dispatch.AttemptCounts {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.ledger(p).Elsewhere(time.Now(), by)
