--- a/internal/dispatch/ledger.go
+++ b/internal/dispatch/ledger.go
@@ -8,7 +8,7 @@
 // window.
 type AttemptCounts struct {
 	Firsts  int
-	Repeats int
+	Retries int
 }
 
 // Ledger counts the attempts that each dispatcher of a service granted to one node, in the window of
@@ -54,7 +54,7 @@
 			delete(l.windows, name)
 		} else if name != dispatcher {
 			s.Firsts += int(firsts)
-			s.Repeats += int(retries)
+			s.Retries += int(retries)
 		}
 	}
 	return s
@@ -89,7 +89,7 @@
 			continue
 		}
 		firsts += float64(t.Firsts)
-		retries += float64(t.Repeats)
+		retries += float64(t.Retries)
 	}
 	return firsts, retries
 }
--- a/internal/node/dispatcher.go
+++ b/internal/node/dispatcher.go
@@ -212,7 +212,7 @@
 		NonQueueing:  w.GetPassing(),
 		RemoteGrants: dispatch.AttemptCounts{
 			Firsts:  int(w.GetFirstsElsewhere()),
-			Repeats: int(w.GetRepeatsElsewhere()),
+			Retries: int(w.GetRepeatsElsewhere()),
 		},
 	}
 	for _, l := range w.GetLimits() {
--- a/internal/node/grantrequest.go
+++ b/internal/node/grantrequest.go
@@ -280,7 +280,7 @@
 				Limits:      d.board.limits(now, d.currentService(q.Service), p.hall),
 
 				FirstsElsewhere:  uint32(remote.Firsts),
-				RepeatsElsewhere: uint32(remote.Repeats),
+				RepeatsElsewhere: uint32(remote.Retries),
 			},
 		},
 	}
