--- a/internal/dispatch/budget_test.go
+++ b/internal/dispatch/budget_test.go
@@ -133,7 +133,7 @@
 				if g.Decision != dispatch.Granted {
 					break
 				}
-				ledger.Took(now, name, a.Retry)
+				ledger.Record(now, name, a.Retry)
 				d.Done(now, g.ID, g.Target, result, 0)
 				if a.Retry {
 					retries = append(retries, now)
--- a/internal/dispatch/ledger.go
+++ b/internal/dispatch/ledger.go
@@ -29,8 +29,8 @@
 	}
 }
 
-// Took records an attempt that a dispatcher granted; again is set for a retry.
-func (l *Ledger) Took(now time.Time, dispatcher string, again bool) {
+// Record records an attempt that a dispatcher granted; again is set for a retry.
+func (l *Ledger) Record(now time.Time, dispatcher string, again bool) {
 	w := l.windows[dispatcher]
 	if w == nil {
 		w = &window{}
--- a/internal/node/fallback.go
+++ b/internal/node/fallback.go
@@ -49,7 +49,7 @@
 	if g.Decision == dispatch.OverBudget {
 		return entry.Choice{}, entry.NewNoTargetError(attempt.ReasonBudget, 0)
 	}
-	ledger.Took(now, self.Address(), q.Again)
+	ledger.Record(now, self.Address(), q.Again)
 	d.notify()
 	t := s.config.Target(g.Target)
 	if t == nil {
--- a/internal/node/grantrequest.go
+++ b/internal/node/grantrequest.go
@@ -232,7 +232,7 @@
 func (d *dispatchController) recordGrant(by string, q *entry.Query, p partition) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.ledger(p).Took(time.Now(), by, q.Again)
+	d.ledger(p).Record(time.Now(), by, q.Again)
 }
 
 // remoteGrants returns what dispatchers other than by granted to this node.
