--- a/internal/dispatch/budget_test.go
+++ b/internal/dispatch/budget_test.go
@@ -128,7 +128,7 @@
 				a := newRequest(now, number)
 				a.ID.Node = fmt.Sprintf("node-%d", number%nodes)
 				a.Retry = attempt > 0
-				a.RemoteGrants = ledger.Elsewhere(now, name)
+				a.RemoteGrants = ledger.RemoteGrants(now, name)
 				g := d.RequestGrant(now, a)
 				if g.Decision != dispatch.Granted {
 					break
--- a/internal/dispatch/ledger.go
+++ b/internal/dispatch/ledger.go
@@ -44,8 +44,8 @@
 	}
 }
 
-// Elsewhere returns what dispatchers other than the named one granted.
-func (l *Ledger) Elsewhere(now time.Time, dispatcher string) AttemptCounts {
+// RemoteGrants returns what dispatchers other than the named one granted.
+func (l *Ledger) RemoteGrants(now time.Time, dispatcher string) AttemptCounts {
 	var s AttemptCounts
 	for name, w := range l.windows {
 		w.advance(now, l.started, l.budget)
--- a/internal/node/fallback.go
+++ b/internal/node/fallback.go
@@ -40,7 +40,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	ledger := d.ledger(p)
-	a.RemoteGrants = ledger.Elsewhere(now, self.Address())
+	a.RemoteGrants = ledger.RemoteGrants(now, self.Address())
 	s := d.touchScheduler(now, p)
 	if s == nil {
 		return entry.Choice{}, entry.NewNoTargetError(attempt.ReasonTargets, 0)
--- a/internal/node/grantrequest.go
+++ b/internal/node/grantrequest.go
@@ -239,7 +239,7 @@
 func (d *dispatchController) remoteGrants(by string, p partition) dispatch.AttemptCounts {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.ledger(p).Elsewhere(time.Now(), by)
+	return d.ledger(p).RemoteGrants(time.Now(), by)
 }
 
 // ledger returns the ledger of a partition. d.mu is held.
