--- a/internal/dispatch/configure.go
+++ b/internal/dispatch/configure.go
@@ -45,7 +45,7 @@
 
 // drainingCount returns 1 for a target that is published as draining, else 0.
 func drainingCount(t Target) int {
-	if t.Leaving {
+	if t.Draining {
 		return 1
 	}
 	return 0
--- a/internal/dispatch/request.go
+++ b/internal/dispatch/request.go
@@ -14,8 +14,8 @@
 	DataHall string
 	// Slots is the number of requests that the target serves concurrently.
 	Slots int
-	// Leaving targets are draining and get no work.
-	Leaving bool
+	// Draining targets are draining and get no work.
+	Draining bool
 	// Named is set where the key identifies one incarnation of the target, which drains for good.
 	Named bool
 	// Warmup is how much longer the target is slow, counted from publication. WarmupRate is the
--- a/internal/dispatch/scheduler_test.go
+++ b/internal/dispatch/scheduler_test.go
@@ -358,9 +358,9 @@
 // Draining targets get no requests, not even from isolated nodes.
 func TestDrainingTargetGetsNoRequests(t *testing.T) {
 	d := newScheduler(dispatch.Target{
-		Key:     "leaving",
-		Slots:   3,
-		Leaving: true,
+		Key:      "leaving",
+		Slots:    3,
+		Draining: true,
 	})
 	if g := d.RequestGrant(start, newRequest(start, 1)); g.Decision != dispatch.Queued {
 		t.Errorf("got %v", g.Decision)
--- a/internal/dispatch/target.go
+++ b/internal/dispatch/target.go
@@ -58,7 +58,7 @@
 )
 
 // drains reports whether the target takes no new work from any node.
-func (t *target) drains(now time.Time) bool { return t.Leaving || now.Before(t.drainingUntil) }
+func (t *target) drains(now time.Time) bool { return t.Draining || now.Before(t.drainingUntil) }
 
 // open reports whether the target may be granted to the request.
 func (t *target) open(now time.Time, a *Request) bool {
--- a/internal/node/dispatcher.go
+++ b/internal/node/dispatcher.go
@@ -175,7 +175,7 @@
 			Key:      t.Key(),
 			DataHall: t.DataHall(),
 			Slots:    t.Slots(),
-			Leaving:  sc.Drained(t),
+			Draining: sc.Drained(t),
 			Named:    t.ID() != "",
 			Warmup:   t.Warmup(),
 
