--- a/internal/dispatch/backoff_model_test.go
+++ b/internal/dispatch/backoff_model_test.go
@@ -117,7 +117,7 @@
 			Key:      fmt.Sprint("t", i),
 			DataHall: "a",
 			Slots:    backoffSlots,
-			Named:    true,
+			HasID:    true,
 		})
 	}
 	p.scheduler.Configure(start, list)
--- a/internal/dispatch/request.go
+++ b/internal/dispatch/request.go
@@ -16,8 +16,8 @@
 	Slots int
 	// Draining targets are draining and get no work.
 	Draining bool
-	// Named is set where the key identifies one incarnation of the target, which drains for good.
-	Named bool
+	// HasID is set where the key identifies one incarnation of the target, which drains for good.
+	HasID bool
 	// Warmup is how much longer the target is slow, counted from publication. WarmupRate is the
 	// rate, in requests per second from all nodes, that it takes meanwhile; 0 means no bound.
 	Warmup     time.Duration
--- a/internal/dispatch/unavailable.go
+++ b/internal/dispatch/unavailable.go
@@ -44,7 +44,7 @@
 		return
 	}
 	t.drainingUntil = now.Add(drainWithoutID)
-	if t.Named {
+	if t.HasID {
 		t.drainingUntil = now.Add(drainWithID)
 	}
 	d.lastCoverage = coverage{}
--- a/internal/dispatch/unavailable_test.go
+++ b/internal/dispatch/unavailable_test.go
@@ -49,7 +49,7 @@
 		t.Run(tt.name, func(t *testing.T) {
 			list := pool(3)
 			for i := range list {
-				list[i].Named = true
+				list[i].HasID = true
 			}
 			d := newScheduler(list...)
 			tt.signal(d)
--- a/internal/node/dispatcher.go
+++ b/internal/node/dispatcher.go
@@ -176,7 +176,7 @@
 			DataHall: t.DataHall(),
 			Slots:    t.Slots(),
 			Draining: sc.Drained(t),
-			Named:    t.ID() != "",
+			HasID:    t.ID() != "",
 			Warmup:   t.Warmup(),
 
 			WarmupRate: sc.WarmupRate(),
