--- a/internal/dispatch/status.go
+++ b/internal/dispatch/status.go
@@ -43,7 +43,7 @@
 	Failing  float64
 	InFlight int
 	Slots    int
-	Leaving  bool
+	Draining bool
 	// Limit is the target's limit, LimitBy the node that reported it, and LimitAt the time of the
 	// target's answer.
 	Limit   signal.Limit
@@ -84,7 +84,7 @@
 			Failing:  t.failureProbability(now),
 			InFlight: len(t.flights),
 			Slots:    t.Slots,
-			Leaving:  t.drains(now),
+			Draining: t.drains(now),
 			Limit:    t.limit.Limit,
 			LimitBy:  t.limit.reportedBy,
 			LimitAt:  t.limit.at,
--- a/internal/node/export_signals_test.go
+++ b/internal/node/export_signals_test.go
@@ -30,7 +30,7 @@
 	now := time.Now()
 	for _, t := range d.touchScheduler(now, d.home(&entry.Query{Service: c.service})).Status(now).Targets {
 		if t.Key == key {
-			return t.Leaving
+			return t.Draining
 		}
 	}
 	return false
