--- a/internal/dispatch/backoff_test.go
+++ b/internal/dispatch/backoff_test.go
@@ -100,7 +100,7 @@
 			t.Fatal("t0 got no request")
 		}
 	}
-	before := d.Status(now).Targets[0].Failing
+	before := d.Status(now).Targets[0].FailureProbability
 	if before > 0.03 {
 		t.Errorf("failure probability of the target is %v", before)
 	}
--- a/internal/dispatch/limit_test.go
+++ b/internal/dispatch/limit_test.go
@@ -244,8 +244,8 @@
 		}
 	}
 	s := d.Status(p.now)
-	t.Logf("failure probability %v, prior %v", s.Targets[0].Failing, s.Prior)
-	if failing := s.Targets[0].Failing; failing > s.Prior {
+	t.Logf("failure probability %v, prior %v", s.Targets[0].FailureProbability, s.Prior)
+	if failing := s.Targets[0].FailureProbability; failing > s.Prior {
 		t.Errorf("failure probability %v", failing)
 	}
 }
--- a/internal/dispatch/status.go
+++ b/internal/dispatch/status.go
@@ -39,11 +39,11 @@
 // TargetStatus describes one target.
 type TargetStatus struct {
 	Key string
-	// Failing is the estimated probability that the target is failing.
-	Failing  float64
-	InFlight int
-	Slots    int
-	Draining bool
+	// FailureProbability is the estimated probability that the target is failing.
+	FailureProbability float64
+	InFlight           int
+	Slots              int
+	Draining           bool
 	// Limit is the target's limit, LimitBy the node that reported it, and LimitAt the time of the
 	// target's answer.
 	Limit   signal.Limit
@@ -80,15 +80,15 @@
 			s.Slots += d.slots(now, t)
 		}
 		s.Targets = append(s.Targets, TargetStatus{
-			Key:      t.Key,
-			Failing:  t.failureProbability(now),
-			InFlight: len(t.flights),
-			Slots:    t.Slots,
-			Draining: t.drains(now),
-			Limit:    t.limit.Limit,
-			LimitBy:  t.limit.reportedBy,
-			LimitAt:  t.limit.at,
-			Granted:  t.limit.granted(now),
+			Key:                t.Key,
+			FailureProbability: t.failureProbability(now),
+			InFlight:           len(t.flights),
+			Slots:              t.Slots,
+			Draining:           t.drains(now),
+			Limit:              t.limit.Limit,
+			LimitBy:            t.limit.reportedBy,
+			LimitAt:            t.limit.at,
+			Granted:            t.limit.granted(now),
 		})
 	}
 	return s
--- a/internal/node/dispatcher.go
+++ b/internal/node/dispatcher.go
@@ -62,8 +62,8 @@
 			if t.Limit.Set {
 				limits[t.Key] = fmt.Sprintf("%g/s, %d in 4 s", t.Limit.Rate, t.Granted)
 			}
-			if t.Failing > reportMinProbability {
-				failing[t.Key] = math.Round(t.Failing*100) / 100
+			if t.FailureProbability > reportMinProbability {
+				failing[t.Key] = math.Round(t.FailureProbability*100) / 100
 			}
 		}
 		d.setLimitedTargets(p, len(limits))
--- a/internal/node/export_test.go
+++ b/internal/node/export_test.go
@@ -283,7 +283,7 @@
 	now := time.Now()
 	for _, t := range d.touchScheduler(now, d.home(&entry.Query{Service: c.service})).Status(now).Targets {
 		if t.Key == key {
-			return t.Failing
+			return t.FailureProbability
 		}
 	}
 	return 0
