--- a/internal/dispatch/status.go
+++ b/internal/dispatch/status.go
@@ -22,8 +22,8 @@
 	Enter, Leave float64
 	// LostFailing is the share of requests that a failing target does not answer.
 	LostFailing float64
-	// Asked is the number of requests in the window of the retry budget.
-	Asked int
+	// Requests is the number of requests in the window of the retry budget.
+	Requests int
 	// RepeatsLeft is the number of retries that the retry budget still allows.
 	RepeatsLeft float64
 	// Working is the expected number of targets that have worked for some seconds, Reached the
@@ -67,7 +67,7 @@
 		Unlearned:   d.rejectedSamples,
 		Prior:       d.model.Share(),
 		LostFailing: d.model.LostFailing(),
-		Asked:       d.RequestCount(now),
+		Requests:    d.RequestCount(now),
 		RepeatsLeft: d.retriesLeft(now, 1),
 		Trials:      d.trials,
 	}
