--- a/internal/dispatch/hedge_test.go
+++ b/internal/dispatch/hedge_test.go
@@ -92,7 +92,7 @@
 			}
 			sure := d.RequestGrant(now, newHedge(now, 2000+n, 8*usualTime, "t0"))
 			if sure.Decision != dispatch.Granted {
-				t.Errorf("hedge of a surely silent attempt: %v, with %.0f retries left", sure.Decision, d.Status(now).RepeatsLeft)
+				t.Errorf("hedge of a surely silent attempt: %v, with %.0f retries left", sure.Decision, d.Status(now).RetriesLeft)
 			}
 			return
 		}
--- a/internal/dispatch/partition_test.go
+++ b/internal/dispatch/partition_test.go
@@ -101,7 +101,7 @@
 		}
 	}
 	after := d.Status(start)
-	if before.Requests != after.Requests || before.RepeatsLeft != after.RepeatsLeft || after.Waiting != before.Waiting {
+	if before.Requests != after.Requests || before.RetriesLeft != after.RetriesLeft || after.Waiting != before.Waiting {
 		t.Errorf("before %+v, after %+v", before, after)
 	}
 }
--- a/internal/dispatch/status.go
+++ b/internal/dispatch/status.go
@@ -24,8 +24,8 @@
 	LostFailing float64
 	// Requests is the number of requests in the window of the retry budget.
 	Requests int
-	// RepeatsLeft is the number of retries that the retry budget still allows.
-	RepeatsLeft float64
+	// RetriesLeft is the number of retries that the retry budget still allows.
+	RetriesLeft float64
 	// Working is the expected number of targets that have worked for some seconds, Reached the
 	// expected number of those with recent work, Short the probability that these are fewer than the
 	// floor requires.
@@ -68,7 +68,7 @@
 		Prior:       d.model.Share(),
 		LostFailing: d.model.LostFailing(),
 		Requests:    d.RequestCount(now),
-		RepeatsLeft: d.retriesLeft(now, 1),
+		RetriesLeft: d.retriesLeft(now, 1),
 		Trials:      d.trials,
 	}
 	s.Enter, s.Leave = d.model.Rates()
--- a/internal/node/dispatcher.go
+++ b/internal/node/dispatcher.go
@@ -79,7 +79,7 @@
 			"enter":        math.Round(s.Enter*1000) / 1000,
 			"leave":        math.Round(s.Leave*1000) / 1000,
 			"lost_failing": math.Round(s.LostFailing*100) / 100,
-			"repeats_left": math.Round(s.RepeatsLeft),
+			"repeats_left": math.Round(s.RetriesLeft),
 			"working":      math.Round(s.Working*10) / 10,
 			"reached":      math.Round(s.Reached*10) / 10,
 			"short":        math.Round(s.Short*1000) / 1000,
