--- a/internal/dispatch/status.go
+++ b/internal/dispatch/status.go
@@ -14,8 +14,8 @@
 	Waiting  int
 	InFlight int
 	Slots    int
-	// Unlearned counts response times that the histograms rejected.
-	Unlearned int
+	// RejectedSamples counts response times that the histograms rejected.
+	RejectedSamples int
 	// Prior is the estimated share of the time in which targets of the service are failing.
 	Prior float64
 	// Enter and Leave are the rates, in 1/s, at which targets begin and cease to fail.
@@ -63,13 +63,13 @@
 // Status returns the state of the scheduler.
 func (d *Scheduler) Status(now time.Time) Status {
 	s := Status{
-		Waiting:     len(d.queue.list),
-		Unlearned:   d.rejectedSamples,
-		Prior:       d.model.Share(),
-		LostFailing: d.model.LostFailing(),
-		Requests:    d.RequestCount(now),
-		RetriesLeft: d.retriesLeft(now, 1),
-		Trials:      d.trials,
+		Waiting:         len(d.queue.list),
+		RejectedSamples: d.rejectedSamples,
+		Prior:           d.model.Share(),
+		LostFailing:     d.model.LostFailing(),
+		Requests:        d.RequestCount(now),
+		RetriesLeft:     d.retriesLeft(now, 1),
+		Trials:          d.trials,
 	}
 	s.Enter, s.Leave = d.model.Rates()
 	c := d.coverage(now)
--- a/internal/node/dispatcher.go
+++ b/internal/node/dispatcher.go
@@ -74,7 +74,7 @@
 			"waiting":      s.Waiting,
 			"in_flight":    s.InFlight,
 			"slots":        s.Slots,
-			"unlearned":    s.Unlearned,
+			"unlearned":    s.RejectedSamples,
 			"prior":        math.Round(s.Prior*100) / 100,
 			"enter":        math.Round(s.Enter*1000) / 1000,
 			"leave":        math.Round(s.Leave*1000) / 1000,
