--- a/internal/dispatch/limit_test.go
+++ b/internal/dispatch/limit_test.go
@@ -244,8 +244,8 @@
 		}
 	}
 	s := d.Status(p.now)
-	t.Logf("failure probability %v, prior %v", s.Targets[0].FailureProbability, s.Prior)
-	if failing := s.Targets[0].FailureProbability; failing > s.Prior {
+	t.Logf("failure probability %v, prior %v", s.Targets[0].FailureProbability, s.FailingShare)
+	if failing := s.Targets[0].FailureProbability; failing > s.FailingShare {
 		t.Errorf("failure probability %v", failing)
 	}
 }
--- a/internal/dispatch/status.go
+++ b/internal/dispatch/status.go
@@ -16,8 +16,8 @@
 	Slots    int
 	// RejectedSamples counts response times that the histograms rejected.
 	RejectedSamples int
-	// Prior is the estimated share of the time in which targets of the service are failing.
-	Prior float64
+	// FailingShare is the estimated share of the time in which targets of the service are failing.
+	FailingShare float64
 	// Enter and Leave are the rates, in 1/s, at which targets begin and cease to fail.
 	Enter, Leave float64
 	// LostFailing is the share of requests that a failing target does not answer.
@@ -65,7 +65,7 @@
 	s := Status{
 		Waiting:         len(d.queue.list),
 		RejectedSamples: d.rejectedSamples,
-		Prior:           d.model.Share(),
+		FailingShare:    d.model.Share(),
 		LostFailing:     d.model.LostFailing(),
 		Requests:        d.RequestCount(now),
 		RetriesLeft:     d.retriesLeft(now, 1),
