--- a/internal/node/dispatcher.go
+++ b/internal/node/dispatcher.go
@@ -76,7 +76,7 @@
 			"slots":        s.Slots,
 			"unlearned":    s.RejectedSamples,
 			"prior":        math.Round(s.FailingShare*100) / 100,
-			"enter":        math.Round(s.Enter*1000) / 1000,
+			"enter":        math.Round(s.FailureRate*1000) / 1000,
 			"leave":        math.Round(s.Leave*1000) / 1000,
 			"lost_failing": math.Round(s.LostFailing*100) / 100,
 			"repeats_left": math.Round(s.RetriesLeft),
