--- a/internal/dispatch/status.go
+++ b/internal/dispatch/status.go
@@ -19,7 +19,7 @@
 	// FailingShare is the estimated share of the time in which targets of the service are failing.
 	FailingShare float64
 	// FailureRate and Leave are the rates, in 1/s, at which targets begin and cease to fail.
-	FailureRate, Leave float64
+	FailureRate, RecoveryRate float64
 	// LostFailing is the share of requests that a failing target does not answer.
 	LostFailing float64
 	// Requests is the number of requests in the window of the retry budget.
@@ -71,7 +71,7 @@
 		RetriesLeft:     d.retriesLeft(now, 1),
 		Trials:          d.trials,
 	}
-	s.FailureRate, s.Leave = d.model.Rates()
+	s.FailureRate, s.RecoveryRate = d.model.Rates()
 	c := d.coverage(now)
 	s.Working, s.Reached, s.Short = c.working, c.reached, c.shortProbability
 	for _, t := range d.order {
--- a/internal/node/dispatcher.go
+++ b/internal/node/dispatcher.go
@@ -77,7 +77,7 @@
 			"unlearned":    s.RejectedSamples,
 			"prior":        math.Round(s.FailingShare*100) / 100,
 			"enter":        math.Round(s.FailureRate*1000) / 1000,
-			"leave":        math.Round(s.Leave*1000) / 1000,
+			"leave":        math.Round(s.RecoveryRate*1000) / 1000,
 			"lost_failing": math.Round(s.LostFailing*100) / 100,
 			"repeats_left": math.Round(s.RetriesLeft),
 			"working":      math.Round(s.Working*10) / 10,
