--- a/internal/dispatch/coverage_test.go
+++ b/internal/dispatch/coverage_test.go
@@ -111,7 +111,7 @@
 		for _, key := range []string{"t3", "t4", "t5"} {
 			d.RecordRemote(at, key, "", dispatch.ResultGood, usualTime)
 		}
-		return d.Status(at).Short
+		return d.Status(at).ShortProbability
 	}
 	if p := short(now.Add(2 * time.Second)); p > 0.01 {
 		t.Errorf("after 2 s: %.3f", p)
@@ -140,8 +140,8 @@
 			r = dispatch.ResultUnreached
 		}
 		d.Done(now, g.ID, g.Target, r, 0)
-		if short := d.Status(now).Short > 0.3; short != unreached {
-			t.Errorf("unreached: %v; short: %v", unreached, d.Status(now).Short)
+		if short := d.Status(now).ShortProbability > 0.3; short != unreached {
+			t.Errorf("unreached: %v; short: %v", unreached, d.Status(now).ShortProbability)
 		}
 	}
 }
@@ -155,8 +155,8 @@
 			d.RecordRemote(now, key, "", dispatch.ResultGood, usualTime)
 		}
 		d.RecordRemote(now, "t0", "", r, 0)
-		if short := d.Status(now).Short > 0.3; short != (r == dispatch.ResultUnreached) {
-			t.Errorf("%v; short: %v", r, d.Status(now).Short)
+		if short := d.Status(now).ShortProbability > 0.3; short != (r == dispatch.ResultUnreached) {
+			t.Errorf("%v; short: %v", r, d.Status(now).ShortProbability)
 		}
 	}
 }
--- a/internal/dispatch/status.go
+++ b/internal/dispatch/status.go
@@ -29,7 +29,7 @@
 	// Working is the expected number of targets that have worked for some seconds, Reached the
 	// expected number of those with recent work, Short the probability that these are fewer than the
 	// floor requires.
-	Working, Reached, Short float64
+	Working, Reached, ShortProbability float64
 	// Trials counts the grants made only because the target lacked work.
 	Trials int
 	// Targets are all targets, in the order of their configuration.
@@ -73,7 +73,7 @@
 	}
 	s.FailureRate, s.RecoveryRate = d.model.Rates()
 	c := d.coverage(now)
-	s.Working, s.Reached, s.Short = c.working, c.reached, c.shortProbability
+	s.Working, s.Reached, s.ShortProbability = c.working, c.reached, c.shortProbability
 	for _, t := range d.order {
 		s.InFlight += len(t.flights)
 		if !t.drains(now) {
--- a/internal/node/dispatcher.go
+++ b/internal/node/dispatcher.go
@@ -55,7 +55,7 @@
 		}
 		sched.statusLogged = true
 		s := sched.Status(now)
-		d.setCoverageShort(p, s.Short)
+		d.setCoverageShort(p, s.ShortProbability)
 		failing := map[string]float64{}
 		limits := map[string]string{}
 		for _, t := range s.Targets {
@@ -82,7 +82,7 @@
 			"repeats_left": math.Round(s.RetriesLeft),
 			"working":      math.Round(s.Working*10) / 10,
 			"reached":      math.Round(s.Reached*10) / 10,
-			"short":        math.Round(s.Short*1000) / 1000,
+			"short":        math.Round(s.ShortProbability*1000) / 1000,
 			"trials":       s.Trials,
 			"failing":      failing,
 		}).Info("desk")
