--- a/internal/dispatch/partition.go
+++ b/internal/dispatch/partition.go
@@ -13,11 +13,11 @@
 // handles all targets.
 const partitionMinTargets = 30
 
-// Divide returns the data halls by which the targets of a service are partitioned, sorted, or nil
+// Partition returns the data halls by which the targets of a service are partitioned, sorted, or nil
 // where one scheduler should handle them all. Each partition has its own scheduler. The result
 // depends only on count, the number of published targets by data hall, because all nodes must get
 // the same one.
-func Divide(count map[string]int) []string {
+func Partition(count map[string]int) []string {
 	if len(count) < 2 {
 		return nil
 	}
--- a/internal/dispatch/partition_test.go
+++ b/internal/dispatch/partition_test.go
@@ -36,8 +36,8 @@
 }
 
 func ExampleDivide() {
-	fmt.Println(dispatch.Divide(countByHall(92, 94, 89, 72, 84)))
-	fmt.Println(dispatch.Divide(countByHall(6, 5, 5)))
+	fmt.Println(dispatch.Partition(countByHall(92, 94, 89, 72, 84)))
+	fmt.Println(dispatch.Partition(countByHall(6, 5, 5)))
 	// Output:
 	// [a b c d e]
 	// []
@@ -72,7 +72,7 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			if got := dispatch.Divide(countByHall(tt.counts...)); !slices.Equal(got, tt.want) {
+			if got := dispatch.Partition(countByHall(tt.counts...)); !slices.Equal(got, tt.want) {
 				t.Errorf("got %v, want %v", got, tt.want)
 			}
 		})
--- a/internal/node/partition.go
+++ b/internal/node/partition.go
@@ -64,7 +64,7 @@
 	if cached.config != sc {
 		cached = partitioning{
 			config:    sc,
-			dataHalls: dispatch.Divide(sc.HallSizes()),
+			dataHalls: dispatch.Partition(sc.HallSizes()),
 		}
 		d[sc.Name()] = cached
 	}
