--- a/internal/node/limits.go
+++ b/internal/node/limits.go
@@ -191,7 +191,7 @@
 			return ratelimit.Refused, l.limiter.Refuse(now, workspace), byAllocator
 		case l.limiter.Meeting(now, workspace) && now.Before(until) && l.pause(ctx):
 		default:
-			v, wait = l.limiter.Alone(now, workspace, limit, l.board.nodes())
+			v, wait = l.limiter.DecideIsolated(now, workspace, limit, l.board.nodes())
 			return v, wait, byIsolatedNode
 		}
 	}
--- a/internal/ratelimit/fleet_test.go
+++ b/internal/ratelimit/fleet_test.go
@@ -335,7 +335,7 @@
 }
 
 func (m *model) decideIsolated(now time.Time, n *modelNode) {
-	v, _ := n.limiter.Alone(now, "w", m.limit, len(m.nodes))
+	v, _ := n.limiter.DecideIsolated(now, "w", m.limit, len(m.nodes))
 	m.finish(now, v == ratelimit.Admitted)
 }
 
--- a/internal/ratelimit/limiter.go
+++ b/internal/ratelimit/limiter.go
@@ -153,9 +153,9 @@
 	return a.retryAfter(now)
 }
 
-// Alone decides about a request while the node is isolated; nodes is how many nodes are known
+// DecideIsolated decides about a request while the node is isolated; nodes is how many nodes are known
 // to share the limit, including this one.
-func (l *Limiter) Alone(now time.Time, workspace string, limit Limit, nodes int) (Verdict, time.Duration) {
+func (l *Limiter) DecideIsolated(now time.Time, workspace string, limit Limit, nodes int) (Verdict, time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	a := l.accounts[workspace]
--- a/internal/ratelimit/limiter_test.go
+++ b/internal/ratelimit/limiter_test.go
@@ -61,7 +61,7 @@
 	p := newPair()
 	alone := func(at time.Duration) {
 		p.limiter.Take(start.Add(at), "w", ten)
-		if v, _ := p.limiter.Alone(start.Add(at), "w", ten, 2); v != ratelimit.Admitted {
+		if v, _ := p.limiter.DecideIsolated(start.Add(at), "w", ten, 2); v != ratelimit.Admitted {
 			t.Fatalf("%v after the start: not admitted", at)
 		}
 	}
@@ -92,7 +92,7 @@
 		p.limiter.Take(start, "w", ten)
 		r, l, _ := p.limiter.Report(start, "w", 0)
 		p.limiter.Answer(start, "w", p.allocator.Report(start, "w", l, "n", 1, r), 0)
-		if v, _ := p.limiter.Alone(start.Add(c.after), "w", ten, 100); (v == ratelimit.Admitted) != c.admitted {
+		if v, _ := p.limiter.DecideIsolated(start.Add(c.after), "w", ten, 100); (v == ratelimit.Admitted) != c.admitted {
 			t.Errorf("%v after an answer a request of a node of a hundred is admitted: %v", c.after, v == ratelimit.Admitted)
 		}
 	}
