--- a/internal/node/limits.go
+++ b/internal/node/limits.go
@@ -189,7 +189,7 @@
 			return ratelimit.Admitted, 0, byAllocator
 		case answered:
 			return ratelimit.Refused, l.limiter.Refuse(now, workspace), byAllocator
-		case l.limiter.Meeting(now, workspace) && now.Before(until) && l.pause(ctx):
+		case l.limiter.Joining(now, workspace) && now.Before(until) && l.pause(ctx):
 		default:
 			v, wait = l.limiter.DecideIsolated(now, workspace, limit, l.board.nodes())
 			return v, wait, byIsolatedNode
--- a/internal/node/tokenrequest.go
+++ b/internal/node/tokenrequest.go
@@ -43,7 +43,7 @@
 	out := l.usages(now, workspaces, waiting, l.allocatorIncarnation(holder.Address()))
 	in := l.sendTokenRequest(ctx, holder.Address(), out)
 	if in == nil {
-		if ctx.Err() == nil && !l.limiter.Meeting(now, workspaces[0]) {
+		if ctx.Err() == nil && !l.limiter.Joining(now, workspaces[0]) {
 			l.markUnresponsive(holder.Address())
 		}
 		return 0, false
--- a/internal/ratelimit/fleet_test.go
+++ b/internal/ratelimit/fleet_test.go
@@ -321,7 +321,7 @@
 		switch {
 		case ok:
 			m.finish(now, admitted > 0)
-		case n.limiter.Meeting(now, "w") && now.Before(until):
+		case n.limiter.Joining(now, "w") && now.Before(until):
 			m.at(now.Add(joinRetry), func(now time.Time) {
 				if !n.down {
 					m.requestToken(now, i, until)
--- a/internal/ratelimit/limiter.go
+++ b/internal/ratelimit/limiter.go
@@ -179,9 +179,9 @@
 	return Admitted, 0
 }
 
-// Meeting reports whether this node started less than joinTime ago and no allocator has answered
+// Joining reports whether this node started less than joinTime ago and no allocator has answered
 // for the workspace: it may reach one soon.
-func (l *Limiter) Meeting(now time.Time, workspace string) bool {
+func (l *Limiter) Joining(now time.Time, workspace string) bool {
 	if now.Sub(l.started) >= joinTime {
 		return false
 	}
