--- a/internal/node/limits.go
+++ b/internal/node/limits.go
@@ -156,7 +156,7 @@
 )
 
 func (l *limitController) limitError(w *fleetconfig.Workspace, limit ratelimit.Limit, wait time.Duration, by string) *entry.LimitError {
-	share, at := l.limiter.Told(w.ID())
+	share, at := l.limiter.LastShare(w.ID())
 	e := &entry.LimitError{
 		Wait:  wait,
 		By:    by,
--- a/internal/ratelimit/limiter.go
+++ b/internal/ratelimit/limiter.go
@@ -185,7 +185,7 @@
 	if now.Sub(l.started) >= joinTime {
 		return false
 	}
-	_, at := l.Told(workspace)
+	_, at := l.LastShare(workspace)
 	return at.IsZero()
 }
 
@@ -301,9 +301,9 @@
 	return min(pause, maxPause)
 }
 
-// Told returns the last answer of the allocator of a workspace and the time of its arrival;
+// LastShare returns the last answer of the allocator of a workspace and the time of its arrival;
 // the zero time means none.
-func (l *Limiter) Told(workspace string) (Share, time.Time) {
+func (l *Limiter) LastShare(workspace string) (Share, time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if a := l.accounts[workspace]; a != nil {
