--- a/internal/dispatch/limit_strategies_test.go
+++ b/internal/dispatch/limit_strategies_test.go
@@ -88,7 +88,7 @@
 		return 0
 	}
 	s := w.allocator.Report(now, strategyKey, l, fmt.Sprint(node), 1, r)
-	return w.limiters[node].Answer(now, strategyKey, s, waiting)
+	return w.limiters[node].Apply(now, strategyKey, s, waiting)
 }
 
 func (w *byAllocator) tick(now time.Time) {
--- a/internal/node/tokenrequest.go
+++ b/internal/node/tokenrequest.go
@@ -133,10 +133,10 @@
 		}
 		workspace, share := out.GetUsages()[i].GetWorkspace(), shareOfWire(in.GetBy(), a)
 		if i > 0 {
-			l.limiter.Answer(now, workspace, share, 0)
+			l.limiter.Apply(now, workspace, share, 0)
 			continue
 		}
-		admitted = l.limiter.Answer(now, workspace, share, waiting)
+		admitted = l.limiter.Apply(now, workspace, share, waiting)
 		answered = true
 	}
 	return admitted, answered
--- a/internal/ratelimit/fleet_test.go
+++ b/internal/ratelimit/fleet_test.go
@@ -245,7 +245,7 @@
 		s := m.nodes[to].allocator.Report(now, "w", l, n.name, incarnation, r)
 		m.at(now.Add(oneWay), func(now time.Time) {
 			if n.incarnation == incarnation {
-				done(now, n.limiter.Answer(now, "w", s, waiting), true)
+				done(now, n.limiter.Apply(now, "w", s, waiting), true)
 			}
 		})
 	})
--- a/internal/ratelimit/limiter.go
+++ b/internal/ratelimit/limiter.go
@@ -272,9 +272,9 @@
 	return r, a.limit, true
 }
 
-// Answer applies an allocator's answer to a report for which some requests wait, and returns
+// Apply applies an allocator's answer to a report for which some requests wait, and returns
 // how many of them are admitted.
-func (l *Limiter) Answer(now time.Time, workspace string, s Share, waiting int) int {
+func (l *Limiter) Apply(now time.Time, workspace string, s Share, waiting int) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	a := l.accounts[workspace]
--- a/internal/ratelimit/limiter_test.go
+++ b/internal/ratelimit/limiter_test.go
@@ -37,7 +37,7 @@
 	}
 	r, l, _ := p.limiter.Report(now, workspace, 1)
 	s := p.allocator.Report(now, workspace, l, "n", 1, r)
-	if p.limiter.Answer(now, workspace, s, 1) == 1 {
+	if p.limiter.Apply(now, workspace, s, 1) == 1 {
 		return true, 0
 	}
 	return false, p.limiter.Refuse(now, workspace)
@@ -67,7 +67,7 @@
 	}
 	alone(0)
 	r, l, _ := p.limiter.Report(start, "w", 0)
-	p.limiter.Answer(start, "w", p.allocator.Report(start, "w", l, "n", 1, r), 0)
+	p.limiter.Apply(start, "w", p.allocator.Report(start, "w", l, "n", 1, r), 0)
 	alone(time.Second)
 	if r, _, _ := p.limiter.Report(start.Add(time.Second), "w", 0); r.Alone != 2 || r.Lately != 1 {
 		t.Errorf("of 2 requests admitted while isolated, one of them since the last answer, %d and %d are reported", r.Alone, r.Lately)
@@ -91,7 +91,7 @@
 		p := newPair()
 		p.limiter.Take(start, "w", ten)
 		r, l, _ := p.limiter.Report(start, "w", 0)
-		p.limiter.Answer(start, "w", p.allocator.Report(start, "w", l, "n", 1, r), 0)
+		p.limiter.Apply(start, "w", p.allocator.Report(start, "w", l, "n", 1, r), 0)
 		if v, _ := p.limiter.DecideIsolated(start.Add(c.after), "w", ten, 100); (v == ratelimit.Admitted) != c.admitted {
 			t.Errorf("%v after an answer a request of a node of a hundred is admitted: %v", c.after, v == ratelimit.Admitted)
 		}
