--- a/internal/node/limits.go
+++ b/internal/node/limits.go
@@ -173,7 +173,7 @@
 // giveBack returns the token of a request that has not run.
 func (l *limitController) giveBack(w *fleetconfig.Workspace) {
 	if _, limited := limitOf(w); limited && l.messenger != nil {
-		l.limiter.GiveBack(w.ID())
+		l.limiter.Return(w.ID())
 	}
 }
 
--- a/internal/ratelimit/limiter.go
+++ b/internal/ratelimit/limiter.go
@@ -189,8 +189,8 @@
 	return at.IsZero()
 }
 
-// GiveBack returns the token of a request that has not run.
-func (l *Limiter) GiveBack(workspace string) {
+// Return returns the token of a request that has not run.
+func (l *Limiter) Return(workspace string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if a := l.accounts[workspace]; a != nil {
--- a/internal/ratelimit/limiter_test.go
+++ b/internal/ratelimit/limiter_test.go
@@ -105,7 +105,7 @@
 		if ok, _ := p.take(start.Add(time.Duration(i)*time.Millisecond), "w", ten); !ok {
 			t.Fatalf("request %d is refused though none before it ran", i)
 		}
-		p.limiter.GiveBack("w")
+		p.limiter.Return("w")
 	}
 }
 
@@ -200,6 +200,6 @@
 	b.ReportAllocs()
 	for b.Loop() {
 		l.Take(now, "w", ten)
-		l.GiveBack("w")
+		l.Return("w")
 	}
 }
