--- a/internal/node/limits.go
+++ b/internal/node/limits.go
@@ -179,7 +179,7 @@
 
 // requestToken requests a token from the allocator, and decides on this node if that does not
 // answer; while this node starts it retries until the given time. by names who decided.
-func (l *limitController) requestToken(ctx context.Context, workspace string, limit ratelimit.Limit, until time.Time) (v ratelimit.Verdict, wait time.Duration, by string) {
+func (l *limitController) requestToken(ctx context.Context, workspace string, limit ratelimit.Limit, until time.Time) (v ratelimit.Decision, wait time.Duration, by string) {
 	for {
 		holder := l.holder(workspace)
 		admitted, answered := l.requestTokens(ctx, holder, l.combinable(workspace, holder), 1)
--- a/internal/ratelimit/limiter.go
+++ b/internal/ratelimit/limiter.go
@@ -48,13 +48,13 @@
 	assumedNodes = 100
 )
 
-// Verdict is the decision about a request.
-type Verdict uint8
+// Decision is the decision about a request.
+type Decision uint8
 
 // Decisions about requests.
 const (
 	// Admitted means that the request may be forwarded.
-	Admitted Verdict = iota
+	Admitted Decision = iota
 	// Refused means that the workspace exceeds its limit.
 	Refused
 	// Ask means that the allocator must be asked.
@@ -103,7 +103,7 @@
 
 // Take decides about a request of a workspace. For a refused one it returns after how long
 // its caller may retry.
-func (l *Limiter) Take(now time.Time, workspace string, limit Limit) (Verdict, time.Duration) {
+func (l *Limiter) Take(now time.Time, workspace string, limit Limit) (Decision, time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	a := l.accounts[workspace]
@@ -155,7 +155,7 @@
 
 // DecideIsolated decides about a request while the node is isolated; nodes is how many nodes are known
 // to share the limit, including this one.
-func (l *Limiter) DecideIsolated(now time.Time, workspace string, limit Limit, nodes int) (Verdict, time.Duration) {
+func (l *Limiter) DecideIsolated(now time.Time, workspace string, limit Limit, nodes int) (Decision, time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	a := l.accounts[workspace]
