--- a/internal/dispatch/limit_strategies_test.go
+++ b/internal/dispatch/limit_strategies_test.go
@@ -103,7 +103,7 @@
 	switch v, _ := w.limiters[node].Take(now, strategyKey, w.limit); v {
 	case ratelimit.Admitted:
 		return true
-	case ratelimit.Ask:
+	case ratelimit.NeedsAllocator:
 		return w.report(now, node, 1) > 0
 	default:
 		return false
--- a/internal/node/limits.go
+++ b/internal/node/limits.go
@@ -138,7 +138,7 @@
 	}
 	v, wait := l.limiter.Take(time.Now(), w.ID(), limit)
 	by := byCachedAnswer
-	if v == ratelimit.Ask {
+	if v == ratelimit.NeedsAllocator {
 		v, wait, by = l.requestToken(ctx, w.ID(), limit, time.Now().Add(maxWait))
 	}
 	if v == ratelimit.Admitted {
--- a/internal/ratelimit/limiter.go
+++ b/internal/ratelimit/limiter.go
@@ -57,8 +57,8 @@
 	Admitted Decision = iota
 	// Refused means that the workspace exceeds its limit.
 	Refused
-	// Ask means that the allocator must be asked.
-	Ask
+	// NeedsAllocator means that the allocator must be asked.
+	NeedsAllocator
 )
 
 // Limiter decides on a node which requests of workspaces are admitted. It may be used
@@ -120,7 +120,7 @@
 	case now.Before(a.pausedUntil):
 		return Refused, a.retryAfter(now)
 	default:
-		return Ask, 0
+		return NeedsAllocator, 0
 	}
 }
 
--- a/internal/ratelimit/limiter_test.go
+++ b/internal/ratelimit/limiter_test.go
@@ -32,7 +32,7 @@
 // take decides about a request, and asks the allocator if needed.
 func (p *pair) take(now time.Time, workspace string, l ratelimit.Limit) (bool, time.Duration) {
 	v, wait := p.limiter.Take(now, workspace, l)
-	if v != ratelimit.Ask {
+	if v != ratelimit.NeedsAllocator {
 		return v == ratelimit.Admitted, wait
 	}
 	r, l, _ := p.limiter.Report(now, workspace, 1)
