--- a/internal/node/usage.go
+++ b/internal/node/usage.go
@@ -41,7 +41,7 @@
 	u := &wire.Usage{
 		Workspace: workspace,
 		Returned:  r.Returned,
-		Alone:     r.Alone,
+		Alone:     r.Isolated,
 		Held:      uint32(r.Held),
 		Want:      uint32(r.Want),
 		Waiting:   uint32(r.Waiting),
@@ -62,7 +62,7 @@
 func reportOfWire(u *wire.Usage) ratelimit.Report {
 	return ratelimit.Report{
 		Returned: u.GetReturned(),
-		Alone:    u.GetAlone(),
+		Isolated: u.GetAlone(),
 		Held:     int(u.GetHeld()),
 		Want:     int(u.GetWant()),
 		Waiting:  int(u.GetWaiting()),
--- a/internal/ratelimit/allocator.go
+++ b/internal/ratelimit/allocator.go
@@ -67,8 +67,8 @@
 type Report struct {
 	// Returned counts the tokens that the node returned since it started.
 	Returned int64
-	// Alone counts the requests that the node admitted while isolated.
-	Alone int64
+	// Isolated counts the requests that the node admitted while isolated.
+	Isolated int64
 	// Held is the number of tokens in reserve, Want the number to hold.
 	Held int
 	Want int
--- a/internal/ratelimit/allocator_test.go
+++ b/internal/ratelimit/allocator_test.go
@@ -41,7 +41,7 @@
 	a := newAllocator(1)
 	a.Report(start, "w", ten, "n", 1, report(0))
 	r := report(100)
-	r.Alone = 8
+	r.Isolated = 8
 	if s := a.Report(start.Add(100*time.Millisecond), "w", ten, "n", 1, r); s.Admitted > 2 {
 		t.Errorf("%d admitted of a burst of 10, 8 of which the node used while isolated", s.Admitted)
 	}
@@ -53,7 +53,7 @@
 	one, two := newAllocator(1), newAllocator(2)
 	s := one.Report(start, "w", ten, "n", 1, report(0))
 	r := report(100)
-	r.Alone = 9
+	r.Isolated = 9
 	r.Lately = 8
 	r.Level, r.Rate, r.Total, r.By, r.Age = s.Level, 1, s.Total, s.By, time.Second
 	if s := two.Report(start.Add(time.Second), "w", ten, "n", 1, r); s.Admitted > 3 {
--- a/internal/ratelimit/bucket.go
+++ b/internal/ratelimit/bucket.go
@@ -68,7 +68,7 @@
 // withheld: it may have been isolated for less than the grace time.
 func (m *nodeState) uncovered(now time.Time, r Report) float64 {
 	silence := max(now.Sub(m.reportedAt)-m.grace(), 0)
-	return max(float64(r.Alone-m.isolated)-m.isolatedRate*silence.Seconds(), 0)
+	return max(float64(r.Isolated-m.isolated)-m.isolatedRate*silence.Seconds(), 0)
 }
 
 // isolatedExcess returns how many requests a node admitted while isolated since the last answer
@@ -165,7 +165,7 @@
 	m = &nodeState{
 		incarnation: incarnation,
 		returned:    r.Returned,
-		isolated:    r.Alone,
+		isolated:    r.Isolated,
 	}
 	if r.Age == 0 {
 		// It admitted these before it reached any allocator.
@@ -188,7 +188,7 @@
 	b.held += r.Held - m.held
 	b.demand += r.Demand - m.demand
 	m.returned = r.Returned
-	m.isolated = r.Alone
+	m.isolated = r.Isolated
 	m.held = r.Held
 	m.demand = r.Demand
 	m.interval = r.Every
--- a/internal/ratelimit/limiter.go
+++ b/internal/ratelimit/limiter.go
@@ -254,7 +254,7 @@
 	a.trimReserve(maxReserveFactor * want)
 	r := Report{
 		Returned: a.returned,
-		Alone:    a.isolated,
+		Isolated: a.isolated,
 		Held:     a.held,
 		Want:     want,
 		Waiting:  waiting,
