--- a/internal/node/usage.go
+++ b/internal/node/usage.go
@@ -54,26 +54,26 @@
 		u.Level = float32(r.Level)
 		u.Rate = float32(r.Rate)
 		u.Total = float32(r.Total)
-		u.Lately = r.Lately
+		u.Lately = r.IsolatedRecent
 	}
 	return u
 }
 
 func reportOfWire(u *wire.Usage) ratelimit.Report {
 	return ratelimit.Report{
-		Returned: u.GetReturned(),
-		Isolated: u.GetAlone(),
-		Held:     int(u.GetHeld()),
-		Want:     int(u.GetWant()),
-		Waiting:  int(u.GetWaiting()),
-		Demand:   float64(u.GetDemand()),
-		Every:    time.Duration(u.GetEveryMs()) * time.Millisecond,
-		Level:    float64(u.GetLevel()),
-		Rate:     float64(u.GetRate()),
-		Total:    float64(u.GetTotal()),
-		By:       u.GetBy(),
-		Age:      time.Duration(u.GetAgeMs()) * time.Millisecond,
-		Lately:   u.GetLately(),
+		Returned:       u.GetReturned(),
+		Isolated:       u.GetAlone(),
+		Held:           int(u.GetHeld()),
+		Want:           int(u.GetWant()),
+		Waiting:        int(u.GetWaiting()),
+		Demand:         float64(u.GetDemand()),
+		Every:          time.Duration(u.GetEveryMs()) * time.Millisecond,
+		Level:          float64(u.GetLevel()),
+		Rate:           float64(u.GetRate()),
+		Total:          float64(u.GetTotal()),
+		By:             u.GetBy(),
+		Age:            time.Duration(u.GetAgeMs()) * time.Millisecond,
+		IsolatedRecent: u.GetLately(),
 	}
 }
 
--- a/internal/ratelimit/allocator.go
+++ b/internal/ratelimit/allocator.go
@@ -80,12 +80,12 @@
 	Every time.Duration
 	// Level, Rate and Total repeat the last answer, By its allocator. Age is the time since then,
 	// 0 if there was none; Lately counts those of Alone since then.
-	Level  float64
-	Rate   float64
-	Total  float64
-	By     uint64
-	Age    time.Duration
-	Lately int64
+	Level          float64
+	Rate           float64
+	Total          float64
+	By             uint64
+	Age            time.Duration
+	IsolatedRecent int64
 }
 
 // Share is an allocator's answer to a report.
--- a/internal/ratelimit/allocator_test.go
+++ b/internal/ratelimit/allocator_test.go
@@ -54,7 +54,7 @@
 	s := one.Report(start, "w", ten, "n", 1, report(0))
 	r := report(100)
 	r.Isolated = 9
-	r.Lately = 8
+	r.IsolatedRecent = 8
 	r.Level, r.Rate, r.Total, r.By, r.Age = s.Level, 1, s.Total, s.By, time.Second
 	if s := two.Report(start.Add(time.Second), "w", ten, "n", 1, r); s.Admitted > 3 {
 		t.Errorf("%d admitted of a burst of 10, 8 of which the node used while isolated and 1 of which was refilled", s.Admitted)
--- a/internal/ratelimit/bucket.go
+++ b/internal/ratelimit/bucket.go
@@ -74,7 +74,9 @@
 // isolatedExcess returns how many requests a node admitted while isolated since the last answer
 // of another allocator, beyond those for which its rate refilled the bucket: inherit does not
 // add that refill.
-func (r Report) isolatedExcess() float64 { return max(float64(r.Lately)-r.Rate*r.Age.Seconds(), 0) }
+func (r Report) isolatedExcess() float64 {
+	return max(float64(r.IsolatedRecent)-r.Rate*r.Age.Seconds(), 0)
+}
 
 // refill adds the tokens gained since the last report.
 func (b *bucket) refill(now time.Time, l Limit) {
--- a/internal/ratelimit/limiter.go
+++ b/internal/ratelimit/limiter.go
@@ -267,7 +267,7 @@
 		r.Total = a.share.Total
 		r.By = a.share.By
 		r.Age = max(now.Sub(a.shareAt), 1)
-		r.Lately = a.isolated - a.isolatedBefore
+		r.IsolatedRecent = a.isolated - a.isolatedBefore
 	}
 	return r, a.limit, true
 }
--- a/internal/ratelimit/limiter_test.go
+++ b/internal/ratelimit/limiter_test.go
@@ -69,8 +69,8 @@
 	r, l, _ := p.limiter.Report(start, "w", 0)
 	p.limiter.Apply(start, "w", p.allocator.Report(start, "w", l, "n", 1, r), 0)
 	alone(time.Second)
-	if r, _, _ := p.limiter.Report(start.Add(time.Second), "w", 0); r.Isolated != 2 || r.Lately != 1 {
-		t.Errorf("of 2 requests admitted while isolated, one of them since the last answer, %d and %d are reported", r.Isolated, r.Lately)
+	if r, _, _ := p.limiter.Report(start.Add(time.Second), "w", 0); r.Isolated != 2 || r.IsolatedRecent != 1 {
+		t.Errorf("of 2 requests admitted while isolated, one of them since the last answer, %d and %d are reported", r.Isolated, r.IsolatedRecent)
 	}
 }
 
