--- a/internal/node/usage.go
+++ b/internal/node/usage.go
@@ -46,7 +46,7 @@
 		Want:      uint32(r.Want),
 		Waiting:   uint32(r.Waiting),
 		Demand:    float32(r.Demand),
-		EveryMs:   uint32(r.Every.Milliseconds()),
+		EveryMs:   uint32(r.Interval.Milliseconds()),
 	}
 	if r.Age > 0 && r.By != to {
 		u.AgeMs = uint32(r.Age.Milliseconds()) + 1
@@ -67,7 +67,7 @@
 		Want:           int(u.GetWant()),
 		Waiting:        int(u.GetWaiting()),
 		Demand:         float64(u.GetDemand()),
-		Every:          time.Duration(u.GetEveryMs()) * time.Millisecond,
+		Interval:       time.Duration(u.GetEveryMs()) * time.Millisecond,
 		Level:          float64(u.GetLevel()),
 		Rate:           float64(u.GetRate()),
 		Total:          float64(u.GetTotal()),
--- a/internal/ratelimit/allocator.go
+++ b/internal/ratelimit/allocator.go
@@ -76,8 +76,8 @@
 	Waiting int
 	// Demand is how many requests a second arrive at the node, admitted or not.
 	Demand float64
-	// Every is the longest time between two reports.
-	Every time.Duration
+	// Interval is the longest time between two reports.
+	Interval time.Duration
 	// Level, Rate and Total repeat the last answer, By its allocator. Age is the time since then,
 	// 0 if there was none; Lately counts those of Alone since then.
 	Level          float64
--- a/internal/ratelimit/allocator_test.go
+++ b/internal/ratelimit/allocator_test.go
@@ -12,9 +12,9 @@
 // report returns the report of a node with some waiting requests.
 func report(waiting int) ratelimit.Report {
 	return ratelimit.Report{
-		Waiting: waiting,
-		Demand:  1,
-		Every:   time.Second,
+		Waiting:  waiting,
+		Demand:   1,
+		Interval: time.Second,
 	}
 }
 
--- a/internal/ratelimit/bucket.go
+++ b/internal/ratelimit/bucket.go
@@ -193,7 +193,7 @@
 	m.isolated = r.Isolated
 	m.held = r.Held
 	m.demand = r.Demand
-	m.interval = r.Every
+	m.interval = r.Interval
 }
 
 // inherit applies what another allocator last sent to a node. The level is lowered to the one
--- a/internal/ratelimit/limiter.go
+++ b/internal/ratelimit/limiter.go
@@ -259,7 +259,7 @@
 		Want:     want,
 		Waiting:  waiting,
 		Demand:   demand,
-		Every:    every,
+		Interval: every,
 	}
 	if !a.shareAt.IsZero() {
 		r.Level = a.share.Level
