--- a/internal/node/usage.go
+++ b/internal/node/usage.go
@@ -48,9 +48,9 @@
 		Demand:    float32(r.Demand),
 		EveryMs:   uint32(r.Interval.Milliseconds()),
 	}
-	if r.Age > 0 && r.By != to {
+	if r.Age > 0 && r.Allocator != to {
 		u.AgeMs = uint32(r.Age.Milliseconds()) + 1
-		u.By = r.By
+		u.By = r.Allocator
 		u.Level = float32(r.Level)
 		u.Rate = float32(r.Rate)
 		u.Total = float32(r.Total)
@@ -71,7 +71,7 @@
 		Level:          float64(u.GetLevel()),
 		Rate:           float64(u.GetRate()),
 		Total:          float64(u.GetTotal()),
-		By:             u.GetBy(),
+		Allocator:      u.GetBy(),
 		Age:            time.Duration(u.GetAgeMs()) * time.Millisecond,
 		IsolatedRecent: u.GetLately(),
 	}
--- a/internal/ratelimit/allocator.go
+++ b/internal/ratelimit/allocator.go
@@ -83,7 +83,7 @@
 	Level          float64
 	Rate           float64
 	Total          float64
-	By             uint64
+	Allocator      uint64
 	Age            time.Duration
 	IsolatedRecent int64
 }
@@ -140,7 +140,7 @@
 	m := b.node(node, incarnation, r)
 	switch {
 	case r.Age == 0 || r.Age >= a.tolerance.Window:
-	case r.By == a.incarnation:
+	case r.Allocator == a.incarnation:
 		m.formerAllocator = 0
 	default:
 		b.inherit(now, m, r)
--- a/internal/ratelimit/bucket.go
+++ b/internal/ratelimit/bucket.go
@@ -200,13 +200,13 @@
 // sent: isolated nodes may have used the tokens gained since then.
 func (b *bucket) inherit(now time.Time, m *nodeState, r Report) {
 	b.level = min(b.level, r.Level)
-	f := b.former[r.By]
+	f := b.former[r.Allocator]
 	if f == nil {
 		f = &formerAllocator{
 			level:     r.Level,
 			firstSeen: now,
 		}
-		b.former[r.By] = f
+		b.former[r.Allocator] = f
 		// Review now, to withhold the rate of its other nodes.
 		b.reviewedAt = time.Time{}
 	}
@@ -214,9 +214,9 @@
 		f.rateSum, f.sentAt = r.Total, at
 	}
 	f.level = min(f.level, r.Level)
-	if m.formerAllocator != r.By {
+	if m.formerAllocator != r.Allocator {
 		// The node repeats this in each report until it receives an answer.
-		m.formerAllocator = r.By
+		m.formerAllocator = r.Allocator
 		f.arrivedRate += r.Rate
 	}
 }
