--- a/internal/node/usage.go
+++ b/internal/node/usage.go
@@ -92,15 +92,15 @@
 
 func shareOfWire(by uint64, a *wire.Allotment) ratelimit.Share {
 	return ratelimit.Share{
-		By:       by,
-		Admitted: int(a.GetAdmitted()),
-		Reserve:  int(a.GetReserve()),
-		Level:    float64(a.GetLevel()),
-		Pace:     float64(a.GetPace()),
-		Wait:     time.Duration(a.GetWaitMs()) * time.Millisecond,
-		Rate:     float64(a.GetRate()),
-		Depth:    float64(a.GetDepth()),
-		Total:    float64(a.GetTotal()),
-		Kept:     float64(a.GetKept()),
+		Allocator: by,
+		Admitted:  int(a.GetAdmitted()),
+		Reserve:   int(a.GetReserve()),
+		Level:     float64(a.GetLevel()),
+		Pace:      float64(a.GetPace()),
+		Wait:      time.Duration(a.GetWaitMs()) * time.Millisecond,
+		Rate:      float64(a.GetRate()),
+		Depth:     float64(a.GetDepth()),
+		Total:     float64(a.GetTotal()),
+		Kept:      float64(a.GetKept()),
 	}
 }
--- a/internal/ratelimit/allocator.go
+++ b/internal/ratelimit/allocator.go
@@ -90,8 +90,8 @@
 
 // Share is an allocator's answer to a report.
 type Share struct {
-	// By is the incarnation of the allocator.
-	By uint64
+	// Allocator is the incarnation of the allocator.
+	Allocator uint64
 	// Admitted is how many of the waiting requests are admitted.
 	Admitted int
 	// Reserve is how many more tokens the node may hold.
@@ -150,8 +150,8 @@
 	// Tokens in reserve may be unused, and must not cause a request of another node to be
 	// refused.
 	s := Share{
-		By:       a.incarnation,
-		Admitted: min(r.Waiting, int(max(b.level+float64(b.held)-b.missingNodesTokens(now), 0))),
+		Allocator: a.incarnation,
+		Admitted:  min(r.Waiting, int(max(b.level+float64(b.held)-b.missingNodesTokens(now), 0))),
 	}
 	b.level -= float64(s.Admitted)
 	s.Reserve = b.reserve(l, a.tolerance, m, r.Want)
--- a/internal/ratelimit/limiter.go
+++ b/internal/ratelimit/limiter.go
@@ -265,7 +265,7 @@
 		r.Level = a.share.Level
 		r.Rate = a.share.Rate
 		r.Total = a.share.Total
-		r.Allocator = a.share.By
+		r.Allocator = a.share.Allocator
 		r.Age = max(now.Sub(a.shareAt), 1)
 		r.IsolatedRecent = a.isolated - a.isolatedBefore
 	}
