--- a/internal/node/limits.go
+++ b/internal/node/limits.go
@@ -162,7 +162,7 @@
 		By:    by,
 		Rate:  limit.Rate,
 		Level: share.Level,
-		Kept:  share.Kept,
+		Kept:  share.Withheld,
 	}
 	if !at.IsZero() {
 		e.Age = time.Since(at)
--- a/internal/node/usage.go
+++ b/internal/node/usage.go
@@ -24,7 +24,7 @@
 			Reserve:   s.Held,
 			Allocator: l.holder(s.Workspace).Address(),
 			Tokens:    s.Told.Level,
-			Kept:      s.Told.Kept,
+			Kept:      s.Told.Withheld,
 			AgeMS:     -1,
 		}
 		if !s.At.IsZero() {
@@ -87,7 +87,7 @@
 	a.Rate = float32(s.Rate)
 	a.Depth = float32(s.Depth)
 	a.Total = float32(s.Total)
-	a.Kept = float32(s.Kept)
+	a.Kept = float32(s.Withheld)
 }
 
 func shareOfWire(by uint64, a *wire.Allotment) ratelimit.Share {
@@ -101,6 +101,6 @@
 		Rate:      float64(a.GetRate()),
 		Depth:     float64(a.GetDepth()),
 		Total:     float64(a.GetTotal()),
-		Kept:      float64(a.GetKept()),
+		Withheld:  float64(a.GetKept()),
 	}
 }
--- a/internal/ratelimit/allocator.go
+++ b/internal/ratelimit/allocator.go
@@ -107,8 +107,8 @@
 	Rate  float64
 	Depth float64
 	Total float64
-	// Kept is the rate withheld for unreachable nodes.
-	Kept float64
+	// Withheld is the rate withheld for unreachable nodes.
+	Withheld float64
 }
 
 // Allocator holds the buckets of workspaces. It isn't safe for concurrent use.
@@ -156,7 +156,7 @@
 	b.level -= float64(s.Admitted)
 	s.Reserve = b.reserve(l, a.tolerance, m, r.Want)
 	s.Level = b.level
-	s.Kept = b.withheld
+	s.Withheld = b.withheld
 	initial := now.Sub(a.started) < a.tolerance.Window && now.Sub(b.created) < handoverTime
 	b.setShare(l, a.tolerance, m, r, initial, &s)
 	return s
--- a/internal/ratelimit/allocator_test.go
+++ b/internal/ratelimit/allocator_test.go
@@ -103,11 +103,11 @@
 	a.Report(start, "w", ten, "silent", 1, r)
 	a.Report(start, "w", ten, "n", 1, r)
 	later := start.Add(3 * time.Second)
-	if s := a.Report(later, "w", ten, "n", 1, r); s.Kept < 3 {
-		t.Errorf("%.1f of 10 requests a second withheld for a silent node that had half", s.Kept)
+	if s := a.Report(later, "w", ten, "n", 1, r); s.Withheld < 3 {
+		t.Errorf("%.1f of 10 requests a second withheld for a silent node that had half", s.Withheld)
 	}
 	a.Began("silent", 2)
-	if s := a.Report(later, "w", ten, "n", 1, r); s.Kept > 0 {
-		t.Errorf("%.1f withheld for a node that has restarted", s.Kept)
+	if s := a.Report(later, "w", ten, "n", 1, r); s.Withheld > 0 {
+		t.Errorf("%.1f withheld for a node that has restarted", s.Withheld)
 	}
 }
