--- a/internal/node/usage.go
+++ b/internal/node/usage.go
@@ -86,7 +86,7 @@
 	a.WaitMs = uint32(s.Wait.Milliseconds())
 	a.Rate = float32(s.Rate)
 	a.Depth = float32(s.Depth)
-	a.Total = float32(s.Total)
+	a.Total = float32(s.RateSum)
 	a.Kept = float32(s.Withheld)
 }
 
@@ -100,7 +100,7 @@
 		Wait:      time.Duration(a.GetWaitMs()) * time.Millisecond,
 		Rate:      float64(a.GetRate()),
 		Depth:     float64(a.GetDepth()),
-		Total:     float64(a.GetTotal()),
+		RateSum:   float64(a.GetTotal()),
 		Withheld:  float64(a.GetKept()),
 	}
 }
--- a/internal/ratelimit/allocator.go
+++ b/internal/ratelimit/allocator.go
@@ -104,9 +104,9 @@
 	Wait time.Duration
 	// Rate, in requests a second, and Depth are what the node may admit while it is isolated;
 	// Total is the sum of the rates of all nodes.
-	Rate  float64
-	Depth float64
-	Total float64
+	Rate    float64
+	Depth   float64
+	RateSum float64
 	// Withheld is the rate withheld for unreachable nodes.
 	Withheld float64
 }
--- a/internal/ratelimit/bucket.go
+++ b/internal/ratelimit/bucket.go
@@ -253,7 +253,7 @@
 	}
 	b.isolatedRate += m.isolatedRate
 	s.Rate = m.isolatedRate
-	s.Total = b.isolatedRate + b.missingRate
+	s.RateSum = b.isolatedRate + b.missingRate
 	s.Depth = lowLevelToleranceShare * t.requests(l) * share
 	if b.level+float64(b.held) >= reserveMinLevel*l.Burst {
 		s.Depth = min(isolatedExtra, isolatedExtraShare*t.requests(l)/float64(len(b.nodes))) + isolatedToleranceShare*t.requests(l)*share
