--- a/internal/node/usage.go
+++ b/internal/node/usage.go
@@ -53,7 +53,7 @@
 		u.By = r.Allocator
 		u.Level = float32(r.Level)
 		u.Rate = float32(r.Rate)
-		u.Total = float32(r.Total)
+		u.Total = float32(r.RateSum)
 		u.Lately = r.IsolatedRecent
 	}
 	return u
@@ -70,7 +70,7 @@
 		Interval:       time.Duration(u.GetEveryMs()) * time.Millisecond,
 		Level:          float64(u.GetLevel()),
 		Rate:           float64(u.GetRate()),
-		Total:          float64(u.GetTotal()),
+		RateSum:        float64(u.GetTotal()),
 		Allocator:      u.GetBy(),
 		Age:            time.Duration(u.GetAgeMs()) * time.Millisecond,
 		IsolatedRecent: u.GetLately(),
--- a/internal/ratelimit/allocator.go
+++ b/internal/ratelimit/allocator.go
@@ -82,7 +82,7 @@
 	// 0 if there was none; Lately counts those of Alone since then.
 	Level          float64
 	Rate           float64
-	Total          float64
+	RateSum        float64
 	Allocator      uint64
 	Age            time.Duration
 	IsolatedRecent int64
--- a/internal/ratelimit/allocator_test.go
+++ b/internal/ratelimit/allocator_test.go
@@ -30,7 +30,7 @@
 		t.Fatalf("%d admitted of a burst of 10", s.Admitted)
 	}
 	r := report(100)
-	r.Level, r.Rate, r.Total, r.Allocator, r.Age = s.Level, s.Rate, s.RateSum, s.Allocator, time.Millisecond
+	r.Level, r.Rate, r.RateSum, r.Allocator, r.Age = s.Level, s.Rate, s.RateSum, s.Allocator, time.Millisecond
 	if s := two.Report(start.Add(time.Millisecond), "w", ten, "n", 1, r); s.Admitted > 0 {
 		t.Errorf("%d admitted by the second allocator, right after the whole burst", s.Admitted)
 	}
@@ -55,7 +55,7 @@
 	r := report(100)
 	r.Isolated = 9
 	r.IsolatedRecent = 8
-	r.Level, r.Rate, r.Total, r.Allocator, r.Age = s.Level, 1, s.RateSum, s.Allocator, time.Second
+	r.Level, r.Rate, r.RateSum, r.Allocator, r.Age = s.Level, 1, s.RateSum, s.Allocator, time.Second
 	if s := two.Report(start.Add(time.Second), "w", ten, "n", 1, r); s.Admitted > 3 {
 		t.Errorf("%d admitted of a burst of 10, 8 of which the node used while isolated and 1 of which was refilled", s.Admitted)
 	}
@@ -82,7 +82,7 @@
 	one.Report(start, "w", ten, "stays", 1, report(0))
 	s := one.Report(start, "w", ten, "n", 1, report(0))
 	r := report(100)
-	r.Level, r.Rate, r.Total, r.Allocator, r.Age = s.Level, s.Rate, s.RateSum, s.Allocator, time.Millisecond
+	r.Level, r.Rate, r.RateSum, r.Allocator, r.Age = s.Level, s.Rate, s.RateSum, s.Allocator, time.Millisecond
 	r.Waiting = 0
 	two.Report(start.Add(time.Millisecond), "w", ten, "n", 1, r)
 	two.Report(start.Add(time.Millisecond), "w", ten, "n", 1, r)
--- a/internal/ratelimit/bucket.go
+++ b/internal/ratelimit/bucket.go
@@ -211,7 +211,7 @@
 		b.reviewedAt = time.Time{}
 	}
 	if at := now.Add(-r.Age); at.After(f.sentAt) {
-		f.rateSum, f.sentAt = r.Total, at
+		f.rateSum, f.sentAt = r.RateSum, at
 	}
 	f.level = min(f.level, r.Level)
 	if m.formerAllocator != r.Allocator {
--- a/internal/ratelimit/limiter.go
+++ b/internal/ratelimit/limiter.go
@@ -264,7 +264,7 @@
 	if !a.shareAt.IsZero() {
 		r.Level = a.share.Level
 		r.Rate = a.share.Rate
-		r.Total = a.share.RateSum
+		r.RateSum = a.share.RateSum
 		r.Allocator = a.share.Allocator
 		r.Age = max(now.Sub(a.shareAt), 1)
 		r.IsolatedRecent = a.isolated - a.isolatedBefore
