--- a/internal/node/allocator.go
+++ b/internal/node/allocator.go
@@ -112,7 +112,7 @@
 		return
 	}
 	if l.nodeIncarnations[node] > 0 {
-		l.allocator.Began(node, incarnation)
+		l.allocator.NodeStarted(node, incarnation)
 		delete(l.allocatorIncarnations, node)
 	}
 	l.nodeIncarnations[node] = incarnation
--- a/internal/ratelimit/allocator.go
+++ b/internal/ratelimit/allocator.go
@@ -184,8 +184,8 @@
 	return b
 }
 
-// Began records that a node has started, and drops the state of its earlier incarnations.
-func (a *Allocator) Began(node string, incarnation uint64) {
+// NodeStarted records that a node has started, and drops the state of its earlier incarnations.
+func (a *Allocator) NodeStarted(node string, incarnation uint64) {
 	for _, b := range a.buckets {
 		if m := b.nodes[node]; m != nil && m.incarnation != incarnation {
 			b.drop(m)
--- a/internal/ratelimit/allocator_test.go
+++ b/internal/ratelimit/allocator_test.go
@@ -106,7 +106,7 @@
 	if s := a.Report(later, "w", ten, "n", 1, r); s.Withheld < 3 {
 		t.Errorf("%.1f of 10 requests a second withheld for a silent node that had half", s.Withheld)
 	}
-	a.Began("silent", 2)
+	a.NodeStarted("silent", 2)
 	if s := a.Report(later, "w", ten, "n", 1, r); s.Withheld > 0 {
 		t.Errorf("%.1f withheld for a node that has restarted", s.Withheld)
 	}
--- a/internal/ratelimit/fleet_test.go
+++ b/internal/ratelimit/fleet_test.go
@@ -395,7 +395,7 @@
 func (m *model) announceStart(n *modelNode) {
 	for _, other := range m.nodes {
 		if !other.down && !other.cut {
-			other.allocator.Began(n.name, n.incarnation)
+			other.allocator.NodeStarted(n.name, n.incarnation)
 		}
 	}
 }
