--- a/internal/node/allocator.go
+++ b/internal/node/allocator.go
@@ -124,7 +124,7 @@
 	view := l.board.view.Load()
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.allocator.Lost(1 - float64(len(view.Live()))/float64(view.Nodes()))
+	l.allocator.SetUnreachable(1 - float64(len(view.Live()))/float64(view.Nodes()))
 	for key, a := range l.tokenAnswers {
 		if now.Sub(a.at) > time.Second {
 			delete(l.tokenAnswers, key)
--- a/internal/ratelimit/allocator.go
+++ b/internal/ratelimit/allocator.go
@@ -195,8 +195,8 @@
 	}
 }
 
-// Lost sets the fraction of the fleet's nodes, from 0 to 1, that are unreachable.
-func (a *Allocator) Lost(fraction float64) { a.unreachable = fraction }
+// SetUnreachable sets the fraction of the fleet's nodes, from 0 to 1, that are unreachable.
+func (a *Allocator) SetUnreachable(fraction float64) { a.unreachable = fraction }
 
 // Forget drops the buckets without a report for bucketLifetime.
 func (a *Allocator) Forget(now time.Time) {
--- a/internal/ratelimit/fleet_test.go
+++ b/internal/ratelimit/fleet_test.go
@@ -159,7 +159,7 @@
 	m.every(tick, func(now time.Time) {
 		unreachable := m.unreachable(now)
 		for _, n := range m.nodes {
-			n.allocator.Lost(unreachable)
+			n.allocator.SetUnreachable(unreachable)
 		}
 		for i := range m.nodes {
 			m.report(now, i)
