--- a/internal/ratelimit/limiter.go
+++ b/internal/ratelimit/limiter.go
@@ -312,8 +312,8 @@
 	return Share{}, time.Time{}
 }
 
-// Standing is the state of one workspace's limit on a node.
-type Standing struct {
+// Status is the state of one workspace's limit on a node.
+type Status struct {
 	Workspace string
 	Limit     Limit
 	// Demand is how many requests a second arrive at the node, Held its tokens in reserve.
@@ -325,12 +325,12 @@
 }
 
 // Standings returns the state of the limits of all workspaces, sorted by name.
-func (l *Limiter) Standings(now time.Time) []Standing {
+func (l *Limiter) Standings(now time.Time) []Status {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	out := make([]Standing, 0, len(l.accounts))
+	out := make([]Status, 0, len(l.accounts))
 	for workspace, a := range l.accounts {
-		out = append(out, Standing{
+		out = append(out, Status{
 			Workspace: workspace,
 			Limit:     a.limit,
 			Demand:    a.demand.rate(now),
@@ -339,7 +339,7 @@
 			At:        a.shareAt,
 		})
 	}
-	slices.SortFunc(out, func(a, b Standing) int { return strings.Compare(a.Workspace, b.Workspace) })
+	slices.SortFunc(out, func(a, b Status) int { return strings.Compare(a.Workspace, b.Workspace) })
 	return out
 }
 
