--- a/internal/node/usage.go
+++ b/internal/node/usage.go
@@ -15,7 +15,7 @@
 // status returns the status of the limits of the workspaces that have callers on this node.
 func (l *limitController) status(now time.Time) []operator.LimitStatus {
 	var out []operator.LimitStatus
-	for _, s := range l.limiter.Standings(now) {
+	for _, s := range l.limiter.Statuses(now) {
 		w := operator.LimitStatus{
 			Workspace: s.Workspace,
 			Rate:      s.Limit.Rate,
--- a/internal/ratelimit/limiter.go
+++ b/internal/ratelimit/limiter.go
@@ -324,8 +324,8 @@
 	At   time.Time
 }
 
-// Standings returns the state of the limits of all workspaces, sorted by name.
-func (l *Limiter) Standings(now time.Time) []Status {
+// Statuses returns the state of the limits of all workspaces, sorted by name.
+func (l *Limiter) Statuses(now time.Time) []Status {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	out := make([]Status, 0, len(l.accounts))
