--- a/internal/node/usage.go
+++ b/internal/node/usage.go
@@ -23,8 +23,8 @@
 			Asked:     s.Demand,
 			Reserve:   s.Held,
 			Allocator: l.holder(s.Workspace).Address(),
-			Tokens:    s.Told.Level,
-			Kept:      s.Told.Withheld,
+			Tokens:    s.Share.Level,
+			Kept:      s.Share.Withheld,
 			AgeMS:     -1,
 		}
 		if !s.At.IsZero() {
--- a/internal/ratelimit/limiter.go
+++ b/internal/ratelimit/limiter.go
@@ -319,9 +319,9 @@
 	// Demand is how many requests a second arrive at the node, Held its tokens in reserve.
 	Demand float64
 	Held   int
-	// Told is the allocator's last answer, At the time of its arrival; the zero time means none.
-	Told Share
-	At   time.Time
+	// Share is the allocator's last answer, At the time of its arrival; the zero time means none.
+	Share Share
+	At    time.Time
 }
 
 // Statuses returns the state of the limits of all workspaces, sorted by name.
@@ -335,7 +335,7 @@
 			Limit:     a.limit,
 			Demand:    a.demand.rate(now),
 			Held:      a.held,
-			Told:      a.share,
+			Share:     a.share,
 			At:        a.shareAt,
 		})
 	}
