--- a/internal/dispatch/limit.go
+++ b/internal/dispatch/limit.go
@@ -106,7 +106,7 @@
 		return
 	}
 	l.wait(now, share)
-	l.pacer.Pay()
+	l.pacer.Spend()
 	l.grants.advance(now, l.started, limitBudget)
 	l.grants.addFirst(1)
 }
--- a/internal/node/targetlimits.go
+++ b/internal/node/targetlimits.go
@@ -203,7 +203,7 @@
 	if wait > 0 {
 		return false
 	}
-	p.Pay()
+	p.Spend()
 	return true
 }
 
--- a/internal/ratelimit/pacer.go
+++ b/internal/ratelimit/pacer.go
@@ -48,7 +48,7 @@
 func (p *Pacer) Take(now time.Time, rate, depth float64) time.Duration {
 	wait := p.Wait(now, rate, depth)
 	if wait == 0 {
-		p.Pay()
+		p.Spend()
 	}
 	return wait
 }
@@ -60,8 +60,8 @@
 	}
 }
 
-// Pay takes a token even if there is none, which delays the next ones.
-func (p *Pacer) Pay() { p.tokens-- }
+// Spend takes a token even if there is none, which delays the next ones.
+func (p *Pacer) Spend() { p.tokens-- }
 
 // Return gives back a token that was taken and not used.
 func (p *Pacer) Return() { p.tokens++ }
