--- a/internal/dispatch/limit.go
+++ b/internal/dispatch/limit.go
@@ -95,7 +95,7 @@
 	if share < 1 {
 		// Other dispatchers may accumulate as much and grant it at the same time.
 		l.pacer.Wait(now, rate, math.Inf(1))
-		l.pacer.Lapse(rate * limitBurst.Seconds())
+		l.pacer.Expire(rate * limitBurst.Seconds())
 	}
 	return l.pacer.Wait(now, rate, 1+rate*limitBurst.Seconds())
 }
--- a/internal/node/targetlimits.go
+++ b/internal/node/targetlimits.go
@@ -220,7 +220,7 @@
 		s.pacers[key] = p
 	}
 	p.Wait(now, rate, math.Inf(1))
-	p.Lapse(rate * shareLifetime.Seconds())
+	p.Expire(rate * shareLifetime.Seconds())
 	return p, p.Wait(now, rate, math.Inf(1))
 }
 
--- a/internal/ratelimit/pacer.go
+++ b/internal/ratelimit/pacer.go
@@ -53,8 +53,8 @@
 	return wait
 }
 
-// Lapse drops tokens that have been unused for longer than it takes to accumulate keep tokens.
-func (p *Pacer) Lapse(keep float64) {
+// Expire drops tokens that have been unused for longer than it takes to accumulate keep tokens.
+func (p *Pacer) Expire(keep float64) {
 	if over := p.tokens - keep; over >= 1 {
 		p.tokens -= math.Floor(over)
 	}
--- a/internal/ratelimit/pacer_test.go
+++ b/internal/ratelimit/pacer_test.go
@@ -68,7 +68,7 @@
 	for i := range 1000 {
 		now := start.Add(time.Duration(i) * 10 * time.Millisecond)
 		p.Wait(now, rate, depth)
-		p.Lapse(keep)
+		p.Expire(keep)
 		if p.Wait(now, rate, depth) == 0 {
 			there++
 		}
