--- a/internal/quarantine/answers.go
+++ b/internal/quarantine/answers.go
@@ -46,7 +46,7 @@
 }
 
 // Lately reports whether a request with a fingerprint was answered within AnswerMemory.
-func (a *Answers) Lately(now time.Time, p Print) bool {
+func (a *Answers) Lately(now time.Time, p Fingerprint) bool {
 	slot, tag := a.slot(p)
 	v := slot.Load()
 	if v>>tickBits != tag {
@@ -57,7 +57,7 @@
 }
 
 // slot returns the slot of a fingerprint and the tag that distinguishes it from others in the slot.
-func (a *Answers) slot(p Print) (*atomic.Uint64, uint64) {
+func (a *Answers) slot(p Fingerprint) (*atomic.Uint64, uint64) {
 	n := binary.BigEndian.Uint64(p[:])
 	return &a.slots[n%answerSlots], n >> tickBits
 }
--- a/internal/quarantine/answers_test.go
+++ b/internal/quarantine/answers_test.go
@@ -18,7 +18,7 @@
 	a.Note(at, p)
 	tests := []struct {
 		name  string
-		print quarantine.Print
+		print quarantine.Fingerprint
 		after time.Duration
 		want  bool
 	}{
--- a/internal/quarantine/fingerprint.go
+++ b/internal/quarantine/fingerprint.go
@@ -17,19 +17,19 @@
 // in some ten microseconds.
 const PrintBody = 16 << 10
 
-// Print is the fingerprint of a request: requests with the same one have the same content.
-type Print [fingerprintSize]byte
+// Fingerprint is the fingerprint of a request: requests with the same one have the same content.
+type Fingerprint [fingerprintSize]byte
 
 // String returns the first half of the fingerprint in hexadecimal digits, enough to find it in
 // the logs of a fleet.
-func (p Print) String() string { return hex.EncodeToString(p[:fingerprintSize/2]) }
+func (p Fingerprint) String() string { return hex.EncodeToString(p[:fingerprintSize/2]) }
 
 // Prints are the fingerprints of one request: of its content, and of its content and caller. The
 // second one identifies a request that is harmful for one caller only; the first one that is
 // harmful for all, or whose caller uses many addresses.
 type Prints struct {
-	content Print
-	caller  Print
+	content Fingerprint
+	caller  Fingerprint
 }
 
 // Request holds what distinguishes requests.
@@ -65,13 +65,13 @@
 }
 
 // Content returns the fingerprint of the content, for any caller.
-func (p Prints) Content() Print { return p.content }
+func (p Prints) Content() Fingerprint { return p.content }
 
 // Caller returns the fingerprint of the content and the caller.
-func (p Prints) Caller() Print { return p.caller }
+func (p Prints) Caller() Fingerprint { return p.caller }
 
 // All returns both fingerprints.
-func (p Prints) All() [2]Print { return [...]Print{p.content, p.caller} }
+func (p Prints) All() [2]Fingerprint { return [...]Fingerprint{p.content, p.caller} }
 
 // writeString writes a string with its length, so that adjacent strings can't be confused.
 func writeString(h hash.Hash, s string) {
@@ -85,7 +85,7 @@
 	h.Write(b[:])
 }
 
-func truncatedSum(h hash.Hash) Print {
+func truncatedSum(h hash.Hash) Fingerprint {
 	var b [sha256.Size]byte
-	return Print(h.Sum(b[:0])[:fingerprintSize])
+	return Fingerprint(h.Sum(b[:0])[:fingerprintSize])
 }
--- a/internal/quarantine/fingerprint_test.go
+++ b/internal/quarantine/fingerprint_test.go
@@ -75,7 +75,7 @@
 			Length: int64(len(long)) + 1,
 		},
 	}
-	seen := map[quarantine.Print]int{}
+	seen := map[quarantine.Fingerprint]int{}
 	for i, r := range requests {
 		for _, p := range quarantine.NewPrints(r).All() {
 			if other, known := seen[p]; known {
--- a/internal/quarantine/ledger.go
+++ b/internal/quarantine/ledger.go
@@ -25,7 +25,7 @@
 	// salt differs between nodes, so that they release a request at different times.
 	salt    uint64
 	holds   *holdTimes
-	records map[Print]*Record
+	records map[Fingerprint]*Record
 	digest  uint64
 }
 
@@ -34,7 +34,7 @@
 	return &Ledger{
 		salt:    salt,
 		holds:   &defaultHolds,
-		records: map[Print]*Record{},
+		records: map[Fingerprint]*Record{},
 	}
 }
 
@@ -48,7 +48,7 @@
 // Standing is the state of a request in a ledger.
 type Standing struct {
 	// Print is the fingerprint of the request to which the state belongs.
-	Print Print
+	Print Fingerprint
 	// Ends is how many targets crashed under the request since it was last answered, Last the
 	// time of the last crash.
 	Ends int
@@ -76,7 +76,7 @@
 }
 
 // Standing returns the state of the requests with a fingerprint.
-func (l *Ledger) Standing(now time.Time, p Print) Standing {
+func (l *Ledger) Standing(now time.Time, p Fingerprint) Standing {
 	s := Standing{
 		Print: p,
 	}
@@ -103,7 +103,7 @@
 
 // Ended records that a target crashed under a request with a fingerprint. It returns the record if
 // it changed, else nothing.
-func (l *Ledger) Ended(now time.Time, p Print, target string) []Record {
+func (l *Ledger) Ended(now time.Time, p Fingerprint, target string) []Record {
 	return l.Learn(now, Record{
 		Print: p,
 		Ends: []End{
@@ -117,7 +117,7 @@
 
 // Answered records that a target answered a request with a fingerprint. It returns the record if
 // it changed, else nothing.
-func (l *Ledger) Answered(p Print) []Record {
+func (l *Ledger) Answered(p Fingerprint) []Record {
 	r := l.records[p]
 	if r == nil {
 		return nil
--- a/internal/quarantine/record.go
+++ b/internal/quarantine/record.go
@@ -58,7 +58,7 @@
 
 // Record holds the crashes under one request. Records of one request can be merged in any order.
 type Record struct {
-	Print Print
+	Print Fingerprint
 	// Ends are the crashes in order of time.
 	Ends []End
 }
