--- a/internal/entry/relay.go
+++ b/internal/entry/relay.go
@@ -50,7 +50,7 @@
 	sent time.Time
 	// prints name what is asked for. suspect is set once a target is known to have ended under
 	// the request, held is for how long it is refused then.
-	prints  quarantine.Prints
+	prints  quarantine.Fingerprints
 	suspect atomic.Bool
 	held    atomic.Int64
 	// won is the try whose answer is delivered; settled is set once there is one.
--- a/internal/entry/workspace_test.go
+++ b/internal/entry/workspace_test.go
@@ -215,8 +215,8 @@
 		Limit:    s.limit,
 		GiveBack: s.giveBack,
 
-		Quarantined: func(quarantine.Prints) quarantine.Standing { return quarantine.Standing{} },
-		Answered:    func(quarantine.Prints) {},
+		Quarantined: func(quarantine.Fingerprints) quarantine.Standing { return quarantine.Standing{} },
+		Answered:    func(quarantine.Fingerprints) {},
 		Collector:   outlier.NewCollector(time.Second),
 		Served:      func(string, string, int, string, time.Duration) {},
 		Log:         logrus.NewEntry(log),
--- a/internal/node/export_quarantine_test.go
+++ b/internal/node/export_quarantine_test.go
@@ -70,14 +70,14 @@
 }
 
 // Check returns the node's standing of a request.
-func (n *QuarantineNode) Check(p quarantine.Prints) quarantine.Standing {
+func (n *QuarantineNode) Check(p quarantine.Fingerprints) quarantine.Standing {
 	return n.quarantine.check(p)
 }
 
 // Ended records that a target crashed under a request.
-func (n *QuarantineNode) Ended(p quarantine.Prints, target string) quarantine.Standing {
+func (n *QuarantineNode) Ended(p quarantine.Fingerprints, target string) quarantine.Standing {
 	return n.quarantine.recordCrash(p, target)
 }
 
 // Answered records that a target answered a request.
-func (n *QuarantineNode) Answered(p quarantine.Prints) { n.quarantine.recordAnswer(p) }
+func (n *QuarantineNode) Answered(p quarantine.Fingerprints) { n.quarantine.recordAnswer(p) }
--- a/internal/node/quarantine.go
+++ b/internal/node/quarantine.go
@@ -69,7 +69,7 @@
 }
 
 // check returns the standing of a request.
-func (q *quarantineController) check(fingerprints quarantine.Prints) quarantine.Standing {
+func (q *quarantineController) check(fingerprints quarantine.Fingerprints) quarantine.Standing {
 	if q.count.Load() == 0 {
 		return quarantine.Standing{}
 	}
@@ -92,7 +92,7 @@
 }
 
 // recordCrash records that a target crashed under a request, and returns the standing of the request.
-func (q *quarantineController) recordCrash(fingerprints quarantine.Prints, target string) quarantine.Standing {
+func (q *quarantineController) recordCrash(fingerprints quarantine.Fingerprints, target string) quarantine.Standing {
 	now := time.Now()
 	for _, p := range fingerprints.All() {
 		if q.answers.Lately(now, p) {
@@ -104,7 +104,7 @@
 }
 
 // recordAnswer records that a target answered a request.
-func (q *quarantineController) recordAnswer(fingerprints quarantine.Prints) {
+func (q *quarantineController) recordAnswer(fingerprints quarantine.Fingerprints) {
 	now := time.Now()
 	q.answers.Note(now, fingerprints)
 	if q.count.Load() == 0 {
--- a/internal/node/quarantine_test.go
+++ b/internal/node/quarantine_test.go
@@ -95,7 +95,7 @@
 }
 
 // refusing counts the nodes that refuse a request.
-func (f *quarantineFleet) refusing(p quarantine.Prints) int {
+func (f *quarantineFleet) refusing(p quarantine.Fingerprints) int {
 	n := 0
 	for _, m := range f.all {
 		if f.at(m.Address()).Check(p).Held() {
@@ -107,7 +107,7 @@
 
 // threeCrashes records a crash under a request on each of three nodes, and lets all nodes receive
 // them.
-func (f *quarantineFleet) threeCrashes() quarantine.Prints {
+func (f *quarantineFleet) threeCrashes() quarantine.Fingerprints {
 	p := crashingRequest()
 	for i := range 3 {
 		f.at(f.all[i].Address()).Ended(p, fmt.Sprint(i))
@@ -116,7 +116,7 @@
 	return p
 }
 
-func crashingRequest() quarantine.Prints {
+func crashingRequest() quarantine.Fingerprints {
 	return quarantine.NewPrints(quarantine.Request{
 		Method: "GET",
 		URI:    "/drafts/7f3d5a",
--- a/internal/quarantine/answers.go
+++ b/internal/quarantine/answers.go
@@ -38,7 +38,7 @@
 }
 
 // Note records that a request was answered.
-func (a *Answers) Note(now time.Time, prints Prints) {
+func (a *Answers) Note(now time.Time, prints Fingerprints) {
 	for _, p := range prints.All() {
 		slot, tag := a.slot(p)
 		slot.Store(tag<<tickBits | a.tick(now))
--- a/internal/quarantine/fingerprint.go
+++ b/internal/quarantine/fingerprint.go
@@ -24,10 +24,10 @@
 // the logs of a fleet.
 func (p Fingerprint) String() string { return hex.EncodeToString(p[:fingerprintSize/2]) }
 
-// Prints are the fingerprints of one request: of its content, and of its content and caller. The
+// Fingerprints are the fingerprints of one request: of its content, and of its content and caller. The
 // second one identifies a request that is harmful for one caller only; the first one that is
 // harmful for all, or whose caller uses many addresses.
-type Prints struct {
+type Fingerprints struct {
 	content Fingerprint
 	caller  Fingerprint
 }
@@ -47,14 +47,14 @@
 }
 
 // NewPrints returns the fingerprints of a request.
-func NewPrints(r Request) Prints {
+func NewPrints(r Request) Fingerprints {
 	h := sha256.New()
 	for _, s := range [...]string{r.Method, r.Host, r.URI} {
 		writeString(h, s)
 	}
 	writeInt(h, r.Length)
 	h.Write(r.Body[:min(len(r.Body), PrintBody)])
-	p := Prints{
+	p := Fingerprints{
 		content: truncatedSum(h),
 	}
 	h.Reset()
@@ -65,13 +65,13 @@
 }
 
 // Content returns the fingerprint of the content, for any caller.
-func (p Prints) Content() Fingerprint { return p.content }
+func (p Fingerprints) Content() Fingerprint { return p.content }
 
 // Caller returns the fingerprint of the content and the caller.
-func (p Prints) Caller() Fingerprint { return p.caller }
+func (p Fingerprints) Caller() Fingerprint { return p.caller }
 
 // All returns both fingerprints.
-func (p Prints) All() [2]Fingerprint { return [...]Fingerprint{p.content, p.caller} }
+func (p Fingerprints) All() [2]Fingerprint { return [...]Fingerprint{p.content, p.caller} }
 
 // writeString writes a string with its length, so that adjacent strings can't be confused.
 func writeString(h hash.Hash, s string) {
--- a/internal/quarantine/ledger.go
+++ b/internal/quarantine/ledger.go
@@ -64,7 +64,7 @@
 func (s Standing) Held() bool { return s.Wait > 0 }
 
 // Check returns the worst state of a request among its fingerprints.
-func (l *Ledger) Check(now time.Time, prints Prints) Standing {
+func (l *Ledger) Check(now time.Time, prints Fingerprints) Standing {
 	var worst Standing
 	for _, p := range prints.All() {
 		s := l.Standing(now, p)
--- a/internal/quarantine/ledger_test.go
+++ b/internal/quarantine/ledger_test.go
@@ -17,7 +17,7 @@
 
 var start = time.Unix(1_000_000, 0)
 
-func fingerprintsOf(uri string) quarantine.Prints {
+func fingerprintsOf(uri string) quarantine.Fingerprints {
 	return quarantine.NewPrints(quarantine.Request{
 		Method: "GET",
 		URI:    uri,
@@ -26,13 +26,13 @@
 }
 
 // recordCrash records a crash under all fingerprints of a request.
-func recordCrash(l *quarantine.Ledger, at time.Time, p quarantine.Prints, target string) {
+func recordCrash(l *quarantine.Ledger, at time.Time, p quarantine.Fingerprints, target string) {
 	for _, one := range p.All() {
 		l.Ended(at, one, target)
 	}
 }
 
-func recordAnswer(l *quarantine.Ledger, p quarantine.Prints) {
+func recordAnswer(l *quarantine.Ledger, p quarantine.Fingerprints) {
 	for _, one := range p.All() {
 		l.Answered(one)
 	}
@@ -223,7 +223,7 @@
 // The request of one caller can be held while the same request of others is answered.
 func TestRequestHarmfulForOneCaller(t *testing.T) {
 	l := quarantine.NewLedger(7)
-	ask := func(caller string) quarantine.Prints {
+	ask := func(caller string) quarantine.Fingerprints {
 		return quarantine.NewPrints(quarantine.Request{
 			Method: "GET",
 			URI:    "/forms",
--- a/internal/quarantine/model_test.go
+++ b/internal/quarantine/model_test.go
@@ -133,7 +133,7 @@
 
 // modelRequest is a caller's request.
 type modelRequest struct {
-	prints  quarantine.Prints
+	prints  quarantine.Fingerprints
 	harmful bool
 	retries int
 }
@@ -246,7 +246,7 @@
 	}
 }
 
-func (m *model) prints(uri string) quarantine.Prints {
+func (m *model) prints(uri string) quarantine.Fingerprints {
 	return quarantine.NewPrints(quarantine.Request{
 		Method: "GET",
 		URI:    uri,
