--- a/internal/entry/quarantine.go
+++ b/internal/entry/quarantine.go
@@ -39,7 +39,7 @@
 // printsOf returns what names a request by what it asks for. The host is the route's: callers
 // of a route for any host may reach each node by another one.
 func printsOf(r *http.Request, in *admitted, b *body) quarantine.Fingerprints {
-	return quarantine.NewPrints(quarantine.Request{
+	return quarantine.NewFingerprints(quarantine.Request{
 		Method: r.Method,
 		Host:   in.route.Host(),
 		URI:    r.URL.RequestURI(),
--- a/internal/node/quarantine_test.go
+++ b/internal/node/quarantine_test.go
@@ -117,7 +117,7 @@
 }
 
 func crashingRequest() quarantine.Fingerprints {
-	return quarantine.NewPrints(quarantine.Request{
+	return quarantine.NewFingerprints(quarantine.Request{
 		Method: "GET",
 		URI:    "/drafts/7f3d5a",
 		Caller: "198.51.100.7",
@@ -242,7 +242,7 @@
 		if got := f.refusing(p); got > 0 {
 			t.Errorf("%d nodes still refuse the answered request", got)
 		}
-		other := quarantine.NewPrints(quarantine.Request{
+		other := quarantine.NewFingerprints(quarantine.Request{
 			Method: "GET",
 			URI:    "/forms",
 		})
@@ -271,7 +271,7 @@
 		const nodes, requests = 100, 3000
 		f := newQuarantineFleet(t.Context(), nodes)
 		for i := range requests {
-			f.at(f.all[i%nodes].Address()).Ended(quarantine.NewPrints(quarantine.Request{
+			f.at(f.all[i%nodes].Address()).Ended(quarantine.NewFingerprints(quarantine.Request{
 				Method: "GET",
 				URI:    fmt.Sprint(i),
 			}), fmt.Sprint(i/3))
--- a/internal/quarantine/fingerprint.go
+++ b/internal/quarantine/fingerprint.go
@@ -46,8 +46,8 @@
 	Length int64
 }
 
-// NewPrints returns the fingerprints of a request.
-func NewPrints(r Request) Fingerprints {
+// NewFingerprints returns the fingerprints of a request.
+func NewFingerprints(r Request) Fingerprints {
 	h := sha256.New()
 	for _, s := range [...]string{r.Method, r.Host, r.URI} {
 		writeString(h, s)
--- a/internal/quarantine/fingerprint_test.go
+++ b/internal/quarantine/fingerprint_test.go
@@ -19,9 +19,9 @@
 		URI:    "/drafts/17?page=2",
 		Caller: "192.0.2.7",
 	}
-	first := quarantine.NewPrints(r)
+	first := quarantine.NewFingerprints(r)
 	r.Caller = "192.0.2.8"
-	second := quarantine.NewPrints(r)
+	second := quarantine.NewFingerprints(r)
 	fmt.Println(first.Content() == second.Content())
 	fmt.Println(first.Caller() == second.Caller())
 	// Output:
@@ -77,7 +77,7 @@
 	}
 	seen := map[quarantine.Fingerprint]int{}
 	for i, r := range requests {
-		for _, p := range quarantine.NewPrints(r).All() {
+		for _, p := range quarantine.NewFingerprints(r).All() {
 			if other, known := seen[p]; known {
 				t.Errorf("requests %d and %d share a fingerprint", other, i)
 			}
@@ -94,7 +94,7 @@
 	body := bytes.Repeat([]byte("a"), 300)
 	b.ReportAllocs()
 	for i := range b.N {
-		p := quarantine.NewPrints(quarantine.Request{
+		p := quarantine.NewFingerprints(quarantine.Request{
 			Method: "POST",
 			Host:   "forms.example",
 			URI:    "/receipts/17f3a9",
--- a/internal/quarantine/ledger_test.go
+++ b/internal/quarantine/ledger_test.go
@@ -18,7 +18,7 @@
 var start = time.Unix(1_000_000, 0)
 
 func fingerprintsOf(uri string) quarantine.Fingerprints {
-	return quarantine.NewPrints(quarantine.Request{
+	return quarantine.NewFingerprints(quarantine.Request{
 		Method: "GET",
 		URI:    uri,
 		Caller: "192.0.2.7",
@@ -224,7 +224,7 @@
 func TestRequestHarmfulForOneCaller(t *testing.T) {
 	l := quarantine.NewLedger(7)
 	ask := func(caller string) quarantine.Fingerprints {
-		return quarantine.NewPrints(quarantine.Request{
+		return quarantine.NewFingerprints(quarantine.Request{
 			Method: "GET",
 			URI:    "/forms",
 			Caller: caller,
--- a/internal/quarantine/model_test.go
+++ b/internal/quarantine/model_test.go
@@ -247,7 +247,7 @@
 }
 
 func (m *model) prints(uri string) quarantine.Fingerprints {
-	return quarantine.NewPrints(quarantine.Request{
+	return quarantine.NewFingerprints(quarantine.Request{
 		Method: "GET",
 		URI:    uri,
 		// Callers use four addresses.
