--- a/internal/entry/body.go
+++ b/internal/entry/body.go
@@ -61,7 +61,7 @@
 
 // readHead takes the beginning of a large body, which is sent with the rest.
 func readHead(from io.Reader, length int64) (*body, *Error) {
-	head := make([]byte, min(length, quarantine.PrintBody))
+	head := make([]byte, min(length, quarantine.FingerprintBody))
 	if _, err := io.ReadFull(from, head); err != nil {
 		return nil, bodyError(err)
 	}
--- a/internal/quarantine/fingerprint.go
+++ b/internal/quarantine/fingerprint.go
@@ -13,9 +13,9 @@
 // by chance nor can be forged.
 const fingerprintSize = 16
 
-// PrintBody is how many bytes of a body count for a Print: more than most bodies have, and hashed
+// FingerprintBody is how many bytes of a body count for a Print: more than most bodies have, and hashed
 // in some ten microseconds.
-const PrintBody = 16 << 10
+const FingerprintBody = 16 << 10
 
 // Fingerprint is the fingerprint of a request: requests with the same one have the same content.
 type Fingerprint [fingerprintSize]byte
@@ -53,7 +53,7 @@
 		writeString(h, s)
 	}
 	writeInt(h, r.Length)
-	h.Write(r.Body[:min(len(r.Body), PrintBody)])
+	h.Write(r.Body[:min(len(r.Body), FingerprintBody)])
 	p := Fingerprints{
 		content: truncatedSum(h),
 	}
--- a/internal/quarantine/fingerprint_test.go
+++ b/internal/quarantine/fingerprint_test.go
@@ -31,7 +31,7 @@
 
 // Each field of a request counts, and adjacent fields are not confused.
 func TestFingerprintsDistinguishRequests(t *testing.T) {
-	long := bytes.Repeat([]byte("a"), quarantine.PrintBody)
+	long := bytes.Repeat([]byte("a"), quarantine.FingerprintBody)
 	requests := []quarantine.Request{
 		{
 			Method: "GET",
