--- a/internal/node/quarantine.go
+++ b/internal/node/quarantine.go
@@ -137,7 +137,7 @@
 	if q.messenger == nil {
 		return
 	}
-	to := q.holders(r.Print)
+	to := q.holders(r.Fingerprint)
 	if r.Shared() {
 		to = q.randomNodes()
 	} else if from != "" {
@@ -222,7 +222,7 @@
 // wireRecord returns the message of a record.
 func wireRecord(now time.Time, r *quarantine.Record) *wire.QuarantineRecord {
 	w := &wire.QuarantineRecord{
-		Print: r.Print[:],
+		Print: r.Fingerprint[:],
 	}
 	for _, e := range r.Ends {
 		w.Ends = append(w.Ends, &wire.TargetEnd{
@@ -244,8 +244,8 @@
 			continue
 		}
 		q.change(now, peer, func() []quarantine.Record { return q.ledger.Learn(now, r) })
-		if q.answers.Lately(now, r.Print) {
-			q.change(now, "", func() []quarantine.Record { return q.ledger.Answered(r.Print) })
+		if q.answers.Lately(now, r.Fingerprint) {
+			q.change(now, "", func() []quarantine.Record { return q.ledger.Answered(r.Fingerprint) })
 		}
 	}
 }
@@ -253,10 +253,10 @@
 // recordOfWire returns the record of a message, and false if it is invalid.
 func recordOfWire(now time.Time, w *wire.QuarantineRecord) (quarantine.Record, bool) {
 	var r quarantine.Record
-	if len(w.GetPrint()) != len(r.Print) {
+	if len(w.GetPrint()) != len(r.Fingerprint) {
 		return r, false
 	}
-	copy(r.Print[:], w.GetPrint())
+	copy(r.Fingerprint[:], w.GetPrint())
 	for _, e := range w.GetEnds() {
 		r.Ends = append(r.Ends, quarantine.End{
 			Target:   e.GetTarget(),
@@ -273,9 +273,9 @@
 	defer q.mu.Unlock()
 	var out []operator.QuarantineStatus
 	for _, r := range q.ledger.Shared() {
-		s := q.ledger.Standing(now, r.Print)
+		s := q.ledger.Standing(now, r.Fingerprint)
 		out = append(out, operator.QuarantineStatus{
-			Fingerprint: r.Print.String(),
+			Fingerprint: r.Fingerprint.String(),
 			Ends:        s.Ends,
 			AgeMS:       now.Sub(s.Last).Milliseconds(),
 			WaitMS:      s.Wait.Milliseconds(),
@@ -287,7 +287,7 @@
 // logChange logs a record that changed.
 func (q *quarantineController) logChange(now time.Time, r *quarantine.Record, from string) {
 	l := q.log.WithFields(logrus.Fields{
-		"fingerprint": r.Print.String(),
+		"fingerprint": r.Fingerprint.String(),
 		"ends":        r.Count(),
 		"age_ms":      now.Sub(r.Ends[len(r.Ends)-1].At).Milliseconds(),
 	})
--- a/internal/quarantine/ledger.go
+++ b/internal/quarantine/ledger.go
@@ -105,7 +105,7 @@
 // it changed, else nothing.
 func (l *Ledger) Ended(now time.Time, p Fingerprint, target string) []Record {
 	return l.Learn(now, Record{
-		Print: p,
+		Fingerprint: p,
 		Ends: []End{
 			{
 				Target: TargetHash(target),
@@ -127,15 +127,15 @@
 
 // Learn merges the record of a peer. It returns the merged record if it changed, else nothing.
 func (l *Ledger) Learn(now time.Time, received Record) []Record {
-	r := l.records[received.Print]
+	r := l.records[received.Fingerprint]
 	if r == nil {
 		if len(received.Ends) == 0 || !now.Before(received.expiry(l.holds)) {
 			return nil
 		}
 		r = &Record{
-			Print: received.Print,
+			Fingerprint: received.Fingerprint,
 		}
-		l.records[received.Print] = r
+		l.records[received.Fingerprint] = r
 	}
 	out := l.change(r, func() bool { return r.merge(received.Ends) })
 	if len(out) > 0 {
@@ -165,7 +165,7 @@
 
 func (l *Ledger) drop(r *Record) {
 	l.digest ^= l.digestOf(r)
-	delete(l.records, r.Print)
+	delete(l.records, r.Fingerprint)
 }
 
 // Shared returns the records for all nodes, those with the latest crashes first.
--- a/internal/quarantine/ledger_test.go
+++ b/internal/quarantine/ledger_test.go
@@ -182,7 +182,7 @@
 	p := fingerprintsOf("/7").Content()
 	record := func(shift time.Duration, offsets ...time.Duration) quarantine.Record {
 		r := quarantine.Record{
-			Print: p,
+			Fingerprint: p,
 		}
 		for _, o := range offsets {
 			r.Ends = append(r.Ends, quarantine.End{
@@ -205,7 +205,7 @@
 // A peer may send more crashes than a record keeps.
 func TestRecordWithManyCrashes(t *testing.T) {
 	r := quarantine.Record{
-		Print: fingerprintsOf("/7").Content(),
+		Fingerprint: fingerprintsOf("/7").Content(),
 	}
 	for i := range 40 {
 		r.Ends = append(r.Ends, quarantine.End{
@@ -215,7 +215,7 @@
 	}
 	l := quarantine.NewLedger(1)
 	l.Learn(start, r)
-	if s := l.Standing(start.Add(time.Second), r.Print); !s.Held() || s.Ends > 12 {
+	if s := l.Standing(start.Add(time.Second), r.Fingerprint); !s.Held() || s.Ends > 12 {
 		t.Errorf("%d crashes, refused for %v", s.Ends, s.Wait)
 	}
 }
@@ -295,7 +295,7 @@
 	p := fingerprintsOf("/7").Content()
 	record := func(n int64) quarantine.Record {
 		return quarantine.Record{
-			Print: p,
+			Fingerprint: p,
 			Ends: []quarantine.End{
 				{
 					Target:   uint32(n % 5),
--- a/internal/quarantine/model_exchange_test.go
+++ b/internal/quarantine/model_exchange_test.go
@@ -43,7 +43,7 @@
 			}
 			continue
 		}
-		first := int(r.Print[0]) % len(m.nodes)
+		first := int(r.Fingerprint[0]) % len(m.nodes)
 		m.deliver(first, r)
 		m.deliver((first+1)%len(m.nodes), r)
 	}
@@ -58,8 +58,8 @@
 	m.after(delay, func() {
 		n := m.nodes[to]
 		records := n.ledger.Learn(m.now, r)
-		if m.strategy.keepsAnswers && len(records) > 0 && n.answers.Lately(m.now, r.Print) {
-			m.share(n.ledger.Answered(r.Print))
+		if m.strategy.keepsAnswers && len(records) > 0 && n.answers.Lately(m.now, r.Fingerprint) {
+			m.share(n.ledger.Answered(r.Fingerprint))
 			return
 		}
 		// A node that merges records sends them to all once they are shared.
--- a/internal/quarantine/record.go
+++ b/internal/quarantine/record.go
@@ -58,7 +58,7 @@
 
 // Record holds the crashes under one request. Records of one request can be merged in any order.
 type Record struct {
-	Print Fingerprint
+	Fingerprint Fingerprint
 	// Ends are the crashes in order of time.
 	Ends []End
 }
@@ -161,7 +161,7 @@
 		ends = append(ends, n)
 	}
 	slices.Sort(ends)
-	b := append(make([]byte, 0, fingerprintSize+8*maxCrashes), r.Print[:]...)
+	b := append(make([]byte, 0, fingerprintSize+8*maxCrashes), r.Fingerprint[:]...)
 	for _, n := range ends {
 		b = binary.BigEndian.AppendUint64(b, n)
 	}
@@ -171,7 +171,7 @@
 // clone returns a deep copy of the record.
 func (r *Record) clone() Record {
 	return Record{
-		Print: r.Print,
-		Ends:  slices.Clone(r.Ends),
+		Fingerprint: r.Fingerprint,
+		Ends:        slices.Clone(r.Ends),
 	}
 }
