--- a/internal/entry/refuse.go
+++ b/internal/entry/refuse.go
@@ -54,7 +54,7 @@
 	var held *QuarantineError
 	if errors.As(e, &held) {
 		l = l.WithFields(logrus.Fields{
-			"fingerprint": held.standing.Print.String(),
+			"fingerprint": held.standing.Fingerprint.String(),
 			"ends":        held.standing.Ends,
 			"age_ms":      time.Since(held.standing.Last).Milliseconds(),
 		})
--- a/internal/quarantine/ledger.go
+++ b/internal/quarantine/ledger.go
@@ -47,8 +47,8 @@
 
 // Standing is the state of a request in a ledger.
 type Standing struct {
-	// Print is the fingerprint of the request to which the state belongs.
-	Print Fingerprint
+	// Fingerprint is the fingerprint of the request to which the state belongs.
+	Fingerprint Fingerprint
 	// Ends is how many targets crashed under the request since it was last answered, Last the
 	// time of the last crash.
 	Ends int
@@ -78,7 +78,7 @@
 // Standing returns the state of the requests with a fingerprint.
 func (l *Ledger) Standing(now time.Time, p Fingerprint) Standing {
 	s := Standing{
-		Print: p,
+		Fingerprint: p,
 	}
 	r := l.records[p]
 	if r == nil {
