--- a/internal/node/quarantine.go
+++ b/internal/node/quarantine.go
@@ -258,7 +258,7 @@
 	}
 	copy(r.Fingerprint[:], w.GetPrint())
 	for _, e := range w.GetEnds() {
-		r.Ends = append(r.Ends, quarantine.End{
+		r.Ends = append(r.Ends, quarantine.Crash{
 			Target:   e.GetTarget(),
 			At:       now.Add(-time.Duration(e.GetAgeMs()) * time.Millisecond),
 			Answered: e.GetAnswered(),
--- a/internal/quarantine/ledger.go
+++ b/internal/quarantine/ledger.go
@@ -106,7 +106,7 @@
 func (l *Ledger) Ended(now time.Time, p Fingerprint, target string) []Record {
 	return l.Learn(now, Record{
 		Fingerprint: p,
-		Ends: []End{
+		Ends: []Crash{
 			{
 				Target: TargetHash(target),
 				At:     now,
--- a/internal/quarantine/record.go
+++ b/internal/quarantine/record.go
@@ -44,8 +44,8 @@
 	6: 24 * time.Hour,
 }
 
-// End is the crash of a target under a request.
-type End struct {
+// Crash is the crash of a target under a request.
+type Crash struct {
 	// Target is a hash of the target's key.
 	Target uint32
 	At     time.Time
@@ -60,7 +60,7 @@
 type Record struct {
 	Fingerprint Fingerprint
 	// Ends are the crashes in order of time.
-	Ends []End
+	Ends []Crash
 }
 
 // Count returns how many targets crashed under the request since it was last answered.
@@ -96,9 +96,9 @@
 // merge adds the crashes of another record, and reports whether that changed anything. Two of
 // these crashes are never merged into one: else the records of nodes whose times differ by a few
 // milliseconds would not converge, and be exchanged until they expire.
-func (r *Record) merge(ends []End) bool {
+func (r *Record) merge(ends []Crash) bool {
 	changed := false
-	var matched []End
+	var matched []Crash
 	for _, e := range ends {
 		if known := r.matching(e, matched); known != nil {
 			changed = changed || e.Answered && !known.Answered
@@ -116,10 +116,10 @@
 
 // matching returns the recorded crash that e reports, or nil; matched are those that are matched
 // already.
-func (r *Record) matching(e End, matched []End) *End {
+func (r *Record) matching(e Crash, matched []Crash) *Crash {
 	for i := range r.Ends {
 		known := &r.Ends[i]
-		other := slices.ContainsFunc(matched, func(t End) bool { return t.Target == known.Target && t.At.Equal(known.At) })
+		other := slices.ContainsFunc(matched, func(t Crash) bool { return t.Target == known.Target && t.At.Equal(known.At) })
 		if !other && known.Target == e.Target && e.At.Sub(known.At).Abs() < sameCrashTime {
 			return known
 		}
@@ -128,11 +128,11 @@
 }
 
 // add inserts a crash, and reports false if the record is full and e is older than all in it.
-func (r *Record) add(e End) bool {
+func (r *Record) add(e Crash) bool {
 	if len(r.Ends) == maxCrashes && e.At.Before(r.Ends[0].At) {
 		return false
 	}
-	at, _ := slices.BinarySearchFunc(r.Ends, e, func(a, b End) int { return a.At.Compare(b.At) })
+	at, _ := slices.BinarySearchFunc(r.Ends, e, func(a, b Crash) int { return a.At.Compare(b.At) })
 	r.Ends = slices.Insert(r.Ends, at, e)
 	if len(r.Ends) > maxCrashes {
 		r.Ends = slices.Delete(r.Ends, 0, 1)
