--- a/internal/node/quarantine.go
+++ b/internal/node/quarantine.go
@@ -224,7 +224,7 @@
 	w := &wire.QuarantineRecord{
 		Print: r.Fingerprint[:],
 	}
-	for _, e := range r.Ends {
+	for _, e := range r.Crashes {
 		w.Ends = append(w.Ends, &wire.TargetEnd{
 			Target:   e.Target,
 			AgeMs:    uint32(max(now.Sub(e.At), 0).Milliseconds()),
@@ -258,7 +258,7 @@
 	}
 	copy(r.Fingerprint[:], w.GetPrint())
 	for _, e := range w.GetEnds() {
-		r.Ends = append(r.Ends, quarantine.Crash{
+		r.Crashes = append(r.Crashes, quarantine.Crash{
 			Target:   e.GetTarget(),
 			At:       now.Add(-time.Duration(e.GetAgeMs()) * time.Millisecond),
 			Answered: e.GetAnswered(),
@@ -289,7 +289,7 @@
 	l := q.log.WithFields(logrus.Fields{
 		"fingerprint": r.Fingerprint.String(),
 		"ends":        r.Count(),
-		"age_ms":      now.Sub(r.Ends[len(r.Ends)-1].At).Milliseconds(),
+		"age_ms":      now.Sub(r.Crashes[len(r.Crashes)-1].At).Milliseconds(),
 	})
 	if from != "" {
 		l = l.WithField("from", from)
--- a/internal/quarantine/ledger.go
+++ b/internal/quarantine/ledger.go
@@ -106,7 +106,7 @@
 func (l *Ledger) Ended(now time.Time, p Fingerprint, target string) []Record {
 	return l.Learn(now, Record{
 		Fingerprint: p,
-		Ends: []Crash{
+		Crashes: []Crash{
 			{
 				Target: TargetHash(target),
 				At:     now,
@@ -129,7 +129,7 @@
 func (l *Ledger) Learn(now time.Time, received Record) []Record {
 	r := l.records[received.Fingerprint]
 	if r == nil {
-		if len(received.Ends) == 0 || !now.Before(received.expiry(l.holds)) {
+		if len(received.Crashes) == 0 || !now.Before(received.expiry(l.holds)) {
 			return nil
 		}
 		r = &Record{
@@ -137,7 +137,7 @@
 		}
 		l.records[received.Fingerprint] = r
 	}
-	out := l.change(r, func() bool { return r.merge(received.Ends) })
+	out := l.change(r, func() bool { return r.merge(received.Crashes) })
 	if len(out) > 0 {
 		l.enforceBounds(now)
 	}
--- a/internal/quarantine/ledger_test.go
+++ b/internal/quarantine/ledger_test.go
@@ -185,7 +185,7 @@
 			Fingerprint: p,
 		}
 		for _, o := range offsets {
-			r.Ends = append(r.Ends, quarantine.Crash{
+			r.Crashes = append(r.Crashes, quarantine.Crash{
 				Target: 1,
 				At:     start.Add(shift + o),
 			})
@@ -208,7 +208,7 @@
 		Fingerprint: fingerprintsOf("/7").Content(),
 	}
 	for i := range 40 {
-		r.Ends = append(r.Ends, quarantine.Crash{
+		r.Crashes = append(r.Crashes, quarantine.Crash{
 			Target: uint32(i),
 			At:     start.Add(time.Duration(i) * time.Millisecond),
 		})
@@ -296,7 +296,7 @@
 	record := func(n int64) quarantine.Record {
 		return quarantine.Record{
 			Fingerprint: p,
-			Ends: []quarantine.Crash{
+			Crashes: []quarantine.Crash{
 				{
 					Target:   uint32(n % 5),
 					At:       start.Add(time.Duration(n/5%6) * 2 * time.Second),
--- a/internal/quarantine/record.go
+++ b/internal/quarantine/record.go
@@ -59,14 +59,14 @@
 // Record holds the crashes under one request. Records of one request can be merged in any order.
 type Record struct {
 	Fingerprint Fingerprint
-	// Ends are the crashes in order of time.
-	Ends []Crash
+	// Crashes are the crashes in order of time.
+	Crashes []Crash
 }
 
 // Count returns how many targets crashed under the request since it was last answered.
 func (r *Record) Count() int {
 	n := 0
-	for _, e := range r.Ends {
+	for _, e := range r.Crashes {
 		if !e.Answered {
 			n++
 		}
@@ -75,10 +75,10 @@
 }
 
 // Shared reports whether the record is to be sent to all nodes.
-func (r *Record) Shared() bool { return len(r.Ends) >= sharedThreshold }
+func (r *Record) Shared() bool { return len(r.Crashes) >= sharedThreshold }
 
 // lastCrash returns the time of the last crash.
-func (r *Record) lastCrash() time.Time { return r.Ends[len(r.Ends)-1].At }
+func (r *Record) lastCrash() time.Time { return r.Crashes[len(r.Crashes)-1].At }
 
 // holdTime returns for how long the request is refused after its last crash.
 func (r *Record) holdTime(h *holdTimes) time.Duration { return h[min(r.Count(), maxHoldCrashes)] }
@@ -117,8 +117,8 @@
 // matching returns the recorded crash that e reports, or nil; matched are those that are matched
 // already.
 func (r *Record) matching(e Crash, matched []Crash) *Crash {
-	for i := range r.Ends {
-		known := &r.Ends[i]
+	for i := range r.Crashes {
+		known := &r.Crashes[i]
 		other := slices.ContainsFunc(matched, func(t Crash) bool { return t.Target == known.Target && t.At.Equal(known.At) })
 		if !other && known.Target == e.Target && e.At.Sub(known.At).Abs() < sameCrashTime {
 			return known
@@ -129,13 +129,13 @@
 
 // add inserts a crash, and reports false if the record is full and e is older than all in it.
 func (r *Record) add(e Crash) bool {
-	if len(r.Ends) == maxCrashes && e.At.Before(r.Ends[0].At) {
+	if len(r.Crashes) == maxCrashes && e.At.Before(r.Crashes[0].At) {
 		return false
 	}
-	at, _ := slices.BinarySearchFunc(r.Ends, e, func(a, b Crash) int { return a.At.Compare(b.At) })
-	r.Ends = slices.Insert(r.Ends, at, e)
-	if len(r.Ends) > maxCrashes {
-		r.Ends = slices.Delete(r.Ends, 0, 1)
+	at, _ := slices.BinarySearchFunc(r.Crashes, e, func(a, b Crash) int { return a.At.Compare(b.At) })
+	r.Crashes = slices.Insert(r.Crashes, at, e)
+	if len(r.Crashes) > maxCrashes {
+		r.Crashes = slices.Delete(r.Crashes, 0, 1)
 	}
 	return true
 }
@@ -143,9 +143,9 @@
 // markAnswered marks all crashes as followed by an answer, and reports whether that changed any.
 func (r *Record) markAnswered() bool {
 	changed := false
-	for i := range r.Ends {
-		changed = changed || !r.Ends[i].Answered
-		r.Ends[i].Answered = true
+	for i := range r.Crashes {
+		changed = changed || !r.Crashes[i].Answered
+		r.Crashes[i].Answered = true
 	}
 	return changed
 }
@@ -153,7 +153,7 @@
 // digest returns a hash of the record without its times, which differ by the delays of updates.
 func (r *Record) digest() uint64 {
 	ends := make([]uint64, 0, maxCrashes)
-	for _, e := range r.Ends {
+	for _, e := range r.Crashes {
 		n := uint64(e.Target) << 1
 		if e.Answered {
 			n |= 1
@@ -172,6 +172,6 @@
 func (r *Record) clone() Record {
 	return Record{
 		Fingerprint: r.Fingerprint,
-		Ends:        slices.Clone(r.Ends),
+		Crashes:     slices.Clone(r.Crashes),
 	}
 }
