--- a/internal/entry/ended.go
+++ b/internal/entry/ended.go
@@ -74,6 +74,6 @@
 		WithField("caller", callerOf(x.req, x.in)).
 		WithField("target", t.choice.Key).
 		WithField("ran_ms", time.Since(t.chosen).Milliseconds()).
-		WithField("ends", s.Ends).
+		WithField("ends", s.Crashes).
 		Warn("target ended under a request")
 }
--- a/internal/entry/quarantine.go
+++ b/internal/entry/quarantine.go
@@ -17,7 +17,7 @@
 
 // Error says how many did.
 func (e *QuarantineError) Error() string {
-	return fmt.Sprintf("entry: %d targets ended under the request %s", e.standing.Ends, e.standing.Fingerprint)
+	return fmt.Sprintf("entry: %d targets ended under the request %s", e.standing.Crashes, e.standing.Fingerprint)
 }
 
 // quarantine looks at what the fleet knows of the request. It returns the answer to one under
--- a/internal/entry/refuse.go
+++ b/internal/entry/refuse.go
@@ -55,7 +55,7 @@
 	if errors.As(e, &held) {
 		l = l.WithFields(logrus.Fields{
 			"fingerprint": held.standing.Fingerprint.String(),
-			"ends":        held.standing.Ends,
+			"ends":        held.standing.Crashes,
 			"age_ms":      time.Since(held.standing.Last).Milliseconds(),
 		})
 	}
--- a/internal/node/quarantine.go
+++ b/internal/node/quarantine.go
@@ -276,7 +276,7 @@
 		s := q.ledger.Standing(now, r.Fingerprint)
 		out = append(out, operator.QuarantineStatus{
 			Fingerprint: r.Fingerprint.String(),
-			Ends:        s.Ends,
+			Ends:        s.Crashes,
 			AgeMS:       now.Sub(s.Last).Milliseconds(),
 			WaitMS:      s.Wait.Milliseconds(),
 		})
--- a/internal/node/quarantine_test.go
+++ b/internal/node/quarantine_test.go
@@ -302,7 +302,7 @@
 			t.Errorf("%d datagrams with dropped records after an hour", f.updates-before)
 		}
 		if s := f.nodes[f.all[0].Address()].Check(p); s.Suspect() {
-			t.Errorf("%d crashes still recorded", s.Ends)
+			t.Errorf("%d crashes still recorded", s.Crashes)
 		}
 	})
 }
--- a/internal/quarantine/ledger.go
+++ b/internal/quarantine/ledger.go
@@ -49,16 +49,16 @@
 type Standing struct {
 	// Fingerprint is the fingerprint of the request to which the state belongs.
 	Fingerprint Fingerprint
-	// Ends is how many targets crashed under the request since it was last answered, Last the
+	// Crashes is how many targets crashed under the request since it was last answered, Last the
 	// time of the last crash.
-	Ends int
-	Last time.Time
+	Crashes int
+	Last    time.Time
 	// Wait is for how long the request is refused, 0 if it may run.
 	Wait time.Duration
 }
 
 // Suspect reports whether a target crashed under the request since it was last answered.
-func (s Standing) Suspect() bool { return s.Ends > 0 }
+func (s Standing) Suspect() bool { return s.Crashes > 0 }
 
 // Held reports whether the request is refused.
 func (s Standing) Held() bool { return s.Wait > 0 }
@@ -68,7 +68,7 @@
 	var worst Standing
 	for _, p := range prints.All() {
 		s := l.Standing(now, p)
-		if s.Wait > worst.Wait || s.Wait == worst.Wait && s.Ends > worst.Ends {
+		if s.Wait > worst.Wait || s.Wait == worst.Wait && s.Crashes > worst.Crashes {
 			worst = s
 		}
 	}
@@ -84,10 +84,10 @@
 	if r == nil {
 		return s
 	}
-	s.Ends = r.Count()
+	s.Crashes = r.Count()
 	s.Last = r.lastCrash()
 	if r.holdTime(l.holds) > 0 {
-		s.Wait = max(r.heldUntil(l.holds, l.releaseDelay(s.Ends)).Sub(now), 0)
+		s.Wait = max(r.heldUntil(l.holds, l.releaseDelay(s.Crashes)).Sub(now), 0)
 	}
 	return s
 }
--- a/internal/quarantine/ledger_test.go
+++ b/internal/quarantine/ledger_test.go
@@ -169,7 +169,7 @@
 		t.Run(tt.name, func(t *testing.T) {
 			l := quarantine.NewLedger(7)
 			tt.do(l)
-			if got := l.Check(start.Add(4*time.Second), p).Ends; got != tt.want {
+			if got := l.Check(start.Add(4*time.Second), p).Crashes; got != tt.want {
 				t.Errorf("%d crashes, want %d", got, tt.want)
 			}
 		})
@@ -215,8 +215,8 @@
 	}
 	l := quarantine.NewLedger(1)
 	l.Learn(start, r)
-	if s := l.Standing(start.Add(time.Second), r.Fingerprint); !s.Held() || s.Ends > 12 {
-		t.Errorf("%d crashes, refused for %v", s.Ends, s.Wait)
+	if s := l.Standing(start.Add(time.Second), r.Fingerprint); !s.Held() || s.Crashes > 12 {
+		t.Errorf("%d crashes, refused for %v", s.Crashes, s.Wait)
 	}
 }
 
@@ -280,7 +280,7 @@
 	if l.Len() > most {
 		t.Errorf("%d records, want at most %d", l.Len(), most)
 	}
-	if got := l.Check(start.Add(5*time.Second), fingerprintsOf("4999")).Ends; got != 1 {
+	if got := l.Check(start.Add(5*time.Second), fingerprintsOf("4999")).Crashes; got != 1 {
 		t.Errorf("%d crashes under the last request, want 1", got)
 	}
 	l.Forget(start.Add(time.Hour))
