--- a/internal/node/quarantine.go
+++ b/internal/node/quarantine.go
@@ -98,7 +98,7 @@
 		if q.answers.Lately(now, p) {
 			continue
 		}
-		q.change(now, "", func() []quarantine.Record { return q.ledger.Ended(now, p, target) })
+		q.change(now, "", func() []quarantine.Record { return q.ledger.RecordCrash(now, p, target) })
 	}
 	return q.check(fingerprints)
 }
--- a/internal/quarantine/ledger.go
+++ b/internal/quarantine/ledger.go
@@ -101,9 +101,9 @@
 	return float64(xxhash.Sum64(b)%span) / span
 }
 
-// Ended records that a target crashed under a request with a fingerprint. It returns the record if
+// RecordCrash records that a target crashed under a request with a fingerprint. It returns the record if
 // it changed, else nothing.
-func (l *Ledger) Ended(now time.Time, p Fingerprint, target string) []Record {
+func (l *Ledger) RecordCrash(now time.Time, p Fingerprint, target string) []Record {
 	return l.Learn(now, Record{
 		Fingerprint: p,
 		Crashes: []Crash{
--- a/internal/quarantine/ledger_test.go
+++ b/internal/quarantine/ledger_test.go
@@ -28,7 +28,7 @@
 // recordCrash records a crash under all fingerprints of a request.
 func recordCrash(l *quarantine.Ledger, at time.Time, p quarantine.Fingerprints, target string) {
 	for _, one := range p.All() {
-		l.Ended(at, one, target)
+		l.RecordCrash(at, one, target)
 	}
 }
 
--- a/internal/quarantine/model_exchange_test.go
+++ b/internal/quarantine/model_exchange_test.go
@@ -17,7 +17,7 @@
 		if m.strategy.keepsAnswers && n.answers.Lately(m.now, p) {
 			continue
 		}
-		m.share(n.ledger.Ended(m.now, p, incarnation))
+		m.share(n.ledger.RecordCrash(m.now, p, incarnation))
 	}
 }
 
