--- a/internal/node/quarantine.go
+++ b/internal/node/quarantine.go
@@ -111,7 +111,7 @@
 		return
 	}
 	for _, p := range fingerprints.All() {
-		q.change(now, "", func() []quarantine.Record { return q.ledger.Answered(p) })
+		q.change(now, "", func() []quarantine.Record { return q.ledger.RecordAnswer(p) })
 	}
 }
 
@@ -245,7 +245,7 @@
 		}
 		q.change(now, peer, func() []quarantine.Record { return q.ledger.Learn(now, r) })
 		if q.answers.Lately(now, r.Fingerprint) {
-			q.change(now, "", func() []quarantine.Record { return q.ledger.Answered(r.Fingerprint) })
+			q.change(now, "", func() []quarantine.Record { return q.ledger.RecordAnswer(r.Fingerprint) })
 		}
 	}
 }
--- a/internal/quarantine/ledger.go
+++ b/internal/quarantine/ledger.go
@@ -115,9 +115,9 @@
 	})
 }
 
-// Answered records that a target answered a request with a fingerprint. It returns the record if
+// RecordAnswer records that a target answered a request with a fingerprint. It returns the record if
 // it changed, else nothing.
-func (l *Ledger) Answered(p Fingerprint) []Record {
+func (l *Ledger) RecordAnswer(p Fingerprint) []Record {
 	r := l.records[p]
 	if r == nil {
 		return nil
--- a/internal/quarantine/ledger_test.go
+++ b/internal/quarantine/ledger_test.go
@@ -34,7 +34,7 @@
 
 func recordAnswer(l *quarantine.Ledger, p quarantine.Fingerprints) {
 	for _, one := range p.All() {
-		l.Answered(one)
+		l.RecordAnswer(one)
 	}
 }
 
--- a/internal/quarantine/model_exchange_test.go
+++ b/internal/quarantine/model_exchange_test.go
@@ -26,7 +26,7 @@
 	n := m.nodes[t.node]
 	n.answers.Note(m.now, t.request.prints)
 	for _, p := range t.request.prints.All() {
-		m.share(n.ledger.Answered(p))
+		m.share(n.ledger.RecordAnswer(p))
 	}
 }
 
@@ -59,7 +59,7 @@
 		n := m.nodes[to]
 		records := n.ledger.Learn(m.now, r)
 		if m.strategy.keepsAnswers && len(records) > 0 && n.answers.Lately(m.now, r.Fingerprint) {
-			m.share(n.ledger.Answered(r.Fingerprint))
+			m.share(n.ledger.RecordAnswer(r.Fingerprint))
 			return
 		}
 		// A node that merges records sends them to all once they are shared.
