--- a/internal/node/quarantine.go
+++ b/internal/node/quarantine.go
@@ -243,7 +243,7 @@
 			q.log.WithField("peer", peer).Warn("invalid quarantine record")
 			continue
 		}
-		q.change(now, peer, func() []quarantine.Record { return q.ledger.Learn(now, r) })
+		q.change(now, peer, func() []quarantine.Record { return q.ledger.Merge(now, r) })
 		if q.answers.Lately(now, r.Fingerprint) {
 			q.change(now, "", func() []quarantine.Record { return q.ledger.RecordAnswer(r.Fingerprint) })
 		}
--- a/internal/quarantine/ledger.go
+++ b/internal/quarantine/ledger.go
@@ -104,7 +104,7 @@
 // RecordCrash records that a target crashed under a request with a fingerprint. It returns the record if
 // it changed, else nothing.
 func (l *Ledger) RecordCrash(now time.Time, p Fingerprint, target string) []Record {
-	return l.Learn(now, Record{
+	return l.Merge(now, Record{
 		Fingerprint: p,
 		Crashes: []Crash{
 			{
@@ -125,8 +125,8 @@
 	return l.change(r, r.markAnswered)
 }
 
-// Learn merges the record of a peer. It returns the merged record if it changed, else nothing.
-func (l *Ledger) Learn(now time.Time, received Record) []Record {
+// Merge merges the record of a peer. It returns the merged record if it changed, else nothing.
+func (l *Ledger) Merge(now time.Time, received Record) []Record {
 	r := l.records[received.Fingerprint]
 	if r == nil {
 		if len(received.Crashes) == 0 || !now.Before(received.expiry(l.holds)) {
--- a/internal/quarantine/ledger_test.go
+++ b/internal/quarantine/ledger_test.go
@@ -193,10 +193,10 @@
 		return r
 	}
 	a, b := quarantine.NewLedger(1), quarantine.NewLedger(2)
-	a.Learn(start, record(0, 0))
-	a.Learn(start, record(0, 10*time.Second))
-	b.Learn(start, record(0, 0, 501*time.Millisecond, 10*time.Second))
-	a.Learn(start, record(-3*time.Millisecond, 0, 501*time.Millisecond, 10*time.Second))
+	a.Merge(start, record(0, 0))
+	a.Merge(start, record(0, 10*time.Second))
+	b.Merge(start, record(0, 0, 501*time.Millisecond, 10*time.Second))
+	a.Merge(start, record(-3*time.Millisecond, 0, 501*time.Millisecond, 10*time.Second))
 	if a.Digest() != b.Digest() {
 		t.Errorf("digests %x and %x", a.Digest(), b.Digest())
 	}
@@ -214,7 +214,7 @@
 		})
 	}
 	l := quarantine.NewLedger(1)
-	l.Learn(start, r)
+	l.Merge(start, r)
 	if s := l.Standing(start.Add(time.Second), r.Fingerprint); !s.Held() || s.Crashes > 12 {
 		t.Errorf("%d crashes, refused for %v", s.Crashes, s.Wait)
 	}
@@ -308,7 +308,7 @@
 	learn := func(ns []int64, order []int) *quarantine.Ledger {
 		l := quarantine.NewLedger(1)
 		for _, i := range order {
-			l.Learn(start.Add(time.Minute), record(ns[i]))
+			l.Merge(start.Add(time.Minute), record(ns[i]))
 		}
 		return l
 	}
--- a/internal/quarantine/model_exchange_test.go
+++ b/internal/quarantine/model_exchange_test.go
@@ -57,7 +57,7 @@
 	}
 	m.after(delay, func() {
 		n := m.nodes[to]
-		records := n.ledger.Learn(m.now, r)
+		records := n.ledger.Merge(m.now, r)
 		if m.strategy.keepsAnswers && len(records) > 0 && n.answers.Lately(m.now, r.Fingerprint) {
 			m.share(n.ledger.RecordAnswer(r.Fingerprint))
 			return
