--- a/internal/entry/quarantine.go
+++ b/internal/entry/quarantine.go
@@ -12,7 +12,7 @@
 
 // QuarantineError says that targets ended under a request.
 type QuarantineError struct {
-	standing quarantine.Standing
+	standing quarantine.Status
 }
 
 // Error says how many did.
--- a/internal/entry/server.go
+++ b/internal/entry/server.go
@@ -79,8 +79,8 @@
 	// Quarantined returns what the fleet knows of a request under which targets ended.
 	// Ended notes that a target ended under one, and returns the same; Answered notes that a
 	// target answered one.
-	Quarantined func(prints quarantine.Fingerprints) quarantine.Standing
-	Ended       func(prints quarantine.Fingerprints, target string) quarantine.Standing
+	Quarantined func(prints quarantine.Fingerprints) quarantine.Status
+	Ended       func(prints quarantine.Fingerprints, target string) quarantine.Status
 	Answered    func(prints quarantine.Fingerprints)
 	// Signals keeps what targets say of themselves in their answers.
 	Signals *signal.Ledger
--- a/internal/entry/workspace_test.go
+++ b/internal/entry/workspace_test.go
@@ -215,7 +215,7 @@
 		Limit:    s.limit,
 		GiveBack: s.giveBack,
 
-		Quarantined: func(quarantine.Fingerprints) quarantine.Standing { return quarantine.Standing{} },
+		Quarantined: func(quarantine.Fingerprints) quarantine.Status { return quarantine.Status{} },
 		Answered:    func(quarantine.Fingerprints) {},
 		Collector:   outlier.NewCollector(time.Second),
 		Served:      func(string, string, int, string, time.Duration) {},
--- a/internal/node/export_quarantine_test.go
+++ b/internal/node/export_quarantine_test.go
@@ -70,12 +70,12 @@
 }
 
 // Check returns the node's standing of a request.
-func (n *QuarantineNode) Check(p quarantine.Fingerprints) quarantine.Standing {
+func (n *QuarantineNode) Check(p quarantine.Fingerprints) quarantine.Status {
 	return n.quarantine.check(p)
 }
 
 // Ended records that a target crashed under a request.
-func (n *QuarantineNode) Ended(p quarantine.Fingerprints, target string) quarantine.Standing {
+func (n *QuarantineNode) Ended(p quarantine.Fingerprints, target string) quarantine.Status {
 	return n.quarantine.recordCrash(p, target)
 }
 
--- a/internal/node/quarantine.go
+++ b/internal/node/quarantine.go
@@ -69,9 +69,9 @@
 }
 
 // check returns the standing of a request.
-func (q *quarantineController) check(fingerprints quarantine.Fingerprints) quarantine.Standing {
+func (q *quarantineController) check(fingerprints quarantine.Fingerprints) quarantine.Status {
 	if q.count.Load() == 0 {
-		return quarantine.Standing{}
+		return quarantine.Status{}
 	}
 	now := time.Now()
 	q.mu.Lock()
@@ -92,7 +92,7 @@
 }
 
 // recordCrash records that a target crashed under a request, and returns the standing of the request.
-func (q *quarantineController) recordCrash(fingerprints quarantine.Fingerprints, target string) quarantine.Standing {
+func (q *quarantineController) recordCrash(fingerprints quarantine.Fingerprints, target string) quarantine.Status {
 	now := time.Now()
 	for _, p := range fingerprints.All() {
 		if q.answers.Lately(now, p) {
--- a/internal/quarantine/ledger.go
+++ b/internal/quarantine/ledger.go
@@ -45,8 +45,8 @@
 // hold the same shared records.
 func (l *Ledger) Digest() uint64 { return l.digest }
 
-// Standing is the state of a request in a ledger.
-type Standing struct {
+// Status is the state of a request in a ledger.
+type Status struct {
 	// Fingerprint is the fingerprint of the request to which the state belongs.
 	Fingerprint Fingerprint
 	// Crashes is how many targets crashed under the request since it was last answered, Last the
@@ -58,14 +58,14 @@
 }
 
 // Suspect reports whether a target crashed under the request since it was last answered.
-func (s Standing) Suspect() bool { return s.Crashes > 0 }
+func (s Status) Suspect() bool { return s.Crashes > 0 }
 
 // Held reports whether the request is refused.
-func (s Standing) Held() bool { return s.Wait > 0 }
+func (s Status) Held() bool { return s.Wait > 0 }
 
 // Check returns the worst state of a request among its fingerprints.
-func (l *Ledger) Check(now time.Time, prints Fingerprints) Standing {
-	var worst Standing
+func (l *Ledger) Check(now time.Time, prints Fingerprints) Status {
+	var worst Status
 	for _, p := range prints.All() {
 		s := l.Standing(now, p)
 		if s.Wait > worst.Wait || s.Wait == worst.Wait && s.Crashes > worst.Crashes {
@@ -76,8 +76,8 @@
 }
 
 // Standing returns the state of the requests with a fingerprint.
-func (l *Ledger) Standing(now time.Time, p Fingerprint) Standing {
-	s := Standing{
+func (l *Ledger) Standing(now time.Time, p Fingerprint) Status {
+	s := Status{
 		Fingerprint: p,
 	}
 	r := l.records[p]
