--- a/internal/node/quarantine.go
+++ b/internal/node/quarantine.go
@@ -273,7 +273,7 @@
 	defer q.mu.Unlock()
 	var out []operator.QuarantineStatus
 	for _, r := range q.ledger.Shared() {
-		s := q.ledger.Standing(now, r.Fingerprint)
+		s := q.ledger.Status(now, r.Fingerprint)
 		out = append(out, operator.QuarantineStatus{
 			Fingerprint: r.Fingerprint.String(),
 			Ends:        s.Crashes,
--- a/internal/quarantine/ledger.go
+++ b/internal/quarantine/ledger.go
@@ -67,7 +67,7 @@
 func (l *Ledger) Check(now time.Time, prints Fingerprints) Status {
 	var worst Status
 	for _, p := range prints.All() {
-		s := l.Standing(now, p)
+		s := l.Status(now, p)
 		if s.Wait > worst.Wait || s.Wait == worst.Wait && s.Crashes > worst.Crashes {
 			worst = s
 		}
@@ -75,8 +75,8 @@
 	return worst
 }
 
-// Standing returns the state of the requests with a fingerprint.
-func (l *Ledger) Standing(now time.Time, p Fingerprint) Status {
+// Status returns the state of the requests with a fingerprint.
+func (l *Ledger) Status(now time.Time, p Fingerprint) Status {
 	s := Status{
 		Fingerprint: p,
 	}
--- a/internal/quarantine/ledger_test.go
+++ b/internal/quarantine/ledger_test.go
@@ -215,7 +215,7 @@
 	}
 	l := quarantine.NewLedger(1)
 	l.Merge(start, r)
-	if s := l.Standing(start.Add(time.Second), r.Fingerprint); !s.Held() || s.Crashes > 12 {
+	if s := l.Status(start.Add(time.Second), r.Fingerprint); !s.Held() || s.Crashes > 12 {
 		t.Errorf("%d crashes, refused for %v", s.Crashes, s.Wait)
 	}
 }
