--- a/internal/node/quarantine.go
+++ b/internal/node/quarantine.go
@@ -106,7 +106,7 @@
 // recordAnswer records that a target answered a request.
 func (q *quarantineController) recordAnswer(fingerprints quarantine.Fingerprints) {
 	now := time.Now()
-	q.answers.Note(now, fingerprints)
+	q.answers.Record(now, fingerprints)
 	if q.count.Load() == 0 {
 		return
 	}
--- a/internal/quarantine/answers.go
+++ b/internal/quarantine/answers.go
@@ -37,8 +37,8 @@
 	}
 }
 
-// Note records that a request was answered.
-func (a *Answers) Note(now time.Time, prints Fingerprints) {
+// Record records that a request was answered.
+func (a *Answers) Record(now time.Time, prints Fingerprints) {
 	for _, p := range prints.All() {
 		slot, tag := a.slot(p)
 		slot.Store(tag<<tickBits | a.tick(now))
--- a/internal/quarantine/answers_test.go
+++ b/internal/quarantine/answers_test.go
@@ -15,7 +15,7 @@
 	a := quarantine.NewAnswers(start)
 	at := start.Add(time.Hour)
 	p := fingerprintsOf("/7")
-	a.Note(at, p)
+	a.Record(at, p)
 	tests := []struct {
 		name  string
 		print quarantine.Fingerprint
@@ -64,7 +64,7 @@
 	n := int(quarantine.AnswerMemory/time.Second) * perSecond
 	at := func(i int) time.Time { return start.Add(time.Duration(i) * time.Second / perSecond) }
 	for i := range n {
-		a.Note(at(i), fingerprintsOf(fmt.Sprint(i)))
+		a.Record(at(i), fingerprintsOf(fmt.Sprint(i)))
 	}
 	kept := 0
 	for i := range n {
--- a/internal/quarantine/fingerprint_test.go
+++ b/internal/quarantine/fingerprint_test.go
@@ -102,6 +102,6 @@
 			Body:   body,
 			Length: int64(len(body)),
 		})
-		answers.Note(begun.Add(time.Duration(i)*time.Millisecond), p)
+		answers.Record(begun.Add(time.Duration(i)*time.Millisecond), p)
 	}
 }
--- a/internal/quarantine/model_exchange_test.go
+++ b/internal/quarantine/model_exchange_test.go
@@ -24,7 +24,7 @@
 // recordAnswer records on the attempt's node that its request was answered.
 func (m *model) recordAnswer(t *modelAttempt) {
 	n := m.nodes[t.node]
-	n.answers.Note(m.now, t.request.prints)
+	n.answers.Record(m.now, t.request.prints)
 	for _, p := range t.request.prints.All() {
 		m.share(n.ledger.RecordAnswer(p))
 	}
