--- a/internal/node/quarantine.go
+++ b/internal/node/quarantine.go
@@ -95,7 +95,7 @@
 func (q *quarantineController) recordCrash(fingerprints quarantine.Fingerprints, target string) quarantine.Status {
 	now := time.Now()
 	for _, p := range fingerprints.All() {
-		if q.answers.Lately(now, p) {
+		if q.answers.Recent(now, p) {
 			continue
 		}
 		q.change(now, "", func() []quarantine.Record { return q.ledger.RecordCrash(now, p, target) })
@@ -244,7 +244,7 @@
 			continue
 		}
 		q.change(now, peer, func() []quarantine.Record { return q.ledger.Merge(now, r) })
-		if q.answers.Lately(now, r.Fingerprint) {
+		if q.answers.Recent(now, r.Fingerprint) {
 			q.change(now, "", func() []quarantine.Record { return q.ledger.RecordAnswer(r.Fingerprint) })
 		}
 	}
--- a/internal/quarantine/answers.go
+++ b/internal/quarantine/answers.go
@@ -45,8 +45,8 @@
 	}
 }
 
-// Lately reports whether a request with a fingerprint was answered within AnswerMemory.
-func (a *Answers) Lately(now time.Time, p Fingerprint) bool {
+// Recent reports whether a request with a fingerprint was answered within AnswerMemory.
+func (a *Answers) Recent(now time.Time, p Fingerprint) bool {
 	slot, tag := a.slot(p)
 	v := slot.Load()
 	if v>>tickBits != tag {
--- a/internal/quarantine/answers_test.go
+++ b/internal/quarantine/answers_test.go
@@ -50,7 +50,7 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			if got := a.Lately(at.Add(tt.after), tt.print); got != tt.want {
+			if got := a.Recent(at.Add(tt.after), tt.print); got != tt.want {
 				t.Errorf("got %v, want %v", got, tt.want)
 			}
 		})
@@ -68,7 +68,7 @@
 	}
 	kept := 0
 	for i := range n {
-		if a.Lately(at(n), fingerprintsOf(fmt.Sprint(i)).Content()) {
+		if a.Recent(at(n), fingerprintsOf(fmt.Sprint(i)).Content()) {
 			kept++
 		}
 	}
--- a/internal/quarantine/model_exchange_test.go
+++ b/internal/quarantine/model_exchange_test.go
@@ -14,7 +14,7 @@
 func (m *model) recordCrash(t *modelAttempt, incarnation string) {
 	n := m.nodes[t.node]
 	for _, p := range t.request.prints.All() {
-		if m.strategy.keepsAnswers && n.answers.Lately(m.now, p) {
+		if m.strategy.keepsAnswers && n.answers.Recent(m.now, p) {
 			continue
 		}
 		m.share(n.ledger.RecordCrash(m.now, p, incarnation))
@@ -58,7 +58,7 @@
 	m.after(delay, func() {
 		n := m.nodes[to]
 		records := n.ledger.Merge(m.now, r)
-		if m.strategy.keepsAnswers && len(records) > 0 && n.answers.Lately(m.now, r.Fingerprint) {
+		if m.strategy.keepsAnswers && len(records) > 0 && n.answers.Recent(m.now, r.Fingerprint) {
 			m.share(n.ledger.RecordAnswer(r.Fingerprint))
 			return
 		}
