--- a/internal/quarantine/answers.go
+++ b/internal/quarantine/answers.go
@@ -14,8 +14,8 @@
 	// fingerprints each, seven in ten are kept for AnswerMemory; the others are overwritten by
 	// later ones.
 	answerSlots = 1 << 14
-	// AnswerMemory is how long an answer counts in favor of a request.
-	AnswerMemory = 30 * time.Second
+	// AnswerRetention is how long an answer counts in favor of a request.
+	AnswerRetention = 30 * time.Second
 	// answerTick is the unit in which the age of an answer is kept.
 	answerTick = time.Second
 	// tickBits is how many bits of a slot hold the tick.
@@ -53,7 +53,7 @@
 		return false
 	}
 	const mask = 1<<tickBits - 1
-	return (a.tick(now)-v)&mask <= uint64(AnswerMemory/answerTick)
+	return (a.tick(now)-v)&mask <= uint64(AnswerRetention/answerTick)
 }
 
 // slot returns the slot of a fingerprint and the tag that distinguishes it from others in the slot.
--- a/internal/quarantine/answers_test.go
+++ b/internal/quarantine/answers_test.go
@@ -35,13 +35,13 @@
 		{
 			name:  "a while later",
 			print: p.Content(),
-			after: quarantine.AnswerMemory - time.Second,
+			after: quarantine.AnswerRetention - time.Second,
 			want:  true,
 		},
 		{
 			name:  "too late",
 			print: p.Content(),
-			after: quarantine.AnswerMemory + 2*time.Second,
+			after: quarantine.AnswerRetention + 2*time.Second,
 		},
 		{
 			name:  "another request",
@@ -61,7 +61,7 @@
 func TestAnswersAreRetained(t *testing.T) {
 	const perSecond = 210
 	a := quarantine.NewAnswers(start)
-	n := int(quarantine.AnswerMemory/time.Second) * perSecond
+	n := int(quarantine.AnswerRetention/time.Second) * perSecond
 	at := func(i int) time.Time { return start.Add(time.Duration(i) * time.Second / perSecond) }
 	for i := range n {
 		a.Record(at(i), fingerprintsOf(fmt.Sprint(i)))
