--- a/internal/node/signals.go
+++ b/internal/node/signals.go
@@ -53,7 +53,7 @@
 		switch standing := b.standing(now, t); {
 		case standing.Draining && !standing.Unsure:
 			out.draining = append(out.draining, t.Key())
-		case standing.Barred():
+		case standing.Unavailable():
 			out.backingOff = append(out.backingOff, t.Key())
 		}
 	}
@@ -74,7 +74,7 @@
 		standing := b.standing(now, t)
 		switch {
 		case standing.Draining:
-		case !standing.Barred():
+		case !standing.Unavailable():
 			return first, false
 		case !all || standing.Backoff < first.Backoff:
 			first, all = standing, true
@@ -101,7 +101,7 @@
 	var out []operator.SignalStatus
 	for _, s := range c.Services() {
 		for _, t := range s.Targets() {
-			if standing := b.standing(now, t); standing.Barred() {
+			if standing := b.standing(now, t); standing.Unavailable() {
 				out = append(out, operator.SignalStatus{
 					Service: s.Name(),
 					Target:  t.Key(),
--- a/internal/node/targetlimits.go
+++ b/internal/node/targetlimits.go
@@ -232,7 +232,7 @@
 		At:    now,
 	}
 	standing := b.standing(now, t)
-	return permit, !standing.Barred() && b.shares.take(now, t.Key(), standing.Limit, b.nodes())
+	return permit, !standing.Unavailable() && b.shares.take(now, t.Key(), standing.Limit, b.nodes())
 }
 
 // targetsOverShare returns the keys of a partition's targets for which this node's share is used up now.
--- a/internal/signal/ledger.go
+++ b/internal/signal/ledger.go
@@ -218,7 +218,7 @@
 	defer l.mu.Unlock()
 	for _, value := range l.records.Range {
 		r := value.(record)
-		if !r.standing(now).Barred() && !r.limit.Set || !published(r.incarnation) && now.Sub(r.observed) >= unlistedRetention {
+		if !r.standing(now).Unavailable() && !r.limit.Set || !published(r.incarnation) && now.Sub(r.observed) >= unlistedRetention {
 			l.drop(r.incarnation.targetKey())
 		}
 	}
--- a/internal/signal/ledger_test.go
+++ b/internal/signal/ledger_test.go
@@ -113,7 +113,7 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			if got := l.Standing(start.Add(tt.after), tt.target); got.Draining != tt.want || got.Barred() != tt.want {
+			if got := l.Standing(start.Add(tt.after), tt.target); got.Draining != tt.want || got.Unavailable() != tt.want {
 				t.Errorf("%+v", got)
 			}
 		})
@@ -205,7 +205,7 @@
 				l.Observe(start.Add(received+time.Second), next, draining)
 			}
 			got := l.Standing(start.Add(received+tt.after), next)
-			if got.Draining != tt.want || got.Barred() != tt.want || got.Unsure != (tt.want && !tt.sure) {
+			if got.Draining != tt.want || got.Unavailable() != tt.want || got.Unsure != (tt.want && !tt.sure) {
 				t.Errorf("%+v", got)
 			}
 		})
@@ -218,7 +218,7 @@
 	l.Observe(start.Add(time.Minute), born(0), signal.Signal{
 		Draining: true,
 	})
-	if got := l.Standing(start.Add(time.Minute+time.Second), born(time.Minute+300*time.Millisecond)); got.Barred() {
+	if got := l.Standing(start.Add(time.Minute+time.Second), born(time.Minute+300*time.Millisecond)); got.Unavailable() {
 		t.Errorf("%+v", got)
 	}
 }
--- a/internal/signal/limit_test.go
+++ b/internal/signal/limit_test.go
@@ -74,7 +74,7 @@
 		if changed := l.Observe(now, target, s.signal); changed != s.changed {
 			t.Errorf("%s: changed %v", s.name, changed)
 		}
-		if got := l.Standing(now, target); got.Limit != s.want || got.Barred() {
+		if got := l.Standing(now, target); got.Limit != s.want || got.Unavailable() {
 			t.Errorf("%s: %+v", s.name, got)
 		}
 	}
--- a/internal/signal/retryafter_test.go
+++ b/internal/signal/retryafter_test.go
@@ -49,7 +49,7 @@
 			for at := time.Duration(0); at < 2*backoff; at += time.Second / second {
 				s := l.Standing(start.Add(at), incarnation("id/1"))
 				retry := at
-				if s.Barred() {
+				if s.Unavailable() {
 					retry = at + s.RetryAfter(tt.random(rng))
 				}
 				if retry < backoff {
--- a/internal/signal/signal.go
+++ b/internal/signal/signal.go
@@ -67,8 +67,8 @@
 	LimitAt time.Time
 }
 
-// Barred reports whether no request may be sent to the target.
-func (s Standing) Barred() bool { return s.Draining || s.Backoff > 0 }
+// Unavailable reports whether no request may be sent to the target.
+func (s Standing) Unavailable() bool { return s.Draining || s.Backoff > 0 }
 
 // permitTime is how long a permit lasts: requests that are delayed after their grant would
 // reach a target with a limit all at once.
@@ -82,5 +82,5 @@
 
 // Permits reports whether a request that was granted may be sent to the target at now.
 func (s Standing) Permits(now time.Time, p Permit) bool {
-	return !s.Barred() && (!s.Limit.Set || p.Paced && now.Sub(p.At) < permitTime)
+	return !s.Unavailable() && (!s.Limit.Set || p.Paced && now.Sub(p.At) < permitTime)
 }
