--- a/internal/node/targetlimits.go
+++ b/internal/node/targetlimits.go
@@ -58,7 +58,7 @@
 }
 
 // limitOfStanding returns this node's record of a target's limit.
-func limitOfStanding(key string, s signal.Standing) dispatch.TargetLimit {
+func limitOfStanding(key string, s signal.Status) dispatch.TargetLimit {
 	return dispatch.TargetLimit{
 		Target: key,
 		Limit:  s.Limit,
--- a/internal/signal/ledger.go
+++ b/internal/signal/ledger.go
@@ -61,8 +61,8 @@
 	return r, true
 }
 
-func (r record) standing(now time.Time) Standing {
-	s := Standing{
+func (r record) standing(now time.Time) Status {
+	s := Status{
 		Draining: r.draining && (r.drainingUntil.IsZero() || now.Before(r.drainingUntil)),
 		Limit:    r.limit,
 		LimitAt:  r.limitAt,
@@ -206,7 +206,7 @@
 }
 
 // Standing returns the state of a target at now.
-func (l *Ledger) Standing(now time.Time, i Incarnation) Standing { return l.record(i).standing(now) }
+func (l *Ledger) Standing(now time.Time, i Incarnation) Status { return l.record(i).standing(now) }
 
 // Empty reports whether there is no record.
 func (l *Ledger) Empty() bool { return l.count.Load() == 0 }
--- a/internal/signal/signal.go
+++ b/internal/signal/signal.go
@@ -52,8 +52,8 @@
 	LimitUnread bool
 }
 
-// Standing is the state of a target at one time, by its signals.
-type Standing struct {
+// Status is the state of a target at one time, by its signals.
+type Status struct {
 	Draining bool
 	// Unsure is set where the draining may be that of the previous incarnation: this node
 	// sends nothing, others may.
@@ -68,7 +68,7 @@
 }
 
 // Unavailable reports whether no request may be sent to the target.
-func (s Standing) Unavailable() bool { return s.Draining || s.Backoff > 0 }
+func (s Status) Unavailable() bool { return s.Draining || s.Backoff > 0 }
 
 // permitTime is how long a permit lasts: requests that are delayed after their grant would
 // reach a target with a limit all at once.
@@ -81,6 +81,6 @@
 }
 
 // Permits reports whether a request that was granted may be sent to the target at now.
-func (s Standing) Permits(now time.Time, p Permit) bool {
+func (s Status) Permits(now time.Time, p Permit) bool {
 	return !s.Unavailable() && (!s.Limit.Set || p.Paced && now.Sub(p.At) < permitTime)
 }
