--- a/internal/entry/signal_test.go
+++ b/internal/entry/signal_test.go
@@ -281,7 +281,7 @@
 			}
 			s := signalSite(t, ledger, c)
 			s.get(t, http.DefaultClient, "/quotes/1", brokers)
-			if got := ledger.Standing(time.Now(), target.choice.Incarnation).Draining; got != tt.want {
+			if got := ledger.Status(time.Now(), target.choice.Incarnation).Draining; got != tt.want {
 				t.Errorf("leaving %v, want %v", got, tt.want)
 			}
 		})
--- a/internal/node/export_targetlimits_test.go
+++ b/internal/node/export_targetlimits_test.go
@@ -124,7 +124,7 @@
 // Permits reports whether a request may be sent to a chosen target now.
 func (n *FleetNode) Permits(c entry.Choice) bool {
 	now := time.Now()
-	return n.board.signals.Standing(now, c.Incarnation).Permits(now, c.Permit)
+	return n.board.signals.Status(now, c.Incarnation).Permits(now, c.Permit)
 }
 
 // Hear records the signal in an answer of a target.
--- a/internal/node/signals.go
+++ b/internal/node/signals.go
@@ -27,7 +27,7 @@
 
 // standing returns the standing of a target by the signals that this node received.
 func (b *Board) standing(now time.Time, t *fleetconfig.Target) signal.Status {
-	return b.signals.Standing(now, incarnationOf(t))
+	return b.signals.Status(now, incarnationOf(t))
 }
 
 // unavailable are the keys of targets that this node may not send to, though none of them is
--- a/internal/signal/ledger.go
+++ b/internal/signal/ledger.go
@@ -205,8 +205,8 @@
 	l.count.Add(-1)
 }
 
-// Standing returns the state of a target at now.
-func (l *Ledger) Standing(now time.Time, i Incarnation) Status { return l.record(i).standing(now) }
+// Status returns the state of a target at now.
+func (l *Ledger) Status(now time.Time, i Incarnation) Status { return l.record(i).standing(now) }
 
 // Empty reports whether there is no record.
 func (l *Ledger) Empty() bool { return l.count.Load() == 0 }
--- a/internal/signal/ledger_test.go
+++ b/internal/signal/ledger_test.go
@@ -44,8 +44,8 @@
 	l.Observe(start, target, signal.Signal{
 		Backoff: 3 * time.Second,
 	})
-	fmt.Println(l.Standing(start.Add(time.Second), target).Backoff)
-	fmt.Println(l.Standing(start.Add(3*time.Second), target).Backoff)
+	fmt.Println(l.Status(start.Add(time.Second), target).Backoff)
+	fmt.Println(l.Status(start.Add(3*time.Second), target).Backoff)
 	// Output:
 	// 2s
 	// 0s
@@ -113,7 +113,7 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			if got := l.Standing(start.Add(tt.after), tt.target); got.Draining != tt.want || got.Unavailable() != tt.want {
+			if got := l.Status(start.Add(tt.after), tt.target); got.Draining != tt.want || got.Unavailable() != tt.want {
 				t.Errorf("%+v", got)
 			}
 		})
@@ -153,7 +153,7 @@
 			l.Observe(start.Add(received), born(0), signal.Signal{
 				Draining: true,
 			})
-			if got := l.Standing(start.Add(2*received), born(tt.next)).Draining; got != tt.want {
+			if got := l.Status(start.Add(2*received), born(tt.next)).Draining; got != tt.want {
 				t.Errorf("draining %v, want %v", got, tt.want)
 			}
 		})
@@ -204,7 +204,7 @@
 			if tt.repeated {
 				l.Observe(start.Add(received+time.Second), next, draining)
 			}
-			got := l.Standing(start.Add(received+tt.after), next)
+			got := l.Status(start.Add(received+tt.after), next)
 			if got.Draining != tt.want || got.Unavailable() != tt.want || got.Unsure != (tt.want && !tt.sure) {
 				t.Errorf("%+v", got)
 			}
@@ -218,7 +218,7 @@
 	l.Observe(start.Add(time.Minute), born(0), signal.Signal{
 		Draining: true,
 	})
-	if got := l.Standing(start.Add(time.Minute+time.Second), born(time.Minute+300*time.Millisecond)); got.Unavailable() {
+	if got := l.Status(start.Add(time.Minute+time.Second), born(time.Minute+300*time.Millisecond)); got.Unavailable() {
 		t.Errorf("%+v", got)
 	}
 }
@@ -232,7 +232,7 @@
 	l.Observe(start, born(0), signal.Signal{
 		Backoff: time.Second,
 	})
-	if got := l.Standing(start, born(time.Second)); !got.Draining || got.Backoff != time.Second {
+	if got := l.Status(start, born(time.Second)); !got.Draining || got.Backoff != time.Second {
 		t.Errorf("%+v", got)
 	}
 }
@@ -281,7 +281,7 @@
 					Backoff: d,
 				})
 			}
-			if got := l.Standing(start, incarnation("id/1")); got.Backoff != tt.want || got.BackoffTotal != tt.want || got.Draining {
+			if got := l.Status(start, incarnation("id/1")); got.Backoff != tt.want || got.BackoffTotal != tt.want || got.Draining {
 				t.Errorf("%+v, want %v", got, tt.want)
 			}
 		})
@@ -327,7 +327,7 @@
 		t.Errorf("%d targets are recorded", draining)
 	}
 	for i := many - 9_000; i < many; i++ {
-		if !l.Standing(start.Add(many), incarnation(fmt.Sprint(i))).Draining {
+		if !l.Status(start.Add(many), incarnation(fmt.Sprint(i))).Draining {
 			t.Fatalf("signal %d of %d is lost", i, many)
 		}
 	}
@@ -343,7 +343,7 @@
 			l.Observe(start, incarnation(fmt.Sprint(i)), signal.Signal{
 				Draining: true,
 			})
-			l.Standing(start, incarnation("0"))
+			l.Status(start, incarnation("0"))
 		})
 	}
 	all.Wait()
@@ -366,7 +366,7 @@
 			target := incarnation("7")
 			b.ReportAllocs()
 			for b.Loop() {
-				l.Standing(start, target)
+				l.Status(start, target)
 			}
 		})
 	}
--- a/internal/signal/limit_test.go
+++ b/internal/signal/limit_test.go
@@ -74,7 +74,7 @@
 		if changed := l.Observe(now, target, s.signal); changed != s.changed {
 			t.Errorf("%s: changed %v", s.name, changed)
 		}
-		if got := l.Standing(now, target); got.Limit != s.want || got.Unavailable() {
+		if got := l.Status(now, target); got.Limit != s.want || got.Unavailable() {
 			t.Errorf("%s: %+v", s.name, got)
 		}
 	}
@@ -84,7 +84,7 @@
 func TestLimitIsOfOneIncarnation(t *testing.T) {
 	var l signal.Ledger
 	l.Observe(start, born(0), limitOf(1.6))
-	if got := l.Standing(start, born(time.Minute)).Limit; got.Set {
+	if got := l.Status(start, born(time.Minute)).Limit; got.Set {
 		t.Errorf("the next incarnation has the limit %+v", got)
 	}
 }
@@ -141,7 +141,7 @@
 		t.Run(tt.name, func(t *testing.T) {
 			var l signal.Ledger
 			l.Observe(start, incarnation("t"), tt.signal)
-			if got := l.Standing(start, incarnation("t")).Permits(start, tt.permit); got != tt.want {
+			if got := l.Status(start, incarnation("t")).Permits(start, tt.permit); got != tt.want {
 				t.Errorf("permits %v", got)
 			}
 		})
@@ -153,12 +153,12 @@
 	var l signal.Ledger
 	at := func(s int) time.Time { return start.Add(time.Duration(s) * time.Second) }
 	l.Learn(at(1), incarnation("t"), limitOf(2).Limit)
-	if got := l.Standing(at(5), incarnation("t")).Limit; got != limitOf(2).Limit {
+	if got := l.Status(at(5), incarnation("t")).Limit; got != limitOf(2).Limit {
 		t.Errorf("limit of a peer: got %+v", got)
 	}
 	l.Observe(at(6), incarnation("t"), signal.Signal{})
 	l.Learn(at(5), incarnation("t"), limitOf(2).Limit)
-	if got := l.Standing(at(7), incarnation("t")).Limit; got.Set {
+	if got := l.Status(at(7), incarnation("t")).Limit; got.Set {
 		t.Errorf("a lifted limit was restored: %+v", got)
 	}
 }
--- a/internal/signal/retryafter_test.go
+++ b/internal/signal/retryafter_test.go
@@ -47,7 +47,7 @@
 			// requests and retries.
 			requests := map[time.Duration]float64{}
 			for at := time.Duration(0); at < 2*backoff; at += time.Second / second {
-				s := l.Standing(start.Add(at), incarnation("id/1"))
+				s := l.Status(start.Add(at), incarnation("id/1"))
 				retry := at
 				if s.Unavailable() {
 					retry = at + s.RetryAfter(tt.random(rng))
