--- a/internal/node/signals.go
+++ b/internal/node/signals.go
@@ -51,7 +51,7 @@
 			continue
 		}
 		switch standing := b.standing(now, t); {
-		case standing.Draining && !standing.Unsure:
+		case standing.Draining && !standing.Uncertain:
 			out.draining = append(out.draining, t.Key())
 		case standing.Unavailable():
 			out.backingOff = append(out.backingOff, t.Key())
--- a/internal/signal/ledger.go
+++ b/internal/signal/ledger.go
@@ -67,7 +67,7 @@
 		Limit:    r.limit,
 		LimitAt:  r.limitAt,
 	}
-	s.Unsure = s.Draining && r.unsure
+	s.Uncertain = s.Draining && r.unsure
 	if now.Before(r.backoffUntil) {
 		s.Backoff = r.backoffUntil.Sub(now)
 		s.BackoffTotal = r.backoffUntil.Sub(r.backoffFrom)
--- a/internal/signal/ledger_test.go
+++ b/internal/signal/ledger_test.go
@@ -205,7 +205,7 @@
 				l.Observe(start.Add(received+time.Second), next, draining)
 			}
 			got := l.Status(start.Add(received+tt.after), next)
-			if got.Draining != tt.want || got.Unavailable() != tt.want || got.Unsure != (tt.want && !tt.sure) {
+			if got.Draining != tt.want || got.Unavailable() != tt.want || got.Uncertain != (tt.want && !tt.sure) {
 				t.Errorf("%+v", got)
 			}
 		})
--- a/internal/signal/signal.go
+++ b/internal/signal/signal.go
@@ -55,9 +55,9 @@
 // Status is the state of a target at one time, by its signals.
 type Status struct {
 	Draining bool
-	// Unsure is set where the draining may be that of the previous incarnation: this node
+	// Uncertain is set where the draining may be that of the previous incarnation: this node
 	// sends nothing, others may.
-	Unsure bool
+	Uncertain bool
 	// Backoff is the rest of the target's backoff, 0 for none, and BackoffTotal its whole length.
 	Backoff      time.Duration
 	BackoffTotal time.Duration
