--- a/internal/entry/signal.go
+++ b/internal/entry/signal.go
@@ -15,7 +15,7 @@
 	}
 	l := x.server.log.WithField("request", x.id).WithField("service", x.service.Name()).WithField("target", c.Key)
 	changed := x.server.cfg.Signals.Observe(time.Now(), c.Incarnation, s)
-	if err != nil && (changed || !s.LimitUnread) {
+	if err != nil && (changed || !s.LimitUnreadable) {
 		l.WithError(err).Warn("target asks for what can't be read")
 	}
 	if !changed {
--- a/internal/forward/client.go
+++ b/internal/forward/client.go
@@ -186,7 +186,7 @@
 			Rate: rate,
 			Set:  named && limitErr == nil,
 		},
-		LimitUnread: limitErr != nil,
+		LimitUnreadable: limitErr != nil,
 	}, errors.Join(restErr, limitErr)
 }
 
--- a/internal/signal/ledger.go
+++ b/internal/signal/ledger.go
@@ -108,7 +108,7 @@
 
 // changes reports whether a signal can change a record.
 func (s Signal) changes(r record) bool {
-	return s.Draining || s.Backoff > 0 || s.Limit.Set || s.LimitUnread || r.limit.Set || r.limitUnread
+	return s.Draining || s.Backoff > 0 || s.Limit.Set || s.LimitUnreadable || r.limit.Set || r.limitUnread
 }
 
 // Observe records the signal of a response that was received at now, and reports whether it changed
@@ -147,9 +147,9 @@
 // observeLimit records the limit of a response, or that it has none, and reports whether the
 // limit changed.
 func (r *record) observeLimit(now time.Time, s Signal) bool {
-	changed := r.limitUnread != s.LimitUnread
-	r.limitUnread = s.LimitUnread
-	if s.LimitUnread || now.Before(r.limitAt) {
+	changed := r.limitUnread != s.LimitUnreadable
+	r.limitUnread = s.LimitUnreadable
+	if s.LimitUnreadable || now.Before(r.limitAt) {
 		return changed
 	}
 	changed = changed || r.limit != s.Limit
--- a/internal/signal/limit_test.go
+++ b/internal/signal/limit_test.go
@@ -44,7 +44,7 @@
 		{
 			name: "unreadable",
 			signal: signal.Signal{
-				LimitUnread: true,
+				LimitUnreadable: true,
 			},
 			changed: true,
 			want:    limitOf(1.6).Limit,
@@ -52,7 +52,7 @@
 		{
 			name: "unreadable again",
 			signal: signal.Signal{
-				LimitUnread: true,
+				LimitUnreadable: true,
 			},
 			want: limitOf(1.6).Limit,
 		},
--- a/internal/signal/signal.go
+++ b/internal/signal/signal.go
@@ -48,8 +48,8 @@
 	Backoff time.Duration
 	// Limit holds until a later response has another one, or none.
 	Limit Limit
-	// LimitUnread is set where the limit can't be parsed: the one before it holds.
-	LimitUnread bool
+	// LimitUnreadable is set where the limit can't be parsed: the one before it holds.
+	LimitUnreadable bool
 }
 
 // Status is the state of a target at one time, by its signals.
