--- a/internal/node/targetlimits.go
+++ b/internal/node/targetlimits.go
@@ -71,7 +71,7 @@
 	for _, in := range limits {
 		if t := s.Target(in.GetTarget()); t != nil {
 			l := limitOfWire(now, in)
-			b.signals.Learn(l.At, incarnationOf(t), l.Limit)
+			b.signals.ObservePeer(l.At, incarnationOf(t), l.Limit)
 		}
 	}
 }
--- a/internal/signal/ledger.go
+++ b/internal/signal/ledger.go
@@ -160,9 +160,9 @@
 	return changed
 }
 
-// Learn records a limit that a peer reported, which the target sent at at. Later responses to this
+// ObservePeer records a limit that a peer reported, which the target sent at at. Later responses to this
 // node take precedence.
-func (l *Ledger) Learn(at time.Time, i Incarnation, limit Limit) {
+func (l *Ledger) ObservePeer(at time.Time, i Incarnation, limit Limit) {
 	if before := l.record(i); !at.After(before.limitAt) || before.limit == limit {
 		return
 	}
--- a/internal/signal/limit_test.go
+++ b/internal/signal/limit_test.go
@@ -152,12 +152,12 @@
 func TestLimitsOfPeersAreLearned(t *testing.T) {
 	var l signal.Ledger
 	at := func(s int) time.Time { return start.Add(time.Duration(s) * time.Second) }
-	l.Learn(at(1), incarnation("t"), limitOf(2).Limit)
+	l.ObservePeer(at(1), incarnation("t"), limitOf(2).Limit)
 	if got := l.Status(at(5), incarnation("t")).Limit; got != limitOf(2).Limit {
 		t.Errorf("limit of a peer: got %+v", got)
 	}
 	l.Observe(at(6), incarnation("t"), signal.Signal{})
-	l.Learn(at(5), incarnation("t"), limitOf(2).Limit)
+	l.ObservePeer(at(5), incarnation("t"), limitOf(2).Limit)
 	if got := l.Status(at(7), incarnation("t")).Limit; got.Set {
 		t.Errorf("a lifted limit was restored: %+v", got)
 	}
