--- a/internal/attempt/attempt.go
+++ b/internal/attempt/attempt.go
@@ -64,9 +64,9 @@
 	return [...]string{"none", "deadline", "may have run", "policy", "retry budget", "caller gone", "no target", "targets end under it", "all targets rest", "no open data hall"}[r]
 }
 
-// Life is one request from its arrival to its final answer. It isn't safe for
+// Tracker is one request from its arrival to its final answer. It isn't safe for
 // concurrent use.
-type Life struct {
+type Tracker struct {
 	repeatable bool
 	deadline   time.Time
 	attempts   int
@@ -77,31 +77,31 @@
 }
 
 // NewLife returns a Life without attempts.
-func NewLife(repeatable bool, deadline time.Time) *Life {
-	return &Life{
+func NewLife(repeatable bool, deadline time.Time) *Tracker {
+	return &Tracker{
 		repeatable: repeatable,
 		deadline:   deadline,
 	}
 }
 
 // Deadline returns the time after which no attempt may start or continue.
-func (l *Life) Deadline() time.Time { return l.deadline }
+func (l *Tracker) Deadline() time.Time { return l.deadline }
 
 // Continue sets a new deadline for the rest of an interrupted answer: the first deadline
 // is that of the first byte, and a download may take longer.
-func (l *Life) Continue(deadline time.Time) { l.deadline = deadline }
+func (l *Tracker) Continue(deadline time.Time) { l.deadline = deadline }
 
 // Attempts returns the number of attempts that ended.
-func (l *Life) Attempts() int { return l.attempts }
+func (l *Tracker) Attempts() int { return l.attempts }
 
 // Runs returns the number of attempts that may have run.
-func (l *Life) Runs() int { return l.runs }
+func (l *Tracker) Runs() int { return l.runs }
 
 // Repeatable reports whether the request may run more than once.
-func (l *Life) Repeatable() bool { return l.repeatable }
+func (l *Tracker) Repeatable() bool { return l.repeatable }
 
 // Ended records the outcome of an attempt.
-func (l *Life) Ended(o Outcome) {
+func (l *Tracker) Ended(o Outcome) {
 	l.attempts++
 	if o != OutcomeNotRun {
 		l.mayHaveRun = true
@@ -111,11 +111,11 @@
 
 // Copied records a copy of the request whose outcome is not awaited: the request may have
 // run from then on.
-func (l *Life) Copied() { l.mayHaveRun = true }
+func (l *Tracker) Copied() { l.mayHaveRun = true }
 
 // Outcome returns the outcome of all attempts together: OutcomeNotRun only if that is
 // proved for each one.
-func (l *Life) Outcome() Outcome {
+func (l *Tracker) Outcome() Outcome {
 	if l.mayHaveRun {
 		return OutcomeUnknown
 	}
@@ -126,7 +126,7 @@
 // it. policy reports whether the service's policy allows it, and budget whether the retry
 // budget does, which it takes from; each is called only when needed. No policy can allow
 // another attempt for a non-repeatable request that may have run.
-func (l *Life) May(now time.Time, policy, budget func() bool) Reason {
+func (l *Tracker) May(now time.Time, policy, budget func() bool) Reason {
 	switch {
 	case !now.Before(l.deadline):
 		return ReasonDeadline
--- a/internal/entry/error.go
+++ b/internal/entry/error.go
@@ -77,7 +77,7 @@
 
 // gaveUp returns the final answer of a life that ended without an answer.
 // retryAfter is when the caller may come back; 0 means the usual time.
-func gaveUp(l *attempt.Life, reason attempt.Reason, retryAfter time.Duration, cause error) *Error {
+func gaveUp(l *attempt.Tracker, reason attempt.Reason, retryAfter time.Duration, cause error) *Error {
 	e := &Error{
 		code:       CodeFailed,
 		status:     http.StatusBadGateway,
--- a/internal/entry/relay.go
+++ b/internal/entry/relay.go
@@ -31,7 +31,7 @@
 	service *fleetconfig.Service
 	begun   time.Time
 	body    *body
-	life    *attempt.Life
+	life    *attempt.Tracker
 	// tried are the keys of the targets that were asked. It is written by the
 	// tries, under mu.
 	mu     sync.Mutex
