--- a/internal/attempt/attempt.go
+++ b/internal/attempt/attempt.go
@@ -76,8 +76,8 @@
 	runs       int
 }
 
-// NewLife returns a Life without attempts.
-func NewLife(repeatable bool, deadline time.Time) *Tracker {
+// NewTracker returns a Life without attempts.
+func NewTracker(repeatable bool, deadline time.Time) *Tracker {
 	return &Tracker{
 		repeatable: repeatable,
 		deadline:   deadline,
--- a/internal/attempt/attempt_test.go
+++ b/internal/attempt/attempt_test.go
@@ -21,7 +21,7 @@
 func no() bool { return false }
 
 func ExampleLife() {
-	reservation := attempt.NewLife(false, start.Add(time.Second))
+	reservation := attempt.NewTracker(false, start.Add(time.Second))
 	fmt.Println(reservation.May(start, yes, yes))
 	reservation.Ended(attempt.OutcomeNotRun)
 	fmt.Println(reservation.May(start, yes, yes), reservation.Outcome())
@@ -35,7 +35,7 @@
 
 // A copy whose outcome is not awaited may run: the caller must not get the outcome not-run.
 func TestCopyMayHaveRun(t *testing.T) {
-	l := attempt.NewLife(true, start.Add(time.Second))
+	l := attempt.NewTracker(true, start.Add(time.Second))
 	l.Copied()
 	l.Ended(attempt.OutcomeNotRun)
 	if o := l.Outcome(); o != attempt.OutcomeUnknown {
@@ -140,7 +140,7 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			l := attempt.NewLife(c.repeatable, start.Add(time.Second))
+			l := attempt.NewTracker(c.repeatable, start.Add(time.Second))
 			for _, o := range c.ended {
 				l.Ended(o)
 			}
@@ -157,7 +157,7 @@
 	p := gopter.NewProperties(nil)
 	p.Property("at most one attempt may have run", prop.ForAll(
 		func(outcomes []int) bool {
-			l := attempt.NewLife(false, start.Add(time.Second))
+			l := attempt.NewTracker(false, start.Add(time.Second))
 			ran := 0
 			for _, o := range outcomes {
 				if l.May(start, yes, yes) != attempt.ReasonNone {
