--- a/internal/attempt/attempt.go
+++ b/internal/attempt/attempt.go
@@ -122,11 +122,11 @@
 	return OutcomeNotRun
 }
 
-// May returns ReasonNone if another attempt may start at now, else the reason against
+// Allow returns ReasonNone if another attempt may start at now, else the reason against
 // it. policy reports whether the service's policy allows it, and budget whether the retry
 // budget does, which it takes from; each is called only when needed. No policy can allow
 // another attempt for a non-repeatable request that may have run.
-func (l *Tracker) May(now time.Time, policy, budget func() bool) Reason {
+func (l *Tracker) Allow(now time.Time, policy, budget func() bool) Reason {
 	switch {
 	case !now.Before(l.deadline):
 		return ReasonDeadline
--- a/internal/attempt/attempt_test.go
+++ b/internal/attempt/attempt_test.go
@@ -22,11 +22,11 @@
 
 func ExampleLife() {
 	reservation := attempt.NewTracker(false, start.Add(time.Second))
-	fmt.Println(reservation.May(start, yes, yes))
+	fmt.Println(reservation.Allow(start, yes, yes))
 	reservation.Ended(attempt.OutcomeNotRun)
-	fmt.Println(reservation.May(start, yes, yes), reservation.Outcome())
+	fmt.Println(reservation.Allow(start, yes, yes), reservation.Outcome())
 	reservation.Ended(attempt.OutcomeUnknown)
-	fmt.Println(reservation.May(start, yes, yes), reservation.Outcome())
+	fmt.Println(reservation.Allow(start, yes, yes), reservation.Outcome())
 	// Output:
 	// none
 	// none not-run
@@ -41,7 +41,7 @@
 	if o := l.Outcome(); o != attempt.OutcomeUnknown {
 		t.Errorf("outcome %v with a copy in flight", o)
 	}
-	if r := l.May(start, yes, yes); r != attempt.ReasonNone {
+	if r := l.Allow(start, yes, yes); r != attempt.ReasonNone {
 		t.Errorf("a copy prevents another attempt: %v", r)
 	}
 }
@@ -144,7 +144,7 @@
 			for _, o := range c.ended {
 				l.Ended(o)
 			}
-			if got := l.May(start.Add(c.at), c.policy, c.budget); got != c.want {
+			if got := l.Allow(start.Add(c.at), c.policy, c.budget); got != c.want {
 				t.Fatalf("got %q, want %q", got, c.want)
 			}
 		})
@@ -160,7 +160,7 @@
 			l := attempt.NewTracker(false, start.Add(time.Second))
 			ran := 0
 			for _, o := range outcomes {
-				if l.May(start, yes, yes) != attempt.ReasonNone {
+				if l.Allow(start, yes, yes) != attempt.ReasonNone {
 					break
 				}
 				l.Ended(attempt.Outcome(o))
--- a/internal/entry/relay.go
+++ b/internal/entry/relay.go
@@ -230,7 +230,7 @@
 		x.retryAfter = time.Duration(held)
 		return attempt.ReasonQuarantine
 	}
-	return x.life.May(time.Now(),
+	return x.life.Allow(time.Now(),
 		func() bool {
 			if most := x.in.route.MaxAttempts(); most > 0 && x.life.Runs() >= most {
 				return false
