--- a/internal/attempt/attempt.go
+++ b/internal/attempt/attempt.go
@@ -100,8 +100,8 @@
 // Repeatable reports whether the request may run more than once.
 func (l *Tracker) Repeatable() bool { return l.repeatable }
 
-// Ended records the outcome of an attempt.
-func (l *Tracker) Ended(o Outcome) {
+// Record records the outcome of an attempt.
+func (l *Tracker) Record(o Outcome) {
 	l.attempts++
 	if o != OutcomeNotRun {
 		l.mayHaveRun = true
--- a/internal/attempt/attempt_test.go
+++ b/internal/attempt/attempt_test.go
@@ -23,9 +23,9 @@
 func ExampleLife() {
 	reservation := attempt.NewTracker(false, start.Add(time.Second))
 	fmt.Println(reservation.Allow(start, yes, yes))
-	reservation.Ended(attempt.OutcomeNotRun)
+	reservation.Record(attempt.OutcomeNotRun)
 	fmt.Println(reservation.Allow(start, yes, yes), reservation.Outcome())
-	reservation.Ended(attempt.OutcomeUnknown)
+	reservation.Record(attempt.OutcomeUnknown)
 	fmt.Println(reservation.Allow(start, yes, yes), reservation.Outcome())
 	// Output:
 	// none
@@ -37,7 +37,7 @@
 func TestCopyMayHaveRun(t *testing.T) {
 	l := attempt.NewTracker(true, start.Add(time.Second))
 	l.Copied()
-	l.Ended(attempt.OutcomeNotRun)
+	l.Record(attempt.OutcomeNotRun)
 	if o := l.Outcome(); o != attempt.OutcomeUnknown {
 		t.Errorf("outcome %v with a copy in flight", o)
 	}
@@ -142,7 +142,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			l := attempt.NewTracker(c.repeatable, start.Add(time.Second))
 			for _, o := range c.ended {
-				l.Ended(o)
+				l.Record(o)
 			}
 			if got := l.Allow(start.Add(c.at), c.policy, c.budget); got != c.want {
 				t.Fatalf("got %q, want %q", got, c.want)
@@ -163,7 +163,7 @@
 				if l.Allow(start, yes, yes) != attempt.ReasonNone {
 					break
 				}
-				l.Ended(attempt.Outcome(o))
+				l.Record(attempt.Outcome(o))
 				if attempt.Outcome(o) != attempt.OutcomeNotRun {
 					ran++
 				}
--- a/internal/entry/relay.go
+++ b/internal/entry/relay.go
@@ -169,7 +169,7 @@
 func (x *relay) count(t *try, o attempt.Outcome) {
 	if !t.counted {
 		t.counted = true
-		x.life.Ended(o)
+		x.life.Record(o)
 	}
 }
 
