--- a/internal/attempt/attempt.go
+++ b/internal/attempt/attempt.go
@@ -109,9 +109,9 @@
 	}
 }
 
-// Copied records a copy of the request whose outcome is not awaited: the request may have
+// RecordCopy records a copy of the request whose outcome is not awaited: the request may have
 // run from then on.
-func (l *Tracker) Copied() { l.mayHaveRun = true }
+func (l *Tracker) RecordCopy() { l.mayHaveRun = true }
 
 // Outcome returns the outcome of all attempts together: OutcomeNotRun only if that is
 // proved for each one.
--- a/internal/attempt/attempt_test.go
+++ b/internal/attempt/attempt_test.go
@@ -36,7 +36,7 @@
 // A copy whose outcome is not awaited may run: the caller must not get the outcome not-run.
 func TestCopyMayHaveRun(t *testing.T) {
 	l := attempt.NewTracker(true, start.Add(time.Second))
-	l.Copied()
+	l.RecordCopy()
 	l.Record(attempt.OutcomeNotRun)
 	if o := l.Outcome(); o != attempt.OutcomeUnknown {
 		t.Errorf("outcome %v with a copy in flight", o)
--- a/internal/entry/trial.go
+++ b/internal/entry/trial.go
@@ -28,7 +28,7 @@
 		return
 	}
 	x.server.trials.Add(1)
-	x.life.Copied()
+	x.life.RecordCopy()
 	reader, _ := x.body.next()
 	r := x.request(choice, reader)
 	r.ID = newRequestID()
