--- a/internal/attempt/attempt.go
+++ b/internal/attempt/attempt.go
@@ -87,9 +87,9 @@
 // Deadline returns the time after which no attempt may start or continue.
 func (l *Tracker) Deadline() time.Time { return l.deadline }
 
-// Continue sets a new deadline for the rest of an interrupted answer: the first deadline
+// SetDeadline sets a new deadline for the rest of an interrupted answer: the first deadline
 // is that of the first byte, and a download may take longer.
-func (l *Tracker) Continue(deadline time.Time) { l.deadline = deadline }
+func (l *Tracker) SetDeadline(deadline time.Time) { l.deadline = deadline }
 
 // Attempts returns the number of attempts that ended.
 func (l *Tracker) Attempts() int { return l.attempts }
