--- a/internal/attempt/attempt.go
+++ b/internal/attempt/attempt.go
@@ -94,8 +94,8 @@
 // Attempts returns the number of attempts that ended.
 func (l *Tracker) Attempts() int { return l.attempts }
 
-// Runs returns the number of attempts that may have run.
-func (l *Tracker) Runs() int { return l.runs }
+// PossibleRuns returns the number of attempts that may have run.
+func (l *Tracker) PossibleRuns() int { return l.runs }
 
 // Repeatable reports whether the request may run more than once.
 func (l *Tracker) Repeatable() bool { return l.repeatable }
--- a/internal/entry/relay.go
+++ b/internal/entry/relay.go
@@ -232,7 +232,7 @@
 	}
 	return x.life.Allow(time.Now(),
 		func() bool {
-			if most := x.in.route.MaxAttempts(); most > 0 && x.life.Runs() >= most {
+			if most := x.in.route.MaxAttempts(); most > 0 && x.life.PossibleRuns() >= most {
 				return false
 			}
 			return x.service.Policy().Retry(policy.Try{
