--- a/internal/attempt/attempt.go
+++ b/internal/attempt/attempt.go
@@ -40,8 +40,8 @@
 	ReasonNone Reason = iota
 	// ReasonDeadline means that the deadline of the request has passed.
 	ReasonDeadline
-	// ReasonUnproved means that a non-repeatable request may have run.
-	ReasonUnproved
+	// ReasonMayHaveRun means that a non-repeatable request may have run.
+	ReasonMayHaveRun
 	// ReasonPolicy means that the policy of the service allows no other attempt.
 	ReasonPolicy
 	// ReasonBudget means that the service's retry budget is spent.
@@ -133,7 +133,7 @@
 	case l.attempts == 0:
 		return ReasonNone
 	case l.mayHaveRun && !l.repeatable:
-		return ReasonUnproved
+		return ReasonMayHaveRun
 	case !policy():
 		return ReasonPolicy
 	case !budget():
--- a/internal/attempt/attempt_test.go
+++ b/internal/attempt/attempt_test.go
@@ -90,7 +90,7 @@
 			at:         0,
 			policy:     yes,
 			budget:     yes,
-			want:       attempt.ReasonUnproved,
+			want:       attempt.ReasonMayHaveRun,
 		},
 		{
 			name:       "after done",
@@ -99,7 +99,7 @@
 			at:         0,
 			policy:     yes,
 			budget:     yes,
-			want:       attempt.ReasonUnproved,
+			want:       attempt.ReasonMayHaveRun,
 		},
 		{
 			name:       "unknown stays",
@@ -108,7 +108,7 @@
 			at:         0,
 			policy:     yes,
 			budget:     yes,
-			want:       attempt.ReasonUnproved,
+			want:       attempt.ReasonMayHaveRun,
 		},
 		{
 			name:       "repeatable after unknown",
