--- a/internal/attempt/attempt.go
+++ b/internal/attempt/attempt.go
@@ -52,8 +52,8 @@
 	ReasonTargets
 	// ReasonQuarantine means that targets crash under the request.
 	ReasonQuarantine
-	// ReasonRest means that all targets that do not drain back off.
-	ReasonRest
+	// ReasonBackoff means that all targets that do not drain back off.
+	ReasonBackoff
 	// ReasonClosed means that all targets are in closed data halls: evacuated ones, or those
 	// outside the request's regions.
 	ReasonClosed
--- a/internal/node/signals.go
+++ b/internal/node/signals.go
@@ -89,7 +89,7 @@
 	if !all {
 		return nil
 	}
-	return entry.NewNoTargetError(attempt.ReasonRest, first.RetryAfter(rand.Float64()))
+	return entry.NewNoTargetError(attempt.ReasonBackoff, first.RetryAfter(rand.Float64()))
 }
 
 // signalStatus lists the targets that this node may not send to.
