--- a/internal/attempt/attempt.go
+++ b/internal/attempt/attempt.go
@@ -54,9 +54,9 @@
 	ReasonQuarantine
 	// ReasonBackoff means that all targets that do not drain back off.
 	ReasonBackoff
-	// ReasonClosed means that all targets are in closed data halls: evacuated ones, or those
+	// ReasonClosedDataHalls means that all targets are in closed data halls: evacuated ones, or those
 	// outside the request's regions.
-	ReasonClosed
+	ReasonClosedDataHalls
 )
 
 // String returns the reason for logs and answers.
--- a/internal/node/closed.go
+++ b/internal/node/closed.go
@@ -51,7 +51,7 @@
 	if closed == 0 || closed < len(b.currentService(q.Service).Halls()) {
 		return nil
 	}
-	return entry.NewNoTargetError(attempt.ReasonClosed, closedRetryAfter)
+	return entry.NewNoTargetError(attempt.ReasonClosedDataHalls, closedRetryAfter)
 }
 
 // closedTargets returns the keys of targets in closed data halls.
--- a/internal/node/closed_test.go
+++ b/internal/node/closed_test.go
@@ -127,7 +127,7 @@
 				started := time.Now()
 				_, err := c.Choose(context.Background(), tt.regions...)
 				var none *entry.NoTargetError
-				if !errors.As(err, &none) || none.Reason() != attempt.ReasonClosed {
+				if !errors.As(err, &none) || none.Reason() != attempt.ReasonClosedDataHalls {
 					t.Fatalf("got %v", err)
 				}
 				if took := time.Since(started); took > 0 {
