--- a/internal/dissemination/replica.go
+++ b/internal/dissemination/replica.go
@@ -33,7 +33,7 @@
 
 // valueRequest is a value requested from a peer.
 type valueRequest struct {
-	version order.Mark
+	version order.Version
 	at      time.Time
 }
 
@@ -253,7 +253,7 @@
 	var keys []string
 	for _, kr := range revisions {
 		theirs, ours := fleetconfig.MarkOf(kr), r.store.Mark(kr.GetKey())
-		if ours != (order.Mark{}) && !theirs.Covers(ours) {
+		if ours != (order.Version{}) && !theirs.Covers(ours) {
 			keys = append(keys, kr.GetKey())
 		}
 		if !ours.Covers(theirs) && r.claimRequest(now, kr) {
@@ -272,8 +272,8 @@
 }
 
 // versions returns the versions of a list by key.
-func versions(list []*wire.KeyRevision) map[string]order.Mark {
-	out := make(map[string]order.Mark, len(list))
+func versions(list []*wire.KeyRevision) map[string]order.Version {
+	out := make(map[string]order.Version, len(list))
 	for _, kr := range list {
 		out[kr.GetKey()] = fleetconfig.MarkOf(kr)
 	}
--- a/internal/fleetconfig/parsed_value.go
+++ b/internal/fleetconfig/parsed_value.go
@@ -11,7 +11,7 @@
 // or neither if the key was removed or the value has an error.
 type parsedValue struct {
 	entry        *wire.Entry
-	version      order.Mark
+	version      order.Version
 	doc          *wire.Document
 	registration *registration
 	err          error
--- a/internal/fleetconfig/store.go
+++ b/internal/fleetconfig/store.go
@@ -148,11 +148,11 @@
 }
 
 // Mark returns the version of the newest value of a key, the zero version for an unknown key.
-func (s *Store) Mark(key string) order.Mark {
+func (s *Store) Mark(key string) order.Version {
 	if r := s.records[key]; r != nil {
 		return r.newest.version
 	}
-	return order.Mark{}
+	return order.Version{}
 }
 
 // Era returns the greatest era of any value.
--- a/internal/fleetconfig/version.go
+++ b/internal/fleetconfig/version.go
@@ -33,7 +33,7 @@
 }
 
 // MarkOf returns the version that an Entry or a KeyRevision carries.
-func MarkOf(m versioned) order.Mark {
+func MarkOf(m versioned) order.Version {
 	position := PositionOf(m)
 	written := position
 	if w := m.GetWritten(); w != nil {
@@ -47,13 +47,13 @@
 }
 
 // SetMark writes a version into an entry.
-func SetMark(e *wire.Entry, m order.Mark) {
+func SetMark(e *wire.Entry, m order.Version) {
 	e.Era, e.Revision = m.Position().Era(), m.Position().Revision()
 	e.Stamp, e.Written, e.Gone = stampOf(m), writtenOf(m), m.Gone()
 }
 
 // KeyRevision returns a key with a version.
-func KeyRevision(key string, m order.Mark) *wire.KeyRevision {
+func KeyRevision(key string, m order.Version) *wire.KeyRevision {
 	return &wire.KeyRevision{
 		Key:      key,
 		Era:      m.Position().Era(),
@@ -64,7 +64,7 @@
 	}
 }
 
-func stampOf(m order.Mark) *wire.Stamp {
+func stampOf(m order.Version) *wire.Stamp {
 	if m.Stamp() == (order.Stamp{}) {
 		return nil
 	}
@@ -74,7 +74,7 @@
 	}
 }
 
-func writtenOf(m order.Mark) *wire.Position {
+func writtenOf(m order.Version) *wire.Position {
 	if m.Written() == m.Position() {
 		return nil
 	}
--- a/internal/node/source.go
+++ b/internal/node/source.go
@@ -67,7 +67,7 @@
 	}
 }
 
-func versionFields(log logrus.FieldLogger, key string, read, local order.Mark) *logrus.Entry {
+func versionFields(log logrus.FieldLogger, key string, read, local order.Version) *logrus.Entry {
 	return log.WithField("key", key).
 		WithField("read", read.Position().String()).WithField("read_sequence", read.Stamp().Sequence()).
 		WithField("kept", local.Written().String()).WithField("kept_sequence", local.Stamp().Sequence())
--- a/internal/order/order.go
+++ b/internal/order/order.go
@@ -77,9 +77,9 @@
 	return cmp.Or(cmp.Compare(s.incarnation, t.incarnation), cmp.Compare(s.sequence, t.sequence))
 }
 
-// Mark is the version of a key's value: the store's last position for the key, and the
+// Version is the version of a key's value: the store's last position for the key, and the
 // writer's last value of it.
-type Mark struct {
+type Version struct {
 	// position is where the store last held a value of the key, or removed it.
 	position Position
 	stamp    Stamp
@@ -91,8 +91,8 @@
 
 // MarkOf returns the version of a key whose last position in the store is position, and whose
 // writer's last value has a stamp and was held at written.
-func MarkOf(position Position, stamp Stamp, written Position) Mark {
-	return Mark{
+func MarkOf(position Position, stamp Stamp, written Position) Version {
+	return Version{
 		position: position,
 		stamp:    stamp,
 		written:  written,
@@ -100,33 +100,33 @@
 }
 
 // At returns the version with the store's last position p for the key.
-func (m Mark) At(p Position) Mark {
+func (m Version) At(p Position) Version {
 	m.position = p
 	return m
 }
 
 // Remove returns the version of the removal of the value.
-func (m Mark) Remove() Mark {
+func (m Version) Remove() Version {
 	m.gone = true
 	return m
 }
 
 // Gone reports whether the writer's last value was removed.
-func (m Mark) Gone() bool { return m.gone }
+func (m Version) Gone() bool { return m.gone }
 
 // Position returns the store's last position for the key.
-func (m Mark) Position() Position { return m.position }
+func (m Version) Position() Position { return m.position }
 
 // Stamp returns the stamp of the writer's last value.
-func (m Mark) Stamp() Stamp { return m.stamp }
+func (m Version) Stamp() Stamp { return m.stamp }
 
 // Written returns where the store held the writer's last value.
-func (m Mark) Written() Position { return m.written }
+func (m Version) Written() Position { return m.written }
 
 // CompareValues returns -1, 0 or 1 as the writer wrote the value of m before, with or after
 // that of n. A removal comes after the value that it removed. Values with equal stamps are ordered
 // by where the store held them.
-func (m Mark) CompareValues(n Mark) int {
+func (m Version) CompareValues(n Version) int {
 	return cmp.Or(m.stamp.Compare(n.stamp), cmp.Compare(removalRank(m.gone), removalRank(n.gone)), m.written.Compare(n.written))
 }
 
@@ -138,6 +138,6 @@
 }
 
 // Covers reports whether m is at least as recent as n in both orders.
-func (m Mark) Covers(n Mark) bool {
+func (m Version) Covers(n Version) bool {
 	return m.position.Compare(n.position) >= 0 && m.CompareValues(n) >= 0
 }
