--- a/internal/dissemination/restore_test.go
+++ b/internal/dissemination/restore_test.go
@@ -22,7 +22,7 @@
 		Key:   "config",
 		Value: bytes.Replace(manyRoutes(), []byte("route-1"), []byte(name+"-1"), 1),
 	}
-	fleetconfig.SetMark(e, order.MarkOf(order.At(era, rev), order.Stamp{}, order.At(era, rev)))
+	fleetconfig.SetMark(e, order.NewVersion(order.At(era, rev), order.Stamp{}, order.At(era, rev)))
 	return e
 }
 
@@ -47,7 +47,7 @@
 func TestValueOfLaterEraIsRequestedAtOnce(t *testing.T) {
 	r, now := newReplica(), time.Now()
 	names := func(era, rev uint64) []*wire.KeyRevision {
-		return []*wire.KeyRevision{fleetconfig.KeyRevision("config", order.MarkOf(order.At(era, rev), order.Stamp{}, order.At(era, rev)))}
+		return []*wire.KeyRevision{fleetconfig.KeyRevision("config", order.NewVersion(order.At(era, rev), order.Stamp{}, order.At(era, rev)))}
 	}
 	if _, wanted := r.Compare(now, names(1, 44), false); len(wanted) != 1 {
 		t.Fatal("an unknown value is not requested")
@@ -71,7 +71,7 @@
 				list := manyValues(values)
 				for _, e := range list {
 					position := order.At(era, e.GetRevision())
-					fleetconfig.SetMark(e, order.MarkOf(position, order.StampOf(1_700_000_000_000, e.GetRevision()), position))
+					fleetconfig.SetMark(e, order.NewVersion(position, order.StampOf(1_700_000_000_000, e.GetRevision()), position))
 				}
 				return list
 			}
--- a/internal/fleetconfig/version.go
+++ b/internal/fleetconfig/version.go
@@ -39,7 +39,7 @@
 	if w := m.GetWritten(); w != nil {
 		written = PositionOf(w)
 	}
-	version := order.MarkOf(position, order.StampOf(m.GetStamp().GetIncarnation(), m.GetStamp().GetSequence()), written)
+	version := order.NewVersion(position, order.StampOf(m.GetStamp().GetIncarnation(), m.GetStamp().GetSequence()), written)
 	if m.GetGone() {
 		version = version.Remove()
 	}
@@ -90,7 +90,7 @@
 		Key:   key,
 		Value: value,
 	}
-	SetMark(e, order.MarkOf(position, stamp, position))
+	SetMark(e, order.NewVersion(position, stamp, position))
 	return e
 }
 
@@ -102,7 +102,7 @@
 		Key:     key,
 		Deleted: true,
 	}
-	version := order.MarkOf(position, stamp, position)
+	version := order.NewVersion(position, stamp, position)
 	if stamp != (order.Stamp{}) {
 		version = version.Remove()
 	}
--- a/internal/order/order.go
+++ b/internal/order/order.go
@@ -89,9 +89,9 @@
 	written Position
 }
 
-// MarkOf returns the version of a key whose last position in the store is position, and whose
+// NewVersion returns the version of a key whose last position in the store is position, and whose
 // writer's last value has a stamp and was held at written.
-func MarkOf(position Position, stamp Stamp, written Position) Version {
+func NewVersion(position Position, stamp Stamp, written Position) Version {
 	return Version{
 		position: position,
 		stamp:    stamp,
