--- a/internal/fleetconfig/version.go
+++ b/internal/fleetconfig/version.go
@@ -41,7 +41,7 @@
 	}
 	version := order.NewVersion(position, order.StampOf(m.GetStamp().GetIncarnation(), m.GetStamp().GetSequence()), written)
 	if m.GetGone() {
-		version = version.Remove()
+		version = version.Removed()
 	}
 	return version
 }
@@ -104,7 +104,7 @@
 	}
 	version := order.NewVersion(position, stamp, position)
 	if stamp != (order.Stamp{}) {
-		version = version.Remove()
+		version = version.Removed()
 	}
 	SetMark(e, version)
 	return e
--- a/internal/order/order.go
+++ b/internal/order/order.go
@@ -105,8 +105,8 @@
 	return m
 }
 
-// Remove returns the version of the removal of the value.
-func (m Version) Remove() Version {
+// Removed returns the version of the removal of the value.
+func (m Version) Removed() Version {
 	m.gone = true
 	return m
 }
