--- a/internal/fleetconfig/digest.go
+++ b/internal/fleetconfig/digest.go
@@ -32,7 +32,7 @@
 	} {
 		b = binary.BigEndian.AppendUint64(b, n)
 	}
-	if m.Gone() {
+	if m.IsRemoved() {
 		b = append(b, 1)
 	}
 	return xxhash.Sum64(b)
--- a/internal/fleetconfig/version.go
+++ b/internal/fleetconfig/version.go
@@ -49,7 +49,7 @@
 // SetMark writes a version into an entry.
 func SetMark(e *wire.Entry, m order.Version) {
 	e.Era, e.Revision = m.Position().Era(), m.Position().Revision()
-	e.Stamp, e.Written, e.Gone = stampOf(m), writtenOf(m), m.Gone()
+	e.Stamp, e.Written, e.Gone = stampOf(m), writtenOf(m), m.IsRemoved()
 }
 
 // KeyRevision returns a key with a version.
@@ -60,7 +60,7 @@
 		Revision: m.Position().Revision(),
 		Stamp:    stampOf(m),
 		Written:  writtenOf(m),
-		Gone:     m.Gone(),
+		Gone:     m.IsRemoved(),
 	}
 }
 
--- a/internal/order/order.go
+++ b/internal/order/order.go
@@ -111,8 +111,8 @@
 	return m
 }
 
-// Gone reports whether the writer's last value was removed.
-func (m Version) Gone() bool { return m.gone }
+// IsRemoved reports whether the writer's last value was removed.
+func (m Version) IsRemoved() bool { return m.gone }
 
 // Position returns the store's last position for the key.
 func (m Version) Position() Position { return m.position }
