--- a/internal/fleetconfig/digest.go
+++ b/internal/fleetconfig/digest.go
@@ -27,8 +27,8 @@
 		m.Position().Revision(),
 		m.Stamp().Incarnation(),
 		m.Stamp().Sequence(),
-		m.Written().Era(),
-		m.Written().Revision(),
+		m.WrittenAt().Era(),
+		m.WrittenAt().Revision(),
 	} {
 		b = binary.BigEndian.AppendUint64(b, n)
 	}
--- a/internal/fleetconfig/store.go
+++ b/internal/fleetconfig/store.go
@@ -191,7 +191,7 @@
 func (s *Store) Ahead() []string {
 	era := s.Era()
 	return s.keysWhere(func(v *parsedValue) bool {
-		return !Removed(v.entry) && (v.version.Position().Era() < era || v.version.Written() != v.version.Position())
+		return !Removed(v.entry) && (v.version.Position().Era() < era || v.version.WrittenAt() != v.version.Position())
 	})
 }
 
--- a/internal/fleetconfig/version.go
+++ b/internal/fleetconfig/version.go
@@ -75,10 +75,10 @@
 }
 
 func writtenOf(m order.Version) *wire.Position {
-	if m.Written() == m.Position() {
+	if m.WrittenAt() == m.Position() {
 		return nil
 	}
-	return WirePosition(m.Written())
+	return WirePosition(m.WrittenAt())
 }
 
 // Removed reports whether a key has no value.
--- a/internal/node/source.go
+++ b/internal/node/source.go
@@ -70,7 +70,7 @@
 func versionFields(log logrus.FieldLogger, key string, read, local order.Version) *logrus.Entry {
 	return log.WithField("key", key).
 		WithField("read", read.Position().String()).WithField("read_sequence", read.Stamp().Sequence()).
-		WithField("kept", local.Written().String()).WithField("kept_sequence", local.Stamp().Sequence())
+		WithField("kept", local.WrittenAt().String()).WithField("kept_sequence", local.Stamp().Sequence())
 }
 
 // ageMS returns an age in milliseconds, -1 for never.
--- a/internal/order/order.go
+++ b/internal/order/order.go
@@ -120,8 +120,8 @@
 // Stamp returns the stamp of the writer's last value.
 func (m Version) Stamp() Stamp { return m.stamp }
 
-// Written returns where the store held the writer's last value.
-func (m Version) Written() Position { return m.written }
+// WrittenAt returns where the store held the writer's last value.
+func (m Version) WrittenAt() Position { return m.written }
 
 // CompareValues returns -1, 0 or 1 as the writer wrote the value of m before, with or after
 // that of n. A removal comes after the value that it removed. Values with equal stamps are ordered
