--- a/internal/contract/contract.go
+++ b/internal/contract/contract.go
@@ -52,8 +52,8 @@
 	// Refused reports whether an answer proves that the target has not run the
 	// request and never will.
 	Refused func(status int, h http.Header) Refusal
-	// Leaving reports whether an answer says that its target drains.
-	Leaving func(h http.Header) bool
+	// Draining reports whether an answer says that its target drains.
+	Draining func(h http.Header) bool
 	// Backoff returns for how long this node backs off from the target of an answer, as the
 	// function of that name does.
 	Backoff func(status int, h http.Header) (time.Duration, error)
@@ -105,7 +105,7 @@
 		Credential:  Credential("Bearer"),
 		SetDeadline: setDeadline,
 		Refused:     refused,
-		Leaving:     func(h http.Header) bool { return h.Get(HeaderState) == stateLeaving },
+		Draining:    func(h http.Header) bool { return h.Get(HeaderState) == stateLeaving },
 		Backoff: func(status int, h http.Header) (time.Duration, error) {
 			return Backoff(status, refused(status, h) == RefusalShed, h)
 		},
--- a/internal/forward/client.go
+++ b/internal/forward/client.go
@@ -151,7 +151,7 @@
 		watch:    watch,
 		stall:    c.stall,
 		cancel:   cancel,
-		leaving:  c.contract.Leaving(res.Header),
+		leaving:  c.contract.Draining(res.Header),
 		contract: c.contract,
 	}
 	c.observe(r, res)
@@ -180,7 +180,7 @@
 	rest, restErr := c.Backoff(res.StatusCode, res.Header)
 	rate, named, limitErr := c.Limit(res.Header)
 	return signal.Signal{
-		Draining: c.Leaving(res.Header),
+		Draining: c.Draining(res.Header),
 		Backoff:  rest,
 		Limit: signal.Limit{
 			Rate: rate,
