--- a/internal/contract/contract.go
+++ b/internal/contract/contract.go
@@ -21,8 +21,8 @@
 	RefusalNone Refusal = iota
 	// RefusalShed means that the target had no capacity or no time left.
 	RefusalShed
-	// RefusalOther means that another process answers at the target's address.
-	RefusalOther
+	// RefusalOtherTarget means that another process answers at the target's address.
+	RefusalOtherTarget
 )
 
 // Contract holds the names of the headers and the functions that read and write them. It
@@ -121,7 +121,7 @@
 	case full && notRun:
 		return RefusalShed
 	case status == http.StatusMisdirectedRequest && notRun:
-		return RefusalOther
+		return RefusalOtherTarget
 	default:
 		return RefusalNone
 	}
--- a/internal/forward/answer.go
+++ b/internal/forward/answer.go
@@ -84,7 +84,7 @@
 		e := a.fail(KindShed, nil)
 		e.outcome = attempt.OutcomeNotRun
 		return e
-	case contract.RefusalOther:
+	case contract.RefusalOtherTarget:
 		e := a.fail(KindOther, nil)
 		e.outcome = attempt.OutcomeNotRun
 		return e
--- a/internal/forward/client.go
+++ b/internal/forward/client.go
@@ -169,7 +169,7 @@
 // observe passes on what the answer of a target says of it. An answer of another process at
 // its address says nothing of it; one to another request does.
 func (c *Client) observe(r *Request, res *http.Response) {
-	if r.Observe == nil || c.contract.Refused(res.StatusCode, res.Header) == contract.RefusalOther {
+	if r.Observe == nil || c.contract.Refused(res.StatusCode, res.Header) == contract.RefusalOtherTarget {
 		return
 	}
 	r.Observe(SignalOf(c.contract, res))
