--- a/internal/contract/contract.go
+++ b/internal/contract/contract.go
@@ -110,7 +110,7 @@
 			return Backoff(status, refused(status, h) == RefusalShed, h)
 		},
 		Limit:      Limit(HeaderLimit),
-		RetryAfter: WholeSeconds,
+		RetryAfter: FormatSeconds,
 	}
 }
 
--- a/internal/contract/time.go
+++ b/internal/contract/time.go
@@ -43,7 +43,7 @@
 	h.Set(HeaderDeadline, strconv.FormatInt(deadline.UnixMilli(), 10))
 }
 
-// WholeSeconds formats a time for Retry-After in seconds (RFC 9110), rounded up.
-func WholeSeconds(d time.Duration) string {
+// FormatSeconds formats a time for Retry-After in seconds (RFC 9110), rounded up.
+func FormatSeconds(d time.Duration) string {
 	return strconv.FormatInt(int64(math.Ceil(d.Seconds())), 10)
 }
