--- a/internal/contract/contract.go
+++ b/internal/contract/contract.go
@@ -81,8 +81,8 @@
 	// HeaderTimeout carries how long the caller waits, as a Go duration such as
 	// "1500ms", which is capped by the route's deadline.
 	HeaderTimeout = "Plover-Timeout"
-	// HeaderExpect carries the ID of the target that may run the request.
-	HeaderExpect = "Plover-Expect-Target"
+	// HeaderExpectTarget carries the ID of the target that may run the request.
+	HeaderExpectTarget = "Plover-Expect-Target"
 	// stateLeaving is the value of HeaderState.
 	stateLeaving = "leaving"
 )
@@ -92,14 +92,14 @@
 	return &Contract{
 		RequestID:    HeaderRequestID,
 		Outcome:      HeaderOutcome,
-		ExpectTarget: HeaderExpect,
+		ExpectTarget: HeaderExpectTarget,
 		Forwarded:    true,
 		Reserved: []string{
 			HeaderRequestID,
 			HeaderOutcome,
 			HeaderDeadline,
 			HeaderState,
-			HeaderExpect,
+			HeaderExpectTarget,
 		},
 		CallerWait:  callerWait,
 		Credential:  Credential("Bearer"),
