--- a/internal/dissemination/buckets.go
+++ b/internal/dissemination/buckets.go
@@ -36,7 +36,7 @@
 	theirVersions := versions(theirs)
 	var out []*wire.KeyRevision
 	for _, kr := range r.store.In(buckets) {
-		if theirVersions[kr.GetKey()] != fleetconfig.MarkOf(kr) {
+		if theirVersions[kr.GetKey()] != fleetconfig.VersionOf(kr) {
 			out = append(out, kr)
 		}
 		delete(theirVersions, kr.GetKey())
--- a/internal/dissemination/exchange.go
+++ b/internal/dissemination/exchange.go
@@ -52,7 +52,7 @@
 			req.Entries = append(req.Entries, e)
 			continue
 		}
-		req.Revisions = append(req.Revisions, fleetconfig.KeyRevision(e.GetKey(), fleetconfig.MarkOf(e)))
+		req.Revisions = append(req.Revisions, fleetconfig.KeyRevision(e.GetKey(), fleetconfig.VersionOf(e)))
 	}
 }
 
--- a/internal/dissemination/replica.go
+++ b/internal/dissemination/replica.go
@@ -227,7 +227,7 @@
 
 // pack returns an entry in the form in which it is sent; each is compressed once.
 func (r *Replica) pack(e *wire.Entry) *wire.Entry {
-	if p := r.packed[e.GetKey()]; p != nil && fleetconfig.MarkOf(p) == fleetconfig.MarkOf(e) {
+	if p := r.packed[e.GetKey()]; p != nil && fleetconfig.VersionOf(p) == fleetconfig.VersionOf(e) {
 		return p
 	}
 	p, err := pack(e)
@@ -252,7 +252,7 @@
 	defer r.mu.Unlock()
 	var keys []string
 	for _, kr := range revisions {
-		theirs, ours := fleetconfig.MarkOf(kr), r.store.Mark(kr.GetKey())
+		theirs, ours := fleetconfig.VersionOf(kr), r.store.Mark(kr.GetKey())
 		if ours != (order.Version{}) && !theirs.Covers(ours) {
 			keys = append(keys, kr.GetKey())
 		}
@@ -275,14 +275,14 @@
 func versions(list []*wire.KeyRevision) map[string]order.Version {
 	out := make(map[string]order.Version, len(list))
 	for _, kr := range list {
-		out[kr.GetKey()] = fleetconfig.MarkOf(kr)
+		out[kr.GetKey()] = fleetconfig.VersionOf(kr)
 	}
 	return out
 }
 
 // claimRequest reports whether to request a value from a peer, and records the request.
 func (r *Replica) claimRequest(now time.Time, kr *wire.KeyRevision) bool {
-	q, version := r.requested[kr.GetKey()], fleetconfig.MarkOf(kr)
+	q, version := r.requested[kr.GetKey()], fleetconfig.VersionOf(kr)
 	if q.version.Covers(version) && now.Sub(q.at) < rerequestAfter {
 		return false
 	}
--- a/internal/fleetconfig/digest.go
+++ b/internal/fleetconfig/digest.go
@@ -20,7 +20,7 @@
 
 // hashOf returns the hash of an entry's key and version; a digest is the XOR of these hashes.
 func hashOf(e *wire.Entry) uint64 {
-	m := MarkOf(e)
+	m := VersionOf(e)
 	b := append([]byte(e.GetKey()), 0)
 	for _, n := range []uint64{
 		m.Position().Era(),
@@ -55,7 +55,7 @@
 		b.keys = slices.Insert(b.keys, at, newest.GetKey())
 	}
 	b.digest ^= hashOf(newest)
-	position := MarkOf(newest).Position()
+	position := VersionOf(newest).Position()
 	s.era = max(s.era, position.Era())
 	s.history.add(position, newest.GetKey())
 }
--- a/internal/fleetconfig/parsed_value.go
+++ b/internal/fleetconfig/parsed_value.go
@@ -31,7 +31,7 @@
 
 // sameValue reports whether e holds the same value as v, perhaps at another position.
 func (v *parsedValue) sameValue(e *wire.Entry) bool {
-	return v.entry.GetDeleted() == e.GetDeleted() && v.version.CompareValues(MarkOf(e)) == 0
+	return v.entry.GetDeleted() == e.GetDeleted() && v.version.CompareValues(VersionOf(e)) == 0
 }
 
 // record holds the values of one key. If the newest value is refused, the one in
@@ -69,7 +69,7 @@
 func parseValue(e *wire.Entry) *parsedValue {
 	v := &parsedValue{
 		entry:   e,
-		version: MarkOf(e),
+		version: VersionOf(e),
 	}
 	if Removed(e) {
 		return v
--- a/internal/fleetconfig/restore_test.go
+++ b/internal/fleetconfig/restore_test.go
@@ -150,9 +150,9 @@
 			}
 			last := order.Position{}
 			for _, e := range tt.entries {
-				last = order.Max(last, fleetconfig.MarkOf(e).Position())
+				last = order.Max(last, fleetconfig.VersionOf(e).Position())
 			}
-			if at := fleetconfig.MarkOf(got).Position(); at != last {
+			if at := fleetconfig.VersionOf(got).Position(); at != last {
 				t.Errorf("position %v, want %v", at, last)
 			}
 		})
@@ -186,7 +186,7 @@
 	text := fmt.Sprint(s.Digest(), s.Config().Position(), s.Ahead())
 	for _, kr := range s.Revisions() {
 		e := s.Newest(kr.GetKey())
-		text += fmt.Sprintf(" %s %v %t %s, %s", kr.GetKey(), fleetconfig.MarkOf(e), e.GetDeleted(), e.GetValue(), s.Entries(kr.GetKey())[0].GetValue())
+		text += fmt.Sprintf(" %s %v %t %s, %s", kr.GetKey(), fleetconfig.VersionOf(e), e.GetDeleted(), e.GetValue(), s.Entries(kr.GetKey())[0].GetValue())
 	}
 	return text
 }
@@ -240,7 +240,7 @@
 					continue
 				}
 				k := e.GetKey()
-				if best[k] == nil || fleetconfig.MarkOf(best[k]).CompareValues(fleetconfig.MarkOf(e)) < 0 {
+				if best[k] == nil || fleetconfig.VersionOf(best[k]).CompareValues(fleetconfig.VersionOf(e)) < 0 {
 					best[k] = e
 				}
 			}
--- a/internal/fleetconfig/store.go
+++ b/internal/fleetconfig/store.go
@@ -93,7 +93,7 @@
 		return e, true
 	}
 	old := r.newest
-	if old.version.Covers(MarkOf(e)) {
+	if old.version.Covers(VersionOf(e)) {
 		if r.newest == r.inForce || !r.setFallback(parseValue(e)) {
 			return nil, false
 		}
@@ -103,7 +103,7 @@
 	joined := join(old.entry, e)
 	s.index(old.entry, joined)
 	if old.sameValue(joined) {
-		old.entry, old.version = joined, MarkOf(joined)
+		old.entry, old.version = joined, VersionOf(joined)
 		change := old != r.inForce && r.setFallback(parseValue(e))
 		if change {
 			s.markInactive(e.GetKey(), r)
--- a/internal/fleetconfig/version.go
+++ b/internal/fleetconfig/version.go
@@ -32,8 +32,8 @@
 	GetGone() bool
 }
 
-// MarkOf returns the version that an Entry or a KeyRevision carries.
-func MarkOf(m versioned) order.Version {
+// VersionOf returns the version that an Entry or a KeyRevision carries.
+func VersionOf(m versioned) order.Version {
 	position := PositionOf(m)
 	written := position
 	if w := m.GetWritten(); w != nil {
@@ -113,7 +113,7 @@
 // join merges two entries of a key: the source's last position and the writer's last value. The
 // result doesn't depend on the order in which entries are joined.
 func join(a, b *wire.Entry) *wire.Entry {
-	ma, mb := MarkOf(a), MarkOf(b)
+	ma, mb := VersionOf(a), VersionOf(b)
 	last := a
 	if ma.Position().Compare(mb.Position()) < 0 {
 		last = b
@@ -122,7 +122,7 @@
 	if ma.CompareValues(mb) < 0 {
 		value = b
 	}
-	ml, mv := MarkOf(last), MarkOf(value)
+	ml, mv := VersionOf(last), VersionOf(value)
 	if ml.CompareValues(mv) == 0 {
 		return last
 	}
--- a/internal/node/source.go
+++ b/internal/node/source.go
@@ -57,7 +57,7 @@
 // logSuperseded logs each value that was read and did not replace the local one.
 func (n *Node) logSuperseded(log logrus.FieldLogger, entries []*wire.Entry) {
 	for _, e := range entries {
-		read, local := fleetconfig.MarkOf(e), fleetconfig.MarkOf(n.replica.Newest(e.GetKey()))
+		read, local := fleetconfig.VersionOf(e), fleetconfig.VersionOf(n.replica.Newest(e.GetKey()))
 		switch {
 		case local.Position().Compare(read.Position()) > 0:
 			versionFields(log, e.GetKey(), read, local).Info("value read is older than the known one")
--- a/internal/source/source_test.go
+++ b/internal/source/source_test.go
@@ -118,7 +118,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, e := range entries {
-		if old := f.entries[e.GetKey()]; fleetconfig.MarkOf(old).Position().Compare(fleetconfig.MarkOf(e).Position()) < 0 {
+		if old := f.entries[e.GetKey()]; fleetconfig.VersionOf(old).Position().Compare(fleetconfig.VersionOf(e).Position()) < 0 {
 			f.entries[e.GetKey()] = e
 		}
 	}
