--- a/internal/dissemination/pack.go
+++ b/internal/dissemination/pack.go
@@ -116,6 +116,6 @@
 		Packed:  packed,
 		Deleted: e.GetDeleted(),
 	}
-	fleetconfig.SetMark(out, fleetconfig.VersionOf(e))
+	fleetconfig.SetVersion(out, fleetconfig.VersionOf(e))
 	return out
 }
--- a/internal/dissemination/restore_test.go
+++ b/internal/dissemination/restore_test.go
@@ -22,7 +22,7 @@
 		Key:   "config",
 		Value: bytes.Replace(manyRoutes(), []byte("route-1"), []byte(name+"-1"), 1),
 	}
-	fleetconfig.SetMark(e, order.NewVersion(order.At(era, rev), order.Stamp{}, order.At(era, rev)))
+	fleetconfig.SetVersion(e, order.NewVersion(order.At(era, rev), order.Stamp{}, order.At(era, rev)))
 	return e
 }
 
@@ -71,7 +71,7 @@
 				list := manyValues(values)
 				for _, e := range list {
 					position := order.At(era, e.GetRevision())
-					fleetconfig.SetMark(e, order.NewVersion(position, order.StampOf(1_700_000_000_000, e.GetRevision()), position))
+					fleetconfig.SetVersion(e, order.NewVersion(position, order.StampOf(1_700_000_000_000, e.GetRevision()), position))
 				}
 				return list
 			}
--- a/internal/dissemination/upgrade_test.go
+++ b/internal/dissemination/upgrade_test.go
@@ -18,7 +18,7 @@
 // at returns the value of "key" as a reader of an era delivers it.
 func at(era, rev, count uint64) *wire.Entry {
 	e := value(rev, 0)
-	fleetconfig.SetMark(e, order.NewVersion(order.At(era, rev), order.StampOf(0, count), order.At(era, rev)))
+	fleetconfig.SetVersion(e, order.NewVersion(order.At(era, rev), order.StampOf(0, count), order.At(era, rev)))
 	return e
 }
 
--- a/internal/fleetconfig/restore_test.go
+++ b/internal/fleetconfig/restore_test.go
@@ -22,7 +22,7 @@
 		Key:   key,
 		Value: fmt.Appendf(nil, `{"workspaces":[{"id":"%s-%d-%d-%d"}]}`, key, era, revision, count),
 	}
-	fleetconfig.SetMark(e, order.NewVersion(order.At(era, revision), order.StampOf(0, count), order.At(era, revision)))
+	fleetconfig.SetVersion(e, order.NewVersion(order.At(era, revision), order.StampOf(0, count), order.At(era, revision)))
 	return e
 }
 
--- a/internal/fleetconfig/version.go
+++ b/internal/fleetconfig/version.go
@@ -46,8 +46,8 @@
 	return version
 }
 
-// SetMark writes a version into an entry.
-func SetMark(e *wire.Entry, m order.Version) {
+// SetVersion writes a version into an entry.
+func SetVersion(e *wire.Entry, m order.Version) {
 	e.Era, e.Revision = m.Position().Era(), m.Position().Revision()
 	e.Stamp, e.Written, e.Gone = stampOf(m), writtenOf(m), m.IsRemoved()
 }
@@ -90,7 +90,7 @@
 		Key:   key,
 		Value: value,
 	}
-	SetMark(e, order.NewVersion(position, stamp, position))
+	SetVersion(e, order.NewVersion(position, stamp, position))
 	return e
 }
 
@@ -106,7 +106,7 @@
 	if stamp != (order.Stamp{}) {
 		version = version.Removed()
 	}
-	SetMark(e, version)
+	SetVersion(e, version)
 	return e
 }
 
@@ -131,6 +131,6 @@
 		Value:   value.GetValue(),
 		Deleted: last.GetDeleted(),
 	}
-	SetMark(out, mv.At(ml.Position()))
+	SetVersion(out, mv.At(ml.Position()))
 	return out
 }
