--- a/internal/dissemination/replica.go
+++ b/internal/dissemination/replica.go
@@ -252,7 +252,7 @@
 	defer r.mu.Unlock()
 	var keys []string
 	for _, kr := range revisions {
-		theirs, ours := fleetconfig.VersionOf(kr), r.store.Mark(kr.GetKey())
+		theirs, ours := fleetconfig.VersionOf(kr), r.store.Version(kr.GetKey())
 		if ours != (order.Version{}) && !theirs.Covers(ours) {
 			keys = append(keys, kr.GetKey())
 		}
--- a/internal/fleetconfig/store.go
+++ b/internal/fleetconfig/store.go
@@ -147,8 +147,8 @@
 	return nil
 }
 
-// Mark returns the version of the newest value of a key, the zero version for an unknown key.
-func (s *Store) Mark(key string) order.Version {
+// Version returns the version of the newest value of a key, the zero version for an unknown key.
+func (s *Store) Version(key string) order.Version {
 	if r := s.records[key]; r != nil {
 		return r.newest.version
 	}
