--- a/internal/fleetconfig/pool.go
+++ b/internal/fleetconfig/pool.go
@@ -112,9 +112,9 @@
 	return append(out, list[from:]...)
 }
 
-// Changes returns the targets that only s has, and those that only before has. They are compared by
+// TargetChanges returns the targets that only s has, and those that only before has. They are compared by
 // identity: an unchanged target keeps its pointer.
-func (s *Service) Changes(before *Service) (added, removed []*Target) {
+func (s *Service) TargetChanges(before *Service) (added, removed []*Target) {
 	a, b := s.keyed, before.keyed
 	for len(a) > 0 || len(b) > 0 {
 		switch {
--- a/internal/node/dispatcher.go
+++ b/internal/node/dispatcher.go
@@ -136,7 +136,7 @@
 		s.Configure(now, p.targets(sc, sc.Targets()))
 		return
 	}
-	added, removed := sc.Changes(before)
+	added, removed := sc.TargetChanges(before)
 	var gone []string
 	for _, t := range removed {
 		if now := sc.Target(t.Key()); now == nil || p.hall != "" && now.DataHall() != p.hall {
