--- a/internal/fleetconfig/config.go
+++ b/internal/fleetconfig/config.go
@@ -120,9 +120,9 @@
 // SameEvacuations reports whether the same data halls are evacuated as in o.
 func (s *Service) SameEvacuations(o *Service) bool { return maps.Equal(s.evacuated, o.evacuated) }
 
-// Drained reports whether a target gets no new requests: it is draining, or its data hall is
+// Draining reports whether a target gets no new requests: it is draining, or its data hall is
 // evacuated.
-func (s *Service) Drained(t *Target) bool { return t.draining || s.evacuated[t.dataHall] }
+func (s *Service) Draining(t *Target) bool { return t.draining || s.evacuated[t.dataHall] }
 
 // Target returns a target by its key, or nil.
 func (s *Service) Target(key string) *Target {
--- a/internal/node/dispatcher.go
+++ b/internal/node/dispatcher.go
@@ -175,7 +175,7 @@
 			Key:      t.Key(),
 			DataHall: t.DataHall(),
 			Slots:    t.Slots(),
-			Draining: sc.Drained(t),
+			Draining: sc.Draining(t),
 			HasID:    t.ID() != "",
 			Warmup:   t.Warmup(),
 
--- a/internal/node/signals.go
+++ b/internal/node/signals.go
@@ -47,7 +47,7 @@
 		return out
 	}
 	for _, t := range s.Targets() {
-		if s.Drained(t) || hall != "" && t.DataHall() != hall {
+		if s.Draining(t) || hall != "" && t.DataHall() != hall {
 			continue
 		}
 		switch standing := b.standing(now, t); {
@@ -68,7 +68,7 @@
 		return first, false
 	}
 	for _, t := range s.Targets() {
-		if s.Drained(t) {
+		if s.Draining(t) {
 			continue
 		}
 		standing := b.standing(now, t)
--- a/internal/node/targetlimits.go
+++ b/internal/node/targetlimits.go
@@ -267,7 +267,7 @@
 	least := time.Duration(0)
 	for _, t := range s.Targets() {
 		standing := b.standing(now, t)
-		if s.Drained(t) || standing.Draining {
+		if s.Draining(t) || standing.Draining {
 			continue
 		}
 		wait := min(b.shares.wait(now, t.Key(), standing.Limit, b.nodes()), b.shares.turn(standing.Limit))
