--- a/internal/fleetconfig/config.go
+++ b/internal/fleetconfig/config.go
@@ -61,8 +61,8 @@
 // it isn't published.
 func (t *Target) Born() time.Time { return t.startedAt }
 
-// Leaving reports whether the target takes no new work.
-func (t *Target) Leaving() bool { return t.draining }
+// Draining reports whether the target takes no new work.
+func (t *Target) Draining() bool { return t.draining }
 
 // Warmup returns how long the target is slower after it was first listed.
 func (t *Target) Warmup() time.Duration { return t.warmup }
--- a/internal/fleetconfig/registration_test.go
+++ b/internal/fleetconfig/registration_test.go
@@ -43,7 +43,7 @@
 		}
 		fmt.Fprint(&b, s.Name(), s.Halls(), s.HallSizes())
 		for _, t := range s.Targets() {
-			fmt.Fprint(&b, " ", t.Key(), t.Address(), t.DataHall(), t.Slots(), t.Connections(), t.Leaving(), s.Target(t.Key()) == t)
+			fmt.Fprint(&b, " ", t.Key(), t.Address(), t.DataHall(), t.Slots(), t.Connections(), t.Draining(), s.Target(t.Key()) == t)
 		}
 		b.WriteString("\n")
 	}
--- a/internal/node/grant.go
+++ b/internal/node/grant.go
@@ -48,7 +48,7 @@
 		return reply{}
 	}
 	t := d.currentService(q.Service).Target(g.grant.GetTarget())
-	if t == nil || t.Leaving() {
+	if t == nil || t.Draining() {
 		// The configurations of this node and of the dispatcher differ.
 		result := wire.Done_IGNORED
 		if t != nil {
