--- a/internal/fleetconfig/config.go
+++ b/internal/fleetconfig/config.go
@@ -235,8 +235,8 @@
 // DataHall returns the data hall; it may be empty.
 func (i *Instance) DataHall() string { return i.dataHall }
 
-// Leaving reports whether the platform has announced the instance's shutdown.
-func (i *Instance) Leaving() bool { return i.draining }
+// Draining reports whether the platform has announced the instance's shutdown.
+func (i *Instance) Draining() bool { return i.draining }
 
 // Entry reports whether the instance runs a proxy process, not a target.
 func (i *Instance) Entry() bool { return i.entry }
--- a/internal/node/ejection.go
+++ b/internal/node/ejection.go
@@ -265,7 +265,7 @@
 	for _, t := range s.config.Targets() {
 		st := s.judge.State(now, t.Key())
 		inst := j.config.Instances()[t.Address()]
-		listed := s.config.Draining(t) || inst != nil && inst.Leaving()
+		listed := s.config.Draining(t) || inst != nil && inst.Draining()
 		members = append(members, balance.Member{
 			Key:         t.Key(),
 			Slots:       t.Slots(),
--- a/internal/node/members.go
+++ b/internal/node/members.go
@@ -147,7 +147,7 @@
 			continue
 		}
 		n := membership.NewNode(i.Address(), i.DataHall())
-		if i.Leaving() {
+		if i.Draining() {
 			draining = append(draining, n)
 		} else {
 			live = append(live, n)
