--- a/internal/fleetconfig/config.go
+++ b/internal/fleetconfig/config.go
@@ -57,9 +57,9 @@
 // time, else its address.
 func (t *Target) Key() string { return t.key }
 
-// Born returns the start time of this incarnation by the target's own clock, the zero time if
+// StartedAt returns the start time of this incarnation by the target's own clock, the zero time if
 // it isn't published.
-func (t *Target) Born() time.Time { return t.startedAt }
+func (t *Target) StartedAt() time.Time { return t.startedAt }
 
 // Draining reports whether the target takes no new work.
 func (t *Target) Draining() bool { return t.draining }
--- a/internal/node/signals.go
+++ b/internal/node/signals.go
@@ -21,7 +21,7 @@
 		Key:     t.Key(),
 		Name:    cmp.Or(t.ID(), t.Address()),
 		Named:   t.ID() != "",
-		Born:    t.Born(),
+		Born:    t.StartedAt(),
 	}
 }
 
