--- a/internal/dissemination/replica.go
+++ b/internal/dissemination/replica.go
@@ -170,7 +170,7 @@
 func (r *Replica) Behind(era uint64) []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.store.Behind(era)
+	return r.store.EarlierEra(era)
 }
 
 // Withheld returns the keys that the source holds again after a restore although their values had
--- a/internal/fleetconfig/store.go
+++ b/internal/fleetconfig/store.go
@@ -175,8 +175,8 @@
 	return s.keysWhere(func(v *parsedValue) bool { return !Removed(v.entry) })
 }
 
-// Behind returns the keys whose values are from eras of the source before era, sorted.
-func (s *Store) Behind(era uint64) []string {
+// EarlierEra returns the keys whose values are from eras of the source before era, sorted.
+func (s *Store) EarlierEra(era uint64) []string {
 	return s.keysWhere(func(v *parsedValue) bool { return !Removed(v.entry) && v.version.Position().Era() < era })
 }
 
