--- a/internal/dissemination/buckets.go
+++ b/internal/dissemination/buckets.go
@@ -25,7 +25,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	buckets := r.store.Differing(digests)
-	return buckets, r.store.In(buckets)
+	return buckets, r.store.RevisionsIn(buckets)
 }
 
 // otherRevisions returns this replica's revisions of the keys in some buckets that a peer holds
@@ -35,7 +35,7 @@
 	defer r.mu.Unlock()
 	theirVersions := versions(theirs)
 	var out []*wire.KeyRevision
-	for _, kr := range r.store.In(buckets) {
+	for _, kr := range r.store.RevisionsIn(buckets) {
 		if theirVersions[kr.GetKey()] != fleetconfig.VersionOf(kr) {
 			out = append(out, kr)
 		}
--- a/internal/fleetconfig/digest.go
+++ b/internal/fleetconfig/digest.go
@@ -94,8 +94,8 @@
 	return out
 }
 
-// In returns the versions of the newest values in some buckets.
-func (s *Store) In(buckets []uint32) []*wire.KeyRevision {
+// RevisionsIn returns the versions of the newest values in some buckets.
+func (s *Store) RevisionsIn(buckets []uint32) []*wire.KeyRevision {
 	var out []*wire.KeyRevision
 	for _, b := range slices.Compact(slices.Sorted(slices.Values(buckets))) {
 		out = s.revisions(out, b)
