--- a/internal/entry/workspace.go
+++ b/internal/entry/workspace.go
@@ -40,7 +40,7 @@
 		}
 		return nil, refuse(CodeNoKey, http.StatusUnauthorized)
 	}
-	owner := a.config.Owner(fleetconfig.DigestKey(key))
+	owner := a.config.WorkspaceByKey(fleetconfig.DigestKey(key))
 	if owner == nil {
 		return nil, refuse(CodeKey, http.StatusUnauthorized)
 	}
--- a/internal/fleetconfig/workspace.go
+++ b/internal/fleetconfig/workspace.go
@@ -52,8 +52,8 @@
 // Workspace returns a workspace by identity, or nil.
 func (c *Config) Workspace(id string) *Workspace { return c.workspaces[id] }
 
-// Owner returns the workspace to which a key belongs, or nil.
-func (c *Config) Owner(key KeyDigest) *Workspace { return c.byKey[key] }
+// WorkspaceByKey returns the workspace to which a key belongs, or nil.
+func (c *Config) WorkspaceByKey(key KeyDigest) *Workspace { return c.byKey[key] }
 
 // LeastUrgent returns the priority of the workspaces that are served last.
 func (c *Config) LeastUrgent() int { return c.leastUrgent }
