--- a/internal/entry/server.go
+++ b/internal/entry/server.go
@@ -281,7 +281,7 @@
 		id:      id,
 		req:     r,
 		in:      in,
-		service: in.route.Choose(rand.Uint64()),
+		service: in.route.ChooseService(rand.Uint64()),
 		begun:   begun,
 		body:    b,
 		life:    attempt.NewTracker(in.route.Repeatable(), in.deadline),
--- a/internal/fleetconfig/config.go
+++ b/internal/fleetconfig/config.go
@@ -172,9 +172,9 @@
 // nil.
 func (r *Route) Service() *Service { return r.service }
 
-// Choose returns the service of one request. random is 64 random bits; the
+// ChooseService returns the service of one request. random is 64 random bits; the
 // services of a split get requests in proportion to their weights.
-func (r *Route) Choose(random uint64) *Service {
+func (r *Route) ChooseService(random uint64) *Service {
 	if len(r.split) == 0 {
 		return r.service
 	}
