--- a/internal/dissemination/gossip.go
+++ b/internal/dissemination/gossip.go
@@ -153,8 +153,8 @@
 	}
 }
 
-// Ask requests a comparison with peers, unless one has just begun.
-func (g *Gossip) Ask() {
+// CompareSoon requests a comparison with peers, unless one has just begun.
+func (g *Gossip) CompareSoon() {
 	select {
 	case g.compareSoon <- struct{}{}:
 	default:
--- a/internal/node/freshness.go
+++ b/internal/node/freshness.go
@@ -70,7 +70,7 @@
 		platformAge:  n.gossip.PlatformAge,
 		agreementAge: n.gossip.AgreedAge,
 		noPeers:      func() bool { return len(n.board.view.Load().Peers()) == 0 },
-		compareSoon:  n.gossip.Ask,
+		compareSoon:  n.gossip.CompareSoon,
 	}
 	if n.directory == nil {
 		c.maxAge = time.Duration(maxAgeFactor * float64(n.platformTimeout()))
