--- a/internal/dissemination/age.go
+++ b/internal/dissemination/age.go
@@ -14,8 +14,8 @@
 	return now.Sub(g.startedAt) + g.cfg.Suspended(now)
 }
 
-// PlatformHeard records that this node has just received an answer of the platform.
-func (g *Gossip) PlatformHeard(now time.Time) {
+// RecordPlatformContact records that this node has just received an answer of the platform.
+func (g *Gossip) RecordPlatformContact(now time.Time) {
 	g.recordContact(now, 0)
 }
 
--- a/internal/dissemination/age_test.go
+++ b/internal/dissemination/age_test.go
@@ -26,7 +26,7 @@
 		for _, p := range f.peers {
 			order = append(order, p)
 		}
-		order[0].gossip.PlatformHeard(time.Now())
+		order[0].gossip.RecordPlatformContact(time.Now())
 		start := time.Now()
 		for n := 0; time.Since(start) < silence; n++ {
 			from, to := order[n%nodes], order[(n+1+n/nodes%(nodes-1))%nodes]
@@ -51,7 +51,7 @@
 			Suspended: func(time.Time) time.Duration { return suspended },
 		}, dissemination.NewReplica(nil))
 		time.Sleep(time.Second)
-		g.PlatformHeard(time.Now())
+		g.RecordPlatformContact(time.Now())
 		g.Agrees(time.Now())
 		time.Sleep(time.Second)
 		suspended = 5 * time.Second
@@ -62,7 +62,7 @@
 			t.Errorf("age of the last agreement %v, want 6 s", got)
 		}
 		// A contact after the suspension has the age 0.
-		g.PlatformHeard(time.Now())
+		g.RecordPlatformContact(time.Now())
 		if got := g.PlatformAge(time.Now()); got != 0 {
 			t.Errorf("age of a new contact %v, want 0", got)
 		}
