--- a/internal/dissemination/age.go
+++ b/internal/dissemination/age.go
@@ -38,8 +38,8 @@
 // less than its latency, the age would never grow.
 const minHopAge = 25 * time.Millisecond
 
-// LearnAge receives a peer's age of the last contact with the platform.
-func (g *Gossip) LearnAge(now time.Time, age time.Duration) {
+// ObservePlatformAge receives a peer's age of the last contact with the platform.
+func (g *Gossip) ObservePlatformAge(now time.Time, age time.Duration) {
 	if age <= maxAge {
 		g.recordContact(now, age+minHopAge)
 	}
@@ -65,7 +65,7 @@
 
 // observeAgeMillis receives the age that a message carries, in milliseconds.
 func (g *Gossip) observeAgeMillis(ms uint64) {
-	g.LearnAge(time.Now(), time.Duration(min(ms, uint64(never/time.Millisecond)))*time.Millisecond)
+	g.ObservePlatformAge(time.Now(), time.Duration(min(ms, uint64(never/time.Millisecond)))*time.Millisecond)
 }
 
 // Agrees records that a peer has the same values as this node.
--- a/internal/dissemination/age_test.go
+++ b/internal/dissemination/age_test.go
@@ -32,7 +32,7 @@
 			from, to := order[n%nodes], order[(n+1+n/nodes%(nodes-1))%nodes]
 			age := from.gossip.PlatformAge(time.Now())
 			time.Sleep(interval)
-			time.AfterFunc(latency-interval, func() { to.gossip.LearnAge(time.Now(), age) })
+			time.AfterFunc(latency-interval, func() { to.gossip.ObservePlatformAge(time.Now(), age) })
 		}
 		for _, p := range order {
 			if age := p.gossip.PlatformAge(time.Now()); age < silence-time.Millisecond {
--- a/internal/node/messenger.go
+++ b/internal/node/messenger.go
@@ -247,7 +247,7 @@
 	}
 	m.onQuarantineDigest(d.GetFrom().GetAddress(), d.GetQuarantine())
 	if age := d.GetSourceAgeMs(); age > 0 {
-		m.gossip.LearnAge(now, time.Duration(age-1)*time.Millisecond)
+		m.gossip.ObservePlatformAge(now, time.Duration(age-1)*time.Millisecond)
 	}
 	if d.GetDigest() != m.replica.Digest() {
 		m.gossip.Differs(d.GetFrom().GetAddress(), d.GetReadTo())
