--- a/internal/dissemination/age.go
+++ b/internal/dissemination/age.go
@@ -68,8 +68,8 @@
 	g.ObservePlatformAge(time.Now(), time.Duration(min(ms, uint64(never/time.Millisecond)))*time.Millisecond)
 }
 
-// Agrees records that a peer has the same values as this node.
-func (g *Gossip) Agrees(now time.Time) {
+// RecordAgreement records that a peer has the same values as this node.
+func (g *Gossip) RecordAgreement(now time.Time) {
 	g.lastAgreement.Store(max(int64(g.uptime(now)), 1))
 	g.recordProgress(now)
 }
--- a/internal/dissemination/age_test.go
+++ b/internal/dissemination/age_test.go
@@ -52,7 +52,7 @@
 		}, dissemination.NewReplica(nil))
 		time.Sleep(time.Second)
 		g.RecordPlatformContact(time.Now())
-		g.Agrees(time.Now())
+		g.RecordAgreement(time.Now())
 		time.Sleep(time.Second)
 		suspended = 5 * time.Second
 		if got := g.PlatformAge(time.Now()); got != 6*time.Second {
--- a/internal/dissemination/gossip.go
+++ b/internal/dissemination/gossip.go
@@ -206,7 +206,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.comparedWith[peer] = true
-	g.Agrees(time.Now())
+	g.RecordAgreement(time.Now())
 }
 
 // Publish offers values that this node has read itself.
--- a/internal/node/messenger.go
+++ b/internal/node/messenger.go
@@ -253,7 +253,7 @@
 		m.gossip.Differs(d.GetFrom().GetAddress(), d.GetReadTo())
 		return
 	}
-	m.gossip.Agrees(now)
+	m.gossip.RecordAgreement(now)
 }
 
 func (m *messenger) deliverAnswer(d *wire.Datagram) {
