--- a/internal/dissemination/age.go
+++ b/internal/dissemination/age.go
@@ -74,8 +74,8 @@
 	g.recordProgress(now)
 }
 
-// AgreedAge returns the time since a peer last had the same values as this node.
-func (g *Gossip) AgreedAge(now time.Time) time.Duration {
+// AgreementAge returns the time since a peer last had the same values as this node.
+func (g *Gossip) AgreementAge(now time.Time) time.Duration {
 	at := g.lastAgreement.Load()
 	if at == 0 {
 		return never
--- a/internal/dissemination/age_test.go
+++ b/internal/dissemination/age_test.go
@@ -58,7 +58,7 @@
 		if got := g.PlatformAge(time.Now()); got != 6*time.Second {
 			t.Errorf("age of the last contact %v, want 6 s", got)
 		}
-		if got := g.AgreedAge(time.Now()); got != 6*time.Second {
+		if got := g.AgreementAge(time.Now()); got != 6*time.Second {
 			t.Errorf("age of the last agreement %v, want 6 s", got)
 		}
 		// A contact after the suspension has the age 0.
--- a/internal/node/freshness.go
+++ b/internal/node/freshness.go
@@ -68,7 +68,7 @@
 func (n *Node) newFreshness() *freshness {
 	c := &freshness{
 		platformAge:  n.gossip.PlatformAge,
-		agreementAge: n.gossip.AgreedAge,
+		agreementAge: n.gossip.AgreementAge,
 		noPeers:      func() bool { return len(n.board.view.Load().Peers()) == 0 },
 		compareSoon:  n.gossip.CompareSoon,
 	}
