--- a/internal/dissemination/gossip.go
+++ b/internal/dissemination/gossip.go
@@ -136,10 +136,10 @@
 	}
 }
 
-// Differs receives that a peer has another digest, and the position up to which it is complete. The
+// ObserveDigestMismatch receives that a peer has another digest, and the position up to which it is complete. The
 // nodes compare unless a comparison has just begun, the peer is behind, or comparing is left to peers
 // of the own data hall.
-func (g *Gossip) Differs(peer string, readTo *wire.Position) {
+func (g *Gossip) ObserveDigestMismatch(peer string, readTo *wire.Position) {
 	behind := g.pullsByPosition() && readTo != nil && g.replica.ReadTo().Compare(fleetconfig.PositionOf(readTo)) > 0
 	if !behind && g.pullsFrom(peer) {
 		g.queueCompare(peer)
--- a/internal/dissemination/startup_test.go
+++ b/internal/dissemination/startup_test.go
@@ -121,7 +121,7 @@
 		other := f.peers[near[rand.IntN(len(near))].Address()]
 		f.mu.Unlock()
 		if other.replica.Digest() != p.replica.Digest() {
-			p.gossip.Differs(other.name, other.gossip.ReadTo())
+			p.gossip.ObserveDigestMismatch(other.name, other.gossip.ReadTo())
 		}
 	}
 }
--- a/internal/node/messenger.go
+++ b/internal/node/messenger.go
@@ -250,7 +250,7 @@
 		m.gossip.ObservePlatformAge(now, time.Duration(age-1)*time.Millisecond)
 	}
 	if d.GetDigest() != m.replica.Digest() {
-		m.gossip.Differs(d.GetFrom().GetAddress(), d.GetReadTo())
+		m.gossip.ObserveDigestMismatch(d.GetFrom().GetAddress(), d.GetReadTo())
 		return
 	}
 	m.gossip.RecordAgreement(now)
