--- a/internal/dissemination/dissemination_test.go
+++ b/internal/dissemination/dissemination_test.go
@@ -71,7 +71,7 @@
 			Call: func(ctx context.Context, to string, in *wire.SyncRequest) (*wire.SyncReply, error) {
 				return f.call(ctx, p.name, to, in)
 			},
-			Heard:     func(*wire.Node) {},
+			Received:  func(*wire.Node) {},
 			Mentioned: func(*wire.Node) {},
 			Failed:    func(string) {},
 		}, p.replica)
--- a/internal/dissemination/exchange.go
+++ b/internal/dissemination/exchange.go
@@ -182,7 +182,7 @@
 func (g *Gossip) processReply(reply *wire.SyncReply) {
 	g.observeAgeMillis(reply.GetPlatformAgeMs())
 	g.observeReadTo(reply.GetReadTo())
-	g.cfg.Heard(reply.GetFrom())
+	g.cfg.Received(reply.GetFrom())
 	for _, n := range reply.GetNodes() {
 		g.cfg.Mentioned(n)
 	}
--- a/internal/dissemination/gossip.go
+++ b/internal/dissemination/gossip.go
@@ -81,9 +81,9 @@
 	Announce func(peer string)
 	// Call sends a request to a peer.
 	Call func(ctx context.Context, peer string, in *wire.SyncRequest) (*wire.SyncReply, error)
-	// Heard is called with each node that sent a message, Mentioned with each that a
+	// Received is called with each node that sent a message, Mentioned with each that a
 	// peer names, Failed with each peer that didn't answer.
-	Heard     func(*wire.Node)
+	Received  func(*wire.Node)
 	Mentioned func(*wire.Node)
 	Failed    func(peer string)
 	// Suspended returns how long this machine was suspended since the node started; nil
@@ -281,7 +281,7 @@
 
 // Sync answers the message of a peer.
 func (g *Gossip) Sync(_ context.Context, in *wire.SyncRequest) (*wire.SyncReply, error) {
-	g.cfg.Heard(in.GetFrom())
+	g.cfg.Received(in.GetFrom())
 	g.observeAgeMillis(in.GetPlatformAgeMs())
 	g.observeReadTo(in.GetReadTo())
 	g.enqueue(update{
--- a/internal/dissemination/sample_test.go
+++ b/internal/dissemination/sample_test.go
@@ -32,9 +32,9 @@
 	}
 	view := tab.View(time.Now())
 	g := dissemination.New(dissemination.Config{
-		Self:  func() *wire.Node { return &wire.Node{} },
-		View:  func() *membership.View { return view },
-		Heard: func(*wire.Node) {},
+		Self:     func() *wire.Node { return &wire.Node{} },
+		View:     func() *membership.View { return view },
+		Received: func(*wire.Node) {},
 	}, dissemination.NewReplica(func(*fleetconfig.Config, []fleetconfig.Refusal) {}))
 	reply, err := g.Sync(context.Background(), &wire.SyncRequest{
 		Known: 1,
--- a/internal/dissemination/startup_test.go
+++ b/internal/dissemination/startup_test.go
@@ -73,7 +73,7 @@
 			f.count(p.view.Near(to), proto.Size(in), proto.Size(reply))
 			return reply, err
 		},
-		Heard:     func(*wire.Node) {},
+		Received:  func(*wire.Node) {},
 		Mentioned: func(*wire.Node) {},
 		Failed:    func(string) {},
 	}, p.replica)
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -169,7 +169,7 @@
 		Seeds:     n.seeds,
 		Announce:  n.announce,
 		Call:      n.dialer.Sync,
-		Heard:     n.members.recordMessage,
+		Received:  n.members.recordMessage,
 		Mentioned: n.members.recordMention,
 		Failed:    n.members.recordFailure,
 		Suspended: n.suspended.Total,
