--- a/internal/dissemination/dissemination_test.go
+++ b/internal/dissemination/dissemination_test.go
@@ -71,9 +71,9 @@
 			Call: func(ctx context.Context, to string, in *wire.SyncRequest) (*wire.SyncReply, error) {
 				return f.call(ctx, p.name, to, in)
 			},
-			Received:  func(*wire.Node) {},
-			Mentioned: func(*wire.Node) {},
-			Failed:    func(string) {},
+			Received:   func(*wire.Node) {},
+			Discovered: func(*wire.Node) {},
+			Failed:     func(string) {},
 		}, p.replica)
 		f.peers[p.name] = p
 	}
--- a/internal/dissemination/exchange.go
+++ b/internal/dissemination/exchange.go
@@ -184,7 +184,7 @@
 	g.observeReadTo(reply.GetReadTo())
 	g.cfg.Received(reply.GetFrom())
 	for _, n := range reply.GetNodes() {
-		g.cfg.Mentioned(n)
+		g.cfg.Discovered(n)
 	}
 }
 
--- a/internal/dissemination/gossip.go
+++ b/internal/dissemination/gossip.go
@@ -83,9 +83,9 @@
 	Call func(ctx context.Context, peer string, in *wire.SyncRequest) (*wire.SyncReply, error)
 	// Received is called with each node that sent a message, Mentioned with each that a
 	// peer names, Failed with each peer that didn't answer.
-	Received  func(*wire.Node)
-	Mentioned func(*wire.Node)
-	Failed    func(peer string)
+	Received   func(*wire.Node)
+	Discovered func(*wire.Node)
+	Failed     func(peer string)
 	// Suspended returns how long this machine was suspended since the node started; nil
 	// means never.
 	Suspended func(now time.Time) time.Duration
--- a/internal/dissemination/startup_test.go
+++ b/internal/dissemination/startup_test.go
@@ -73,9 +73,9 @@
 			f.count(p.view.Near(to), proto.Size(in), proto.Size(reply))
 			return reply, err
 		},
-		Received:  func(*wire.Node) {},
-		Mentioned: func(*wire.Node) {},
-		Failed:    func(string) {},
+		Received:   func(*wire.Node) {},
+		Discovered: func(*wire.Node) {},
+		Failed:     func(string) {},
 	}, p.replica)
 	f.mu.Lock()
 	defer f.mu.Unlock()
