--- a/internal/dissemination/gossip.go
+++ b/internal/dissemination/gossip.go
@@ -70,10 +70,10 @@
 	Self func() *wire.Node
 	// View returns the known nodes.
 	View func() *membership.View
-	// Near is set if datagrams report differences at once: values and comparisons
+	// PreferOwnHall is set if datagrams report differences at once: values and comparisons
 	// then stay mostly in the data hall. Without datagrams all peers are chosen
 	// alike, because only comparisons find what a network partition held back.
-	Near bool
+	PreferOwnHall bool
 	// Seeds returns peers to contact when no others are known.
 	Seeds func() []string
 	// Announce sends a peer, without an answer, this node's digest and ReadTo, which the peer
--- a/internal/dissemination/peers.go
+++ b/internal/dissemination/peers.go
@@ -13,7 +13,7 @@
 // value; ownRead is set on the node that read it. In each data hall a few other nodes also push it
 // to other data halls, in case that node's messages were lost.
 func (g *Gossip) pushPeers(ownRead bool) (near, far []string) {
-	if !g.cfg.Near {
+	if !g.cfg.PreferOwnHall {
 		return nil, g.choosePeers(fanout)
 	}
 	ours, others := g.cfg.View().Halls()
@@ -78,7 +78,7 @@
 // partitions of the fleet without contact would never merge.
 func (g *Gossip) choosePeers(n int) []string {
 	from := g.cfg.View().Peers()
-	if g.cfg.Near {
+	if g.cfg.PreferOwnHall {
 		near, far := g.cfg.View().Halls()
 		starting := g.Compared() < startCompares
 		if starting {
--- a/internal/dissemination/pull.go
+++ b/internal/dissemination/pull.go
@@ -38,7 +38,7 @@
 // Traffic between data halls is expensive: a few nodes of each data hall fetch new values, and the
 // others get them from those.
 func (g *Gossip) pullsFrom(peer string) bool {
-	if !g.cfg.Near {
+	if !g.cfg.PreferOwnHall {
 		return true
 	}
 	view := g.cfg.View()
--- a/internal/dissemination/startup_test.go
+++ b/internal/dissemination/startup_test.go
@@ -59,8 +59,8 @@
 		view:    table.View(time.Now()),
 	}
 	p.gossip = dissemination.New(dissemination.Config{
-		Near:  true,
-		Seeds: func() []string { return nil },
+		PreferOwnHall: true,
+		Seeds:         func() []string { return nil },
 		Self: func() *wire.Node {
 			return &wire.Node{
 				Address:  p.name,
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -163,16 +163,16 @@
 
 func (n *Node) gossipConfig() dissemination.Config {
 	return dissemination.Config{
-		Self:       n.self,
-		View:       n.board.view.Load,
-		Near:       n.set.Choice() == settings.ChoiceJoint,
-		Seeds:      n.seeds,
-		Announce:   n.announce,
-		Call:       n.dialer.Sync,
-		Received:   n.members.recordMessage,
-		Discovered: n.members.recordMention,
-		Failed:     n.members.recordFailure,
-		Suspended:  n.suspended.Total,
+		Self:          n.self,
+		View:          n.board.view.Load,
+		PreferOwnHall: n.set.Choice() == settings.ChoiceJoint,
+		Seeds:         n.seeds,
+		Announce:      n.announce,
+		Call:          n.dialer.Sync,
+		Received:      n.members.recordMessage,
+		Discovered:    n.members.recordMention,
+		Failed:        n.members.recordFailure,
+		Suspended:     n.suspended.Total,
 	}
 }
 
