--- a/internal/dissemination/gossip.go
+++ b/internal/dissemination/gossip.go
@@ -216,7 +216,7 @@
 // of the source.
 func (g *Gossip) PublishTo(entries []*wire.Entry, upTo order.Position) {
 	fresh := g.replica.Offer(entries)
-	if g.replica.NoteRead(upTo) {
+	if g.replica.AdvanceReadTo(upTo) {
 		g.recordProgress(time.Now())
 	}
 	g.enqueue(update{
--- a/internal/dissemination/pull.go
+++ b/internal/dissemination/pull.go
@@ -93,7 +93,7 @@
 		return err
 	}
 	fresh := g.replica.Offer(entries)
-	if !reply.GetMore() && g.replica.NoteRead(fleetconfig.PositionOf(reply.GetReadTo())) || len(fresh) > 0 {
+	if !reply.GetMore() && g.replica.AdvanceReadTo(fleetconfig.PositionOf(reply.GetReadTo())) || len(fresh) > 0 {
 		g.recordProgress(time.Now())
 	}
 	if !reply.GetMore() {
--- a/internal/dissemination/replica.go
+++ b/internal/dissemination/replica.go
@@ -135,9 +135,9 @@
 	return r.readTo
 }
 
-// NoteRead records that the replica is complete up to a position of the source, and reports
+// AdvanceReadTo records that the replica is complete up to a position of the source, and reports
 // whether that is progress.
-func (r *Replica) NoteRead(p order.Position) bool {
+func (r *Replica) AdvanceReadTo(p order.Position) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.readTo.Compare(p) >= 0 {
--- a/internal/dissemination/startup_test.go
+++ b/internal/dissemination/startup_test.go
@@ -210,7 +210,7 @@
 		f := newHallFleet(nodes)
 		for _, p := range f.peers {
 			p.replica.Offer(manyValues(targets))
-			p.replica.NoteRead(order.At(0, targets+1))
+			p.replica.AdvanceReadTo(order.At(0, targets+1))
 		}
 		newNode := f.start(f.list[7])
 		ctx, cancel := context.WithCancel(t.Context())
