--- a/internal/dissemination/replica.go
+++ b/internal/dissemination/replica.go
@@ -166,8 +166,8 @@
 	return r.store.Era()
 }
 
-// Behind returns the keys whose values are from eras of the source before era, sorted.
-func (r *Replica) Behind(era uint64) []string {
+// EarlierEra returns the keys whose values are from eras of the source before era, sorted.
+func (r *Replica) EarlierEra(era uint64) []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.store.EarlierEra(era)
--- a/internal/node/source.go
+++ b/internal/node/source.go
@@ -42,7 +42,7 @@
 		Known:    n.replica.Newest,
 		Keys:     n.replica.Keys,
 		Era:      n.replica.Era,
-		Behind:   n.replica.Behind,
+		Behind:   n.replica.EarlierEra,
 		Withheld: n.replica.Withheld,
 		Age:      func() time.Duration { return n.gossip.PlatformAge(time.Now()) },
 		Heard:    func() { n.gossip.RecordPlatformContact(time.Now()) },
