--- a/internal/membership/rumor.go
+++ b/internal/membership/rumor.go
@@ -77,7 +77,7 @@
 }
 
 // enqueue replaces the queued updates on s by a new one.
-func (t *Table) enqueue(s *state, o Opinion, urgent bool) {
+func (t *Table) enqueue(s *state, o Status, urgent bool) {
 	t.rumors.drop(s.node.address)
 	to := t.rumors.joins
 	if urgent {
--- a/internal/membership/update.go
+++ b/internal/membership/update.go
@@ -7,12 +7,12 @@
 	"time"
 )
 
-// Opinion is the status of a node as estimated by another.
-type Opinion uint8
+// Status is the status of a node as estimated by another.
+type Status uint8
 
 // Opinions.
 const (
-	OpinionAlive Opinion = iota
+	OpinionAlive Status = iota
 	// OpinionSuspect means that probes went unanswered; the node can refute it.
 	OpinionSuspect
 	// OpinionDead means that a suspicion was not refuted in time.
@@ -24,7 +24,7 @@
 	Node        Node
 	Incarnation uint64
 	Leaving     bool
-	Opinion     Opinion
+	Opinion     Status
 	// Weight is the node's capacity for roles; 0 if it isn't known.
 	Weight uint32
 }
--- a/internal/membership/update_test.go
+++ b/internal/membership/update_test.go
@@ -70,7 +70,7 @@
 // against updates of an older incarnation that are applied.
 func TestGreaterIncarnationRefutes(t *testing.T) {
 	tab := tableOf(3)
-	apply := func(o membership.Opinion, incarnation uint64) {
+	apply := func(o membership.Status, incarnation uint64) {
 		tab.Take(begin, membership.News{
 			Node:        peer(1),
 			Incarnation: incarnation,
--- a/internal/node/messenger.go
+++ b/internal/node/messenger.go
@@ -238,7 +238,7 @@
 			Node:        membership.NewNode(n.GetNode().GetAddress(), n.GetNode().GetDataHall()),
 			Incarnation: n.GetNode().GetIncarnation(),
 			Leaving:     n.GetNode().GetLeaving(),
-			Opinion:     membership.Opinion(n.GetState()),
+			Opinion:     membership.Status(n.GetState()),
 			Weight:      n.GetNode().GetWeight(),
 		})
 	}
