--- a/internal/membership/table.go
+++ b/internal/membership/table.go
@@ -153,7 +153,7 @@
 	if incarnation < s.incarnation {
 		// The process restarted while its clock was behind: the update makes it
 		// choose a greater incarnation.
-		t.enqueue(s, OpinionAlive, true)
+		t.enqueue(s, StatusAlive, true)
 		return
 	}
 	before := s.draining
--- a/internal/membership/update.go
+++ b/internal/membership/update.go
@@ -12,7 +12,7 @@
 
 // Opinions.
 const (
-	OpinionAlive Status = iota
+	StatusAlive Status = iota
 	// OpinionSuspect means that probes went unanswered; the node can refute it.
 	OpinionSuspect
 	// OpinionDead means that a suspicion was not refuted in time.
@@ -49,7 +49,7 @@
 		t.changed = t.changed || s.dead || draining && !s.draining
 		s.incarnation = incarnation
 		s.draining = s.draining || draining
-		t.enqueue(s, OpinionAlive, refuted || s.draining)
+		t.enqueue(s, StatusAlive, refuted || s.draining)
 	}
 	s.dead = false
 	s.suspected = time.Time{}
@@ -71,7 +71,7 @@
 // an incarnation greater than the update's.
 func (t *Table) Take(now time.Time, n News, own uint64) (refute bool) {
 	if n.Node.address == t.self.address {
-		return n.Incarnation > own || n.Opinion != OpinionAlive && n.Incarnation == own
+		return n.Incarnation > own || n.Opinion != StatusAlive && n.Incarnation == own
 	}
 	if n.Node.address == "" {
 		return false
@@ -81,7 +81,7 @@
 	t.Weigh(n.Node.address, n.Weight)
 	switch {
 	case n.Incarnation < s.incarnation:
-	case n.Opinion == OpinionAlive:
+	case n.Opinion == StatusAlive:
 		if !known || n.Incarnation > s.incarnation || n.Leaving && !s.draining {
 			if n.Incarnation > s.incarnation {
 				t.changed = t.changed || s.draining
--- a/internal/membership/update_test.go
+++ b/internal/membership/update_test.go
@@ -78,7 +78,7 @@
 		}, 1)
 	}
 	apply(membership.OpinionSuspect, 1)
-	apply(membership.OpinionAlive, 2)
+	apply(membership.StatusAlive, 2)
 	now := begin.Add(membership.RefuteTime)
 	if dead := tab.Advance(now); len(dead) != 0 {
 		t.Errorf("dead: %v", dead)
