--- a/internal/membership/update.go
+++ b/internal/membership/update.go
@@ -13,8 +13,8 @@
 // Opinions.
 const (
 	StatusAlive Status = iota
-	// OpinionSuspect means that probes went unanswered; the node can refute it.
-	OpinionSuspect
+	// StatusSuspect means that probes went unanswered; the node can refute it.
+	StatusSuspect
 	// OpinionDead means that a suspicion was not refuted in time.
 	OpinionDead
 )
@@ -63,7 +63,7 @@
 		return
 	}
 	s.suspected = now
-	t.enqueue(s, OpinionSuspect, true)
+	t.enqueue(s, StatusSuspect, true)
 }
 
 // Take applies an update of a peer; own is this node's incarnation. It returns true if
--- a/internal/membership/update_test.go
+++ b/internal/membership/update_test.go
@@ -77,7 +77,7 @@
 			Opinion:     o,
 		}, 1)
 	}
-	apply(membership.OpinionSuspect, 1)
+	apply(membership.StatusSuspect, 1)
 	apply(membership.StatusAlive, 2)
 	now := begin.Add(membership.RefuteTime)
 	if dead := tab.Advance(now); len(dead) != 0 {
