--- a/internal/membership/update.go
+++ b/internal/membership/update.go
@@ -15,8 +15,8 @@
 	StatusAlive Status = iota
 	// StatusSuspect means that probes went unanswered; the node can refute it.
 	StatusSuspect
-	// OpinionDead means that a suspicion was not refuted in time.
-	OpinionDead
+	// StatusDead means that a suspicion was not refuted in time.
+	StatusDead
 )
 
 // News is a status update that nodes exchange.
@@ -91,7 +91,7 @@
 			s.lastReceived = now
 		}
 	case s.dead:
-	case n.Opinion == OpinionDead:
+	case n.Opinion == StatusDead:
 		s.incarnation = n.Incarnation
 		t.declareDead(s)
 	case s.suspected.IsZero():
@@ -104,7 +104,7 @@
 func (t *Table) declareDead(s *state) {
 	s.dead = true
 	t.changed = true
-	t.enqueue(s, OpinionDead, true)
+	t.enqueue(s, StatusDead, true)
 }
 
 // Advance declares nodes dead that did not refute a suspicion in time, and returns
--- a/internal/membership/update_test.go
+++ b/internal/membership/update_test.go
@@ -83,11 +83,11 @@
 	if dead := tab.Advance(now); len(dead) != 0 {
 		t.Errorf("dead: %v", dead)
 	}
-	apply(membership.OpinionDead, 1)
+	apply(membership.StatusDead, 1)
 	if !live(tab, now, peer(1)) {
 		t.Error("an update of an older incarnation declared a node dead")
 	}
-	apply(membership.OpinionDead, 2)
+	apply(membership.StatusDead, 2)
 	if live(tab, now, peer(1)) {
 		t.Error("the update that a node is dead was not applied")
 	}
@@ -99,7 +99,7 @@
 	n := membership.News{
 		Node:        peer(0),
 		Incarnation: 5,
-		Opinion:     membership.OpinionDead,
+		Opinion:     membership.StatusDead,
 	}
 	if !tab.Take(begin, n, 5) {
 		t.Error("an update that declares this node dead was not refuted")
