--- a/internal/membership/rumor.go
+++ b/internal/membership/rumor.go
@@ -9,7 +9,7 @@
 
 // rumor is an update that this node still sends, and how often it was sent.
 type rumor struct {
-	update News
+	update Update
 	sent   int
 }
 
@@ -24,7 +24,7 @@
 // next appends updates to out until it has n entries, the least often sent first, and
 // drops those that have been sent maxSent times. It examines each rumor once, without a
 // sort: while a fleet starts there are as many as nodes, and a datagram carries few.
-func (r rumors) next(out []News, n, maxSent int) []News {
+func (r rumors) next(out []Update, n, maxSent int) []Update {
 	var first []*rumor
 	for _, candidate := range r {
 		at := len(first)
@@ -84,7 +84,7 @@
 		to = t.rumors.urgent
 	}
 	to[s.node.address] = &rumor{
-		update: News{
+		update: Update{
 			Node:        s.node,
 			Incarnation: s.incarnation,
 			Leaving:     s.draining,
--- a/internal/membership/update.go
+++ b/internal/membership/update.go
@@ -19,8 +19,8 @@
 	StatusDead
 )
 
-// News is a status update that nodes exchange.
-type News struct {
+// Update is a status update that nodes exchange.
+type Update struct {
 	Node        Node
 	Incarnation uint64
 	Leaving     bool
@@ -69,7 +69,7 @@
 // Take applies an update of a peer; own is this node's incarnation. It returns true if
 // the update is about this node itself and wrong, so that this node must refute it with
 // an incarnation greater than the update's.
-func (t *Table) Take(now time.Time, n News, own uint64) (refute bool) {
+func (t *Table) Take(now time.Time, n Update, own uint64) (refute bool) {
 	if n.Node.address == t.self.address {
 		return n.Incarnation > own || n.Opinion != StatusAlive && n.Incarnation == own
 	}
@@ -132,7 +132,7 @@
 
 // Tell returns up to n updates to send, the least often sent first: on nodes that are
 // suspected, refuted, dead or draining, and, only if joins is set, on other live nodes.
-func (t *Table) Tell(n int, joins bool) []News {
+func (t *Table) Tell(n int, joins bool) []Update {
 	scale := bits.Len(uint(len(t.nodes) + 1))
 	out := t.rumors.urgent.next(nil, n, urgentFactor*scale)
 	if joins {
--- a/internal/membership/update_test.go
+++ b/internal/membership/update_test.go
@@ -71,7 +71,7 @@
 func TestGreaterIncarnationRefutes(t *testing.T) {
 	tab := tableOf(3)
 	apply := func(o membership.Status, incarnation uint64) {
-		tab.Take(begin, membership.News{
+		tab.Take(begin, membership.Update{
 			Node:        peer(1),
 			Incarnation: incarnation,
 			Opinion:     o,
@@ -96,7 +96,7 @@
 // Guards against a node that doesn't refute an update that declares it dead.
 func TestOwnDeathIsRefuted(t *testing.T) {
 	tab := tableOf(3)
-	n := membership.News{
+	n := membership.Update{
 		Node:        peer(0),
 		Incarnation: 5,
 		Opinion:     membership.StatusDead,
--- a/internal/node/members.go
+++ b/internal/node/members.go
@@ -103,7 +103,7 @@
 
 // applyUpdate applies the update of a peer. An update that declares this node suspected or dead is
 // refuted by a greater incarnation.
-func (m *members) applyUpdate(now time.Time, n membership.News) {
+func (m *members) applyUpdate(now time.Time, n membership.Update) {
 	m.change(func(t *membership.Table, _ time.Time) {
 		if t.Take(now, n, m.incarnation.Load()) {
 			m.incarnation.Store(n.Incarnation + 1)
@@ -127,7 +127,7 @@
 	m.change(func(t *membership.Table, now time.Time) { t.Calm(now) })
 }
 
-func (m *members) updates(n int, joins bool) []membership.News {
+func (m *members) updates(n int, joins bool) []membership.Update {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.table.Tell(n, joins)
--- a/internal/node/messenger.go
+++ b/internal/node/messenger.go
@@ -234,7 +234,7 @@
 	m.onIncarnation(d.GetFrom().GetAddress(), d.GetFrom().GetIncarnation())
 	for _, n := range d.GetNews() {
 		m.onIncarnation(n.GetNode().GetAddress(), n.GetNode().GetIncarnation())
-		m.members.applyUpdate(now, membership.News{
+		m.members.applyUpdate(now, membership.Update{
 			Node:        membership.NewNode(n.GetNode().GetAddress(), n.GetNode().GetDataHall()),
 			Incarnation: n.GetNode().GetIncarnation(),
 			Leaving:     n.GetNode().GetLeaving(),
