--- a/internal/membership/rumor.go
+++ b/internal/membership/rumor.go
@@ -88,7 +88,7 @@
 			Node:        s.node,
 			Incarnation: s.incarnation,
 			Leaving:     s.draining,
-			Opinion:     o,
+			Status:      o,
 			Weight:      s.weight,
 		},
 	}
--- a/internal/membership/rumor_test.go
+++ b/internal/membership/rumor_test.go
@@ -21,7 +21,7 @@
 		t.Errorf("updates %v, want the suspicion", updates)
 	}
 	tab.Heard(begin, peer(7), 1, false)
-	if updates := tab.Tell(4, false); len(updates) != 1 || updates[0].Opinion != membership.StatusAlive {
+	if updates := tab.Tell(4, false); len(updates) != 1 || updates[0].Status != membership.StatusAlive {
 		t.Errorf("updates %v, want the refutation of the suspicion", updates)
 	}
 }
--- a/internal/membership/update.go
+++ b/internal/membership/update.go
@@ -24,7 +24,7 @@
 	Node        Node
 	Incarnation uint64
 	Leaving     bool
-	Opinion     Status
+	Status      Status
 	// Weight is the node's capacity for roles; 0 if it isn't known.
 	Weight uint32
 }
@@ -71,7 +71,7 @@
 // an incarnation greater than the update's.
 func (t *Table) Take(now time.Time, n Update, own uint64) (refute bool) {
 	if n.Node.address == t.self.address {
-		return n.Incarnation > own || n.Opinion != StatusAlive && n.Incarnation == own
+		return n.Incarnation > own || n.Status != StatusAlive && n.Incarnation == own
 	}
 	if n.Node.address == "" {
 		return false
@@ -81,7 +81,7 @@
 	t.Weigh(n.Node.address, n.Weight)
 	switch {
 	case n.Incarnation < s.incarnation:
-	case n.Opinion == StatusAlive:
+	case n.Status == StatusAlive:
 		if !known || n.Incarnation > s.incarnation || n.Leaving && !s.draining {
 			if n.Incarnation > s.incarnation {
 				t.changed = t.changed || s.draining
@@ -91,7 +91,7 @@
 			s.lastReceived = now
 		}
 	case s.dead:
-	case n.Opinion == StatusDead:
+	case n.Status == StatusDead:
 		s.incarnation = n.Incarnation
 		t.declareDead(s)
 	case s.suspected.IsZero():
--- a/internal/membership/update_test.go
+++ b/internal/membership/update_test.go
@@ -74,7 +74,7 @@
 		tab.Take(begin, membership.Update{
 			Node:        peer(1),
 			Incarnation: incarnation,
-			Opinion:     o,
+			Status:      o,
 		}, 1)
 	}
 	apply(membership.StatusSuspect, 1)
@@ -99,7 +99,7 @@
 	n := membership.Update{
 		Node:        peer(0),
 		Incarnation: 5,
-		Opinion:     membership.StatusDead,
+		Status:      membership.StatusDead,
 	}
 	if !tab.Take(begin, n, 5) {
 		t.Error("an update that declares this node dead was not refuted")
--- a/internal/node/messenger.go
+++ b/internal/node/messenger.go
@@ -98,7 +98,7 @@
 	d.News = nil
 	for _, n := range m.members.updates(updatesPerDatagram, isProbe(d)) {
 		d.News = append(d.News, &wire.MemberNews{
-			State: wire.MemberNews_State(n.Opinion),
+			State: wire.MemberNews_State(n.Status),
 			Node: &wire.Node{
 				Address:     n.Node.Address(),
 				DataHall:    n.Node.DataHall(),
@@ -238,7 +238,7 @@
 			Node:        membership.NewNode(n.GetNode().GetAddress(), n.GetNode().GetDataHall()),
 			Incarnation: n.GetNode().GetIncarnation(),
 			Leaving:     n.GetNode().GetLeaving(),
-			Opinion:     membership.Status(n.GetState()),
+			Status:      membership.Status(n.GetState()),
 			Weight:      n.GetNode().GetWeight(),
 		})
 	}
