--- a/internal/membership/rumor.go
+++ b/internal/membership/rumor.go
@@ -87,7 +87,7 @@
 		update: Update{
 			Node:        s.node,
 			Incarnation: s.incarnation,
-			Leaving:     s.draining,
+			Draining:    s.draining,
 			Status:      o,
 			Weight:      s.weight,
 		},
--- a/internal/membership/rumor_test.go
+++ b/internal/membership/rumor_test.go
@@ -52,7 +52,7 @@
 	tab.Take(begin, membership.Update{
 		Node:        peer(4),
 		Incarnation: 9,
-		Leaving:     true,
+		Draining:    true,
 	}, 1)
 	if !tab.Changed() {
 		t.Error("the table reports no change after a node began to drain")
--- a/internal/membership/update.go
+++ b/internal/membership/update.go
@@ -23,7 +23,7 @@
 type Update struct {
 	Node        Node
 	Incarnation uint64
-	Leaving     bool
+	Draining    bool
 	Status      Status
 	// Weight is the node's capacity for roles; 0 if it isn't known.
 	Weight uint32
@@ -82,12 +82,12 @@
 	switch {
 	case n.Incarnation < s.incarnation:
 	case n.Status == StatusAlive:
-		if !known || n.Incarnation > s.incarnation || n.Leaving && !s.draining {
+		if !known || n.Incarnation > s.incarnation || n.Draining && !s.draining {
 			if n.Incarnation > s.incarnation {
 				t.changed = t.changed || s.draining
 				s.draining = false
 			}
-			t.recordAlive(s, n.Incarnation, n.Leaving)
+			t.recordAlive(s, n.Incarnation, n.Draining)
 			s.lastReceived = now
 		}
 	case s.dead:
--- a/internal/node/messenger.go
+++ b/internal/node/messenger.go
@@ -103,7 +103,7 @@
 				Address:     n.Node.Address(),
 				DataHall:    n.Node.DataHall(),
 				Incarnation: n.Incarnation,
-				Leaving:     n.Leaving,
+				Leaving:     n.Draining,
 				Weight:      n.Weight,
 			},
 		})
@@ -237,7 +237,7 @@
 		m.members.applyUpdate(now, membership.Update{
 			Node:        membership.NewNode(n.GetNode().GetAddress(), n.GetNode().GetDataHall()),
 			Incarnation: n.GetNode().GetIncarnation(),
-			Leaving:     n.GetNode().GetLeaving(),
+			Draining:    n.GetNode().GetLeaving(),
 			Status:      membership.Status(n.GetState()),
 			Weight:      n.GetNode().GetWeight(),
 		})
