--- a/internal/membership/update.go
+++ b/internal/membership/update.go
@@ -31,9 +31,9 @@
 
 // Times and counts of updates.
 const (
-	// RefuteTime is how long a node has to refute a suspicion: several probe
+	// RefuteTimeout is how long a node has to refute a suspicion: several probe
 	// intervals, so that the suspicion reaches it and its answer returns.
-	RefuteTime = 500 * time.Millisecond
+	RefuteTimeout = 500 * time.Millisecond
 	// urgentFactor is how often an urgent update is sent, as a multiple of the logarithm
 	// of the number of nodes (Das, Gupta and Motivala, "SWIM", DSN 2002).
 	urgentFactor = 3
@@ -112,7 +112,7 @@
 func (t *Table) Advance(now time.Time) []Node {
 	var out []Node
 	for _, s := range t.nodes {
-		if !s.dead && !s.suspected.IsZero() && now.Sub(s.suspected) >= RefuteTime {
+		if !s.dead && !s.suspected.IsZero() && now.Sub(s.suspected) >= RefuteTimeout {
 			t.declareDead(s)
 			out = append(out, s.node)
 		}
--- a/internal/membership/update_test.go
+++ b/internal/membership/update_test.go
@@ -42,7 +42,7 @@
 	if !live(tab, begin, peer(1)) {
 		t.Error("a suspected node lost its roles before it could refute")
 	}
-	now := begin.Add(membership.RefuteTime)
+	now := begin.Add(membership.RefuteTimeout)
 	if dead := tab.Advance(now); len(dead) != 1 || live(tab, now, peer(1)) {
 		t.Errorf("dead: %v", dead)
 	}
@@ -53,12 +53,12 @@
 	tab := tableOf(3)
 	tab.Suspect(begin, peer(1).Address())
 	tab.Heard(begin, peer(1), 1, false)
-	now := begin.Add(2 * membership.RefuteTime)
+	now := begin.Add(2 * membership.RefuteTimeout)
 	if dead := tab.Advance(now); len(dead) != 0 {
 		t.Errorf("dead: %v", dead)
 	}
 	tab.Suspect(now, peer(1).Address())
-	now = now.Add(membership.RefuteTime)
+	now = now.Add(membership.RefuteTimeout)
 	tab.Advance(now)
 	tab.Heard(now, peer(1), 1, false)
 	if !live(tab, now, peer(1)) {
@@ -79,7 +79,7 @@
 	}
 	apply(membership.StatusSuspect, 1)
 	apply(membership.StatusAlive, 2)
-	now := begin.Add(membership.RefuteTime)
+	now := begin.Add(membership.RefuteTimeout)
 	if dead := tab.Advance(now); len(dead) != 0 {
 		t.Errorf("dead: %v", dead)
 	}
@@ -175,7 +175,7 @@
 	for _, strong := range []int{3, 4} {
 		tab.Suspect(begin, peer(strong).Address())
 	}
-	tab.Advance(begin.Add(membership.RefuteTime))
+	tab.Advance(begin.Add(membership.RefuteTimeout))
 	if c := count(); len(c) != 8 {
 		t.Errorf("without the strong nodes %d nodes get roles, want 8", len(c))
 	}
