--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -67,7 +67,7 @@
 	if n := len(tab.View(start).Live()); n != 2 {
 		t.Fatalf("%d live nodes, want 2", n)
 	}
-	if n := len(tab.View(start.Add(membership.SuspectTime)).Live()); n != 3 {
+	if n := len(tab.View(start.Add(membership.NoRoleTime)).Live()); n != 3 {
 		t.Fatalf("%d live nodes after the suspicion ended, want 3", n)
 	}
 }
--- a/internal/membership/table.go
+++ b/internal/membership/table.go
@@ -14,8 +14,8 @@
 
 // Times of the table.
 const (
-	// SuspectTime is how long a node that didn't answer calls gets no role.
-	SuspectTime = 10 * time.Second
+	// NoRoleTime is how long a node that didn't answer calls gets no role.
+	NoRoleTime = 10 * time.Second
 	// ForgetTime is the time after its last message after which a failed call to an
 	// unlisted node removes it.
 	ForgetTime = time.Minute
@@ -205,7 +205,7 @@
 	}
 	s.failures++
 	if s.failures >= maxFailures {
-		s.noRoleUntil = now.Add(SuspectTime)
+		s.noRoleUntil = now.Add(NoRoleTime)
 		t.changed = true
 	}
 	if !s.listed && now.Sub(s.lastReceived) > ForgetTime {
