--- a/internal/membership/rumor_test.go
+++ b/internal/membership/rumor_test.go
@@ -42,14 +42,14 @@
 	tab.Changed()
 	tab.Heard(begin, peer(3), 2, false)
 	tab.Weigh(peer(3).Address(), 160)
-	tab.Take(begin, membership.Update{
+	tab.Apply(begin, membership.Update{
 		Node:        peer(4),
 		Incarnation: 9,
 	}, 1)
 	if tab.Changed() {
 		t.Error("the table reports a change after repeated updates")
 	}
-	tab.Take(begin, membership.Update{
+	tab.Apply(begin, membership.Update{
 		Node:        peer(4),
 		Incarnation: 9,
 		Draining:    true,
@@ -57,7 +57,7 @@
 	if !tab.Changed() {
 		t.Error("the table reports no change after a node began to drain")
 	}
-	tab.Take(begin, membership.Update{
+	tab.Apply(begin, membership.Update{
 		Node:        peer(4),
 		Incarnation: 10,
 	}, 1)
--- a/internal/membership/update.go
+++ b/internal/membership/update.go
@@ -66,10 +66,10 @@
 	t.enqueue(s, StatusSuspect, true)
 }
 
-// Take applies an update of a peer; own is this node's incarnation. It returns true if
+// Apply applies an update of a peer; own is this node's incarnation. It returns true if
 // the update is about this node itself and wrong, so that this node must refute it with
 // an incarnation greater than the update's.
-func (t *Table) Take(now time.Time, n Update, own uint64) (refute bool) {
+func (t *Table) Apply(now time.Time, n Update, own uint64) (refute bool) {
 	if n.Node.address == t.self.address {
 		return n.Incarnation > own || n.Status != StatusAlive && n.Incarnation == own
 	}
--- a/internal/membership/update_test.go
+++ b/internal/membership/update_test.go
@@ -71,7 +71,7 @@
 func TestGreaterIncarnationRefutes(t *testing.T) {
 	tab := tableOf(3)
 	apply := func(o membership.Status, incarnation uint64) {
-		tab.Take(begin, membership.Update{
+		tab.Apply(begin, membership.Update{
 			Node:        peer(1),
 			Incarnation: incarnation,
 			Status:      o,
@@ -101,10 +101,10 @@
 		Incarnation: 5,
 		Status:      membership.StatusDead,
 	}
-	if !tab.Take(begin, n, 5) {
+	if !tab.Apply(begin, n, 5) {
 		t.Error("an update that declares this node dead was not refuted")
 	}
-	if tab.Take(begin, n, 6) {
+	if tab.Apply(begin, n, 6) {
 		t.Error("an update was refuted again")
 	}
 }
@@ -123,7 +123,7 @@
 		t.Fatalf("updates %v, want the greater incarnation", updates)
 	}
 	own := membership.NewTable(peer(1))
-	if !own.Take(begin, updates[0], 50) {
+	if !own.Apply(begin, updates[0], 50) {
 		t.Error("the process does not choose a greater incarnation")
 	}
 }
--- a/internal/node/members.go
+++ b/internal/node/members.go
@@ -105,7 +105,7 @@
 // refuted by a greater incarnation.
 func (m *members) applyUpdate(now time.Time, n membership.Update) {
 	m.change(func(t *membership.Table, _ time.Time) {
-		if t.Take(now, n, m.incarnation.Load()) {
+		if t.Apply(now, n, m.incarnation.Load()) {
 			m.incarnation.Store(n.Incarnation + 1)
 		}
 	})
