--- a/internal/membership/rumor_test.go
+++ b/internal/membership/rumor_test.go
@@ -13,15 +13,15 @@
 // suspicions and their refutations.
 func TestOnlyUrgentUpdatesAreSentWithRequests(t *testing.T) {
 	tab := tableOf(30)
-	if updates := tab.Tell(4, false); len(updates) != 0 {
+	if updates := tab.NextUpdates(4, false); len(updates) != 0 {
 		t.Errorf("updates on live nodes: %v", updates)
 	}
 	tab.Suspect(begin, peer(7).Address())
-	if updates := tab.Tell(4, false); len(updates) != 1 || updates[0].Node != peer(7) {
+	if updates := tab.NextUpdates(4, false); len(updates) != 1 || updates[0].Node != peer(7) {
 		t.Errorf("updates %v, want the suspicion", updates)
 	}
 	tab.Heard(begin, peer(7), 1, false)
-	if updates := tab.Tell(4, false); len(updates) != 1 || updates[0].Status != membership.StatusAlive {
+	if updates := tab.NextUpdates(4, false); len(updates) != 1 || updates[0].Status != membership.StatusAlive {
 		t.Errorf("updates %v, want the refutation of the suspicion", updates)
 	}
 }
@@ -30,7 +30,7 @@
 func TestSuspicionIsSentBeforeJoins(t *testing.T) {
 	tab := tableOf(30)
 	tab.Suspect(begin, peer(7).Address())
-	if updates := tab.Tell(4, true); len(updates) != 4 || updates[0].Node != peer(7) {
+	if updates := tab.NextUpdates(4, true); len(updates) != 4 || updates[0].Node != peer(7) {
 		t.Errorf("updates %v, want the suspicion first", updates)
 	}
 }
@@ -79,7 +79,7 @@
 					tab = tableOf(443)
 					b.StartTimer()
 				}
-				tab.Tell(4, joins)
+				tab.NextUpdates(4, joins)
 			}
 		})
 	}
--- a/internal/membership/update.go
+++ b/internal/membership/update.go
@@ -130,9 +130,9 @@
 	}
 }
 
-// Tell returns up to n updates to send, the least often sent first: on nodes that are
+// NextUpdates returns up to n updates to send, the least often sent first: on nodes that are
 // suspected, refuted, dead or draining, and, only if joins is set, on other live nodes.
-func (t *Table) Tell(n int, joins bool) []Update {
+func (t *Table) NextUpdates(n int, joins bool) []Update {
 	scale := bits.Len(uint(len(t.nodes) + 1))
 	out := t.rumors.urgent.next(nil, n, urgentFactor*scale)
 	if joins {
--- a/internal/membership/update_test.go
+++ b/internal/membership/update_test.go
@@ -115,10 +115,10 @@
 	tab := tableOf(3)
 	tab.Heard(begin, peer(1), 100, false)
 	for sent := 1; sent > 0; {
-		sent = len(tab.Tell(10, true))
+		sent = len(tab.NextUpdates(10, true))
 	}
 	tab.Heard(begin, peer(1), 50, false)
-	updates := tab.Tell(10, true)
+	updates := tab.NextUpdates(10, true)
 	if len(updates) != 1 || updates[0].Incarnation != 100 {
 		t.Fatalf("updates %v, want the greater incarnation", updates)
 	}
@@ -144,7 +144,7 @@
 func TestUpdatesAreSentABoundedNumberOfTimes(t *testing.T) {
 	tab := tableOf(30)
 	n := 0
-	for len(tab.Tell(4, true)) > 0 {
+	for len(tab.NextUpdates(4, true)) > 0 {
 		if n++; n > 1000 {
 			t.Fatal("updates are still sent after 1000 messages")
 		}
@@ -213,10 +213,10 @@
 func TestUpdateCarriesTheWeight(t *testing.T) {
 	tab := tableOf(1)
 	for range 3 {
-		tab.Tell(1, true)
+		tab.NextUpdates(1, true)
 	}
 	tab.Weigh(peer(1).Address(), 320)
-	if updates := tab.Tell(1, true); len(updates) != 1 || updates[0].Weight != 320 {
+	if updates := tab.NextUpdates(1, true); len(updates) != 1 || updates[0].Weight != 320 {
 		t.Errorf("updates %+v, want the weight 320", updates)
 	}
 }
--- a/internal/node/members.go
+++ b/internal/node/members.go
@@ -130,7 +130,7 @@
 func (m *members) updates(n int, joins bool) []membership.Update {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.table.Tell(n, joins)
+	return m.table.NextUpdates(n, joins)
 }
 
 func (m *members) declaredDead() []membership.Node {
