--- a/internal/membership/update.go
+++ b/internal/membership/update.go
@@ -107,9 +107,9 @@
 	t.enqueue(s, StatusDead, true)
 }
 
-// Advance declares nodes dead that did not refute a suspicion in time, and returns
+// DeclareDead declares nodes dead that did not refute a suspicion in time, and returns
 // them.
-func (t *Table) Advance(now time.Time) []Node {
+func (t *Table) DeclareDead(now time.Time) []Node {
 	var out []Node
 	for _, s := range t.nodes {
 		if !s.dead && !s.suspected.IsZero() && now.Sub(s.suspected) >= RefuteTimeout {
--- a/internal/membership/update_test.go
+++ b/internal/membership/update_test.go
@@ -43,7 +43,7 @@
 		t.Error("a suspected node lost its roles before it could refute")
 	}
 	now := begin.Add(membership.RefuteTimeout)
-	if dead := tab.Advance(now); len(dead) != 1 || live(tab, now, peer(1)) {
+	if dead := tab.DeclareDead(now); len(dead) != 1 || live(tab, now, peer(1)) {
 		t.Errorf("dead: %v", dead)
 	}
 }
@@ -54,12 +54,12 @@
 	tab.Suspect(begin, peer(1).Address())
 	tab.Heard(begin, peer(1), 1, false)
 	now := begin.Add(2 * membership.RefuteTimeout)
-	if dead := tab.Advance(now); len(dead) != 0 {
+	if dead := tab.DeclareDead(now); len(dead) != 0 {
 		t.Errorf("dead: %v", dead)
 	}
 	tab.Suspect(now, peer(1).Address())
 	now = now.Add(membership.RefuteTimeout)
-	tab.Advance(now)
+	tab.DeclareDead(now)
 	tab.Heard(now, peer(1), 1, false)
 	if !live(tab, now, peer(1)) {
 		t.Error("a node that sends messages is still declared dead")
@@ -80,7 +80,7 @@
 	apply(membership.StatusSuspect, 1)
 	apply(membership.StatusAlive, 2)
 	now := begin.Add(membership.RefuteTimeout)
-	if dead := tab.Advance(now); len(dead) != 0 {
+	if dead := tab.DeclareDead(now); len(dead) != 0 {
 		t.Errorf("dead: %v", dead)
 	}
 	apply(membership.StatusDead, 1)
@@ -135,7 +135,7 @@
 	tab.Suspect(begin, peer(1).Address())
 	now := begin.Add(5 * time.Second)
 	tab.Calm(now)
-	if dead := tab.Advance(now); len(dead) != 0 {
+	if dead := tab.DeclareDead(now); len(dead) != 0 {
 		t.Errorf("dead: %v", dead)
 	}
 }
@@ -175,7 +175,7 @@
 	for _, strong := range []int{3, 4} {
 		tab.Suspect(begin, peer(strong).Address())
 	}
-	tab.Advance(begin.Add(membership.RefuteTimeout))
+	tab.DeclareDead(begin.Add(membership.RefuteTimeout))
 	if c := count(); len(c) != 8 {
 		t.Errorf("without the strong nodes %d nodes get roles, want 8", len(c))
 	}
--- a/internal/node/members.go
+++ b/internal/node/members.go
@@ -118,7 +118,7 @@
 // advance declares nodes dead that did not refute a suspicion in time.
 func (m *members) advance(now time.Time) []membership.Node {
 	var out []membership.Node
-	m.change(func(t *membership.Table, _ time.Time) { out = t.Advance(now) })
+	m.change(func(t *membership.Table, _ time.Time) { out = t.DeclareDead(now) })
 	return out
 }
 
