--- a/internal/membership/update.go
+++ b/internal/membership/update.go
@@ -120,9 +120,9 @@
 	return out
 }
 
-// Calm restarts the time to refute of all suspected nodes, because this node itself
+// RestartSuspicions restarts the time to refute of all suspected nodes, because this node itself
 // was paused.
-func (t *Table) Calm(now time.Time) {
+func (t *Table) RestartSuspicions(now time.Time) {
 	for _, s := range t.nodes {
 		if !s.dead && !s.suspected.IsZero() {
 			s.suspected = now
--- a/internal/membership/update_test.go
+++ b/internal/membership/update_test.go
@@ -134,7 +134,7 @@
 	tab := tableOf(3)
 	tab.Suspect(begin, peer(1).Address())
 	now := begin.Add(5 * time.Second)
-	tab.Calm(now)
+	tab.RestartSuspicions(now)
 	if dead := tab.DeclareDead(now); len(dead) != 0 {
 		t.Errorf("dead: %v", dead)
 	}
--- a/internal/node/members.go
+++ b/internal/node/members.go
@@ -124,7 +124,7 @@
 
 // clearSuspicions drops the suspicions that no other node has confirmed.
 func (m *members) clearSuspicions() {
-	m.change(func(t *membership.Table, now time.Time) { t.Calm(now) })
+	m.change(func(t *membership.Table, now time.Time) { t.RestartSuspicions(now) })
 }
 
 func (m *members) updates(n int, joins bool) []membership.Update {
