--- a/internal/dissemination/sample_test.go
+++ b/internal/dissemination/sample_test.go
@@ -20,7 +20,7 @@
 	const nodes, strong = 443, 15
 	self := membership.NewNode("192.0.2.1:1", "a")
 	tab := membership.NewTable(self)
-	tab.Weigh(self.Address(), 160)
+	tab.SetWeight(self.Address(), 160)
 	for i := range nodes {
 		n := membership.NewNode(fmt.Sprintf("198.51.%d.%d:1", 100+i/250, i%250), "a")
 		tab.Heard(time.Now(), n, 1, false)
@@ -28,7 +28,7 @@
 		if i%30 == 0 {
 			weight = 800
 		}
-		tab.Weigh(n.Address(), weight)
+		tab.SetWeight(n.Address(), weight)
 	}
 	view := tab.View(time.Now())
 	g := dissemination.New(dissemination.Config{
--- a/internal/membership/rumor_test.go
+++ b/internal/membership/rumor_test.go
@@ -38,10 +38,10 @@
 // Guards against new views without a change: each datagram repeats the state of its sender.
 func TestRepeatedUpdateDoesNotChangeTheView(t *testing.T) {
 	tab := tableOf(30)
-	tab.Weigh(peer(3).Address(), 160)
+	tab.SetWeight(peer(3).Address(), 160)
 	tab.Changed()
 	tab.Heard(begin, peer(3), 2, false)
-	tab.Weigh(peer(3).Address(), 160)
+	tab.SetWeight(peer(3).Address(), 160)
 	tab.Apply(begin, membership.Update{
 		Node:        peer(4),
 		Incarnation: 9,
--- a/internal/membership/table.go
+++ b/internal/membership/table.go
@@ -169,9 +169,9 @@
 	s.noRoleUntil = time.Time{}
 }
 
-// Weigh sets the capacity for roles of a node, or of this one; 0 means unknown
+// SetWeight sets the capacity for roles of a node, or of this one; 0 means unknown
 // and is ignored for other nodes.
-func (t *Table) Weigh(address string, weight uint32) {
+func (t *Table) SetWeight(address string, weight uint32) {
 	if address == t.self.address {
 		t.changed = t.changed || weight != t.weight
 		t.weight = weight
--- a/internal/membership/update.go
+++ b/internal/membership/update.go
@@ -78,7 +78,7 @@
 	}
 	known := t.nodes[n.Node.address] != nil
 	s := t.find(n.Node)
-	t.Weigh(n.Node.address, n.Weight)
+	t.SetWeight(n.Node.address, n.Weight)
 	switch {
 	case n.Incarnation < s.incarnation:
 	case n.Status == StatusAlive:
--- a/internal/membership/update_test.go
+++ b/internal/membership/update_test.go
@@ -155,12 +155,12 @@
 // nodes while there are stronger ones.
 func TestRolesFollowWeights(t *testing.T) {
 	tab := tableOf(9)
-	tab.Weigh(peer(0).Address(), 100)
+	tab.SetWeight(peer(0).Address(), 100)
 	for i := 1; i <= 9; i++ {
-		tab.Weigh(peer(i).Address(), 100)
+		tab.SetWeight(peer(i).Address(), 100)
 	}
-	tab.Weigh(peer(3).Address(), 900)
-	tab.Weigh(peer(4).Address(), 600)
+	tab.SetWeight(peer(3).Address(), 900)
+	tab.SetWeight(peer(4).Address(), 600)
 	count := func() map[membership.Node]int {
 		view := tab.View(begin)
 		out := map[membership.Node]int{}
@@ -189,13 +189,13 @@
 		observed,
 		discovered,
 	} {
-		tab.Weigh(peer(0).Address(), 320)
+		tab.SetWeight(peer(0).Address(), 320)
 	}
 	for i := 1; i <= 9; i++ {
-		observed.Weigh(peer(i).Address(), 320)
+		observed.SetWeight(peer(i).Address(), 320)
 		if i < 5 {
 			discovered.Heard(begin, peer(i), 1, false)
-			discovered.Weigh(peer(i).Address(), 320)
+			discovered.SetWeight(peer(i).Address(), 320)
 		} else {
 			discovered.Mentioned(begin, peer(i))
 		}
@@ -215,7 +215,7 @@
 	for range 3 {
 		tab.NextUpdates(1, true)
 	}
-	tab.Weigh(peer(1).Address(), 320)
+	tab.SetWeight(peer(1).Address(), 320)
 	if updates := tab.NextUpdates(1, true); len(updates) != 1 || updates[0].Weight != 320 {
 		t.Errorf("updates %+v, want the weight 320", updates)
 	}
--- a/internal/node/export_test.go
+++ b/internal/node/export_test.go
@@ -168,7 +168,7 @@
 	members := newMembers(board, self, 0)
 	for _, n := range peers {
 		members.table.Heard(time.Now(), n, 1, false)
-		members.table.Weigh(n.Address(), 10*membership.DefaultWeight)
+		members.table.SetWeight(n.Address(), 10*membership.DefaultWeight)
 	}
 	board.view.Store(members.table.View(time.Now()))
 	store := fleetconfig.NewStore()
--- a/internal/node/members.go
+++ b/internal/node/members.go
@@ -42,7 +42,7 @@
 		table: membership.NewTable(self),
 		due:   make(chan struct{}, 1),
 	}
-	m.table.Weigh(self.Address(), weight)
+	m.table.SetWeight(self.Address(), weight)
 	m.board.view.Store(m.table.View(time.Now()))
 	return m
 }
@@ -86,14 +86,14 @@
 func (m *members) recordMessage(n *wire.Node) {
 	m.change(func(t *membership.Table, now time.Time) {
 		t.Heard(now, membership.NewNode(n.GetAddress(), n.GetDataHall()), n.GetIncarnation(), n.GetLeaving())
-		t.Weigh(n.GetAddress(), n.GetWeight())
+		t.SetWeight(n.GetAddress(), n.GetWeight())
 	})
 }
 
 func (m *members) recordMention(n *wire.Node) {
 	m.change(func(t *membership.Table, now time.Time) {
 		t.Mentioned(now, membership.NewNode(n.GetAddress(), n.GetDataHall()))
-		t.Weigh(n.GetAddress(), n.GetWeight())
+		t.SetWeight(n.GetAddress(), n.GetWeight())
 	})
 }
 
