--- a/internal/dissemination/sample_test.go
+++ b/internal/dissemination/sample_test.go
@@ -23,7 +23,7 @@
 	tab.SetWeight(self.Address(), 160)
 	for i := range nodes {
 		n := membership.NewNode(fmt.Sprintf("198.51.%d.%d:1", 100+i/250, i%250), "a")
-		tab.Heard(time.Now(), n, 1, false)
+		tab.Observe(time.Now(), n, 1, false)
 		weight := uint32(160)
 		if i%30 == 0 {
 			weight = 800
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -54,7 +54,7 @@
 	if second == first {
 		t.Fatal("a suspected node keeps its role")
 	}
-	tab.Heard(start, first, 1, false)
+	tab.Observe(start, first, 1, false)
 	if got := tab.View(start).Role("x", "b", 1)[0]; got != first {
 		t.Fatal("a node that sends again doesn't get its role back")
 	}
@@ -74,16 +74,16 @@
 
 func TestDrainingNode(t *testing.T) {
 	tab, list := table(3)
-	tab.Heard(start, list[1], 5, true)
+	tab.Observe(start, list[1], 5, true)
 	tab.List(list, nil)
 	if n := tab.View(start).Nodes(); n != 2 {
 		t.Fatalf("an old list undoes the draining of a node: %d nodes, want 2", n)
 	}
-	tab.Heard(start, list[1], 4, false)
+	tab.Observe(start, list[1], 4, false)
 	if n := tab.View(start).Nodes(); n != 2 {
 		t.Fatalf("a message of an earlier incarnation is applied: %d nodes, want 2", n)
 	}
-	tab.Heard(start, list[1], 6, false)
+	tab.Observe(start, list[1], 6, false)
 	if n := tab.View(start).Nodes(); n != 3 {
 		t.Fatalf("a new process at the address counts as draining: %d nodes, want 3", n)
 	}
--- a/internal/membership/rumor_test.go
+++ b/internal/membership/rumor_test.go
@@ -20,7 +20,7 @@
 	if updates := tab.NextUpdates(4, false); len(updates) != 1 || updates[0].Node != peer(7) {
 		t.Errorf("updates %v, want the suspicion", updates)
 	}
-	tab.Heard(begin, peer(7), 1, false)
+	tab.Observe(begin, peer(7), 1, false)
 	if updates := tab.NextUpdates(4, false); len(updates) != 1 || updates[0].Status != membership.StatusAlive {
 		t.Errorf("updates %v, want the refutation of the suspicion", updates)
 	}
@@ -40,7 +40,7 @@
 	tab := tableOf(30)
 	tab.SetWeight(peer(3).Address(), 160)
 	tab.Changed()
-	tab.Heard(begin, peer(3), 2, false)
+	tab.Observe(begin, peer(3), 2, false)
 	tab.SetWeight(peer(3).Address(), 160)
 	tab.Apply(begin, membership.Update{
 		Node:        peer(4),
--- a/internal/membership/table.go
+++ b/internal/membership/table.go
@@ -143,9 +143,9 @@
 	t.changed = true
 }
 
-// Heard records a message of a node. A greater incarnation is a new process at the
+// Observe records a message of a node. A greater incarnation is a new process at the
 // address, which isn't draining because the one before it was.
-func (t *Table) Heard(now time.Time, n Node, incarnation uint64, draining bool) {
+func (t *Table) Observe(now time.Time, n Node, incarnation uint64, draining bool) {
 	if n.address == t.self.address || n.address == "" {
 		return
 	}
--- a/internal/membership/update_test.go
+++ b/internal/membership/update_test.go
@@ -20,7 +20,7 @@
 func tableOf(n int) *membership.Table {
 	t := membership.NewTable(peer(0))
 	for i := 1; i <= n; i++ {
-		t.Heard(begin, peer(i), 1, false)
+		t.Observe(begin, peer(i), 1, false)
 	}
 	return t
 }
@@ -52,7 +52,7 @@
 func TestMessageRefutesSuspicionAndDeath(t *testing.T) {
 	tab := tableOf(3)
 	tab.Suspect(begin, peer(1).Address())
-	tab.Heard(begin, peer(1), 1, false)
+	tab.Observe(begin, peer(1), 1, false)
 	now := begin.Add(2 * membership.RefuteTimeout)
 	if dead := tab.DeclareDead(now); len(dead) != 0 {
 		t.Errorf("dead: %v", dead)
@@ -60,7 +60,7 @@
 	tab.Suspect(now, peer(1).Address())
 	now = now.Add(membership.RefuteTimeout)
 	tab.DeclareDead(now)
-	tab.Heard(now, peer(1), 1, false)
+	tab.Observe(now, peer(1), 1, false)
 	if !live(tab, now, peer(1)) {
 		t.Error("a node that sends messages is still declared dead")
 	}
@@ -113,11 +113,11 @@
 // was set back, and never receives the greater one.
 func TestRestartWithAnOlderClock(t *testing.T) {
 	tab := tableOf(3)
-	tab.Heard(begin, peer(1), 100, false)
+	tab.Observe(begin, peer(1), 100, false)
 	for sent := 1; sent > 0; {
 		sent = len(tab.NextUpdates(10, true))
 	}
-	tab.Heard(begin, peer(1), 50, false)
+	tab.Observe(begin, peer(1), 50, false)
 	updates := tab.NextUpdates(10, true)
 	if len(updates) != 1 || updates[0].Incarnation != 100 {
 		t.Fatalf("updates %v, want the greater incarnation", updates)
@@ -194,7 +194,7 @@
 	for i := 1; i <= 9; i++ {
 		observed.SetWeight(peer(i).Address(), 320)
 		if i < 5 {
-			discovered.Heard(begin, peer(i), 1, false)
+			discovered.Observe(begin, peer(i), 1, false)
 			discovered.SetWeight(peer(i).Address(), 320)
 		} else {
 			discovered.Mentioned(begin, peer(i))
--- a/internal/node/export_test.go
+++ b/internal/node/export_test.go
@@ -167,7 +167,7 @@
 	board := &Board{}
 	members := newMembers(board, self, 0)
 	for _, n := range peers {
-		members.table.Heard(time.Now(), n, 1, false)
+		members.table.Observe(time.Now(), n, 1, false)
 		members.table.SetWeight(n.Address(), 10*membership.DefaultWeight)
 	}
 	board.view.Store(members.table.View(time.Now()))
--- a/internal/node/members.go
+++ b/internal/node/members.go
@@ -85,7 +85,7 @@
 
 func (m *members) recordMessage(n *wire.Node) {
 	m.change(func(t *membership.Table, now time.Time) {
-		t.Heard(now, membership.NewNode(n.GetAddress(), n.GetDataHall()), n.GetIncarnation(), n.GetLeaving())
+		t.Observe(now, membership.NewNode(n.GetAddress(), n.GetDataHall()), n.GetIncarnation(), n.GetLeaving())
 		t.SetWeight(n.GetAddress(), n.GetWeight())
 	})
 }
--- a/internal/node/stop_test.go
+++ b/internal/node/stop_test.go
@@ -18,7 +18,7 @@
 	tab := membership.NewTable(membership.NewNode("192.0.2.1:1", "a"))
 	for i := range 400 {
 		hall := string(rune('a' + i%5))
-		tab.Heard(time.Now(), membership.NewNode(fmt.Sprintf("%s.%d:1", hall, i), hall), 1, false)
+		tab.Observe(time.Now(), membership.NewNode(fmt.Sprintf("%s.%d:1", hall, i), hall), 1, false)
 	}
 	notified := map[string]int{}
 	for _, peer := range node.LeaveTo(tab.View(time.Now())) {
