--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -92,7 +92,7 @@
 func TestUnlistedNodesAreForgotten(t *testing.T) {
 	tab, _ := table(2)
 	stray := membership.NewNode("192.0.2.99:1", "c")
-	tab.Mentioned(start, stray)
+	tab.Discover(start, stray)
 	if n := tab.View(start).Nodes(); n != 3 {
 		t.Fatalf("%d nodes, want 3", n)
 	}
--- a/internal/membership/table.go
+++ b/internal/membership/table.go
@@ -189,8 +189,8 @@
 // DefaultWeight is the weight of this node if it states none.
 const DefaultWeight = 1000
 
-// Mentioned records a node that a peer named.
-func (t *Table) Mentioned(now time.Time, n Node) {
+// Discover records a node that a peer named.
+func (t *Table) Discover(now time.Time, n Node) {
 	if n.address == t.self.address || n.address == "" || t.nodes[n.address] != nil {
 		return
 	}
--- a/internal/membership/update_test.go
+++ b/internal/membership/update_test.go
@@ -197,7 +197,7 @@
 			discovered.Observe(begin, peer(i), 1, false)
 			discovered.SetWeight(peer(i).Address(), 320)
 		} else {
-			discovered.Mentioned(begin, peer(i))
+			discovered.Discover(begin, peer(i))
 		}
 	}
 	a, b := observed.View(begin), discovered.View(begin)
--- a/internal/node/members.go
+++ b/internal/node/members.go
@@ -92,7 +92,7 @@
 
 func (m *members) recordMention(n *wire.Node) {
 	m.change(func(t *membership.Table, now time.Time) {
-		t.Mentioned(now, membership.NewNode(n.GetAddress(), n.GetDataHall()))
+		t.Discover(now, membership.NewNode(n.GetAddress(), n.GetDataHall()))
 		t.SetWeight(n.GetAddress(), n.GetWeight())
 	})
 }
