--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -45,11 +45,11 @@
 func TestRoleMovesOnFailureAndReturns(t *testing.T) {
 	tab, _ := table(9)
 	first := tab.View(start).Role("x", "b", 1)[0]
-	tab.Failed(start, first.Address())
+	tab.RecordFailure(start, first.Address())
 	if got := tab.View(start).Role("x", "b", 1)[0]; got != first {
 		t.Fatal("a node lost its role after one failed call")
 	}
-	tab.Failed(start, first.Address())
+	tab.RecordFailure(start, first.Address())
 	second := tab.View(start).Role("x", "b", 1)[0]
 	if second == first {
 		t.Fatal("a suspected node keeps its role")
@@ -62,8 +62,8 @@
 
 func TestSuspicionEnds(t *testing.T) {
 	tab, list := table(3)
-	tab.Failed(start, list[1].Address())
-	tab.Failed(start, list[1].Address())
+	tab.RecordFailure(start, list[1].Address())
+	tab.RecordFailure(start, list[1].Address())
 	if n := len(tab.View(start).Live()); n != 2 {
 		t.Fatalf("%d live nodes, want 2", n)
 	}
@@ -96,7 +96,7 @@
 	if n := tab.View(start).Nodes(); n != 3 {
 		t.Fatalf("%d nodes, want 3", n)
 	}
-	tab.Failed(start.Add(2*membership.ForgetTime), stray.Address())
+	tab.RecordFailure(start.Add(2*membership.ForgetTime), stray.Address())
 	if n := tab.View(start).Nodes(); n != 2 {
 		t.Fatalf("%d nodes after the unlisted one failed, want 2", n)
 	}
@@ -114,8 +114,8 @@
 				if list[i] == before || i == 0 {
 					continue
 				}
-				tab.Failed(start, list[i].Address())
-				tab.Failed(start, list[i].Address())
+				tab.RecordFailure(start, list[i].Address())
+				tab.RecordFailure(start, list[i].Address())
 			}
 			after := tab.View(start).Role(role, "", 1)
 			return len(after) == 1 && after[0] == before
--- a/internal/membership/table.go
+++ b/internal/membership/table.go
@@ -197,8 +197,8 @@
 	t.find(n).lastReceived = now
 }
 
-// Failed records a call to a node that got no answer.
-func (t *Table) Failed(now time.Time, address string) {
+// RecordFailure records a call to a node that got no answer.
+func (t *Table) RecordFailure(now time.Time, address string) {
 	s := t.nodes[address]
 	if s == nil {
 		return
--- a/internal/node/members.go
+++ b/internal/node/members.go
@@ -98,7 +98,7 @@
 }
 
 func (m *members) recordFailure(peer string) {
-	m.change(func(t *membership.Table, now time.Time) { t.Failed(now, peer) })
+	m.change(func(t *membership.Table, now time.Time) { t.RecordFailure(now, peer) })
 }
 
 // applyUpdate applies the update of a peer. An update that declares this node suspected or dead is
