--- a/internal/node/source.go
+++ b/internal/node/source.go
@@ -45,7 +45,7 @@
 		Behind:   n.replica.EarlierEra,
 		Withheld: n.replica.Withheld,
 		Age:      func() time.Duration { return n.gossip.PlatformAge(time.Now()) },
-		Heard:    func() { n.gossip.RecordPlatformContact(time.Now()) },
+		Answered: func() { n.gossip.RecordPlatformContact(time.Now()) },
 		Failed:   failed,
 		Reread: func(r source.Reread) {
 			log.WithField("reason", r.Reason).WithField("before", r.Before.String()).WithField("after", r.After.String()).
--- a/internal/source/follow.go
+++ b/internal/source/follow.go
@@ -17,8 +17,8 @@
 	Reader func() bool
 	// Deliver is called with values, and the position of the source up to which everything has
 	// been delivered with them; Heard is called on each good answer.
-	Deliver func([]*wire.Entry, order.Position)
-	Heard   func()
+	Deliver  func([]*wire.Entry, order.Position)
+	Answered func()
 	// Known returns the newest entry of a key in the local copy, which may be a removal, or
 	// nil. Keys returns the keys with values.
 	Known func(key string) *wire.Entry
--- a/internal/source/platform.go
+++ b/internal/source/platform.go
@@ -72,7 +72,7 @@
 		if err != nil {
 			return err
 		}
-		cfg.Heard()
+		cfg.Answered()
 		cfg.Deliver(entries, p.position)
 		return nil
 	})
--- a/internal/source/source_test.go
+++ b/internal/source/source_test.go
@@ -99,11 +99,11 @@
 	}
 	run := task.Go(t.Context(), "source", func(ctx context.Context) error {
 		return source.NewPlatform(base).Run(ctx, source.Config{
-			Reader:  func() bool { return true },
-			Deliver: f.deliver,
-			Heard:   func() {},
-			Failed:  f.fail,
-			Reread:  func(source.Reread) {},
+			Reader:   func() bool { return true },
+			Deliver:  f.deliver,
+			Answered: func() {},
+			Failed:   f.fail,
+			Reread:   func(source.Reread) {},
 		})
 	})
 	t.Cleanup(func() {
