--- a/internal/node/source.go
+++ b/internal/node/source.go
@@ -38,15 +38,15 @@
 			}
 			return reads
 		},
-		Deliver:  deliver,
-		Known:    n.replica.Newest,
-		Keys:     n.replica.Keys,
-		Era:      n.replica.Era,
-		Behind:   n.replica.EarlierEra,
-		Withheld: n.replica.Withheld,
-		Age:      func() time.Duration { return n.gossip.PlatformAge(time.Now()) },
-		Answered: func() { n.gossip.RecordPlatformContact(time.Now()) },
-		Failed:   failed,
+		Deliver:    deliver,
+		Known:      n.replica.Newest,
+		Keys:       n.replica.Keys,
+		Era:        n.replica.Era,
+		EarlierEra: n.replica.EarlierEra,
+		Withheld:   n.replica.Withheld,
+		Age:        func() time.Duration { return n.gossip.PlatformAge(time.Now()) },
+		Answered:   func() { n.gossip.RecordPlatformContact(time.Now()) },
+		Failed:     failed,
 		Reread: func(r source.Reread) {
 			log.WithField("reason", r.Reason).WithField("before", r.Before.String()).WithField("after", r.After.String()).
 				Info("platform read whole")
--- a/internal/source/follow.go
+++ b/internal/source/follow.go
@@ -25,10 +25,10 @@
 	Keys  func() []string
 	// Era returns the greatest era of any value in the local copy.
 	Era func() uint64
-	// Behind returns the keys whose values are from earlier eras, Withheld those that the
+	// EarlierEra returns the keys whose values are from earlier eras, Withheld those that the
 	// source holds again after a restore although their values had been removed.
-	Behind   func(era uint64) []string
-	Withheld func() []string
+	EarlierEra func(era uint64) []string
+	Withheld   func() []string
 	// Age returns the time since any process of the fleet received an answer of the source.
 	Age func() time.Duration
 	// Failed is called with each failure.
