--- a/internal/node/source.go
+++ b/internal/node/source.go
@@ -44,7 +44,7 @@
 		Era:        n.replica.Era,
 		EarlierEra: n.replica.EarlierEra,
 		Withheld:   n.replica.Withheld,
-		Age:        func() time.Duration { return n.gossip.PlatformAge(time.Now()) },
+		ContactAge: func() time.Duration { return n.gossip.PlatformAge(time.Now()) },
 		Answered:   func() { n.gossip.RecordPlatformContact(time.Now()) },
 		Failed:     failed,
 		Reread: func(r source.Reread) {
--- a/internal/source/follow.go
+++ b/internal/source/follow.go
@@ -29,8 +29,8 @@
 	// source holds again after a restore although their values had been removed.
 	EarlierEra func(era uint64) []string
 	Withheld   func() []string
-	// Age returns the time since any process of the fleet received an answer of the source.
-	Age func() time.Duration
+	// ContactAge returns the time since any process of the fleet received an answer of the source.
+	ContactAge func() time.Duration
 	// Failed is called with each failure.
 	Failed func(error)
 	// Reread is called with each full read.
