--- a/internal/node/source.go
+++ b/internal/node/source.go
@@ -39,7 +39,7 @@
 			return reads
 		},
 		Deliver:    deliver,
-		Known:      n.replica.Newest,
+		Newest:     n.replica.Newest,
 		Keys:       n.replica.Keys,
 		Era:        n.replica.Era,
 		EarlierEra: n.replica.EarlierEra,
--- a/internal/source/follow.go
+++ b/internal/source/follow.go
@@ -19,10 +19,10 @@
 	// been delivered with them; Heard is called on each good answer.
 	Deliver  func([]*wire.Entry, order.Position)
 	Answered func()
-	// Known returns the newest entry of a key in the local copy, which may be a removal, or
+	// Newest returns the newest entry of a key in the local copy, which may be a removal, or
 	// nil. Keys returns the keys with values.
-	Known func(key string) *wire.Entry
-	Keys  func() []string
+	Newest func(key string) *wire.Entry
+	Keys   func() []string
 	// Era returns the greatest era of any value in the local copy.
 	Era func() uint64
 	// EarlierEra returns the keys whose values are from earlier eras, Withheld those that the
