--- a/internal/source/follow.go
+++ b/internal/source/follow.go
@@ -50,8 +50,8 @@
 type Intervals struct {
 	// Role is the interval at which a process that isn't a reader checks whether it is.
 	Role time.Duration
-	// Pace is the least time between the starts of two steps, 0 for none.
-	Pace time.Duration
+	// MinStepInterval is the least time between the starts of two steps, 0 for none.
+	MinStepInterval time.Duration
 	// RetryFirst is the mean wait after a first failure; it doubles up to RetryMost.
 	RetryFirst time.Duration
 	RetryMost  time.Duration
@@ -78,7 +78,7 @@
 			continue
 		}
 		wait = b.RetryFirst
-		pause(ctx, b.Pace-time.Since(start))
+		pause(ctx, b.MinStepInterval-time.Since(start))
 	}
 	return nil
 }
