--- a/internal/source/follow.go
+++ b/internal/source/follow.go
@@ -34,11 +34,11 @@
 	// Failed is called with each failure.
 	Failed func(error)
 	// Reread is called with each full read.
-	Reread func(Reread)
+	Reread func(FullRead)
 }
 
-// Reread describes a full read: a read of all values.
-type Reread struct {
+// FullRead describes a full read: a read of all values.
+type FullRead struct {
 	// Reason is why reading the changes was not enough.
 	Reason string
 	// Before and After are the positions up to which the source was read before and after it.
