--- a/internal/node/source.go
+++ b/internal/node/source.go
@@ -47,7 +47,7 @@
 		ContactAge: func() time.Duration { return n.gossip.PlatformAge(time.Now()) },
 		Answered:   func() { n.gossip.RecordPlatformContact(time.Now()) },
 		Failed:     failed,
-		Reread: func(r source.FullRead) {
+		FullRead: func(r source.FullRead) {
 			log.WithField("reason", r.Reason).WithField("before", r.Before.String()).WithField("after", r.After.String()).
 				Info("platform read whole")
 		},
--- a/internal/source/follow.go
+++ b/internal/source/follow.go
@@ -33,8 +33,8 @@
 	ContactAge func() time.Duration
 	// Failed is called with each failure.
 	Failed func(error)
-	// Reread is called with each full read.
-	Reread func(FullRead)
+	// FullRead is called with each full read.
+	FullRead func(FullRead)
 }
 
 // FullRead describes a full read: a read of all values.
--- a/internal/source/platform.go
+++ b/internal/source/platform.go
@@ -110,7 +110,7 @@
 	}
 	before := p.position
 	out := p.convert(list)
-	cfg.Reread(FullRead{
+	cfg.FullRead(FullRead{
 		Reason: reason,
 		Before: before,
 		After:  p.position,
--- a/internal/source/source_test.go
+++ b/internal/source/source_test.go
@@ -103,7 +103,7 @@
 			Deliver:  f.deliver,
 			Answered: func() {},
 			Failed:   f.fail,
-			Reread:   func(source.FullRead) {},
+			FullRead: func(source.FullRead) {},
 		})
 	})
 	t.Cleanup(func() {
