--- a/internal/detection/strategy.go
+++ b/internal/detection/strategy.go
@@ -166,7 +166,7 @@
 	info      outlier.Service
 	collector *outlier.Collector
 	detector  *outlier.Detector
-	judge     *outlier.Judge
+	judge     *outlier.Controller
 	pending   map[string]outlier.Counts
 	urgent    bool
 	sent      time.Time
--- a/internal/node/ejection.go
+++ b/internal/node/ejection.go
@@ -22,7 +22,7 @@
 type serviceState struct {
 	config   *fleetconfig.Service
 	detector *outlier.Detector
-	judge    *outlier.Judge
+	judge    *outlier.Controller
 	gauges   map[string]*balance.Gauge
 	byKey    map[uint32]string
 }
--- a/internal/outlier/controller.go
+++ b/internal/outlier/controller.go
@@ -50,9 +50,9 @@
 	drainingUntil time.Time
 }
 
-// Judge holds a node's ejection state of the targets of one service. It isn't safe
+// Controller holds a node's ejection state of the targets of one service. It isn't safe
 // for concurrent use.
-type Judge struct {
+type Controller struct {
 	targets map[string]*targetState
 	// unhealthy holds the targets in any phase but PhaseHealthy.
 	unhealthy   map[string]*targetState
@@ -60,8 +60,8 @@
 }
 
 // NewJudge returns a Judge without targets.
-func NewJudge() *Judge {
-	return &Judge{
+func NewJudge() *Controller {
+	return &Controller{
 		targets:   map[string]*targetState{},
 		unhealthy: map[string]*targetState{},
 	}
@@ -69,7 +69,7 @@
 
 // SetTargets replaces the published targets. Targets of the first non-empty list
 // are healthy, later ones begin to warm up.
-func (j *Judge) SetTargets(now time.Time, addresses []string) {
+func (j *Controller) SetTargets(now time.Time, addresses []string) {
 	listed := map[string]bool{}
 	for _, a := range addresses {
 		listed[a] = true
@@ -95,7 +95,7 @@
 }
 
 // Sick ejects a target on this node's own evidence.
-func (j *Judge) Sick(now time.Time, target string, score float64) {
+func (j *Controller) Sick(now time.Time, target string, score float64) {
 	t := j.targets[target]
 	if t == nil || t.phase == PhaseEjected {
 		return
@@ -106,7 +106,7 @@
 
 // Verdict ejects a target on an observer's decision until lease has passed, so that
 // decisions of an observer that hangs or is partitioned expire.
-func (j *Judge) Verdict(now time.Time, target string, score float64, lease time.Duration) {
+func (j *Controller) Verdict(now time.Time, target string, score float64, lease time.Duration) {
 	t := j.targets[target]
 	if t == nil {
 		return
@@ -117,7 +117,7 @@
 	j.eject(now, target, score)
 }
 
-func (j *Judge) eject(now time.Time, target string, score float64) {
+func (j *Controller) eject(now time.Time, target string, score float64) {
 	t := j.targets[target]
 	j.unhealthy[target] = t
 	if t.phase != PhaseEjected {
@@ -129,7 +129,7 @@
 }
 
 // Leaving records a target's signal that it is draining.
-func (j *Judge) Leaving(now time.Time, target string) {
+func (j *Controller) Leaving(now time.Time, target string) {
 	if t := j.targets[target]; t != nil {
 		t.drainingUntil = now.Add(LeavingTime)
 	}
@@ -137,7 +137,7 @@
 
 // Evidence records the requests to a target in one tick. Only those of a trial
 // count: a bad one ejects the target again.
-func (j *Judge) Evidence(now time.Time, c Counts) {
+func (j *Controller) Evidence(now time.Time, c Counts) {
 	t := j.targets[c.Target]
 	if t == nil || t.phase != PhaseTrial {
 		return
@@ -152,7 +152,7 @@
 
 // Advance moves targets to their next phase when it is due. It reports whether any
 // state changed, which is always so while a target warms up.
-func (j *Judge) Advance(now time.Time) bool {
+func (j *Controller) Advance(now time.Time) bool {
 	changed := false
 	for a, t := range j.unhealthy {
 		if next := t.next(now); next != t.phase {
@@ -199,7 +199,7 @@
 
 // State returns the state of a target, or the zero value with full warmth for an
 // unknown one.
-func (j *Judge) State(now time.Time, target string) State {
+func (j *Controller) State(now time.Time, target string) State {
 	t := j.targets[target]
 	if t == nil {
 		return State{
--- a/internal/outlier/outlier_test.go
+++ b/internal/outlier/outlier_test.go
@@ -308,7 +308,7 @@
 }
 
 // phases advances j in steps of a second and returns the phases of target t in order.
-func phases(j *outlier.Judge, from time.Time, seconds int, evidence outlier.Counts) []outlier.Phase {
+func phases(j *outlier.Controller, from time.Time, seconds int, evidence outlier.Counts) []outlier.Phase {
 	var out []outlier.Phase
 	evidence.Target = "t"
 	for i := range seconds {
