--- a/internal/detection/strategy.go
+++ b/internal/detection/strategy.go
@@ -179,7 +179,7 @@
 		info:      info,
 		collector: outlier.NewCollector(tick),
 		detector:  outlier.NewDetector(info.Threshold),
-		judge:     outlier.NewJudge(),
+		judge:     outlier.NewController(),
 		pending:   map[string]outlier.Counts{},
 	}
 	s.judge.SetTargets(epoch, info.Targets)
--- a/internal/node/ejection.go
+++ b/internal/node/ejection.go
@@ -133,7 +133,7 @@
 func newServiceState(old *serviceState, sc *fleetconfig.Service) *serviceState {
 	s := &serviceState{
 		detector: outlier.NewDetector(sc.Threshold()),
-		judge:    outlier.NewJudge(),
+		judge:    outlier.NewController(),
 		gauges:   map[string]*balance.Gauge{},
 	}
 	if old != nil {
--- a/internal/outlier/controller.go
+++ b/internal/outlier/controller.go
@@ -59,8 +59,8 @@
 	initialized bool
 }
 
-// NewJudge returns a Judge without targets.
-func NewJudge() *Controller {
+// NewController returns a Judge without targets.
+func NewController() *Controller {
 	return &Controller{
 		targets:   map[string]*targetState{},
 		unhealthy: map[string]*targetState{},
--- a/internal/outlier/outlier_test.go
+++ b/internal/outlier/outlier_test.go
@@ -323,7 +323,7 @@
 }
 
 func TestReinstatementPassesAllPhases(t *testing.T) {
-	j := outlier.NewJudge()
+	j := outlier.NewController()
 	j.SetTargets(start, []string{"t", "u"})
 	j.Sick(start, "t", threshold)
 	got := phases(j, start, 40, outlier.Counts{
@@ -336,7 +336,7 @@
 }
 
 func TestRelapseExtendsEjection(t *testing.T) {
-	j := outlier.NewJudge()
+	j := outlier.NewController()
 	j.SetTargets(start, []string{"t"})
 	now := start
 	var last time.Duration
@@ -367,7 +367,7 @@
 }
 
 func TestRemoteEjectionEndsWithItsLease(t *testing.T) {
-	j := outlier.NewJudge()
+	j := outlier.NewController()
 	j.SetTargets(start, []string{"t"})
 	j.Verdict(start, "t", threshold, 3*time.Second)
 	j.Advance(start.Add(2 * time.Second))
@@ -387,7 +387,7 @@
 }
 
 func TestDrainingOutlastsAStaleTargetList(t *testing.T) {
-	j := outlier.NewJudge()
+	j := outlier.NewController()
 	j.SetTargets(start, []string{"t"})
 	j.Leaving(start, "t")
 	j.SetTargets(start.Add(time.Second), []string{"t"})
