--- a/internal/detection/strategy.go
+++ b/internal/detection/strategy.go
@@ -243,7 +243,7 @@
 		s.detector.Update(now, counts)
 		for _, t := range s.info.Targets {
 			if r := s.detector.Read(t); r.Score >= s.info.Threshold {
-				s.judge.Sick(now, t, r.Score)
+				s.judge.EjectLocal(now, t, r.Score)
 				s.detector.Reset(t)
 				changed = true
 			}
--- a/internal/node/ejection.go
+++ b/internal/node/ejection.go
@@ -216,7 +216,7 @@
 	if !s.config.Policy().Sick(r.Health(s.config.Threshold(), 1, 1)) {
 		return
 	}
-	s.judge.Sick(now, target, r.Score)
+	s.judge.EjectLocal(now, target, r.Score)
 	s.detector.Reset(target)
 	j.dirty = true
 	j.log.WithField("service", s.config.Name()).WithField("target", target).
--- a/internal/outlier/controller.go
+++ b/internal/outlier/controller.go
@@ -94,8 +94,8 @@
 	j.initialized = j.initialized || len(addresses) > 0
 }
 
-// Sick ejects a target on this node's own evidence.
-func (j *Controller) Sick(now time.Time, target string, score float64) {
+// EjectLocal ejects a target on this node's own evidence.
+func (j *Controller) EjectLocal(now time.Time, target string, score float64) {
 	t := j.targets[target]
 	if t == nil || t.phase == PhaseEjected {
 		return
--- a/internal/outlier/outlier_test.go
+++ b/internal/outlier/outlier_test.go
@@ -325,7 +325,7 @@
 func TestReinstatementPassesAllPhases(t *testing.T) {
 	j := outlier.NewController()
 	j.SetTargets(start, []string{"t", "u"})
-	j.Sick(start, "t", threshold)
+	j.EjectLocal(start, "t", threshold)
 	got := phases(j, start, 40, outlier.Counts{
 		Good: 1,
 	})
@@ -341,7 +341,7 @@
 	now := start
 	var last time.Duration
 	for i := range 8 {
-		j.Sick(now, "t", threshold)
+		j.EjectLocal(now, "t", threshold)
 		ejectedAt := now
 		for j.State(now, "t").Phase == outlier.PhaseEjected {
 			now = now.Add(100 * time.Millisecond)
