--- a/internal/detection/strategy.go
+++ b/internal/detection/strategy.go
@@ -152,7 +152,7 @@
 	}
 	for _, v := range h.observer.Advance(now) {
 		for _, n := range h.nodes {
-			n.judge.Verdict(now, v.Target, v.Score, v.Lease)
+			n.judge.EjectForLease(now, v.Target, v.Score, v.Lease)
 			n.chooser.rebuild(now)
 		}
 	}
--- a/internal/node/ejection.go
+++ b/internal/node/ejection.go
@@ -240,7 +240,7 @@
 		s.judge.Leaving(now, target)
 		return
 	}
-	s.judge.Verdict(now, target, v.Score, v.Lease)
+	s.judge.EjectForLease(now, target, v.Score, v.Lease)
 	j.log.WithField("service", v.Service).WithField("target", target).
 		WithField("score", v.Score).Info("target ejected by an observer")
 }
--- a/internal/outlier/controller.go
+++ b/internal/outlier/controller.go
@@ -104,9 +104,9 @@
 	j.eject(now, target, score)
 }
 
-// Verdict ejects a target on an observer's decision until lease has passed, so that
+// EjectForLease ejects a target on an observer's decision until lease has passed, so that
 // decisions of an observer that hangs or is partitioned expire.
-func (j *Controller) Verdict(now time.Time, target string, score float64, lease time.Duration) {
+func (j *Controller) EjectForLease(now time.Time, target string, score float64, lease time.Duration) {
 	t := j.targets[target]
 	if t == nil {
 		return
--- a/internal/outlier/outlier_test.go
+++ b/internal/outlier/outlier_test.go
@@ -369,7 +369,7 @@
 func TestRemoteEjectionEndsWithItsLease(t *testing.T) {
 	j := outlier.NewController()
 	j.SetTargets(start, []string{"t"})
-	j.Verdict(start, "t", threshold, 3*time.Second)
+	j.EjectForLease(start, "t", threshold, 3*time.Second)
 	j.Advance(start.Add(2 * time.Second))
 	if p := j.State(start.Add(2*time.Second), "t").Phase; p != outlier.PhaseEjected {
 		t.Fatalf("phase within the lease: %v", p)
@@ -379,7 +379,7 @@
 		t.Fatalf("phase after the lease: %v", p)
 	}
 	// A lease of hours, which a faulty observer could send, is limited to MaxHold.
-	j.Verdict(start, "t", threshold, 24*time.Hour)
+	j.EjectForLease(start, "t", threshold, 24*time.Hour)
 	j.Advance(start.Add(outlier.MaxHold))
 	if p := j.State(start.Add(outlier.MaxHold), "t").Phase; p == outlier.PhaseEjected {
 		t.Fatal("lease is not limited to MaxHold")
