--- a/internal/node/ejection.go
+++ b/internal/node/ejection.go
@@ -190,7 +190,7 @@
 			continue
 		}
 		if e.Counts.Leaving {
-			s.judge.Leaving(now, e.Counts.Target)
+			s.judge.SetDraining(now, e.Counts.Target)
 			j.dirty = true
 		}
 		s.judge.Evidence(now, e.Counts)
@@ -237,7 +237,7 @@
 	}
 	j.dirty = true
 	if v.Leaving {
-		s.judge.Leaving(now, target)
+		s.judge.SetDraining(now, target)
 		return
 	}
 	s.judge.EjectForLease(now, target, v.Score, v.Lease)
--- a/internal/outlier/controller.go
+++ b/internal/outlier/controller.go
@@ -128,8 +128,8 @@
 	t.good = 0
 }
 
-// Leaving records a target's signal that it is draining.
-func (j *Controller) Leaving(now time.Time, target string) {
+// SetDraining records a target's signal that it is draining.
+func (j *Controller) SetDraining(now time.Time, target string) {
 	if t := j.targets[target]; t != nil {
 		t.drainingUntil = now.Add(LeavingTime)
 	}
--- a/internal/outlier/outlier_test.go
+++ b/internal/outlier/outlier_test.go
@@ -389,7 +389,7 @@
 func TestDrainingOutlastsAStaleTargetList(t *testing.T) {
 	j := outlier.NewController()
 	j.SetTargets(start, []string{"t"})
-	j.Leaving(start, "t")
+	j.SetDraining(start, "t")
 	j.SetTargets(start.Add(time.Second), []string{"t"})
 	if !j.State(start.Add(30*time.Second), "t").Leaving {
 		t.Fatal("not draining while the target list is stale")
