--- a/internal/detection/strategy.go
+++ b/internal/detection/strategy.go
@@ -229,7 +229,7 @@
 	var counts []outlier.Counts
 	for _, e := range s.collector.Drain(now) {
 		c := e.Counts
-		s.judge.Evidence(now, c)
+		s.judge.Record(now, c)
 		counts = append(counts, c)
 		sum := s.pending[c.Target]
 		sum.Target = c.Target
--- a/internal/node/ejection.go
+++ b/internal/node/ejection.go
@@ -193,7 +193,7 @@
 			s.judge.SetDraining(now, e.Counts.Target)
 			j.dirty = true
 		}
-		s.judge.Evidence(now, e.Counts)
+		s.judge.Record(now, e.Counts)
 		ticks[e.Service] = append(ticks[e.Service], e.Counts)
 	}
 	for name, s := range j.services {
--- a/internal/outlier/controller.go
+++ b/internal/outlier/controller.go
@@ -135,9 +135,9 @@
 	}
 }
 
-// Evidence records the requests to a target in one tick. Only those of a trial
+// Record records the requests to a target in one tick. Only those of a trial
 // count: a bad one ejects the target again.
-func (j *Controller) Evidence(now time.Time, c Counts) {
+func (j *Controller) Record(now time.Time, c Counts) {
 	t := j.targets[c.Target]
 	if t == nil || t.phase != PhaseTrial {
 		return
--- a/internal/outlier/outlier_test.go
+++ b/internal/outlier/outlier_test.go
@@ -313,7 +313,7 @@
 	evidence.Target = "t"
 	for i := range seconds {
 		now := from.Add(time.Duration(i) * time.Second)
-		j.Evidence(now, evidence)
+		j.Record(now, evidence)
 		j.Advance(now)
 		if p := j.State(now, "t").Phase; len(out) == 0 || out[len(out)-1] != p {
 			out = append(out, p)
@@ -353,7 +353,7 @@
 		}
 		last = ejectedFor
 		// A failed trial request counts as a relapse.
-		j.Evidence(now, outlier.Counts{
+		j.Record(now, outlier.Counts{
 			Target: "t",
 			Bad:    1,
 		})
