--- a/internal/node/decisions.go
+++ b/internal/node/decisions.go
@@ -14,7 +14,7 @@
 
 // broadcastDecisions sends new ejection decisions to all nodes of the data hall. They are rare; a node that
 // misses one ejects the target on its own evidence.
-func (o *evidenceController) broadcastDecisions(ctx context.Context, calls *task.Group, now time.Time, decisions []outlier.Verdict) {
+func (o *evidenceController) broadcastDecisions(ctx context.Context, calls *task.Group, now time.Time, decisions []outlier.Decision) {
 	if len(decisions) == 0 {
 		return
 	}
@@ -57,7 +57,7 @@
 		if !o.hasRole(in.GetFrom(), v.GetService()) {
 			continue
 		}
-		o.deliver(now, outlier.Verdict{
+		o.deliver(now, outlier.Decision{
 			Service: v.GetService(),
 			Score:   float64(v.GetScore()),
 			Lease:   time.Duration(v.GetLeaseMs()) * time.Millisecond,
--- a/internal/node/ejection.go
+++ b/internal/node/ejection.go
@@ -224,7 +224,7 @@
 }
 
 // applyDecision applies an observer's ejection decision.
-func (j *ejectionController) applyDecision(now time.Time, v outlier.Verdict, key uint32) {
+func (j *ejectionController) applyDecision(now time.Time, v outlier.Decision, key uint32) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	s := j.services[v.Service]
--- a/internal/node/evidence.go
+++ b/internal/node/evidence.go
@@ -55,7 +55,7 @@
 type evidenceController struct {
 	board            *Board
 	link             observerLink
-	deliver          func(now time.Time, v outlier.Verdict, key uint32)
+	deliver          func(now time.Time, v outlier.Decision, key uint32)
 	log              *logrus.Entry
 	mu               sync.Mutex
 	pending          map[string]*pendingEvidence
@@ -64,7 +64,7 @@
 	busy map[string]bool
 }
 
-func newEvidenceController(board *Board, link observerLink, deliver func(time.Time, outlier.Verdict, uint32), log *logrus.Entry) *evidenceController {
+func newEvidenceController(board *Board, link observerLink, deliver func(time.Time, outlier.Decision, uint32), log *logrus.Entry) *evidenceController {
 	return &evidenceController{
 		board:            board,
 		link:             link,
--- a/internal/node/observer.go
+++ b/internal/node/observer.go
@@ -92,13 +92,13 @@
 
 // advance evaluates all observed services. It returns the summaries for the observers of the other
 // data halls and the new ejection decisions.
-func (o *evidenceController) advance(now time.Time) (map[string][]*wire.Report, []outlier.Verdict) {
+func (o *evidenceController) advance(now time.Time) (map[string][]*wire.Report, []outlier.Decision) {
 	view := o.board.view.Load()
 	halls := view.DataHalls()
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	summaries := map[string][]*wire.Report{}
-	var decisions []outlier.Verdict
+	var decisions []outlier.Decision
 	for name, s := range o.observedServices {
 		if now.Sub(s.lastReport) > observerTimeout {
 			delete(o.observedServices, name)
--- a/internal/outlier/observer.go
+++ b/internal/outlier/observer.go
@@ -16,9 +16,9 @@
 	Targets   []string
 }
 
-// Verdict is an observer's decision on a target: to eject it for a lease or, with
+// Decision is an observer's decision on a target: to eject it for a lease or, with
 // Leaving set, that it is draining.
-type Verdict struct {
+type Decision struct {
 	Service string
 	Target  string
 	Score   float64
@@ -176,17 +176,17 @@
 }
 
 // Advance evaluates the evidence since the last call and returns the new decisions.
-func (o *Observer) Advance(now time.Time) []Verdict {
+func (o *Observer) Advance(now time.Time) []Decision {
 	o.hall.Update(now, o.hallEvidence.drain(now))
 	o.all.Update(now, o.allEvidence.drain(now))
-	var out []Verdict
+	var out []Decision
 	for _, t := range o.service.Targets {
 		if v, ok := o.decide(now, t); ok {
 			out = append(out, v)
 		}
 	}
 	for t, until := range o.drainingUntil {
-		out = append(out, Verdict{
+		out = append(out, Decision{
 			Service: o.service.Name,
 			Target:  t,
 			Lease:   until.Sub(now),
@@ -198,13 +198,13 @@
 }
 
 // decide ejects the target if the policy counts it as sick and it isn't ejected yet.
-func (o *Observer) decide(now time.Time, target string) (Verdict, bool) {
+func (o *Observer) decide(now time.Time, target string) (Decision, bool) {
 	r := o.hall.Read(target)
 	if all := o.all.Read(target); all.Score > r.Score {
 		r = all
 	}
 	if r.Score == 0 || !o.sick(now, r) {
-		return Verdict{}, false
+		return Decision{}, false
 	}
 	h := o.ejections[target]
 	if h == nil {
@@ -212,12 +212,12 @@
 		o.ejections[target] = h
 	}
 	if h.active(now) {
-		return Verdict{}, false
+		return Decision{}, false
 	}
 	h.start(now)
 	o.hall.Reset(target)
 	o.all.Reset(target)
-	return Verdict{
+	return Decision{
 		Service: o.service.Name,
 		Target:  target,
 		Score:   r.Score,
--- a/internal/outlier/outlier_test.go
+++ b/internal/outlier/outlier_test.go
@@ -415,8 +415,8 @@
 
 // report sends reports of nodes for some ticks. For the first bad nodes target t fails
 // all requests.
-func report(o *outlier.Observer, nodes, bad, ticks int) []outlier.Verdict {
-	var out []outlier.Verdict
+func report(o *outlier.Observer, nodes, bad, ticks int) []outlier.Decision {
+	var out []outlier.Decision
 	for i := range ticks {
 		now := start.Add(time.Duration(i) * 500 * time.Millisecond)
 		for n := range nodes {
