--- a/internal/node/decisions.go
+++ b/internal/node/decisions.go
@@ -28,7 +28,7 @@
 			Target:  outlier.Key(v.Target),
 			Score:   float32(v.Score),
 			LeaseMs: uint32(v.Lease.Milliseconds()),
-			Leaving: v.Leaving,
+			Leaving: v.Draining,
 		})
 	}
 	o.sendDecisions(ctx, calls, batch)
@@ -58,10 +58,10 @@
 			continue
 		}
 		o.deliver(now, outlier.Decision{
-			Service: v.GetService(),
-			Score:   float64(v.GetScore()),
-			Lease:   time.Duration(v.GetLeaseMs()) * time.Millisecond,
-			Leaving: v.GetLeaving(),
+			Service:  v.GetService(),
+			Score:    float64(v.GetScore()),
+			Lease:    time.Duration(v.GetLeaseMs()) * time.Millisecond,
+			Draining: v.GetLeaving(),
 		}, v.GetTarget())
 	}
 }
--- a/internal/node/ejection.go
+++ b/internal/node/ejection.go
@@ -236,7 +236,7 @@
 		return
 	}
 	j.dirty = true
-	if v.Leaving {
+	if v.Draining {
 		s.judge.SetDraining(now, target)
 		return
 	}
--- a/internal/outlier/observer.go
+++ b/internal/outlier/observer.go
@@ -19,11 +19,11 @@
 // Decision is an observer's decision on a target: to eject it for a lease or, with
 // Leaving set, that it is draining.
 type Decision struct {
-	Service string
-	Target  string
-	Score   float64
-	Lease   time.Duration
-	Leaving bool
+	Service  string
+	Target   string
+	Score    float64
+	Lease    time.Duration
+	Draining bool
 }
 
 // Observer merges the evidence of many nodes about one service. It keeps two
@@ -187,10 +187,10 @@
 	}
 	for t, until := range o.drainingUntil {
 		out = append(out, Decision{
-			Service: o.service.Name,
-			Target:  t,
-			Lease:   until.Sub(now),
-			Leaving: true,
+			Service:  o.service.Name,
+			Target:   t,
+			Lease:    until.Sub(now),
+			Draining: true,
 		})
 		delete(o.drainingUntil, t)
 	}
