--- a/internal/node/ejection.go
+++ b/internal/node/ejection.go
@@ -271,7 +271,7 @@
 			Slots:       t.Slots(),
 			Connections: t.Connections(),
 			Warmth:      st.Warmth,
-			Leaving:     st.Leaving || listed,
+			Leaving:     st.Draining || listed,
 			Sick:        st.Phase == outlier.PhaseEjected || st.Phase == outlier.PhaseTrial,
 			Score:       st.Score,
 			Trial:       st.Phase == outlier.PhaseTrial,
@@ -283,7 +283,7 @@
 			listedDraining: listed,
 			inFlight:       s.gauges[t.Key()].InFlight(),
 		})
-		if !st.Leaving && !listed {
+		if !st.Draining && !listed {
 			capacity += t.Slots()
 		}
 	}
--- a/internal/outlier/controller.go
+++ b/internal/outlier/controller.go
@@ -189,10 +189,10 @@
 
 // State is the ejection state of one target.
 type State struct {
-	Phase   Phase
-	Since   time.Time
-	Score   float64
-	Leaving bool
+	Phase    Phase
+	Since    time.Time
+	Score    float64
+	Draining bool
 	// Warmth is the share of the target's slots in use, from 0 to 1.
 	Warmth float64
 }
@@ -207,11 +207,11 @@
 		}
 	}
 	s := State{
-		Phase:   t.phase,
-		Since:   t.since,
-		Score:   t.score,
-		Leaving: now.Before(t.drainingUntil),
-		Warmth:  1,
+		Phase:    t.phase,
+		Since:    t.since,
+		Score:    t.score,
+		Draining: now.Before(t.drainingUntil),
+		Warmth:   1,
 	}
 	if t.phase == PhaseWarming {
 		s.Warmth = min(minWarmth+(1-minWarmth)*now.Sub(t.since).Seconds()/WarmTime.Seconds(), 1)
--- a/internal/outlier/outlier_test.go
+++ b/internal/outlier/outlier_test.go
@@ -391,10 +391,10 @@
 	j.SetTargets(start, []string{"t"})
 	j.SetDraining(start, "t")
 	j.SetTargets(start.Add(time.Second), []string{"t"})
-	if !j.State(start.Add(30*time.Second), "t").Leaving {
+	if !j.State(start.Add(30*time.Second), "t").Draining {
 		t.Fatal("not draining while the target list is stale")
 	}
-	if j.State(start.Add(2*outlier.LeavingTime), "t").Leaving {
+	if j.State(start.Add(2*outlier.LeavingTime), "t").Draining {
 		t.Fatal("still draining after twice LeavingTime")
 	}
 }
