--- a/internal/node/ejection.go
+++ b/internal/node/ejection.go
@@ -189,7 +189,7 @@
 		if s == nil {
 			continue
 		}
-		if e.Counts.Leaving {
+		if e.Counts.Draining {
 			s.judge.SetDraining(now, e.Counts.Target)
 			j.dirty = true
 		}
--- a/internal/node/evidence.go
+++ b/internal/node/evidence.go
@@ -86,7 +86,7 @@
 			Good:    uint32(e.Counts.Good),
 			Bad:     uint32(e.Counts.Bad),
 			Stalled: uint32(e.Counts.Stalled),
-			Leaving: e.Counts.Leaving,
+			Leaving: e.Counts.Draining,
 		})
 	}
 }
--- a/internal/node/export_signals_test.go
+++ b/internal/node/export_signals_test.go
@@ -55,7 +55,7 @@
 	p := &Prober{}
 	p.prober = newProber(board, contract.Plover(), func(_ time.Time, evidence []outlier.Evidence) {
 		for _, e := range evidence {
-			if e.Counts.Leaving {
+			if e.Counts.Draining {
 				p.draining = append(p.draining, e.Counts.Target)
 			}
 		}
--- a/internal/node/observer.go
+++ b/internal/node/observer.go
@@ -42,11 +42,11 @@
 				continue
 			}
 			s.add(now, in, outlier.Counts{
-				Target:  target,
-				Good:    float64(t.GetGood()),
-				Bad:     float64(t.GetBad()),
-				Stalled: float64(t.GetStalled()),
-				Leaving: t.GetLeaving(),
+				Target:   target,
+				Good:     float64(t.GetGood()),
+				Bad:      float64(t.GetBad()),
+				Stalled:  float64(t.GetStalled()),
+				Draining: t.GetLeaving(),
 			})
 		}
 	}
@@ -140,7 +140,7 @@
 			Good:    uint32(c.Good),
 			Bad:     uint32(c.Bad),
 			Stalled: uint32(c.Stalled),
-			Leaving: c.Leaving,
+			Leaving: c.Draining,
 		})
 	}
 	return r
--- a/internal/node/prober.go
+++ b/internal/node/prober.go
@@ -123,8 +123,8 @@
 		{
 			Service: s.Name(),
 			Counts: outlier.Counts{
-				Target:  t.Key(),
-				Leaving: true,
+				Target:   t.Key(),
+				Draining: true,
 			},
 		},
 	})
--- a/internal/outlier/collector.go
+++ b/internal/outlier/collector.go
@@ -172,7 +172,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	delete(f.counts.inFlight, f)
-	f.counts.counts.Leaving = f.counts.counts.Leaving || e.Leaving
+	f.counts.counts.Draining = f.counts.counts.Draining || e.Leaving
 	if f.discarded {
 		return
 	}
@@ -256,5 +256,5 @@
 	}
 	e.Counts.Target = v.target
 	v.counts = Counts{}
-	return e, e.Counts.Good+e.Counts.Bad > 0 || e.Counts.Leaving
+	return e, e.Counts.Good+e.Counts.Bad > 0 || e.Counts.Draining
 }
--- a/internal/outlier/detector.go
+++ b/internal/outlier/detector.go
@@ -51,8 +51,8 @@
 	Good    float64
 	Bad     float64
 	Stalled float64
-	// Leaving is set when the target signaled that it is draining.
-	Leaving bool
+	// Draining is set when the target signaled that it is draining.
+	Draining bool
 }
 
 // add adds the requests of o and leaves the target unchanged.
@@ -60,7 +60,7 @@
 	c.Good += o.Good
 	c.Bad += o.Bad
 	c.Stalled += o.Stalled
-	c.Leaving = c.Leaving || o.Leaving
+	c.Draining = c.Draining || o.Draining
 }
 
 // decayedCounts counts requests with exponential decay.
--- a/internal/outlier/observer.go
+++ b/internal/outlier/observer.go
@@ -107,7 +107,7 @@
 
 func (o *Observer) record(now time.Time, source, dataHall string, c Counts) {
 	o.allEvidence.add(source, c)
-	if c.Leaving {
+	if c.Draining {
 		o.recordDraining(now, c.Target)
 	}
 	o.reporters[source] = now
@@ -151,7 +151,7 @@
 // a target accumulates, or a target is draining.
 func (o *Observer) Urgent() bool {
 	for _, c := range o.summary {
-		if c.Leaving || o.hall.Read(c.Target).Score > urgentShare*o.service.Threshold {
+		if c.Draining || o.hall.Read(c.Target).Score > urgentShare*o.service.Threshold {
 			return true
 		}
 	}
--- a/internal/outlier/outlier_test.go
+++ b/internal/outlier/outlier_test.go
@@ -283,8 +283,8 @@
 				return now.Add(tick)
 			},
 			want: outlier.Counts{
-				Good:    1,
-				Leaving: true,
+				Good:     1,
+				Draining: true,
 			},
 		},
 	}
