--- a/internal/entry/fail.go
+++ b/internal/entry/fail.go
@@ -93,8 +93,8 @@
 func endOf(a *forward.Answer, err error) outlier.End {
 	if a != nil {
 		return outlier.End{
-			Failed:  a.Status() >= http.StatusInternalServerError,
-			Leaving: a.Leaving(),
+			Failed:   a.Status() >= http.StatusInternalServerError,
+			Draining: a.Leaving(),
 		}
 	}
 	var fe *forward.Error
@@ -104,11 +104,11 @@
 		}
 	}
 	return outlier.End{
-		Failed:  true,
-		Ignored: !fe.Against(),
-		Leaving: fe.Leaving(),
-		Shed:    fe.Kind() == forward.KindShed,
-		Other:   fe.Kind() == forward.KindOther,
+		Failed:   true,
+		Ignored:  !fe.Against(),
+		Draining: fe.Leaving(),
+		Shed:     fe.Kind() == forward.KindShed,
+		Other:    fe.Kind() == forward.KindOther,
 
 		Unreached: fe.Kind() == forward.KindConnect,
 	}
--- a/internal/outlier/collector.go
+++ b/internal/outlier/collector.go
@@ -154,8 +154,8 @@
 	// Ignored is set when the result is no evidence about the target: it shed the
 	// request, or the caller disconnected. A slow attempt counts as bad all the same.
 	Ignored bool
-	// Leaving is set when the target signaled that it is draining.
-	Leaving bool
+	// Draining is set when the target signaled that it is draining.
+	Draining bool
 	// Shed is set when the target refused the request before running it, Other
 	// when another process has the target's address.
 	Shed  bool
@@ -172,7 +172,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	delete(f.counts.inFlight, f)
-	f.counts.counts.Draining = f.counts.counts.Draining || e.Leaving
+	f.counts.counts.Draining = f.counts.counts.Draining || e.Draining
 	if f.discarded {
 		return
 	}
--- a/internal/outlier/outlier_test.go
+++ b/internal/outlier/outlier_test.go
@@ -278,7 +278,7 @@
 			name: "leaving",
 			run: func(c *outlier.Collector, now time.Time) time.Time {
 				c.Begin(now, "s", "c", "t").End(now, outlier.End{
-					Leaving: true,
+					Draining: true,
 				})
 				return now.Add(tick)
 			},
