--- a/internal/detection/strategy.go
+++ b/internal/detection/strategy.go
@@ -205,7 +205,7 @@
 func (s *sharing) observe(now time.Time, target int) func(time.Time, bool, bool) {
 	f := s.collector.Begin(now, "s", "c", targetName(target))
 	return func(now time.Time, ok, shed bool) {
-		f.End(now, outlier.End{
+		f.End(now, outlier.Result{
 			Failed:  !ok,
 			Ignored: shed,
 		})
--- a/internal/entry/choice.go
+++ b/internal/entry/choice.go
@@ -60,5 +60,5 @@
 	// Trial is set where the target would have got no request else.
 	Trial bool
 	// Done must be called once, when the attempt has ended.
-	Done func(end outlier.End, took time.Duration)
+	Done func(end outlier.Result, took time.Duration)
 }
--- a/internal/entry/fail.go
+++ b/internal/entry/fail.go
@@ -90,20 +90,20 @@
 }
 
 // endOf says what an attempt showed of its target.
-func endOf(a *forward.Answer, err error) outlier.End {
+func endOf(a *forward.Answer, err error) outlier.Result {
 	if a != nil {
-		return outlier.End{
+		return outlier.Result{
 			Failed:   a.Status() >= http.StatusInternalServerError,
 			Draining: a.Leaving(),
 		}
 	}
 	var fe *forward.Error
 	if !errors.As(err, &fe) {
-		return outlier.End{
+		return outlier.Result{
 			Ignored: true,
 		}
 	}
-	return outlier.End{
+	return outlier.Result{
 		Failed:   true,
 		Ignored:  !fe.Against(),
 		Draining: fe.Leaving(),
--- a/internal/entry/signal_test.go
+++ b/internal/entry/signal_test.go
@@ -43,7 +43,7 @@
 			Name:    key,
 			Named:   true,
 		},
-		Done: func(outlier.End, time.Duration) {},
+		Done: func(outlier.Result, time.Duration) {},
 	}
 	return s
 }
@@ -200,8 +200,8 @@
 	ledger := &signal.Ledger{}
 	left, other := newSaid(t, "left", well), newSaid(t, "other", well)
 	leaves(ledger, left)
-	done := make(chan outlier.End, 1)
-	left.choice.Done = func(end outlier.End, _ time.Duration) { done <- end }
+	done := make(chan outlier.Result, 1)
+	left.choice.Done = func(end outlier.Result, _ time.Duration) { done <- end }
 	c := &choices{
 		list:   []*said{other},
 		before: func(int) {},
--- a/internal/entry/trial.go
+++ b/internal/entry/trial.go
@@ -65,7 +65,7 @@
 
 // broke notes an answer whose body broke off.
 func (x *relay) broke(target string) {
-	x.begin(target).End(time.Now(), outlier.End{
+	x.begin(target).End(time.Now(), outlier.Result{
 		Failed: true,
 	})
 }
--- a/internal/entry/try.go
+++ b/internal/entry/try.go
@@ -27,7 +27,7 @@
 	// begun is when a target was asked for, chosen when there was one.
 	begun  time.Time
 	chosen time.Time
-	end    outlier.End
+	end    outlier.Result
 	// released is set once the choice was given back.
 	released atomic.Bool
 	// counted is set once the attempt has been counted in the request's life.
--- a/internal/entry/workspace_test.go
+++ b/internal/entry/workspace_test.go
@@ -182,7 +182,7 @@
 	choice := entry.Choice{
 		Address: target.Listener.Addr().String(),
 		Key:     "t",
-		Done:    func(outlier.End, time.Duration) {},
+		Done:    func(outlier.Result, time.Duration) {},
 	}
 	cfg := entry.Config{
 		Signals:         &signal.Ledger{},
--- a/internal/node/dispatch_test.go
+++ b/internal/node/dispatch_test.go
@@ -64,7 +64,7 @@
 			Deadline: time.Now().Add(time.Second),
 		})
 		time.Sleep(took)
-		choice.Done(outlier.End{
+		choice.Done(outlier.Result{
 			Failed: true,
 		}, took)
 		d.Done(time.Now(), g.ID, key, dispatch.ResultBad, took)
--- a/internal/node/done.go
+++ b/internal/node/done.go
@@ -25,7 +25,7 @@
 // doneOf returns the message about the end of an attempt that was sent, with the signals that this
 // node received from its target. A target that backs off or limits its requests is healthy: the
 // requests that it sheds do not count against it.
-func doneOf(p partition, g numberedGrant, end outlier.End, standing signal.Status, took time.Duration) *wire.Done {
+func doneOf(p partition, g numberedGrant, end outlier.Result, standing signal.Status, took time.Duration) *wire.Done {
 	done := newDone(p, g, wireResult(end), took)
 	done.Lost = end.Lost
 	done.Leaving = standing.Draining
@@ -38,7 +38,7 @@
 }
 
 // wireResult returns the result of an attempt that a message reports for its target.
-func wireResult(end outlier.End) wire.Done_Result {
+func wireResult(end outlier.Result) wire.Done_Result {
 	switch {
 	case end.Other:
 		return wire.Done_GONE
--- a/internal/node/grant.go
+++ b/internal/node/grant.go
@@ -86,7 +86,7 @@
 			unavailable: true,
 		}
 	}
-	c := choiceOf(t, peer, func(end outlier.End, took time.Duration) {
+	c := choiceOf(t, peer, func(end outlier.Result, took time.Duration) {
 		done := doneOf(p, g, end, d.board.standing(time.Now(), t), took)
 		d.reportDone(peer, done)
 		d.recordResult(peer, q, p, done, end)
@@ -103,7 +103,7 @@
 
 // recordResult records this node's own result with a target that a dispatcher chose, for the
 // fallback. Its own scheduler has received the result already.
-func (d *dispatchController) recordResult(dispatcher string, q *entry.Query, p partition, done *wire.Done, end outlier.End) {
+func (d *dispatchController) recordResult(dispatcher string, q *entry.Query, p partition, done *wire.Done, end outlier.Result) {
 	now := time.Now()
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/node/independent.go
+++ b/internal/node/independent.go
@@ -84,11 +84,11 @@
 		pick.Release()
 		return entry.Choice{}, false
 	}
-	return choiceOf(t, byThisNode, func(outlier.End, time.Duration) { pick.Release() }), true
+	return choiceOf(t, byThisNode, func(outlier.Result, time.Duration) { pick.Release() }), true
 }
 
 // choiceOf returns the choice of a target; by names the node that chose.
-func choiceOf(t *fleetconfig.Target, by string, done func(outlier.End, time.Duration)) entry.Choice {
+func choiceOf(t *fleetconfig.Target, by string, done func(outlier.Result, time.Duration)) entry.Choice {
 	return entry.Choice{
 		Address:     t.Address(),
 		Key:         t.Key(),
--- a/internal/node/signals_test.go
+++ b/internal/node/signals_test.go
@@ -52,7 +52,7 @@
 			if err != nil || choice.Key != "id-a1" {
 				t.Fatalf("got %q, error %v", choice.Key, err)
 			}
-			choice.Done(outlier.End{}, 0)
+			choice.Done(outlier.Result{}, 0)
 		}
 		if !c.Leaves("id-a0") {
 			t.Error("the scheduler does not treat the target as draining")
@@ -71,7 +71,7 @@
 		c.Hear(choice.Key, signal.Signal{
 			Draining: true,
 		})
-		choice.Done(outlier.End{}, 0)
+		choice.Done(outlier.Result{}, 0)
 		if !c.Leaves(choice.Key) {
 			t.Error("the scheduler does not treat the target as draining")
 		}
@@ -95,7 +95,7 @@
 			if err != nil || choice.Key == "id-b2" || choice.Key == "" {
 				t.Fatalf("got %q, error %v", choice.Key, err)
 			}
-			choice.Done(outlier.End{}, 0)
+			choice.Done(outlier.Result{}, 0)
 		}
 		if c.Asked()["192.0.2.2:1 "] == 0 {
 			t.Error("no grant request to the dispatcher")
@@ -117,7 +117,7 @@
 			Backoff: backoff,
 		})
 		started := time.Now()
-		first.Done(outlier.End{
+		first.Done(outlier.Result{
 			Shed: true,
 		}, time.Millisecond)
 		if failing := c.Failing(first.Key); failing > 0.03 {
@@ -132,7 +132,7 @@
 				break
 			}
 			time.Sleep(20 * time.Millisecond)
-			choice.Done(outlier.End{}, 20*time.Millisecond)
+			choice.Done(outlier.Result{}, 20*time.Millisecond)
 		}
 		if back := time.Since(started); back < backoff || back >= 2*backoff {
 			t.Errorf("first request after %v", back)
--- a/internal/node/targetlimits_model_test.go
+++ b/internal/node/targetlimits_model_test.go
@@ -363,7 +363,7 @@
 		}
 		if !n.Permits(c) {
 			unsent++
-			c.Done(outlier.End{
+			c.Done(outlier.Result{
 				Ignored: true,
 			}, 0)
 			continue
@@ -427,7 +427,7 @@
 		return true
 	}
 	n.Hear(c, sig)
-	c.Done(outlier.End{
+	c.Done(outlier.Result{
 		Shed:   full,
 		Failed: false,
 	}, work)
--- a/internal/outlier/collector.go
+++ b/internal/outlier/collector.go
@@ -147,8 +147,8 @@
 	return v
 }
 
-// End is the result of an attempt as evidence about its target.
-type End struct {
+// Result is the result of an attempt as evidence about its target.
+type Result struct {
 	// Failed is set when the target failed the attempt.
 	Failed bool
 	// Ignored is set when the result is no evidence about the target: it shed the
@@ -167,7 +167,7 @@
 }
 
 // End records the end of the attempt.
-func (f *Flight) End(now time.Time, e End) {
+func (f *Flight) End(now time.Time, e Result) {
 	c := f.collector
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/outlier/outlier_test.go
+++ b/internal/outlier/outlier_test.go
@@ -203,7 +203,7 @@
 		{
 			name: "good",
 			run: func(c *outlier.Collector, now time.Time) time.Time {
-				c.Begin(now, "s", "c", "t").End(now.Add(10*time.Millisecond), outlier.End{})
+				c.Begin(now, "s", "c", "t").End(now.Add(10*time.Millisecond), outlier.Result{})
 				return now.Add(tick)
 			},
 			want: outlier.Counts{
@@ -213,7 +213,7 @@
 		{
 			name: "failed",
 			run: func(c *outlier.Collector, now time.Time) time.Time {
-				c.Begin(now, "s", "c", "t").End(now, outlier.End{
+				c.Begin(now, "s", "c", "t").End(now, outlier.Result{
 					Failed: true,
 				})
 				return now.Add(tick)
@@ -225,7 +225,7 @@
 		{
 			name: "slow",
 			run: func(c *outlier.Collector, now time.Time) time.Time {
-				c.Begin(now, "s", "c", "t").End(now.Add(100*time.Millisecond), outlier.End{})
+				c.Begin(now, "s", "c", "t").End(now.Add(100*time.Millisecond), outlier.Result{})
 				return now.Add(tick)
 			},
 			want: outlier.Counts{
@@ -235,7 +235,7 @@
 		{
 			name: "shed",
 			run: func(c *outlier.Collector, now time.Time) time.Time {
-				c.Begin(now, "s", "c", "t").End(now, outlier.End{
+				c.Begin(now, "s", "c", "t").End(now, outlier.Result{
 					Failed:  true,
 					Ignored: true,
 				})
@@ -246,7 +246,7 @@
 		{
 			name: "cancelled when slow",
 			run: func(c *outlier.Collector, now time.Time) time.Time {
-				c.Begin(now, "s", "c", "t").End(now.Add(time.Second), outlier.End{
+				c.Begin(now, "s", "c", "t").End(now.Add(time.Second), outlier.Result{
 					Ignored: true,
 				})
 				return now.Add(tick)
@@ -277,7 +277,7 @@
 		{
 			name: "leaving",
 			run: func(c *outlier.Collector, now time.Time) time.Time {
-				c.Begin(now, "s", "c", "t").End(now, outlier.End{
+				c.Begin(now, "s", "c", "t").End(now, outlier.Result{
 					Draining: true,
 				})
 				return now.Add(tick)
@@ -292,7 +292,7 @@
 		t.Run(tc.name, func(t *testing.T) {
 			c := outlier.NewCollector(tick)
 			for range 20 {
-				c.Begin(start, "s", "c", "u").End(start.Add(10*time.Millisecond), outlier.End{})
+				c.Begin(start, "s", "c", "u").End(start.Add(10*time.Millisecond), outlier.Result{})
 			}
 			c.Drain(start)
 			var got outlier.Counts
