--- a/internal/entry/fail.go
+++ b/internal/entry/fail.go
@@ -108,7 +108,7 @@
 		Ignored:  !fe.Against(),
 		Draining: fe.Leaving(),
 		Shed:     fe.Kind() == forward.KindShed,
-		Other:    fe.Kind() == forward.KindOther,
+		Replaced: fe.Kind() == forward.KindOther,
 
 		Unreached: fe.Kind() == forward.KindConnect,
 	}
--- a/internal/node/done.go
+++ b/internal/node/done.go
@@ -40,7 +40,7 @@
 // wireResult returns the result of an attempt that a message reports for its target.
 func wireResult(end outlier.Result) wire.Done_Result {
 	switch {
-	case end.Other:
+	case end.Replaced:
 		return wire.Done_GONE
 	case end.Shed:
 		return wire.Done_SHED
--- a/internal/outlier/collector.go
+++ b/internal/outlier/collector.go
@@ -158,8 +158,8 @@
 	Draining bool
 	// Shed is set when the target refused the request before running it, Other
 	// when another process has the target's address.
-	Shed  bool
-	Other bool
+	Shed     bool
+	Replaced bool
 	// Unreached is set when no connection could be opened.
 	Unreached bool
 	// Lost is set when the request ended with this attempt and was not served.
