--- a/internal/node/done.go
+++ b/internal/node/done.go
@@ -27,7 +27,7 @@
 // requests that it sheds do not count against it.
 func doneOf(p partition, g numberedGrant, end outlier.Result, standing signal.Status, took time.Duration) *wire.Done {
 	done := newDone(p, g, wireResult(end), took)
-	done.Lost = end.Lost
+	done.Lost = end.RequestFailed
 	done.Leaving = standing.Draining
 	done.Limit = wireLimit(time.Now(), limitOfStanding(done.GetTarget(), standing))
 	if end.Shed && (standing.Backoff > 0 || standing.Limit.Set) {
--- a/internal/outlier/collector.go
+++ b/internal/outlier/collector.go
@@ -162,8 +162,8 @@
 	Replaced bool
 	// Unreached is set when no connection could be opened.
 	Unreached bool
-	// Lost is set when the request ended with this attempt and was not served.
-	Lost bool
+	// RequestFailed is set when the request ended with this attempt and was not served.
+	RequestFailed bool
 }
 
 // End records the end of the attempt.
