--- a/internal/entry/relay.go
+++ b/internal/entry/relay.go
@@ -248,7 +248,7 @@
 	)
 }
 
-func (x *relay) begin(target string) *outlier.Flight {
+func (x *relay) begin(target string) *outlier.Attempt {
 	return x.server.cfg.Collector.Begin(time.Now(), x.service.Name(), x.in.route.Class(), target)
 }
 
--- a/internal/outlier/collector.go
+++ b/internal/outlier/collector.go
@@ -58,8 +58,8 @@
 	return max(m.value*slowFactor, minSlow)
 }
 
-// Flight is one attempt in flight. End must be called once.
-type Flight struct {
+// Attempt is one attempt in flight. End must be called once.
+type Attempt struct {
 	collector *Collector
 	counts    *targetCounts
 	median    *medianEstimate
@@ -76,7 +76,7 @@
 	service  string
 	target   string
 	counts   Counts
-	inFlight map[*Flight]struct{}
+	inFlight map[*Attempt]struct{}
 }
 
 type targetKey struct{ service, target string }
@@ -104,10 +104,10 @@
 
 // Begin records the start of an attempt. Requests of one class have
 // similar latency.
-func (c *Collector) Begin(now time.Time, service, class, target string) *Flight {
+func (c *Collector) Begin(now time.Time, service, class, target string) *Attempt {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	f := &Flight{
+	f := &Attempt{
 		collector: c,
 		counts:    c.target(service, target),
 		median:    c.median(service, class),
@@ -128,7 +128,7 @@
 	v := &targetCounts{
 		service:  service,
 		target:   target,
-		inFlight: map[*Flight]struct{}{},
+		inFlight: map[*Attempt]struct{}{},
 	}
 	c.targets[k] = v
 	return v
@@ -167,7 +167,7 @@
 }
 
 // End records the end of the attempt.
-func (f *Flight) End(now time.Time, e Result) {
+func (f *Attempt) End(now time.Time, e Result) {
 	c := f.collector
 	c.mu.Lock()
 	defer c.mu.Unlock()
