--- a/internal/outlier/controller.go
+++ b/internal/outlier/controller.go
@@ -34,9 +34,9 @@
 	WarmTime = 10 * time.Second
 	// minWarmth is the share of its slots that a warming target starts with.
 	minWarmth = 0.1
-	// LeavingTime is how long a target's own draining signal counts. The platform's
+	// DrainingTime is how long a target's own draining signal counts. The platform's
 	// list, which lags by up to 30 s, is up to date by then.
-	LeavingTime = time.Minute
+	DrainingTime = time.Minute
 )
 
 // targetState is the ejection state of one target.
@@ -131,7 +131,7 @@
 // SetDraining records a target's signal that it is draining.
 func (j *Controller) SetDraining(now time.Time, target string) {
 	if t := j.targets[target]; t != nil {
-		t.drainingUntil = now.Add(LeavingTime)
+		t.drainingUntil = now.Add(DrainingTime)
 	}
 }
 
--- a/internal/outlier/observer.go
+++ b/internal/outlier/observer.go
@@ -129,7 +129,7 @@
 // is new and then at intervals of drainingRepeat.
 func (o *Observer) recordDraining(now time.Time, target string) {
 	if now.Sub(o.drainingSent[target]) >= drainingRepeat {
-		o.drainingUntil[target] = now.Add(LeavingTime)
+		o.drainingUntil[target] = now.Add(DrainingTime)
 		o.drainingSent[target] = now
 	}
 }
--- a/internal/outlier/outlier_test.go
+++ b/internal/outlier/outlier_test.go
@@ -394,7 +394,7 @@
 	if !j.State(start.Add(30*time.Second), "t").Draining {
 		t.Fatal("not draining while the target list is stale")
 	}
-	if j.State(start.Add(2*outlier.LeavingTime), "t").Draining {
+	if j.State(start.Add(2*outlier.DrainingTime), "t").Draining {
 		t.Fatal("still draining after twice LeavingTime")
 	}
 }
