--- a/internal/outlier/outlier_test.go
+++ b/internal/outlier/outlier_test.go
@@ -472,7 +472,7 @@
 			if len(got) != c.want {
 				t.Fatalf("%d decisions, want %d: %+v", len(got), c.want, got)
 			}
-			if c.want > 0 && (got[0].Target != "t" || got[0].Lease != outlier.FirstHold) {
+			if c.want > 0 && (got[0].Target != "t" || got[0].Lease != outlier.BaseEjectionTime) {
 				t.Fatalf("decision %+v", got[0])
 			}
 		})
