--- a/internal/outlier/controller.go
+++ b/internal/outlier/controller.go
@@ -111,7 +111,7 @@
 	if t == nil {
 		return
 	}
-	if until := now.Add(min(lease, MaxHold)); until.After(t.leaseEnd) {
+	if until := now.Add(min(lease, MaxEjectionTime)); until.After(t.leaseEnd) {
 		t.leaseEnd = until
 	}
 	j.eject(now, target, score)
--- a/internal/outlier/ejection.go
+++ b/internal/outlier/ejection.go
@@ -8,8 +8,8 @@
 const (
 	// BaseEjectionTime is the duration of a target's first ejection.
 	BaseEjectionTime = 5 * time.Second
-	// MaxHold bounds the duration, which doubles with each relapse.
-	MaxHold = 2 * time.Minute
+	// MaxEjectionTime bounds the duration, which doubles with each relapse.
+	MaxEjectionTime = 2 * time.Minute
 	// relapseExpiry is the time, in ejection durations, after which a target without
 	// a relapse has one relapse less.
 	relapseExpiry = 4
@@ -25,7 +25,7 @@
 // start begins an ejection at now.
 func (e *ejection) start(now time.Time) {
 	e.expireRelapses(now)
-	e.duration = min(BaseEjectionTime<<min(e.relapses, 16), MaxHold)
+	e.duration = min(BaseEjectionTime<<min(e.relapses, 16), MaxEjectionTime)
 	e.until = now.Add(e.duration)
 	e.relapses++
 }
--- a/internal/outlier/outlier_test.go
+++ b/internal/outlier/outlier_test.go
@@ -348,7 +348,7 @@
 			j.Advance(now)
 		}
 		ejectedFor := now.Sub(ejectedAt)
-		if ejectedFor < last || ejectedFor > outlier.MaxHold+time.Second {
+		if ejectedFor < last || ejectedFor > outlier.MaxEjectionTime+time.Second {
 			t.Fatalf("relapse %d ejected for %v, the one before for %v", i, ejectedFor, last)
 		}
 		last = ejectedFor
@@ -361,7 +361,7 @@
 			t.Fatalf("phase after a failed trial request: %v", p)
 		}
 	}
-	if last < outlier.MaxHold/2 {
+	if last < outlier.MaxEjectionTime/2 {
 		t.Fatalf("last ejection took only %v", last)
 	}
 }
@@ -380,8 +380,8 @@
 	}
 	// A lease of hours, which a faulty observer could send, is limited to MaxHold.
 	j.EjectForLease(start, "t", threshold, 24*time.Hour)
-	j.Advance(start.Add(outlier.MaxHold))
-	if p := j.State(start.Add(outlier.MaxHold), "t").Phase; p == outlier.PhaseEjected {
+	j.Advance(start.Add(outlier.MaxEjectionTime))
+	if p := j.State(start.Add(outlier.MaxEjectionTime), "t").Phase; p == outlier.PhaseEjected {
 		t.Fatal("lease is not limited to MaxHold")
 	}
 }
