--- a/internal/outlier/controller.go
+++ b/internal/outlier/controller.go
@@ -27,9 +27,9 @@
 const (
 	// trialSuccesses is the number of good trial requests that end a trial.
 	trialSuccesses = 3
-	// TrialWait is the duration of a trial without requests, for services that have
+	// TrialTimeout is the duration of a trial without requests, for services that have
 	// no repeatable ones.
-	TrialWait = 30 * time.Second
+	TrialTimeout = 30 * time.Second
 	// WarmTime is the time in which a target's share grows to its full size.
 	WarmTime = 10 * time.Second
 	// minWarmth is the share of its slots that a warming target starts with.
@@ -176,7 +176,7 @@
 			return PhaseTrial
 		}
 	case PhaseTrial:
-		if t.good >= trialSuccesses || t.good == 0 && now.Sub(t.since) >= TrialWait {
+		if t.good >= trialSuccesses || t.good == 0 && now.Sub(t.since) >= TrialTimeout {
 			return PhaseWarming
 		}
 	case PhaseWarming:
