--- a/internal/outlier/controller.go
+++ b/internal/outlier/controller.go
@@ -30,8 +30,8 @@
 	// TrialTimeout is the duration of a trial without requests, for services that have
 	// no repeatable ones.
 	TrialTimeout = 30 * time.Second
-	// WarmTime is the time in which a target's share grows to its full size.
-	WarmTime = 10 * time.Second
+	// WarmupTime is the time in which a target's share grows to its full size.
+	WarmupTime = 10 * time.Second
 	// minWarmth is the share of its slots that a warming target starts with.
 	minWarmth = 0.1
 	// DrainingTime is how long a target's own draining signal counts. The platform's
@@ -180,7 +180,7 @@
 			return PhaseWarming
 		}
 	case PhaseWarming:
-		if now.Sub(t.since) >= WarmTime {
+		if now.Sub(t.since) >= WarmupTime {
 			return PhaseHealthy
 		}
 	}
@@ -214,7 +214,7 @@
 		Warmth:   1,
 	}
 	if t.phase == PhaseWarming {
-		s.Warmth = min(minWarmth+(1-minWarmth)*now.Sub(t.since).Seconds()/WarmTime.Seconds(), 1)
+		s.Warmth = min(minWarmth+(1-minWarmth)*now.Sub(t.since).Seconds()/WarmupTime.Seconds(), 1)
 	}
 	return s
 }
