--- a/internal/outlier/detector.go
+++ b/internal/outlier/detector.go
@@ -265,8 +265,8 @@
 	return t
 }
 
-// Reading holds the score and the decayed counts of one target.
-type Reading struct {
+// Score holds the score and the decayed counts of one target.
+type Score struct {
 	Score   float64
 	Good    float64
 	Bad     float64
@@ -275,7 +275,7 @@
 
 // Health returns the reading as variables of a policy. threshold is the service's;
 // reporters and dataHalls count the sources of the evidence.
-func (r Reading) Health(threshold float64, reporters, dataHalls int) policy.Health {
+func (r Score) Health(threshold float64, reporters, dataHalls int) policy.Health {
 	return policy.Health{
 		Score:     r.Score,
 		Threshold: threshold,
@@ -288,12 +288,12 @@
 }
 
 // Read returns the reading of a target, or the zero value for an unknown one.
-func (d *Detector) Read(target string) Reading {
+func (d *Detector) Read(target string) Score {
 	t := d.targets[target]
 	if t == nil {
-		return Reading{}
+		return Score{}
 	}
-	return Reading{
+	return Score{
 		Score:   t.score,
 		Good:    t.baseline.good,
 		Bad:     t.baseline.bad,
