--- a/internal/detection/strategy.go
+++ b/internal/detection/strategy.go
@@ -242,7 +242,7 @@
 	if len(counts) > 0 || !s.detector.Idle() {
 		s.detector.Update(now, counts)
 		for _, t := range s.info.Targets {
-			if r := s.detector.Read(t); r.Score >= s.info.Threshold {
+			if r := s.detector.Score(t); r.Score >= s.info.Threshold {
 				s.judge.EjectLocal(now, t, r.Score)
 				s.detector.Reset(t)
 				changed = true
--- a/internal/node/ejection.go
+++ b/internal/node/ejection.go
@@ -209,7 +209,7 @@
 
 // ejectIfSick ejects a target on this node's own evidence, for this node only.
 func (j *ejectionController) ejectIfSick(now time.Time, s *serviceState, target string) {
-	r := s.detector.Read(target)
+	r := s.detector.Score(target)
 	if r.Score == 0 {
 		return
 	}
--- a/internal/outlier/detector.go
+++ b/internal/outlier/detector.go
@@ -287,8 +287,8 @@
 	}
 }
 
-// Read returns the reading of a target, or the zero value for an unknown one.
-func (d *Detector) Read(target string) Score {
+// Score returns the reading of a target, or the zero value for an unknown one.
+func (d *Detector) Score(target string) Score {
 	t := d.targets[target]
 	if t == nil {
 		return Score{}
--- a/internal/outlier/observer.go
+++ b/internal/outlier/observer.go
@@ -151,7 +151,7 @@
 // a target accumulates, or a target is draining.
 func (o *Observer) Urgent() bool {
 	for _, c := range o.summary {
-		if c.Draining || o.hall.Read(c.Target).Score > urgentShare*o.service.Threshold {
+		if c.Draining || o.hall.Score(c.Target).Score > urgentShare*o.service.Threshold {
 			return true
 		}
 	}
@@ -199,8 +199,8 @@
 
 // decide ejects the target if the policy counts it as sick and it isn't ejected yet.
 func (o *Observer) decide(now time.Time, target string) (Decision, bool) {
-	r := o.hall.Read(target)
-	if all := o.all.Read(target); all.Score > r.Score {
+	r := o.hall.Score(target)
+	if all := o.all.Score(target); all.Score > r.Score {
 		r = all
 	}
 	if r.Score == 0 || !o.sick(now, r) {
--- a/internal/outlier/outlier_test.go
+++ b/internal/outlier/outlier_test.go
@@ -28,7 +28,7 @@
 			counts = append(counts, c)
 		}
 		d.Update(start.Add(time.Duration(i)*time.Second), counts)
-		if d.Read("first").Score >= threshold {
+		if d.Score("first").Score >= threshold {
 			return i + 1
 		}
 	}
