--- a/internal/node/ejection.go
+++ b/internal/node/ejection.go
@@ -157,7 +157,7 @@
 		}
 	}
 	s.judge.SetTargets(now, keys)
-	s.detector.Keep(published)
+	s.detector.Retain(published)
 	for a, g := range s.gauges {
 		if !published[a] && g.InFlight() == 0 {
 			delete(s.gauges, a)
--- a/internal/outlier/detector.go
+++ b/internal/outlier/detector.go
@@ -313,8 +313,8 @@
 	d.remove(target)
 }
 
-// Keep removes all targets that are not in the set.
-func (d *Detector) Keep(targets map[string]bool) {
+// Retain removes all targets that are not in the set.
+func (d *Detector) Retain(targets map[string]bool) {
 	for name := range d.targets {
 		if !targets[name] {
 			d.remove(name)
--- a/internal/outlier/observer.go
+++ b/internal/outlier/observer.go
@@ -79,8 +79,8 @@
 	}
 	o.hallEvidence.retain(listed)
 	o.allEvidence.retain(listed)
-	o.hall.Keep(listed)
-	o.all.Keep(listed)
+	o.hall.Retain(listed)
+	o.all.Retain(listed)
 	for t := range o.ejections {
 		if !listed[t] {
 			delete(o.ejections, t)
