--- a/internal/entry/hedge.go
+++ b/internal/entry/hedge.go
@@ -23,7 +23,7 @@
 	if !x.hedgeable() {
 		return time.Until(x.life.Deadline()) + time.Hour
 	}
-	slow := x.server.cfg.Collector.Slow(x.service.Name(), r.Class())
+	slow := x.server.cfg.Collector.SlowAfter(x.service.Name(), r.Class())
 	if aim := r.TargetLatency(); aim > 0 {
 		slow = min(slow, aim/hedgePart-time.Since(x.begun))
 	}
--- a/internal/outlier/collector.go
+++ b/internal/outlier/collector.go
@@ -190,8 +190,8 @@
 	}
 }
 
-// Slow returns the latency above which a request of a class counts as slow.
-func (c *Collector) Slow(service, class string) time.Duration {
+// SlowAfter returns the latency above which a request of a class counts as slow.
+func (c *Collector) SlowAfter(service, class string) time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.median(service, class).slowAfter()
