--- a/internal/dispatch/end.go
+++ b/internal/dispatch/end.go
@@ -62,7 +62,7 @@
 		if r != ResultUnreached {
 			t.lastGranted = now
 		}
-		t.health.Saw(now, rt, kindOf(r, rt, took, true), took)
+		t.health.Record(now, rt, kindOf(r, rt, took, true), took)
 		t.markGone(now, r)
 	}
 	d.recordResponseTime(rt, r, took)
--- a/internal/health/health_test.go
+++ b/internal/health/health_test.go
@@ -234,9 +234,9 @@
 						continue
 					}
 					if c.failing && rng.Float64() < lost {
-						c.target.Saw(now, r, tt.kind, tt.took)
+						c.target.Record(now, r, tt.kind, tt.took)
 					} else {
-						c.target.Saw(now, r, health.Good, medianLatency)
+						c.target.Record(now, r, health.Good, medianLatency)
 					}
 				}
 				m.Advance(now)
@@ -268,7 +268,7 @@
 			case 0:
 				open = append(open, target.Begin(now, r))
 			case 1:
-				target.Saw(now, r, health.Kind(rng.IntN(int(health.Unreached)+1)), time.Duration(rng.IntN(3000))*time.Millisecond)
+				target.Record(now, r, health.Kind(rng.IntN(int(health.Unreached)+1)), time.Duration(rng.IntN(3000))*time.Millisecond)
 			case 2:
 				if len(open) > 0 {
 					target.End(now, open[0], health.Kind(rng.IntN(int(health.Unreached)+1)))
--- a/internal/health/target.go
+++ b/internal/health/target.go
@@ -91,8 +91,8 @@
 	}
 }
 
-// Saw records an attempt of which only the end was reported.
-func (t *Target) Saw(now time.Time, r *Route, k Kind, took time.Duration) {
+// Record records an attempt of which only the end was reported.
+func (t *Target) Record(now time.Time, r *Route, k Kind, took time.Duration) {
 	t.insert(now, event{
 		started: now.Add(-took),
 		route:   r,
