--- a/internal/dispatch/target.go
+++ b/internal/dispatch/target.go
@@ -84,7 +84,7 @@
 	if now.Before(t.goneUntil) {
 		return 1
 	}
-	return t.health.Lost(now)
+	return t.health.LossProbability(now)
 }
 
 // usedRecently reports whether the target got work within spreadTime.
--- a/internal/health/target.go
+++ b/internal/health/target.go
@@ -154,8 +154,8 @@
 	return p
 }
 
-// Lost returns the probability that a request sent at now gets no good answer.
-func (t *Target) Lost(now time.Time) float64 {
+// LossProbability returns the probability that a request sent at now gets no good answer.
+func (t *Target) LossProbability(now time.Time) float64 {
 	p := t.Failing(now)
 	return p*t.model.LostFailing() + (1-p)*t.model.LostWorking()
 }
