--- a/internal/dispatch/hedge.go
+++ b/internal/dispatch/hedge.go
@@ -33,7 +33,7 @@
 // silenceProbability returns the probability that the attempt under way gets no answer.
 func (d *Scheduler) silenceProbability(now time.Time, a *Request) float64 {
 	route := d.model.Route(now, a.Route)
-	p := d.model.Share()
+	p := d.model.FailingShare()
 	if n := len(a.Tried); n > 0 && d.targets[a.Tried[n-1]] != nil {
 		p = d.targets[a.Tried[n-1]].failureProbability(now)
 	}
--- a/internal/dispatch/status.go
+++ b/internal/dispatch/status.go
@@ -65,7 +65,7 @@
 	s := Status{
 		Waiting:         len(d.queue.list),
 		RejectedSamples: d.rejectedSamples,
-		FailingShare:    d.model.Share(),
+		FailingShare:    d.model.FailingShare(),
 		LostFailing:     d.model.LostFailing(),
 		Requests:        d.RequestCount(now),
 		RetriesLeft:     d.retriesLeft(now, 1),
--- a/internal/health/health_test.go
+++ b/internal/health/health_test.go
@@ -277,7 +277,7 @@
 			default:
 				m.Advance(now)
 			}
-			for _, p := range []float64{target.Failing(now), target.LossProbability(now), m.Share(), m.LostFailing()} {
+			for _, p := range []float64{target.Failing(now), target.LossProbability(now), m.FailingShare(), m.LostFailing()} {
 				if !(p >= 0 && p <= 1) {
 					return false
 				}
--- a/internal/health/model.go
+++ b/internal/health/model.go
@@ -208,8 +208,8 @@
 	}
 }
 
-// Share returns the stationary probability that a target is failing.
-func (m *Model) Share() float64 { return m.enterRate / (m.enterRate + m.leaveRate) }
+// FailingShare returns the stationary probability that a target is failing.
+func (m *Model) FailingShare() float64 { return m.enterRate / (m.enterRate + m.leaveRate) }
 
 // Rates returns the rates, in 1/s, at which targets begin and stop failing.
 func (m *Model) Rates() (enter, leave float64) { return m.enterRate, m.leaveRate }
@@ -226,7 +226,7 @@
 	if elapsed <= 0 {
 		return p
 	}
-	share := m.Share()
+	share := m.FailingShare()
 	return share + (p-share)*math.Exp(-(m.enterRate+m.leaveRate)*elapsed.Seconds())
 }
 
