--- a/internal/dispatch/end.go
+++ b/internal/dispatch/end.go
@@ -73,7 +73,7 @@
 	if r != ResultGood {
 		return
 	}
-	if err := route.Answered(took); err != nil {
+	if err := route.RecordLatency(took); err != nil {
 		d.rejectedSamples++
 	}
 }
--- a/internal/health/health_test.go
+++ b/internal/health/health_test.go
@@ -30,7 +30,7 @@
 	rng := rand.New(rand.NewPCG(1, 2))
 	for range 200 {
 		took := medianLatency/2 + time.Duration(rng.Int64N(int64(medianLatency)))
-		if err := r.Answered(took); err != nil {
+		if err := r.RecordLatency(took); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -169,7 +169,7 @@
 		took := 3*medianLatency + time.Duration(i%7)*10*time.Millisecond
 		n := target.Begin(now, r)
 		now = now.Add(took)
-		if err := r.Answered(took); err != nil {
+		if err := r.RecordLatency(took); err != nil {
 			t.Fatal(err)
 		}
 		target.End(now, n, r.EndKind(true, took))
--- a/internal/health/model.go
+++ b/internal/health/model.go
@@ -177,8 +177,8 @@
 	delete(m.routes, oldest.name)
 }
 
-// Answered records the latency of a good answer.
-func (r *Route) Answered(took time.Duration) error { return r.latency.add(took) }
+// RecordLatency records the latency of a good answer.
+func (r *Route) RecordLatency(took time.Duration) error { return r.latency.add(took) }
 
 // Usual returns the median latency of the route's good answers.
 func (r *Route) Usual() time.Duration { return r.latency.median() }
