--- a/internal/dispatch/scheduler.go
+++ b/internal/dispatch/scheduler.go
@@ -154,7 +154,7 @@
 	w := &waiting{
 		request:         a,
 		since:           now,
-		usualTime:       d.model.Route(now, a.Route).Usual(),
+		usualTime:       d.model.Route(now, a.Route).MedianLatency(),
 		minResponseTime: d.minResponseTime(now, a),
 
 		margin: d.margin(now, a),
@@ -222,7 +222,7 @@
 // unknown.
 func (d *Scheduler) margin(now time.Time, a *Request) time.Duration {
 	route := d.model.Route(now, a.Route)
-	return max(route.Within(safeTimeShare), route.Usual())
+	return max(route.Within(safeTimeShare), route.MedianLatency())
 }
 
 // previousAnswer returns the answer that a request got before, if any.
--- a/internal/health/model.go
+++ b/internal/health/model.go
@@ -180,8 +180,8 @@
 // RecordLatency records the latency of a good answer.
 func (r *Route) RecordLatency(took time.Duration) error { return r.latency.add(took) }
 
-// Usual returns the median latency of the route's good answers.
-func (r *Route) Usual() time.Duration { return r.latency.median() }
+// MedianLatency returns the median latency of the route's good answers.
+func (r *Route) MedianLatency() time.Duration { return r.latency.median() }
 
 // Within returns the latency within which a share of the route's good answers
 // arrives, or 0 while that isn't known.
