--- a/internal/dispatch/choose.go
+++ b/internal/dispatch/choose.go
@@ -58,7 +58,7 @@
 	if !a.Repeatable || a.Retry {
 		return time.Duration(finalWaitShare * float64(a.Deadline.Sub(since)))
 	}
-	return max(a.SoftDeadline.Sub(since)-d.model.Route(since, a.Route).Within(safeTimeShare), 0)
+	return max(a.SoftDeadline.Sub(since)-d.model.Route(since, a.Route).LatencyQuantile(safeTimeShare), 0)
 }
 
 func (d *Scheduler) slots(now time.Time, t *target) int {
--- a/internal/dispatch/hedge.go
+++ b/internal/dispatch/hedge.go
@@ -45,5 +45,5 @@
 	if t == nil || t.flights[id].route == nil {
 		return 0
 	}
-	return t.flights[id].route.Within(hedgeQuantile)
+	return t.flights[id].route.LatencyQuantile(hedgeQuantile)
 }
--- a/internal/dispatch/scheduler.go
+++ b/internal/dispatch/scheduler.go
@@ -215,14 +215,14 @@
 
 // minResponseTime returns the time within which infeasibleShare of the answers come.
 func (d *Scheduler) minResponseTime(now time.Time, a *Request) time.Duration {
-	return d.model.Route(now, a.Route).Within(infeasibleShare)
+	return d.model.Route(now, a.Route).LatencyQuantile(infeasibleShare)
 }
 
 // margin returns the time within which nearly all answers come, or the usual time while that is
 // unknown.
 func (d *Scheduler) margin(now time.Time, a *Request) time.Duration {
 	route := d.model.Route(now, a.Route)
-	return max(route.Within(safeTimeShare), route.MedianLatency())
+	return max(route.LatencyQuantile(safeTimeShare), route.MedianLatency())
 }
 
 // previousAnswer returns the answer that a request got before, if any.
@@ -309,7 +309,7 @@
 		Decision: Granted,
 		Target:   t.Key,
 
-		HedgeAfter:         route.Within(hedgeQuantile),
+		HedgeAfter:         route.LatencyQuantile(hedgeQuantile),
 		FailureProbability: lossProbability,
 		Trial:              trial,
 		Limit:              t.limit.Limit,
--- a/internal/health/model.go
+++ b/internal/health/model.go
@@ -183,9 +183,9 @@
 // MedianLatency returns the median latency of the route's good answers.
 func (r *Route) MedianLatency() time.Duration { return r.latency.median() }
 
-// Within returns the latency within which a share of the route's good answers
+// LatencyQuantile returns the latency within which a share of the route's good answers
 // arrives, or 0 while that isn't known.
-func (r *Route) Within(share float64) time.Duration { return r.latency.within(share) }
+func (r *Route) LatencyQuantile(share float64) time.Duration { return r.latency.within(share) }
 
 // Longer returns the share of the route's good answers that take longer than age.
 func (r *Route) Longer(age time.Duration) float64 { return r.latency.longer(age) }
