--- a/internal/health/model.go
+++ b/internal/health/model.go
@@ -187,8 +187,8 @@
 // arrives, or 0 while that isn't known.
 func (r *Route) LatencyQuantile(share float64) time.Duration { return r.latency.within(share) }
 
-// Longer returns the share of the route's good answers that take longer than age.
-func (r *Route) Longer(age time.Duration) float64 { return r.latency.longer(age) }
+// LongerShare returns the share of the route's good answers that take longer than age.
+func (r *Route) LongerShare(age time.Duration) float64 { return r.latency.longer(age) }
 
 // EndKind returns the kind of an attempt that took a time and was answered well if
 // good is set.
