--- a/internal/health/kind.go
+++ b/internal/health/kind.go
@@ -13,8 +13,8 @@
 	Late
 	// Quick is a failure before any work can have been done.
 	Quick
-	// Worked is a failure after about the latency of an answer.
-	Worked
+	// AfterWork is a failure after about the latency of an answer.
+	AfterWork
 	// Silent is no answer in a time within which nearly all others arrive.
 	Silent
 	// Open is an attempt in flight, or one that was abandoned before its deadline:
--- a/internal/health/model.go
+++ b/internal/health/model.go
@@ -43,18 +43,18 @@
 
 var (
 	failingPrior = shares{
-		Good:   0.3,
-		Late:   0.05,
-		Quick:  0.25,
-		Worked: 0.1,
-		Silent: 0.3,
+		Good:      0.3,
+		Late:      0.05,
+		Quick:     0.25,
+		AfterWork: 0.1,
+		Silent:    0.3,
 	}
 	workingPrior = shares{
-		Good:   0.968,
-		Late:   0.01,
-		Quick:  0.003,
-		Worked: 0.012,
-		Silent: 0.007,
+		Good:      0.968,
+		Late:      0.01,
+		Quick:     0.003,
+		AfterWork: 0.012,
+		Silent:    0.007,
 	}
 )
 
@@ -204,7 +204,7 @@
 	case took < time.Duration(quickFraction*float64(r.latency.median())):
 		return Quick
 	default:
-		return Worked
+		return AfterWork
 	}
 }
 
