--- a/internal/health/health_test.go
+++ b/internal/health/health_test.go
@@ -46,7 +46,7 @@
 	for range 2 {
 		n := t.Begin(now, r)
 		now = now.Add(3 * time.Millisecond)
-		t.End(now, n, health.Quick)
+		t.End(now, n, health.Immediate)
 	}
 	fmt.Println("after two quick failures:", t.Failing(now) > 0.9)
 	// Output:
@@ -202,7 +202,7 @@
 	}{
 		{
 			name: "errors at once",
-			kind: health.Quick,
+			kind: health.Immediate,
 			took: 2 * time.Millisecond,
 		},
 		{
--- a/internal/health/kind.go
+++ b/internal/health/kind.go
@@ -11,8 +11,8 @@
 	Good Kind = iota
 	// Late is a good answer slower than nearly all others.
 	Late
-	// Quick is a failure before any work can have been done.
-	Quick
+	// Immediate is a failure before any work can have been done.
+	Immediate
 	// AfterWork is a failure after about the latency of an answer.
 	AfterWork
 	// Silent is no answer in a time within which nearly all others arrive.
--- a/internal/health/model.go
+++ b/internal/health/model.go
@@ -45,14 +45,14 @@
 	failingPrior = shares{
 		Good:      0.3,
 		Late:      0.05,
-		Quick:     0.25,
+		Immediate: 0.25,
 		AfterWork: 0.1,
 		Silent:    0.3,
 	}
 	workingPrior = shares{
 		Good:      0.968,
 		Late:      0.01,
-		Quick:     0.003,
+		Immediate: 0.003,
 		AfterWork: 0.012,
 		Silent:    0.007,
 	}
@@ -202,7 +202,7 @@
 	case late:
 		return Silent
 	case took < time.Duration(quickFraction*float64(r.latency.median())):
-		return Quick
+		return Immediate
 	default:
 		return AfterWork
 	}
--- a/internal/health/steady_test.go
+++ b/internal/health/steady_test.go
@@ -20,7 +20,7 @@
 	t := health.NewTarget(start, m)
 	fail := func(now time.Time) {
 		n := t.Begin(now, r)
-		t.End(now.Add(3*time.Millisecond), n, health.Quick)
+		t.End(now.Add(3*time.Millisecond), n, health.Immediate)
 	}
 	fail(start)
 	fail(start.Add(10 * time.Millisecond))
@@ -50,12 +50,12 @@
 		},
 		{
 			name:  "failed a second ago, answers since",
-			kinds: []health.Kind{health.Good, health.Good, health.Good, health.Good, health.Quick, health.Quick, health.Quick, health.Good, health.Good},
+			kinds: []health.Kind{health.Good, health.Good, health.Good, health.Good, health.Immediate, health.Immediate, health.Immediate, health.Good, health.Good},
 			most:  0.05,
 		},
 		{
 			name:  "fails",
-			kinds: []health.Kind{health.Good, health.Good, health.Good, health.Good, health.Good, health.Good, health.Good, health.Quick, health.Quick},
+			kinds: []health.Kind{health.Good, health.Good, health.Good, health.Good, health.Good, health.Good, health.Good, health.Immediate, health.Immediate},
 			most:  0.2,
 		},
 	}
