--- a/internal/balance/balance_test.go
+++ b/internal/balance/balance_test.go
@@ -31,7 +31,7 @@
 func ExamplePool_Pick() {
 	list := members(3)
 	list[0].Sick = true
-	list[1].Leaving = true
+	list[1].Draining = true
 	pool := balance.NewPool(list, 1, "node", 1)
 	pick, ok := pool.Pick(rand.Uint64, nil, nil)
 	fmt.Println(pick.Key(), ok)
@@ -45,7 +45,7 @@
 	list := members(len(codes))
 	for i, c := range codes {
 		list[i].Sick = c == 1 || c == 3 || c == 4
-		list[i].Leaving = c == 2 || c == 3
+		list[i].Draining = c == 2 || c == 3
 		list[i].Trial = c == 4
 		list[i].Score = float64(i % 3)
 		if c == 5 {
@@ -75,7 +75,7 @@
 			list := membersInStates(codes)
 			pool := balance.NewPool(list, 1e9, "n", 1)
 			for _, m := range list {
-				if m.Leaving && slices.Contains(pool.Keys(), m.Key) {
+				if m.Draining && slices.Contains(pool.Keys(), m.Key) {
 					return false
 				}
 			}
@@ -258,7 +258,7 @@
 func TestSubsetChangesLittleWhenATargetDrains(t *testing.T) {
 	list := members(30)
 	before := balance.NewPool(list, 0, "node", 1000).Keys()
-	list[7].Leaving = true
+	list[7].Draining = true
 	after := balance.NewPool(list, 0, "node", 1000).Keys()
 	changed := 0
 	for _, a := range after {
--- a/internal/balance/pool.go
+++ b/internal/balance/pool.go
@@ -33,8 +33,8 @@
 	// Warmth is the share of the slots that a warming target can use, from 0 to 1; 0
 	// means fully warm, as does 1.
 	Warmth float64
-	// Leaving targets get no requests, even if the floor isn't met.
-	Leaving bool
+	// Draining targets get no requests, even if the floor isn't met.
+	Draining bool
 	// Sick targets get no requests unless the floor needs them. Score orders them:
 	// those with the least evidence are used first.
 	Sick  bool
@@ -84,7 +84,7 @@
 	p := &Pool{
 		floor: floor,
 	}
-	present := slices.DeleteFunc(slices.Clone(members), func(m Member) bool { return m.Leaving })
+	present := slices.DeleteFunc(slices.Clone(members), func(m Member) bool { return m.Draining })
 	for i := range present {
 		p.capacity += present[i].capacity()
 	}
--- a/internal/node/ejection.go
+++ b/internal/node/ejection.go
@@ -271,7 +271,7 @@
 			Slots:       t.Slots(),
 			Connections: t.Connections(),
 			Warmth:      st.Warmth,
-			Leaving:     st.Draining || listed,
+			Draining:    st.Draining || listed,
 			Sick:        st.Phase == outlier.PhaseEjected || st.Phase == outlier.PhaseTrial,
 			Score:       st.Score,
 			Trial:       st.Phase == outlier.PhaseTrial,
