--- a/internal/balance/balance_test.go
+++ b/internal/balance/balance_test.go
@@ -92,7 +92,7 @@
 					return false
 				}
 			}
-			return pool.Kept() == 0
+			return pool.KeptByFloor() == 0
 		},
 		gen.SliceOfN(9, gen.IntRange(0, 5)),
 	))
--- a/internal/balance/pool.go
+++ b/internal/balance/pool.go
@@ -209,8 +209,8 @@
 // Floor returns the slots that must stay in service.
 func (p *Pool) Floor() float64 { return p.floor }
 
-// Kept returns the number of sick targets that get requests because of the floor.
-func (p *Pool) Kept() int { return p.keptByFloor }
+// KeptByFloor returns the number of sick targets that get requests because of the floor.
+func (p *Pool) KeptByFloor() int { return p.keptByFloor }
 
 // Trials returns the number of targets on trial.
 func (p *Pool) Trials() int { return len(p.trials) }
--- a/internal/node/status.go
+++ b/internal/node/status.go
@@ -116,7 +116,7 @@
 		Capacity: p.pool.Capacity(),
 		Serving:  p.pool.Serving(),
 		Floor:    p.pool.Floor(),
-		Kept:     p.pool.Kept(),
+		Kept:     p.pool.KeptByFloor(),
 		Used:     p.pool.Len(),
 	}
 	used := p.pool.Keys()
