--- a/internal/policy/policy.go
+++ b/internal/policy/policy.go
@@ -47,8 +47,8 @@
 	return fmt.Sprintf("policy: %s:%d:%d: %s", e.expression, e.line, e.column, e.detail)
 }
 
-// Part returns "sick", "retry" or "floor".
-func (e *Error) Part() string { return e.expression }
+// Expression returns "sick", "retry" or "floor".
+func (e *Error) Expression() string { return e.expression }
 
 // Line returns the line of the error, from 1.
 func (e *Error) Line() int { return e.line }
--- a/internal/policy/policy_test.go
+++ b/internal/policy/policy_test.go
@@ -105,8 +105,8 @@
 			if !errors.As(err, &pe) {
 				t.Fatalf("got %v, want a *policy.Error", err)
 			}
-			if pe.Part() != c.part || pe.Line() < 1 || pe.Column() < 1 {
-				t.Fatalf("part %q at %d:%d", pe.Part(), pe.Line(), pe.Column())
+			if pe.Expression() != c.part || pe.Line() < 1 || pe.Column() < 1 {
+				t.Fatalf("part %q at %d:%d", pe.Expression(), pe.Line(), pe.Column())
 			}
 		})
 	}
