--- a/internal/entry/relay.go
+++ b/internal/entry/relay.go
@@ -235,7 +235,7 @@
 			if most := x.in.route.MaxAttempts(); most > 0 && x.life.PossibleRuns() >= most {
 				return false
 			}
-			return x.service.Policy().Retry(policy.Try{
+			return x.service.Policy().Retry(policy.Attempt{
 				Attempt:    x.life.Attempts(),
 				Outcome:    x.life.Outcome().String(),
 				Repeatable: x.in.route.Repeatable(),
--- a/internal/policy/policy.go
+++ b/internal/policy/policy.go
@@ -215,8 +215,8 @@
 	return ok && b
 }
 
-// Try holds the variables of the expression "retry" for one failed attempt.
-type Try struct {
+// Attempt holds the variables of the expression "retry" for one failed attempt.
+type Attempt struct {
 	// Attempt is the number of attempts so far, from 1.
 	Attempt int
 	// Outcome is "not-run" or "unknown".
@@ -229,7 +229,7 @@
 
 // Retry reports whether the policy allows another attempt. If the evaluation fails,
 // it doesn't.
-func (p *Program) Retry(t Try) bool {
+func (p *Program) Retry(t Attempt) bool {
 	return evalBool(p.retry, map[string]any{
 		"attempt":    t.Attempt,
 		"outcome":    t.Outcome,
--- a/internal/policy/policy_test.go
+++ b/internal/policy/policy_test.go
@@ -26,7 +26,7 @@
 		Threshold: 7,
 		Reporters: 1,
 	}))
-	fmt.Println(p.Retry(policy.Try{
+	fmt.Println(p.Retry(policy.Attempt{
 		Attempt: 3,
 		Outcome: "not-run",
 	}))
@@ -125,7 +125,7 @@
 	}
 	if p.Sick(policy.Health{
 		Reporters: 3,
-	}) || p.Retry(policy.Try{
+	}) || p.Retry(policy.Attempt{
 		Attempt: 1,
 	}) || p.Floor(12, 4) != 12 {
 		t.Fatal("failed evaluation counted as sick, allowed a retry or lowered the floor")
