--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -21,7 +21,7 @@
 	retries := 0
 	// During an outage every request needs a retry.
 	for range 1000 {
-		b.First()
+		b.Deposit()
 		if b.Retry() {
 			retries++
 		}
@@ -38,7 +38,7 @@
 			first, retries := 0, 0
 			for _, retry := range steps {
 				if !retry {
-					b.First()
+					b.Deposit()
 					first++
 				} else if b.Retry() {
 					retries++
--- a/internal/admission/budget.go
+++ b/internal/admission/budget.go
@@ -28,8 +28,8 @@
 	}
 }
 
-// First adds RetryShare for a first attempt.
-func (b *Budget) First() {
+// Deposit adds RetryShare for a first attempt.
+func (b *Budget) Deposit() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.tokens = min(b.tokens+RetryShare, retryReserve)
--- a/internal/node/independent.go
+++ b/internal/node/independent.go
@@ -108,5 +108,5 @@
 	return b.(*admission.Budget)
 }
 
-func (a *independentChooser) first(service string)      { a.budget(service).First() }
+func (a *independentChooser) first(service string)      { a.budget(service).Deposit() }
 func (a *independentChooser) retry(service string) bool { return a.budget(service).Retry() }
