--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -22,7 +22,7 @@
 	// During an outage every request needs a retry.
 	for range 1000 {
 		b.Deposit()
-		if b.Retry() {
+		if b.Withdraw() {
 			retries++
 		}
 	}
@@ -40,7 +40,7 @@
 				if !retry {
 					b.Deposit()
 					first++
-				} else if b.Retry() {
+				} else if b.Withdraw() {
 					retries++
 				}
 			}
--- a/internal/admission/budget.go
+++ b/internal/admission/budget.go
@@ -35,8 +35,8 @@
 	b.tokens = min(b.tokens+RetryShare, retryReserve)
 }
 
-// Retry takes one retry from the budget and reports whether there was one.
-func (b *Budget) Retry() bool {
+// Withdraw takes one retry from the budget and reports whether there was one.
+func (b *Budget) Withdraw() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.tokens < 1 {
--- a/internal/node/independent.go
+++ b/internal/node/independent.go
@@ -109,4 +109,4 @@
 }
 
 func (a *independentChooser) first(service string)      { a.budget(service).Deposit() }
-func (a *independentChooser) retry(service string) bool { return a.budget(service).Retry() }
+func (a *independentChooser) retry(service string) bool { return a.budget(service).Withdraw() }
