--- a/internal/node/adapter.go
+++ b/internal/node/adapter.go
@@ -17,10 +17,10 @@
 	// Read reads published values, and watches them, until the context ends; nil leaves it to the
 	// source in the settings.
 	Read func(ctx context.Context, cfg source.Config) error
-	// Silent is the time without an answer of the platform to any node after which any node may
+	// PlatformTimeout is the time without an answer of the platform to any node after which any node may
 	// read it. 0 means the default of the project's own platform, with a reader in each data hall;
 	// otherwise two nodes read for the fleet.
-	Silent time.Duration
+	PlatformTimeout time.Duration
 	// Calls returns the number of calls made to the platform.
 	Calls func() int64
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -203,7 +203,7 @@
 		platformAge: n.gossip.PlatformAge,
 		seeds:       len(n.set.Seeds()),
 		// Reads of an adapter are never stale.
-		peersCompared: n.adapter.Silent > 0,
+		peersCompared: n.adapter.PlatformTimeout > 0,
 	}
 	window, excess, slack := n.set.Workspaces().Tolerance()
 	n.limits = newLimitController(n.board, n.started, uint64(n.started.UnixNano()), ratelimit.Tolerance{
--- a/internal/node/source.go
+++ b/internal/node/source.go
@@ -91,7 +91,7 @@
 		return true
 	}
 	silent := age > n.platformTimeout()
-	if n.adapter.Silent == 0 {
+	if n.adapter.PlatformTimeout == 0 {
 		return hasRole(view, view.Role("reader", n.set.DataHall(), readersPerHall)) ||
 			silent && uptime > startPlatformTimeout && readsByChance(view)
 	}
@@ -105,8 +105,8 @@
 // platformTimeout returns the time without an answer of the platform to any node after which any
 // node may read it.
 func (n *Node) platformTimeout() time.Duration {
-	if n.adapter.Silent > 0 {
-		return n.adapter.Silent
+	if n.adapter.PlatformTimeout > 0 {
+		return n.adapter.PlatformTimeout
 	}
 	return platformTimeout
 }
