--- a/internal/node/export_signals_test.go
+++ b/internal/node/export_signals_test.go
@@ -17,8 +17,8 @@
 	"ploverjunction.example/ploverjunction/internal/wire"
 )
 
-// Hear records a signal in an answer of a target to the node.
-func (c *Chooser) Hear(key string, n signal.Signal) {
+// Observe records a signal in an answer of a target to the node.
+func (c *Chooser) Observe(key string, n signal.Signal) {
 	c.dispatcher.board.signals.Observe(time.Now(), incarnationOf(c.service.Target(key)), n)
 }
 
--- a/internal/node/signals_test.go
+++ b/internal/node/signals_test.go
@@ -44,7 +44,7 @@
 func TestNodeReportsDrainingTarget(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := node.NewChooser("quotes", serviceWithTargets("a", 2))
-		c.Hear("id-a0", signal.Signal{
+		c.Observe("id-a0", signal.Signal{
 			Draining: true,
 		})
 		for range 5 {
@@ -68,7 +68,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		c.Hear(choice.Key, signal.Signal{
+		c.Observe(choice.Key, signal.Signal{
 			Draining: true,
 		})
 		choice.Done(outlier.Result{}, 0)
@@ -87,7 +87,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		other := membership.NewNode("192.0.2.2:1", "b")
 		c := node.NewChooserOf(membership.NewNode("192.0.2.1:1", "c"), "quotes", serviceWithTargets("b", 3), other)
-		c.Hear("id-b2", signal.Signal{
+		c.Observe("id-b2", signal.Signal{
 			Draining: true,
 		})
 		for range 5 {
@@ -113,7 +113,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		c.Hear(first.Key, signal.Signal{
+		c.Observe(first.Key, signal.Signal{
 			Backoff: backoff,
 		})
 		started := time.Now()
