--- a/internal/node/closed_test.go
+++ b/internal/node/closed_test.go
@@ -89,7 +89,7 @@
 // evacuation yet.
 func TestDispatcherGrantsNoTargetOfAnEvacuatedDataHall(t *testing.T) {
 	c := node.NewChooser("quotes", append(twoHalls(8), evacuations("a")...))
-	if !c.Leaves("198.51.100.1:80") || c.Leaves("198.51.100.2:80") {
+	if !c.Draining("198.51.100.1:80") || c.Draining("198.51.100.2:80") {
 		t.Error("the dispatcher may grant a target of data hall a, or none of b")
 	}
 }
--- a/internal/node/export_signals_test.go
+++ b/internal/node/export_signals_test.go
@@ -22,8 +22,8 @@
 	c.dispatcher.board.signals.Observe(time.Now(), incarnationOf(c.service.Target(key)), n)
 }
 
-// Leaves reports whether the node's own scheduler treats a target as draining.
-func (c *Chooser) Leaves(key string) bool {
+// Draining reports whether the node's own scheduler treats a target as draining.
+func (c *Chooser) Draining(key string) bool {
 	d := c.dispatcher
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/node/signals_test.go
+++ b/internal/node/signals_test.go
@@ -54,7 +54,7 @@
 			}
 			choice.Done(outlier.Result{}, 0)
 		}
-		if !c.Leaves("id-a0") {
+		if !c.Draining("id-a0") {
 			t.Error("the scheduler does not treat the target as draining")
 		}
 	})
@@ -72,7 +72,7 @@
 			Draining: true,
 		})
 		choice.Done(outlier.Result{}, 0)
-		if !c.Leaves(choice.Key) {
+		if !c.Draining(choice.Key) {
 			t.Error("the scheduler does not treat the target as draining")
 		}
 		if failing := c.Failing(choice.Key); failing > 0.02 {
