--- a/internal/node/export_test.go
+++ b/internal/node/export_test.go
@@ -252,8 +252,8 @@
 // Home returns the data hall of the partition that the node tries first.
 func (c *Chooser) Home() string { return c.dispatcher.home(&entry.Query{Service: c.service}).hall }
 
-// Asked returns the number of grant requests by peer and data hall, with a space between them.
-func (c *Chooser) Asked() map[string]int { return c.requests }
+// Requests returns the number of grant requests by peer and data hall, with a space between them.
+func (c *Chooser) Requests() map[string]int { return c.requests }
 
 // Choose returns a target for one attempt, in regions that all lists allow.
 func (c *Chooser) Choose(ctx context.Context, regions ...fleetconfig.Regions) (entry.Choice, error) {
--- a/internal/node/partition_test.go
+++ b/internal/node/partition_test.go
@@ -69,8 +69,8 @@
 		if choice.DataHall != "b" || choice.By != other.Address() {
 			t.Errorf("chosen by %s in data hall %s", choice.By, choice.DataHall)
 		}
-		if c.Asked()[first.Address()+" a"] == 0 || c.Asked()[second.Address()+" a"] == 0 {
-			t.Errorf("grant requests: %v", c.Asked())
+		if c.Requests()[first.Address()+" a"] == 0 || c.Requests()[second.Address()+" a"] == 0 {
+			t.Errorf("grant requests: %v", c.Requests())
 		}
 	})
 }
@@ -83,8 +83,8 @@
 		if _, err := c.Choose(context.Background()); err != nil {
 			t.Fatal(err)
 		}
-		if c.Asked()[peer.Address()+" "] == 0 {
-			t.Errorf("grant requests: %v", c.Asked())
+		if c.Requests()[peer.Address()+" "] == 0 {
+			t.Errorf("grant requests: %v", c.Requests())
 		}
 	})
 }
--- a/internal/node/signals_test.go
+++ b/internal/node/signals_test.go
@@ -97,7 +97,7 @@
 			}
 			choice.Done(outlier.Result{}, 0)
 		}
-		if c.Asked()["192.0.2.2:1 "] == 0 {
+		if c.Requests()["192.0.2.2:1 "] == 0 {
 			t.Error("no grant request to the dispatcher")
 		}
 	})
