--- a/internal/node/dispatch_test.go
+++ b/internal/node/dispatch_test.go
@@ -28,7 +28,7 @@
 				{"service":"quotes","address":"192.0.2.11:80","dataHall":"a","slots":3,"connections":200}]}`),
 		},
 	})
-	if got, want := c.Avoid(unreachable, tried), []string{unreachable, tried}; !slices.Equal(got, want) {
+	if got, want := c.Excluded(unreachable, tried), []string{unreachable, tried}; !slices.Equal(got, want) {
 		t.Errorf("got %v, want %v", got, want)
 	}
 }
--- a/internal/node/export_test.go
+++ b/internal/node/export_test.go
@@ -265,9 +265,9 @@
 	})
 }
 
-// Avoid returns the targets that are not to be granted for a request that was sent to tried, while
+// Excluded returns the targets that are not to be granted for a request that was sent to tried, while
 // lost is unreachable.
-func (c *Chooser) Avoid(lost string, tried ...string) []string {
+func (c *Chooser) Excluded(lost string, tried ...string) []string {
 	c.dispatcher.unreachableUntil[lost] = time.Now().Add(unreachableTime)
 	return c.dispatcher.excludedTargets(&entry.Query{
 		Service: c.service,
