--- a/internal/node/dispatch_test.go
+++ b/internal/node/dispatch_test.go
@@ -68,7 +68,7 @@
 			Failed: true,
 		}, took)
 		d.Done(time.Now(), g.ID, key, dispatch.ResultBad, took)
-		if got, want := c.Failing(key), d.Status(time.Now()).Targets[0].FailureProbability; got != want {
+		if got, want := c.FailureProbability(key), d.Status(time.Now()).Targets[0].FailureProbability; got != want {
 			t.Errorf("failure probability %.3f after one failure, want %.3f", got, want)
 		}
 	})
--- a/internal/node/export_test.go
+++ b/internal/node/export_test.go
@@ -275,8 +275,8 @@
 	})
 }
 
-// Failing returns the estimated failure probability of a target.
-func (c *Chooser) Failing(key string) float64 {
+// FailureProbability returns the estimated failure probability of a target.
+func (c *Chooser) FailureProbability(key string) float64 {
 	d := c.dispatcher
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/node/signals_test.go
+++ b/internal/node/signals_test.go
@@ -75,7 +75,7 @@
 		if !c.Draining(choice.Key) {
 			t.Error("the scheduler does not treat the target as draining")
 		}
-		if failing := c.Failing(choice.Key); failing > 0.02 {
+		if failing := c.FailureProbability(choice.Key); failing > 0.02 {
 			t.Errorf("the signal raises the failure probability to %v", failing)
 		}
 	})
@@ -120,7 +120,7 @@
 		first.Done(outlier.Result{
 			Shed: true,
 		}, time.Millisecond)
-		if failing := c.Failing(first.Key); failing > 0.03 {
+		if failing := c.FailureProbability(first.Key); failing > 0.03 {
 			t.Errorf("the refusal raises the failure probability to %v", failing)
 		}
 		for time.Since(started) < 2*backoff {
