--- a/internal/node/export_targetlimits_test.go
+++ b/internal/node/export_targetlimits_test.go
@@ -127,8 +127,8 @@
 	return n.board.signals.Status(now, c.Incarnation).Permits(now, c.Permit)
 }
 
-// Hear records the signal in an answer of a target.
-func (n *FleetNode) Hear(c entry.Choice, sig signal.Signal) {
+// Observe records the signal in an answer of a target.
+func (n *FleetNode) Observe(c entry.Choice, sig signal.Signal) {
 	n.board.signals.Observe(time.Now(), c.Incarnation, sig)
 }
 
--- a/internal/node/targetlimits_model_test.go
+++ b/internal/node/targetlimits_model_test.go
@@ -426,7 +426,7 @@
 	if !alive {
 		return true
 	}
-	n.Hear(c, sig)
+	n.Observe(c, sig)
 	c.Done(outlier.Result{
 		Shed:   full,
 		Failed: false,
