--- a/internal/node/export_targetlimits_test.go
+++ b/internal/node/export_targetlimits_test.go
@@ -135,9 +135,9 @@
 // Live returns how many nodes this one considers live.
 func (n *FleetNode) Live() int { return len(n.board.view.Load().Live()) }
 
-// Part returns the share of targets' limits that a node may grant as the dispatcher of the given
+// GrantShare returns the share of targets' limits that a node may grant as the dispatcher of the given
 // rank.
-func Part(nodes, live, rank int, isolated bool, connectedFor time.Duration) float64 {
+func GrantShare(nodes, live, rank int, isolated bool, connectedFor time.Duration) float64 {
 	return holderRank{
 		nodes:        nodes,
 		live:         live,
--- a/internal/node/targetlimits_test.go
+++ b/internal/node/targetlimits_test.go
@@ -172,13 +172,13 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			if got := node.Part(tt.nodes, tt.live, tt.rank, tt.alone, tt.among); got != tt.want {
+			if got := node.GrantShare(tt.nodes, tt.live, tt.rank, tt.alone, tt.among); got != tt.want {
 				t.Errorf("share %v, want %v", got, tt.want)
 			}
 		})
 	}
 	for side := 1; side < 40; side++ {
-		if sum := node.Part(40, side, 0, false, long) + node.Part(40, 40-side, 0, false, long); sum > 1.5 {
+		if sum := node.GrantShare(40, side, 0, false, long) + node.GrantShare(40, 40-side, 0, false, long); sum > 1.5 {
 			t.Errorf("sides of %d and %d nodes grant %v", side, 40-side, sum)
 		}
 	}
