--- a/internal/node/export_targetlimits_test.go
+++ b/internal/node/export_targetlimits_test.go
@@ -147,8 +147,8 @@
 	}.share()
 }
 
-// Relayed returns the time of a limit that one node sent to another.
-func Relayed(sent, received, at time.Time) time.Time {
+// RelayedLimitTime returns the time of a limit that one node sent to another.
+func RelayedLimitTime(sent, received, at time.Time) time.Time {
 	return limitOfWire(received, wireLimit(sent, dispatch.TargetLimit{
 		At: at,
 	})).At
--- a/internal/node/targetlimits_test.go
+++ b/internal/node/targetlimits_test.go
@@ -191,7 +191,7 @@
 	started := time.Now()
 	now, at := started, started
 	for range 100 {
-		at = node.Relayed(now, now.Add(transit), at)
+		at = node.RelayedLimitTime(now, now.Add(transit), at)
 		now = now.Add(transit)
 	}
 	if at.After(started) {
