--- a/internal/node/export_targetlimits_test.go
+++ b/internal/node/export_targetlimits_test.go
@@ -175,8 +175,8 @@
 	})
 }
 
-// Told returns the time of a limit of the given rate in a message.
-func Told(now time.Time, rate float64) time.Time {
+// ReceivedLimitTime returns the time of a limit of the given rate in a message.
+func ReceivedLimitTime(now time.Time, rate float64) time.Time {
 	return limitOfWire(now, &wire.TargetLimit{
 		Rate: rate,
 	}).At
--- a/internal/node/targetlimits_test.go
+++ b/internal/node/targetlimits_test.go
@@ -232,11 +232,11 @@
 // An invalid limit in a message must change nothing.
 func TestInvalidLimitsAreIgnored(t *testing.T) {
 	for _, rate := range []float64{math.NaN(), math.Inf(1), -1} {
-		if at := node.Told(time.Now(), rate); !at.IsZero() {
+		if at := node.ReceivedLimitTime(time.Now(), rate); !at.IsZero() {
 			t.Errorf("invalid rate %v accepted", rate)
 		}
 	}
-	if node.Told(time.Now(), 2).IsZero() {
+	if node.ReceivedLimitTime(time.Now(), 2).IsZero() {
 		t.Error("rate of 2 not accepted")
 	}
 }
