--- a/internal/node/export_test.go
+++ b/internal/node/export_test.go
@@ -146,12 +146,12 @@
 // Run reports to allocators until the context ends.
 func (n *LimitedNode) Run(ctx context.Context) error { return n.limits.run(ctx) }
 
-// Patience is the maximum wait of a request on a node that starts.
-const Patience = 500 * time.Millisecond
+// MaxWait is the maximum wait of a request on a node that starts.
+const MaxWait = 500 * time.Millisecond
 
 // Admit admits a request of a workspace; it returns 0 if the request may proceed.
 func (n *LimitedNode) Admit(ctx context.Context, workspace string) time.Duration {
-	if over := n.limits.admit(ctx, n.limits.board.currentConfig().Workspace(workspace), Patience); over != nil {
+	if over := n.limits.admit(ctx, n.limits.board.currentConfig().Workspace(workspace), MaxWait); over != nil {
 		return over.Wait
 	}
 	return 0
--- a/internal/node/limits_test.go
+++ b/internal/node/limits_test.go
@@ -242,11 +242,11 @@
 			time.AfterFunc(400*time.Millisecond, func() { f.setIsolated(n, false) })
 		}
 		admitted, requests, waited := f.play(f.order[1:], 30, 800*time.Millisecond)
-		if admitted < requests*95/100 || waited > node.Patience+100*time.Millisecond {
+		if admitted < requests*95/100 || waited > node.MaxWait+100*time.Millisecond {
 			t.Errorf("%d of %d requests admitted below the limit, in at most %v", admitted, requests, waited)
 		}
 		admitted, _, waited = f.play(f.order[:1], 100, time.Second)
-		if admitted > 2 || waited > node.Patience+100*time.Millisecond {
+		if admitted > 2 || waited > node.MaxWait+100*time.Millisecond {
 			t.Errorf("%d requests admitted by an isolated node, in at most %v", admitted, waited)
 		}
 	})
