--- a/internal/node/export_test.go
+++ b/internal/node/export_test.go
@@ -109,9 +109,9 @@
 	return n
 }
 
-// ChooseAlone gives the node an equal share of each limit; seeds is the number of other nodes in
+// UseEqualShares gives the node an equal share of each limit; seeds is the number of other nodes in
 // its settings.
-func (n *LimitedNode) ChooseAlone(seeds int) { n.limits.messenger, n.limits.seeds = nil, seeds }
+func (n *LimitedNode) UseEqualShares(seeds int) { n.limits.messenger, n.limits.seeds = nil, seeds }
 
 // Knows adds live peers to the node.
 func (n *LimitedNode) Knows(others []membership.Node) {
--- a/internal/node/limits_test.go
+++ b/internal/node/limits_test.go
@@ -321,7 +321,7 @@
 			},
 		}
 		n := node.NewLimitedNode(membership.NewNode("192.0.2.1:1", "a"), doc, func(string, *wire.Datagram) {})
-		n.ChooseAlone(seeds)
+		n.UseEqualShares(seeds)
 		admitted := 0
 		for range 100 {
 			if n.Admit(t.Context(), brokers) == 0 {
