--- a/internal/node/export_test.go
+++ b/internal/node/export_test.go
@@ -113,8 +113,8 @@
 // its settings.
 func (n *LimitedNode) UseEqualShares(seeds int) { n.limits.messenger, n.limits.seeds = nil, seeds }
 
-// Knows adds live peers to the node.
-func (n *LimitedNode) Knows(others []membership.Node) {
+// AddPeers adds live peers to the node.
+func (n *LimitedNode) AddPeers(others []membership.Node) {
 	for _, o := range others {
 		n.members.recordMessage(&wire.Node{
 			Address:     o.Address(),
--- a/internal/node/limits_test.go
+++ b/internal/node/limits_test.go
@@ -64,7 +64,7 @@
 		f.nodes[n.Address()] = node.NewLimitedNode(n, doc, func(peer string, d *wire.Datagram) { f.send(n.Address(), peer, d) })
 	}
 	for _, n := range f.nodes {
-		n.Knows(all)
+		n.AddPeers(all)
 	}
 	return f
 }
