--- a/internal/node/export_test.go
+++ b/internal/node/export_test.go
@@ -125,8 +125,8 @@
 	n.members.renew()
 }
 
-// Lost makes the node declare another one dead.
-func (n *LimitedNode) Lost(other string) {
+// DeclareDead makes the node declare another one dead.
+func (n *LimitedNode) DeclareDead(other string) {
 	n.members.suspect(other)
 	n.members.advance(time.Now().Add(time.Minute))
 	n.members.renew()
--- a/internal/node/limits_test.go
+++ b/internal/node/limits_test.go
@@ -204,7 +204,7 @@
 		}
 		for _, n := range f.nodes {
 			if n.Address() != holder {
-				n.Lost(holder)
+				n.DeclareDead(holder)
 			}
 		}
 		admitted, requests, _ = f.play([]string{holder}, 2.5, 6*time.Second)
