--- a/internal/node/export_test.go
+++ b/internal/node/export_test.go
@@ -307,8 +307,8 @@
 // Run follows the table until the context ends.
 func (m *Members) Run(ctx context.Context) error { return m.members.run(ctx) }
 
-// Heard records a message of a node.
-func (m *Members) Heard(address, dataHall string) {
+// RecordMessage records a message of a node.
+func (m *Members) RecordMessage(address, dataHall string) {
 	m.members.recordMessage(&wire.Node{
 		Address:     address,
 		DataHall:    dataHall,
--- a/internal/node/members_test.go
+++ b/internal/node/members_test.go
@@ -25,7 +25,7 @@
 		views := 0
 		last := m.View()
 		for i := range 443 {
-			m.Heard(fmt.Sprintf("198.51.%d.%d:1", 100+i/250, i%250), "a")
+			m.RecordMessage(fmt.Sprintf("198.51.%d.%d:1", 100+i/250, i%250), "a")
 			if v := m.View(); v != last {
 				last = v
 				views++
@@ -50,7 +50,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		m := node.NewMembers(membership.NewNode("192.0.2.1:1", "a"))
 		time.Sleep(time.Second)
-		m.Heard("192.0.2.2:1", "b")
+		m.RecordMessage("192.0.2.2:1", "b")
 		if n := m.View().Nodes(); n != 2 {
 			t.Errorf("%d nodes, want 2", n)
 		}
