--- a/internal/node/export_test.go
+++ b/internal/node/export_test.go
@@ -319,8 +319,8 @@
 // View returns the view on the blackboard.
 func (m *Members) View() *membership.View { return m.members.board.view.Load() }
 
-// LeaveTo returns the peers that a draining node notifies.
-func LeaveTo(view *membership.View) []string { return drainingPeers(view) }
+// DrainingPeers returns the peers that a draining node notifies.
+func DrainingPeers(view *membership.View) []string { return drainingPeers(view) }
 
 // Currency estimates whether the configuration of a node is the newest.
 type Currency struct {
--- a/internal/node/stop_test.go
+++ b/internal/node/stop_test.go
@@ -21,7 +21,7 @@
 		tab.Observe(time.Now(), membership.NewNode(fmt.Sprintf("%s.%d:1", hall, i), hall), 1, false)
 	}
 	notified := map[string]int{}
-	for _, peer := range node.LeaveTo(tab.View(time.Now())) {
+	for _, peer := range node.DrainingPeers(tab.View(time.Now())) {
 		hall, _, _ := strings.Cut(peer, ".")
 		notified[hall]++
 	}
