--- a/internal/node/export_test.go
+++ b/internal/node/export_test.go
@@ -322,8 +322,8 @@
 // DrainingPeers returns the peers that a draining node notifies.
 func DrainingPeers(view *membership.View) []string { return drainingPeers(view) }
 
-// Currency estimates whether the configuration of a node is the newest.
-type Currency struct {
+// Freshness estimates whether the configuration of a node is the newest.
+type Freshness struct {
 	freshness *freshness
 }
 
@@ -331,8 +331,8 @@
 // platformTimeout; platformAge is the time since the last one, agreementAge the time since a peer
 // had the same values. maxKeyAge is the age up to which keys are trusted, 0 for always. compare is
 // called to request a comparison with peers.
-func NewCurrency(platformTimeout, maxKeyAge time.Duration, platformAge, agreementAge func(time.Time) time.Duration, compare func()) *Currency {
-	return &Currency{
+func NewCurrency(platformTimeout, maxKeyAge time.Duration, platformAge, agreementAge func(time.Time) time.Duration, compare func()) *Freshness {
+	return &Freshness{
 		freshness: &freshness{
 			maxAge:       time.Duration(maxAgeFactor * float64(platformTimeout)),
 			maxKeyAge:    maxKeyAge,
@@ -345,10 +345,10 @@
 }
 
 // Current reports whether the node can have the newest configuration.
-func (c *Currency) Current() bool { return c.freshness.current() }
+func (c *Freshness) Current() bool { return c.freshness.current() }
 
 // Await waits until it can.
-func (c *Currency) Await(ctx context.Context) bool { return c.freshness.await(ctx) }
+func (c *Freshness) Await(ctx context.Context) bool { return c.freshness.await(ctx) }
 
 // Trusted reports whether keys may be trusted.
-func (c *Currency) Trusted() bool { return c.freshness.trusted() }
+func (c *Freshness) Trusted() bool { return c.freshness.trusted() }
