--- a/internal/node/export_test.go
+++ b/internal/node/export_test.go
@@ -327,11 +327,11 @@
 	freshness *freshness
 }
 
-// NewCurrency returns the currency of a node that usually receives an answer of the platform within
+// NewFreshness returns the currency of a node that usually receives an answer of the platform within
 // platformTimeout; platformAge is the time since the last one, agreementAge the time since a peer
 // had the same values. maxKeyAge is the age up to which keys are trusted, 0 for always. compare is
 // called to request a comparison with peers.
-func NewCurrency(platformTimeout, maxKeyAge time.Duration, platformAge, agreementAge func(time.Time) time.Duration, compare func()) *Freshness {
+func NewFreshness(platformTimeout, maxKeyAge time.Duration, platformAge, agreementAge func(time.Time) time.Duration, compare func()) *Freshness {
 	return &Freshness{
 		freshness: &freshness{
 			maxAge:       time.Duration(maxAgeFactor * float64(platformTimeout)),
--- a/internal/node/freshness_test.go
+++ b/internal/node/freshness_test.go
@@ -21,7 +21,7 @@
 func TestCurrent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		answered, agreed := time.Now(), time.Now()
-		c := node.NewCurrency(time.Second, 4*time.Second, since(&answered), since(&agreed), func() {})
+		c := node.NewFreshness(time.Second, 4*time.Second, since(&answered), since(&agreed), func() {})
 		if !c.Current() || !c.Trusted() {
 			t.Error("not current with fresh answers and an agreeing peer")
 		}
@@ -48,7 +48,7 @@
 		started := time.Now()
 		answered, agreed := started.Add(-time.Minute), started
 		comparisons := 0
-		c := node.NewCurrency(time.Second, 0, since(&answered), since(&agreed), func() {
+		c := node.NewFreshness(time.Second, 0, since(&answered), since(&agreed), func() {
 			if comparisons++; comparisons == 5 {
 				answered, agreed = time.Now(), time.Now()
 			}
