--- a/internal/attempt/attempt_test.go
+++ b/internal/attempt/attempt_test.go
@@ -20,7 +20,7 @@
 
 func no() bool { return false }
 
-func ExampleLife() {
+func ExampleTracker() {
 	reservation := attempt.NewTracker(false, start.Add(time.Second))
 	fmt.Println(reservation.Allow(start, yes, yes))
 	reservation.Record(attempt.OutcomeNotRun)
--- a/internal/dispatch/partition_test.go
+++ b/internal/dispatch/partition_test.go
@@ -35,7 +35,7 @@
 	return out
 }
 
-func ExampleDivide() {
+func ExamplePartition() {
 	fmt.Println(dispatch.Partition(countByHall(92, 94, 89, 72, 84)))
 	fmt.Println(dispatch.Partition(countByHall(6, 5, 5)))
 	// Output:
--- a/internal/dispatch/scheduler_test.go
+++ b/internal/dispatch/scheduler_test.go
@@ -68,7 +68,7 @@
 	}
 }
 
-func ExampleDesk_Ask() {
+func ExampleScheduler_RequestGrant() {
 	d := newScheduler(dispatch.Target{
 		Key:   "only",
 		Slots: 1,
--- a/internal/quarantine/fingerprint_test.go
+++ b/internal/quarantine/fingerprint_test.go
@@ -12,7 +12,7 @@
 )
 
 // The requests of two callers with the same content share one of their fingerprints.
-func ExampleNewPrints() {
+func ExampleNewFingerprints() {
 	r := quarantine.Request{
 		Method: "GET",
 		Host:   "forms.example",
