--- a/internal/node/ejection.go
+++ b/internal/node/ejection.go
@@ -28,7 +28,7 @@
 }
 
 // ejectionController builds pools from evidence and ejection decisions. One goroutine runs it;
-// applyVerdict may be called concurrently.
+// applyDecision may be called concurrently.
 type ejectionController struct {
 	board     *Board
 	collector *outlier.Collector
