--- a/internal/entry/capture.go
+++ b/internal/entry/capture.go
@@ -10,11 +10,11 @@
 	"sync"
 )
 
-// captured is a caller's connection that keeps the raw header of the request
+// recordedConn is a caller's connection that keeps the raw header of the request
 // that is being read. net/http drops a Content-Length that comes together with
 // chunks before anyone sees it (RFC 9112, section 6.3, allows that), but such a
 // request is how others smuggle, so it is refused here.
-type captured struct {
+type recordedConn struct {
 	net.Conn
 	mu     sync.Mutex
 	header []byte
@@ -23,7 +23,7 @@
 }
 
 // Read reads from the caller and keeps what may be a header.
-func (c *captured) Read(p []byte) (int, error) {
+func (c *recordedConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -34,7 +34,7 @@
 }
 
 // start begins to keep bytes: the next one belongs to a new request.
-func (c *captured) start() {
+func (c *recordedConn) start() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.header = c.header[:0]
@@ -43,7 +43,7 @@
 
 // stop returns the kept header and keeps no more. It is empty for a request that
 // came right behind another one.
-func (c *captured) stop() []byte {
+func (c *recordedConn) stop() []byte {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.on = false
@@ -63,7 +63,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return &captured{
+	return &recordedConn{
 		Conn: conn,
 		most: l.most,
 	}, nil
@@ -78,7 +78,7 @@
 
 // followConn starts to keep a header whenever a connection waits for one.
 func followConn(conn net.Conn, state http.ConnState) {
-	if c, ok := conn.(*captured); ok && (state == http.StateNew || state == http.StateIdle) {
+	if c, ok := conn.(*recordedConn); ok && (state == http.StateNew || state == http.StateIdle) {
 		c.start()
 	}
 }
@@ -87,7 +87,7 @@
 // request whose header isn't known, for it came right behind another one, is
 // taken for one that did.
 func bothLengths(r *http.Request) bool {
-	c, ok := r.Context().Value(capturedKey{}).(*captured)
+	c, ok := r.Context().Value(capturedKey{}).(*recordedConn)
 	if !ok {
 		return false
 	}
