--- a/internal/entry/capture.go
+++ b/internal/entry/capture.go
@@ -16,10 +16,10 @@
 // request is how others smuggle, so it is refused here.
 type recordedConn struct {
 	net.Conn
-	mu     sync.Mutex
-	header []byte
-	on     bool
-	most   int
+	mu        sync.Mutex
+	header    []byte
+	recording bool
+	most      int
 }
 
 // Read reads from the caller and keeps what may be a header.
@@ -27,7 +27,7 @@
 	n, err := c.Conn.Read(p)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.on && len(c.header) < c.most {
+	if c.recording && len(c.header) < c.most {
 		c.header = append(c.header, p[:n]...)
 	}
 	return n, err
@@ -38,7 +38,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.header = c.header[:0]
-	c.on = true
+	c.recording = true
 }
 
 // stop returns the kept header and keeps no more. It is empty for a request that
@@ -46,7 +46,7 @@
 func (c *recordedConn) stop() []byte {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.on = false
+	c.recording = false
 	header, _, _ := bytes.Cut(c.header, []byte("\r\n\r\n"))
 	return header
 }
