--- a/internal/entry/capture.go
+++ b/internal/entry/capture.go
@@ -19,7 +19,7 @@
 	mu        sync.Mutex
 	header    []byte
 	recording bool
-	most      int
+	maxHeader int
 }
 
 // Read reads from the caller and keeps what may be a header.
@@ -27,7 +27,7 @@
 	n, err := c.Conn.Read(p)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.recording && len(c.header) < c.most {
+	if c.recording && len(c.header) < c.maxHeader {
 		c.header = append(c.header, p[:n]...)
 	}
 	return n, err
@@ -64,8 +64,8 @@
 		return nil, err
 	}
 	return &recordedConn{
-		Conn: conn,
-		most: l.most,
+		Conn:      conn,
+		maxHeader: l.most,
 	}, nil
 }
 
