--- a/internal/entry/capture.go
+++ b/internal/entry/capture.go
@@ -51,14 +51,14 @@
 	return header
 }
 
-// capturing is a listener whose connections keep their headers.
-type capturing struct {
+// recordingListener is a listener whose connections keep their headers.
+type recordingListener struct {
 	net.Listener
 	most int
 }
 
 // Accept waits for the next caller.
-func (l *capturing) Accept() (net.Conn, error) {
+func (l *recordingListener) Accept() (net.Conn, error) {
 	conn, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
--- a/internal/entry/server.go
+++ b/internal/entry/server.go
@@ -154,7 +154,7 @@
 	// redirect; the timeout is off, for kratos gives each request one second.
 	s.http = kratos.NewServer(
 		kratos.Address(lis.Addr().String()),
-		kratos.Listener(&capturing{
+		kratos.Listener(&recordingListener{
 			Listener: lis,
 			most:     int(cfg.MaxHeader),
 		}),
