--- a/internal/entry/capture.go
+++ b/internal/entry/capture.go
@@ -54,7 +54,7 @@
 // recordingListener is a listener whose connections keep their headers.
 type recordingListener struct {
 	net.Listener
-	most int
+	maxHeader int
 }
 
 // Accept waits for the next caller.
@@ -65,7 +65,7 @@
 	}
 	return &recordedConn{
 		Conn:      conn,
-		maxHeader: l.most,
+		maxHeader: l.maxHeader,
 	}, nil
 }
 
--- a/internal/entry/server.go
+++ b/internal/entry/server.go
@@ -155,8 +155,8 @@
 	s.http = kratos.NewServer(
 		kratos.Address(lis.Addr().String()),
 		kratos.Listener(&recordingListener{
-			Listener: lis,
-			most:     int(cfg.MaxHeader),
+			Listener:  lis,
+			maxHeader: int(cfg.MaxHeader),
 		}),
 		kratos.Timeout(0),
 		kratos.Filter(func(http.Handler) http.Handler { return http.HandlerFunc(s.serve) }),
