--- a/internal/entry/capture.go
+++ b/internal/entry/capture.go
@@ -69,11 +69,11 @@
 	}, nil
 }
 
-type capturedKey struct{}
+type connKey struct{}
 
 // keepConn puts the connection into the context of its requests.
 func keepConn(ctx context.Context, conn net.Conn) context.Context {
-	return context.WithValue(ctx, capturedKey{}, conn)
+	return context.WithValue(ctx, connKey{}, conn)
 }
 
 // followConn starts to keep a header whenever a connection waits for one.
@@ -87,7 +87,7 @@
 // request whose header isn't known, for it came right behind another one, is
 // taken for one that did.
 func bothLengths(r *http.Request) bool {
-	c, ok := r.Context().Value(capturedKey{}).(*recordedConn)
+	c, ok := r.Context().Value(connKey{}).(*recordedConn)
 	if !ok {
 		return false
 	}
