--- a/internal/entry/capture.go
+++ b/internal/entry/capture.go
@@ -71,8 +71,8 @@
 
 type connKey struct{}
 
-// keepConn puts the connection into the context of its requests.
-func keepConn(ctx context.Context, conn net.Conn) context.Context {
+// withConn puts the connection into the context of its requests.
+func withConn(ctx context.Context, conn net.Conn) context.Context {
 	return context.WithValue(ctx, connKey{}, conn)
 }
 
--- a/internal/entry/server.go
+++ b/internal/entry/server.go
@@ -164,7 +164,7 @@
 	s.http.ReadHeaderTimeout = headerTimeout
 	s.http.IdleTimeout = callerIdle
 	s.http.MaxHeaderBytes = int(cfg.MaxHeader)
-	s.http.ConnContext = keepConn
+	s.http.ConnContext = withConn
 	s.http.ConnState = followConn
 	return s, nil
 }
