--- a/internal/entry/capture.go
+++ b/internal/entry/capture.go
@@ -76,8 +76,8 @@
 	return context.WithValue(ctx, connKey{}, conn)
 }
 
-// followConn starts to keep a header whenever a connection waits for one.
-func followConn(conn net.Conn, state http.ConnState) {
+// trackConnState starts to keep a header whenever a connection waits for one.
+func trackConnState(conn net.Conn, state http.ConnState) {
 	if c, ok := conn.(*recordedConn); ok && (state == http.StateNew || state == http.StateIdle) {
 		c.start()
 	}
--- a/internal/entry/server.go
+++ b/internal/entry/server.go
@@ -165,7 +165,7 @@
 	s.http.IdleTimeout = callerIdle
 	s.http.MaxHeaderBytes = int(cfg.MaxHeader)
 	s.http.ConnContext = withConn
-	s.http.ConnState = followConn
+	s.http.ConnState = trackConnState
 	return s, nil
 }
 
