--- a/internal/entry/capture.go
+++ b/internal/entry/capture.go
@@ -83,10 +83,10 @@
 	}
 }
 
-// bothLengths reports whether a request stated a length and chunks. A chunked
+// hasLengthAndChunks reports whether a request stated a length and chunks. A chunked
 // request whose header isn't known, for it came right behind another one, is
 // taken for one that did.
-func bothLengths(r *http.Request) bool {
+func hasLengthAndChunks(r *http.Request) bool {
 	c, ok := r.Context().Value(connKey{}).(*recordedConn)
 	if !ok {
 		return false
--- a/internal/entry/check.go
+++ b/internal/entry/check.go
@@ -114,7 +114,7 @@
 	if r.Method == http.MethodConnect || r.Method == http.MethodTrace {
 		return refuse(CodeMethod, http.StatusMethodNotAllowed)
 	}
-	if bothLengths(r) {
+	if hasLengthAndChunks(r) {
 		return refuse(CodeBadRequest, http.StatusBadRequest)
 	}
 	p := r.URL.Path
