--- a/internal/entry/check.go
+++ b/internal/entry/check.go
@@ -12,8 +12,8 @@
 	"ploverjunction.example/ploverjunction/internal/fleetconfig"
 )
 
-// admitted is a request that passed all checks, or of a refused one what is known.
-type admitted struct {
+// admission is a request that passed all checks, or of a refused one what is known.
+type admission struct {
 	config *fleetconfig.Config
 	route  *fleetconfig.Route
 	// workspace is the identity of the caller's workspace; it may be empty. owner is the
@@ -29,7 +29,7 @@
 }
 
 // of returns the workspace of a request, "" where it isn't known.
-func (a *admitted) of() string {
+func (a *admission) of() string {
 	if a == nil {
 		return ""
 	}
@@ -37,7 +37,7 @@
 }
 
 // regions returns what restricts where the request is served: its route and its workspace.
-func (a *admitted) regions() []fleetconfig.Regions {
+func (a *admission) regions() []fleetconfig.Regions {
 	var out []fleetconfig.Regions
 	if r := a.route.Regions(); len(r) > 0 {
 		out = append(out, r)
@@ -50,7 +50,7 @@
 
 // admit checks a request before any work is done for it. What is known of a refused
 // one may be nil.
-func (s *Server) admit(r *http.Request, now time.Time) (*admitted, *Error) {
+func (s *Server) admit(r *http.Request, now time.Time) (*admission, *Error) {
 	cfg := s.cfg.Config()
 	if cfg == nil || len(cfg.Services()) == 0 {
 		cfg = s.await(r)
@@ -71,7 +71,7 @@
 }
 
 // check checks a request by a configuration.
-func (s *Server) check(cfg *fleetconfig.Config, r *http.Request, now time.Time) (*admitted, *Error) {
+func (s *Server) check(cfg *fleetconfig.Config, r *http.Request, now time.Time) (*admission, *Error) {
 	if err := checkForm(r); err != nil {
 		return nil, err
 	}
@@ -82,7 +82,7 @@
 	case fleetconfig.MatchPath:
 		return nil, refuse(CodeMethod, http.StatusMethodNotAllowed)
 	}
-	a := &admitted{
+	a := &admission{
 		config:  cfg,
 		route:   route,
 		maxBody: s.cfg.MaxBody,
--- a/internal/entry/header.go
+++ b/internal/entry/header.go
@@ -63,7 +63,7 @@
 }
 
 // towardsTarget returns the header that a target gets.
-func (s *Server) towardsTarget(r *http.Request, in *admitted) http.Header {
+func (s *Server) towardsTarget(r *http.Request, in *admission) http.Header {
 	c := s.cfg.Contract
 	h := endToEnd(c, r.Header)
 	h.Del("Expect")
--- a/internal/entry/quarantine.go
+++ b/internal/entry/quarantine.go
@@ -38,7 +38,7 @@
 
 // printsOf returns what names a request by what it asks for. The host is the route's: callers
 // of a route for any host may reach each node by another one.
-func printsOf(r *http.Request, in *admitted, b *body) quarantine.Fingerprints {
+func printsOf(r *http.Request, in *admission, b *body) quarantine.Fingerprints {
 	return quarantine.NewFingerprints(quarantine.Request{
 		Method: r.Method,
 		Host:   in.route.Host(),
@@ -50,7 +50,7 @@
 }
 
 // callerOf names who asks: the workspace, or the address where there is none.
-func callerOf(r *http.Request, in *admitted) string {
+func callerOf(r *http.Request, in *admission) string {
 	if in.workspace != "" {
 		return in.workspace
 	}
--- a/internal/entry/refuse.go
+++ b/internal/entry/refuse.go
@@ -23,7 +23,7 @@
 }
 
 // refuse answers a request that got no attempt.
-func (s *Server) refuse(w http.ResponseWriter, id string, in *admitted, e *Error) {
+func (s *Server) refuse(w http.ResponseWriter, id string, in *admission, e *Error) {
 	l := s.log.WithFields(logrus.Fields{
 		"request": id,
 		"status":  e.status,
--- a/internal/entry/relay.go
+++ b/internal/entry/relay.go
@@ -27,7 +27,7 @@
 	server  *Server
 	id      string
 	req     *http.Request
-	in      *admitted
+	in      *admission
 	service *fleetconfig.Service
 	begun   time.Time
 	body    *body
--- a/internal/entry/server.go
+++ b/internal/entry/server.go
@@ -246,7 +246,7 @@
 }
 
 // unserved tells of a request that would be served but for a limit.
-func (s *Server) unserved(in *admitted, fail *Error) {
+func (s *Server) unserved(in *admission, fail *Error) {
 	if fail.code == CodeRate && s.cfg.Unserved != nil {
 		s.cfg.Unserved(in.route.Service().Name())
 	}
@@ -262,7 +262,7 @@
 }
 
 // forward has an admitted request answered.
-func (s *Server) forward(w http.ResponseWriter, r *http.Request, id string, begun time.Time, in *admitted) (int, attempt.Outcome) {
+func (s *Server) forward(w http.ResponseWriter, r *http.Request, id string, begun time.Time, in *admission) (int, attempt.Outcome) {
 	give, fail := s.reserve(r, in)
 	if fail != nil {
 		// Else net/http reads the rest of the body before it answers.
--- a/internal/entry/workspace.go
+++ b/internal/entry/workspace.go
@@ -21,7 +21,7 @@
 
 // owner finds the workspace of a request, or says why it may not go on. It is nil
 // where none is needed.
-func (s *Server) owner(r *http.Request, a *admitted) (*fleetconfig.Workspace, *Error) {
+func (s *Server) owner(r *http.Request, a *admission) (*fleetconfig.Workspace, *Error) {
 	if a.config.Workspaces() == 0 {
 		return nil, nil
 	}
@@ -93,7 +93,7 @@
 }
 
 // checkLimit takes a request into account of its workspace's limit.
-func (s *Server) checkLimit(ctx context.Context, a *admitted) *Error {
+func (s *Server) checkLimit(ctx context.Context, a *admission) *Error {
 	if a.owner == nil {
 		return nil
 	}
