--- a/internal/entry/check.go
+++ b/internal/entry/check.go
@@ -28,8 +28,8 @@
 	maxBody  int64
 }
 
-// of returns the workspace of a request, "" where it isn't known.
-func (a *admission) of() string {
+// workspaceID returns the workspace of a request, "" where it isn't known.
+func (a *admission) workspaceID() string {
 	if a == nil {
 		return ""
 	}
--- a/internal/entry/server.go
+++ b/internal/entry/server.go
@@ -234,7 +234,7 @@
 	in, fail := s.admit(r, begun)
 	if fail != nil {
 		s.refuse(w, id, in, fail)
-		s.cfg.Served("refused", in.of(), fail.status, fail.outcome.String(), time.Since(begun))
+		s.cfg.Served("refused", in.workspaceID(), fail.status, fail.outcome.String(), time.Since(begun))
 		s.unserved(in, fail)
 		return
 	}
