--- a/internal/entry/check.go
+++ b/internal/entry/check.go
@@ -22,8 +22,8 @@
 	owner     *fleetconfig.Workspace
 	// rank is the rank under overload; 0 is served first.
 	rank int
-	// wait is the time to the first byte of an answer.
-	wait     time.Duration
+	// timeout is the time to the first byte of an answer.
+	timeout  time.Duration
 	deadline time.Time
 	maxBody  int64
 }
@@ -101,11 +101,11 @@
 	if r.ContentLength > a.maxBody {
 		return a, refuse(CodeBodySize, http.StatusRequestEntityTooLarge)
 	}
-	a.wait, fail = s.callerWait(r, route)
+	a.timeout, fail = s.callerWait(r, route)
 	if fail != nil {
 		return a, fail
 	}
-	a.deadline = now.Add(a.wait)
+	a.deadline = now.Add(a.timeout)
 	return a, s.checkLimit(r.Context(), a)
 }
 
--- a/internal/entry/workspace.go
+++ b/internal/entry/workspace.go
@@ -97,7 +97,7 @@
 	if a.owner == nil {
 		return nil
 	}
-	if over := s.cfg.Limit(ctx, a.owner, startWait(a.wait)); over != nil {
+	if over := s.cfg.Limit(ctx, a.owner, startWait(a.timeout)); over != nil {
 		e := refuse(CodeRate, http.StatusTooManyRequests)
 		e.retryAfter = over.Wait
 		e.cause = over
