--- a/internal/entry/check.go
+++ b/internal/entry/check.go
@@ -53,7 +53,7 @@
 func (s *Server) admit(r *http.Request, now time.Time) (*admission, *Error) {
 	cfg := s.cfg.Config()
 	if cfg == nil || len(cfg.Services()) == 0 {
-		cfg = s.await(r)
+		cfg = s.awaitConfig(r)
 	}
 	if cfg == nil {
 		e := refuse(CodeNotReady, http.StatusServiceUnavailable)
@@ -163,8 +163,8 @@
 	return min(d, longest), nil
 }
 
-// await waits a moment for the first configuration of a process that starts.
-func (s *Server) await(r *http.Request) *fleetconfig.Config {
+// awaitConfig waits a moment for the first configuration of a process that starts.
+func (s *Server) awaitConfig(r *http.Request) *fleetconfig.Config {
 	ctx, cancel := context.WithTimeout(r.Context(), startWait(s.callerTime(r)))
 	defer cancel()
 	return s.cfg.AwaitConfig(ctx)
