--- a/internal/entry/check.go
+++ b/internal/entry/check.go
@@ -64,7 +64,7 @@
 	if fail == nil || !fail.hingesOnNews() || s.cfg.Current() {
 		return a, fail
 	}
-	if !s.awaitNews(r) {
+	if !s.awaitCurrent(r) {
 		return a, unsure(fail)
 	}
 	return s.check(s.cfg.Config(), r, now)
--- a/internal/entry/workspace.go
+++ b/internal/entry/workspace.go
@@ -79,9 +79,9 @@
 // lost the platform are back in touch within seconds, and another one may be.
 const unsureRetry = time.Second
 
-// awaitNews waits until this node can know the newest configuration, for the part of the
+// awaitCurrent waits until this node can know the newest configuration, for the part of the
 // caller's time that a request of a starting node waits for the first one.
-func (s *Server) awaitNews(r *http.Request) bool {
+func (s *Server) awaitCurrent(r *http.Request) bool {
 	if s.asking.Add(1) > maxAsking {
 		s.asking.Add(-1)
 		return false
