--- a/internal/entry/check.go
+++ b/internal/entry/check.go
@@ -61,7 +61,7 @@
 		return nil, e
 	}
 	a, fail := s.check(cfg, r, now)
-	if fail == nil || !fail.hingesOnNews() || s.cfg.Current() {
+	if fail == nil || !fail.mayBeOutdated() || s.cfg.Current() {
 		return a, fail
 	}
 	if !s.awaitCurrent(r) {
--- a/internal/entry/workspace.go
+++ b/internal/entry/workspace.go
@@ -62,9 +62,9 @@
 	return of*rankSpan + min(route.Priority(), rankSpan-1)
 }
 
-// hingesOnNews reports whether a newer configuration may allow what was refused: a key
+// mayBeOutdated reports whether a newer configuration may allow what was refused: a key
 // that is not known may be one that was just given out.
-func (e *Error) hingesOnNews() bool { return e.code == CodeKey || e.code == CodeNoKey }
+func (e *Error) mayBeOutdated() bool { return e.code == CodeKey || e.code == CodeNoKey }
 
 // unsure returns the answer to a request of which this node can't know whether the
 // newest configuration allows it.
