--- a/internal/entry/check.go
+++ b/internal/entry/check.go
@@ -65,7 +65,7 @@
 		return a, fail
 	}
 	if !s.awaitCurrent(r) {
-		return a, unsure(fail)
+		return a, keyNotChecked(fail)
 	}
 	return s.check(s.cfg.Config(), r, now)
 }
--- a/internal/entry/workspace.go
+++ b/internal/entry/workspace.go
@@ -46,7 +46,7 @@
 	}
 	a.workspace = owner.ID()
 	if s.cfg.Trusted != nil && !s.cfg.Trusted() {
-		return nil, unsure(refuse(CodeKey, http.StatusUnauthorized))
+		return nil, keyNotChecked(refuse(CodeKey, http.StatusUnauthorized))
 	}
 	return owner, nil
 }
@@ -66,9 +66,9 @@
 // that is not known may be one that was just given out.
 func (e *Error) mayBeOutdated() bool { return e.code == CodeKey || e.code == CodeNoKey }
 
-// unsure returns the answer to a request of which this node can't know whether the
+// keyNotChecked returns the answer to a request of which this node can't know whether the
 // newest configuration allows it.
-func unsure(cause *Error) *Error {
+func keyNotChecked(cause *Error) *Error {
 	e := refuse(CodeKeyUnsure, http.StatusServiceUnavailable)
 	e.retryAfter = unsureRetry
 	e.cause = cause
