--- a/internal/entry/workspace.go
+++ b/internal/entry/workspace.go
@@ -70,14 +70,14 @@
 // newest configuration allows it.
 func keyNotChecked(cause *Error) *Error {
 	e := refuse(CodeKeyUnsure, http.StatusServiceUnavailable)
-	e.retryAfter = unsureRetry
+	e.retryAfter = keyRetryAfter
 	e.cause = cause
 	return e
 }
 
-// unsureRetry is when a caller whose key could not be checked may come back. Nodes that
+// keyRetryAfter is when a caller whose key could not be checked may come back. Nodes that
 // lost the platform are back in touch within seconds, and another one may be.
-const unsureRetry = time.Second
+const keyRetryAfter = time.Second
 
 // awaitCurrent waits until this node can know the newest configuration, for the part of the
 // caller's time that a request of a starting node waits for the first one.
