--- a/internal/entry/server.go
+++ b/internal/entry/server.go
@@ -117,10 +117,10 @@
 	trials   atomic.Int32
 	// looks counts the targets that are asked whether they have ended.
 	looks atomic.Int32
-	// asking counts the requests that wait for news of their key.
-	asking  atomic.Int32
-	tasks   chan *task.Task
-	buffers sync.Pool
+	// awaitingConfig counts the requests that wait for news of their key.
+	awaitingConfig atomic.Int32
+	tasks          chan *task.Task
+	buffers        sync.Pool
 	// inbound and outbound bound what is held of requests and of answers.
 	inbound  memory
 	outbound memory
--- a/internal/entry/workspace.go
+++ b/internal/entry/workspace.go
@@ -82,11 +82,11 @@
 // awaitCurrent waits until this node can know the newest configuration, for the part of the
 // caller's time that a request of a starting node waits for the first one.
 func (s *Server) awaitCurrent(r *http.Request) bool {
-	if s.asking.Add(1) > maxAsking {
-		s.asking.Add(-1)
+	if s.awaitingConfig.Add(1) > maxAsking {
+		s.awaitingConfig.Add(-1)
 		return false
 	}
-	defer s.asking.Add(-1)
+	defer s.awaitingConfig.Add(-1)
 	ctx, cancel := context.WithTimeout(r.Context(), startWait(s.callerTime(r)))
 	defer cancel()
 	return s.cfg.AwaitCurrent(ctx)
