--- a/internal/entry/workspace.go
+++ b/internal/entry/workspace.go
@@ -12,9 +12,9 @@
 
 // Bounds of requests whose key is not known yet.
 const (
-	// maxAsking is how many requests of a node wait for news at a time. Anyone can send
+	// maxAwaitingConfig is how many requests of a node wait for news at a time. Anyone can send
 	// keys that don't exist: they must not fill its memory.
-	maxAsking = 64
+	maxAwaitingConfig = 64
 	// rankSpan is how many ranks of routes lie between two of workspaces.
 	rankSpan = 1 << 8
 )
@@ -82,7 +82,7 @@
 // awaitCurrent waits until this node can know the newest configuration, for the part of the
 // caller's time that a request of a starting node waits for the first one.
 func (s *Server) awaitCurrent(r *http.Request) bool {
-	if s.awaitingConfig.Add(1) > maxAsking {
+	if s.awaitingConfig.Add(1) > maxAwaitingConfig {
 		s.awaitingConfig.Add(-1)
 		return false
 	}
