--- a/internal/entry/server.go
+++ b/internal/entry/server.go
@@ -98,10 +98,10 @@
 	copyBuffer      = 32 << 10
 	maxResumes      = 3
 	requestIDLength = 16
-	// startPart is the part of a caller's time, one in so many, for which its request waits
+	// startWaitDivisor is the part of a caller's time, one in so many, for which its request waits
 	// for the first configuration; startMost bounds it.
-	startPart = 6
-	startMost = 1300 * time.Millisecond
+	startWaitDivisor = 6
+	startMost        = 1300 * time.Millisecond
 )
 
 // Server serves callers over kratos' HTTP transport.
