--- a/internal/entry/check.go
+++ b/internal/entry/check.go
@@ -182,4 +182,4 @@
 
 // startWait returns how long the request of a caller that waits for d waits for the first
 // configuration, and for what else a node that starts lacks.
-func startWait(d time.Duration) time.Duration { return min(d/startWaitDivisor, startMost) }
+func startWait(d time.Duration) time.Duration { return min(d/startWaitDivisor, maxStartWait) }
--- a/internal/entry/server.go
+++ b/internal/entry/server.go
@@ -101,7 +101,7 @@
 	// startWaitDivisor is the part of a caller's time, one in so many, for which its request waits
 	// for the first configuration; startMost bounds it.
 	startWaitDivisor = 6
-	startMost        = 1300 * time.Millisecond
+	maxStartWait     = 1300 * time.Millisecond
 )
 
 // Server serves callers over kratos' HTTP transport.
