--- a/internal/entry/check.go
+++ b/internal/entry/check.go
@@ -165,14 +165,14 @@
 
 // awaitConfig waits a moment for the first configuration of a process that starts.
 func (s *Server) awaitConfig(r *http.Request) *fleetconfig.Config {
-	ctx, cancel := context.WithTimeout(r.Context(), startWait(s.callerTime(r)))
+	ctx, cancel := context.WithTimeout(r.Context(), startWait(s.callerTimeout(r)))
 	defer cancel()
 	return s.cfg.AwaitConfig(ctx)
 }
 
-// callerTime returns how long a caller waits. What is wrong with its request is told
+// callerTimeout returns how long a caller waits. What is wrong with its request is told
 // once there is a configuration.
-func (s *Server) callerTime(r *http.Request) time.Duration {
+func (s *Server) callerTimeout(r *http.Request) time.Duration {
 	d, err := s.cfg.Contract.CallerWait(r.Header)
 	if err != nil || d == 0 {
 		return s.cfg.Deadline
--- a/internal/entry/workspace.go
+++ b/internal/entry/workspace.go
@@ -87,7 +87,7 @@
 		return false
 	}
 	defer s.awaitingConfig.Add(-1)
-	ctx, cancel := context.WithTimeout(r.Context(), startWait(s.callerTime(r)))
+	ctx, cancel := context.WithTimeout(r.Context(), startWait(s.callerTimeout(r)))
 	defer cancel()
 	return s.cfg.AwaitCurrent(ctx)
 }
