--- a/internal/entry/check.go
+++ b/internal/entry/check.go
@@ -101,7 +101,7 @@
 	if r.ContentLength > a.maxBody {
 		return a, refuse(CodeBodySize, http.StatusRequestEntityTooLarge)
 	}
-	a.timeout, fail = s.callerWait(r, route)
+	a.timeout, fail = s.requestTimeout(r, route)
 	if fail != nil {
 		return a, fail
 	}
@@ -146,7 +146,7 @@
 	return strings.ToLower(host)
 }
 
-func (s *Server) callerWait(r *http.Request, route *fleetconfig.Route) (time.Duration, *Error) {
+func (s *Server) requestTimeout(r *http.Request, route *fleetconfig.Route) (time.Duration, *Error) {
 	longest := route.Deadline()
 	if longest == 0 {
 		longest = s.cfg.Deadline
