--- a/internal/entry/body.go
+++ b/internal/entry/body.go
@@ -21,7 +21,7 @@
 	// head is the beginning of a body that is not held.
 	head    []byte
 	length  int64
-	touched atomic.Bool
+	started atomic.Bool
 	failed  atomic.Pointer[error]
 }
 
@@ -95,7 +95,7 @@
 	switch {
 	case b.stream == nil:
 		return bytes.NewReader(b.held), true
-	case b.touched.Load():
+	case b.started.Load():
 		return nil, false
 	default:
 		return b, true
@@ -104,7 +104,7 @@
 
 // Read reads a body that is not held.
 func (b *body) Read(p []byte) (int, error) {
-	b.touched.Store(true)
+	b.started.Store(true)
 	n, err := b.stream.Read(p)
 	if err != nil && !errors.Is(err, io.EOF) {
 		b.failed.Store(&err)
