--- a/internal/entry/body.go
+++ b/internal/entry/body.go
@@ -72,8 +72,8 @@
 	}, nil
 }
 
-// first returns the body, or its beginning.
-func (b *body) first() []byte {
+// prefix returns the body, or its beginning.
+func (b *body) prefix() []byte {
 	if b.stream != nil {
 		return b.head
 	}
--- a/internal/entry/quarantine.go
+++ b/internal/entry/quarantine.go
@@ -44,7 +44,7 @@
 		Host:   in.route.Host(),
 		URI:    r.URL.RequestURI(),
 		Caller: callerOf(r, in),
-		Body:   b.first(),
+		Body:   b.prefix(),
 		Length: b.length,
 	})
 }
