--- a/internal/entry/body.go
+++ b/internal/entry/body.go
@@ -90,8 +90,8 @@
 	return e
 }
 
-// next returns the body for another attempt, and false if it was spent.
-func (b *body) next() (io.Reader, bool) {
+// reader returns the body for another attempt, and false if it was spent.
+func (b *body) reader() (io.Reader, bool) {
 	switch {
 	case b.stream == nil:
 		return bytes.NewReader(b.held), true
--- a/internal/entry/fail.go
+++ b/internal/entry/fail.go
@@ -62,7 +62,7 @@
 // replaceable reports whether another target may give a repeatable request a better
 // answer than this one.
 func (x *relay) replaceable(a *forward.Answer) bool {
-	_, again := x.body.next()
+	_, again := x.body.reader()
 	return x.in.route.Repeatable() && passing(a.Status()) && again
 }
 
--- a/internal/entry/relay.go
+++ b/internal/entry/relay.go
@@ -112,7 +112,7 @@
 	if reason := x.may(); reason != attempt.ReasonNone {
 		return reason
 	}
-	reader, ok := x.body.next()
+	reader, ok := x.body.reader()
 	if !ok || x.launched+x.unsent >= maxTries {
 		return attempt.ReasonPolicy
 	}
--- a/internal/entry/trial.go
+++ b/internal/entry/trial.go
@@ -29,7 +29,7 @@
 	}
 	x.server.trials.Add(1)
 	x.life.RecordCopy()
-	reader, _ := x.body.next()
+	reader, _ := x.body.reader()
 	r := x.request(choice, reader)
 	r.ID = newRequestID()
 	// The copy lives on when the caller has its answer; its own deadline ends it.
