--- a/internal/entry/body.go
+++ b/internal/entry/body.go
@@ -25,8 +25,8 @@
 	failed  atomic.Pointer[error]
 }
 
-// broken returns the error with which the caller's body broke, or nil.
-func (b *body) broken() error {
+// readError returns the error with which the caller's body broke, or nil.
+func (b *body) readError() error {
 	if err := b.failed.Load(); err != nil {
 		return *err
 	}
@@ -115,7 +115,7 @@
 // fault returns the error of a caller's body that broke while it was sent, or
 // nil. outcome is what the attempts proved.
 func (b *body) fault(outcome attempt.Outcome) *Error {
-	err := b.broken()
+	err := b.readError()
 	if err == nil {
 		return nil
 	}
--- a/internal/entry/relay.go
+++ b/internal/entry/relay.go
@@ -223,7 +223,7 @@
 	if x.req.Context().Err() != nil {
 		return attempt.ReasonCaller
 	}
-	if x.body.broken() != nil {
+	if x.body.readError() != nil {
 		return attempt.ReasonCaller
 	}
 	if held := x.held.Load(); held > 0 {
--- a/internal/entry/try.go
+++ b/internal/entry/try.go
@@ -56,7 +56,7 @@
 	flight := x.begin(choice.Key)
 	a, err := x.server.client.Do(ctx, x.request(choice, t.reader))
 	t.end = endOf(a, err)
-	t.end.Ignored = t.end.Ignored || x.body.broken() != nil
+	t.end.Ignored = t.end.Ignored || x.body.readError() != nil
 	t.end.RequestFailed = err != nil && x.lost()
 	flight.End(time.Now(), t.end)
 	x.logTry(t, a, err)
