--- a/internal/entry/body.go
+++ b/internal/entry/body.go
@@ -112,9 +112,9 @@
 	return n, err
 }
 
-// fault returns the error of a caller's body that broke while it was sent, or
+// failure returns the error of a caller's body that broke while it was sent, or
 // nil. outcome is what the attempts proved.
-func (b *body) fault(outcome attempt.Outcome) *Error {
+func (b *body) failure(outcome attempt.Outcome) *Error {
 	err := b.readError()
 	if err == nil {
 		return nil
--- a/internal/entry/fail.go
+++ b/internal/entry/fail.go
@@ -77,7 +77,7 @@
 }
 
 func (x *relay) giveUp(reason attempt.Reason) *Error {
-	if f := x.body.fault(x.life.Outcome()); f != nil {
+	if f := x.body.failure(x.life.Outcome()); f != nil {
 		return f
 	}
 	return gaveUp(x.life, reason, x.retryAfter, x.last)
