--- a/internal/entry/hedge.go
+++ b/internal/entry/hedge.go
@@ -25,7 +25,7 @@
 	}
 	slow := x.server.cfg.Collector.SlowAfter(x.service.Name(), r.Class())
 	if aim := r.TargetLatency(); aim > 0 {
-		slow = min(slow, aim/hedgePart-time.Since(x.begun))
+		slow = min(slow, aim/hedgePart-time.Since(x.started))
 	}
 	return max(slow, 0)
 }
--- a/internal/entry/log.go
+++ b/internal/entry/log.go
@@ -68,7 +68,7 @@
 		"status":   status,
 		"outcome":  outcome.String(),
 		"attempts": x.launched,
-		"took_ms":  time.Since(x.begun).Milliseconds(),
+		"took_ms":  time.Since(x.started).Milliseconds(),
 	})
 	if x.in.workspace != "" {
 		l = l.WithField("workspace", x.in.workspace)
--- a/internal/entry/relay.go
+++ b/internal/entry/relay.go
@@ -29,7 +29,7 @@
 	req     *http.Request
 	in      *admission
 	service *fleetconfig.Service
-	begun   time.Time
+	started time.Time
 	body    *body
 	life    *attempt.Tracker
 	// tried are the keys of the targets that were asked. It is written by the
--- a/internal/entry/server.go
+++ b/internal/entry/server.go
@@ -282,7 +282,7 @@
 		req:     r,
 		in:      in,
 		service: in.route.ChooseService(rand.Uint64()),
-		begun:   begun,
+		started: begun,
 		body:    b,
 		life:    attempt.NewTracker(in.route.Repeatable(), in.deadline),
 		header:  s.towardsTarget(r, in),
--- a/internal/entry/try.go
+++ b/internal/entry/try.go
@@ -111,7 +111,7 @@
 // aim returns until when an answer is worth most.
 func (x *relay) aim() time.Time {
 	if d := x.in.route.TargetLatency(); d > 0 {
-		return x.begun.Add(d)
+		return x.started.Add(d)
 	}
 	return x.life.Deadline()
 }
