--- a/internal/entry/deliver.go
+++ b/internal/entry/deliver.go
@@ -64,7 +64,7 @@
 		}
 		x.broke(x.key(a.Target()))
 		x.settle(x.won, err)
-		x.life.Record(attempt.OutcomeUnknown)
+		x.tracker.Record(attempt.OutcomeUnknown)
 		if !resumable || resumes == maxResumes {
 			return err
 		}
--- a/internal/entry/fail.go
+++ b/internal/entry/fail.go
@@ -77,16 +77,16 @@
 }
 
 func (x *relay) giveUp(reason attempt.Reason) *Error {
-	if f := x.body.failure(x.life.Outcome()); f != nil {
+	if f := x.body.failure(x.tracker.Outcome()); f != nil {
 		return f
 	}
-	return gaveUp(x.life, reason, x.retryAfter, x.last)
+	return gaveUp(x.tracker, reason, x.retryAfter, x.last)
 }
 
 // lost reports whether the request ends unserved with an attempt that failed now: its
 // caller has left, or its time is over.
 func (x *relay) lost() bool {
-	return !x.settled.Load() && (x.req.Context().Err() != nil || time.Until(x.life.Deadline()) <= 0)
+	return !x.settled.Load() && (x.req.Context().Err() != nil || time.Until(x.tracker.Deadline()) <= 0)
 }
 
 // endOf says what an attempt showed of its target.
--- a/internal/entry/hedge.go
+++ b/internal/entry/hedge.go
@@ -21,7 +21,7 @@
 func (x *relay) hedgeAfter() time.Duration {
 	r := x.in.route
 	if !x.hedgeable() {
-		return time.Until(x.life.Deadline()) + time.Hour
+		return time.Until(x.tracker.Deadline()) + time.Hour
 	}
 	slow := x.server.cfg.Collector.SlowAfter(x.service.Name(), r.Class())
 	if aim := r.TargetLatency(); aim > 0 {
--- a/internal/entry/relay.go
+++ b/internal/entry/relay.go
@@ -31,7 +31,7 @@
 	service *fleetconfig.Service
 	started time.Time
 	body    *body
-	life    *attempt.Tracker
+	tracker *attempt.Tracker
 	// tried are the keys of the targets that were asked. It is written by the
 	// tries, under mu.
 	mu     sync.Mutex
@@ -169,7 +169,7 @@
 func (x *relay) count(t *try, o attempt.Outcome) {
 	if !t.counted {
 		t.counted = true
-		x.life.Record(o)
+		x.tracker.Record(o)
 	}
 }
 
@@ -230,14 +230,14 @@
 		x.retryAfter = time.Duration(held)
 		return attempt.ReasonQuarantine
 	}
-	return x.life.Allow(time.Now(),
+	return x.tracker.Allow(time.Now(),
 		func() bool {
-			if most := x.in.route.MaxAttempts(); most > 0 && x.life.PossibleRuns() >= most {
+			if most := x.in.route.MaxAttempts(); most > 0 && x.tracker.PossibleRuns() >= most {
 				return false
 			}
 			return x.service.Policy().Retry(policy.Attempt{
-				Attempt:    x.life.Attempts(),
-				Outcome:    x.life.Outcome().String(),
+				Attempt:    x.tracker.Attempts(),
+				Outcome:    x.tracker.Outcome().String(),
 				Repeatable: x.in.route.Repeatable(),
 				Method:     x.req.Method,
 				Route:      x.in.route.Name(),
@@ -264,7 +264,7 @@
 		Header:     x.header.Clone(),
 		Body:       reader,
 		Length:     x.body.length,
-		Deadline:   x.life.Deadline(),
+		Deadline:   x.tracker.Deadline(),
 		Observe:    func(n signal.Signal, err error) { x.observe(c, n, err) },
 		Barred: func(now time.Time) bool {
 			return x.server.cfg.Config().Evacuated(c.DataHall) ||
--- a/internal/entry/resume.go
+++ b/internal/entry/resume.go
@@ -30,7 +30,7 @@
 // resume asks for the bytes of a from offset on. It gives nil if no target
 // continues the very same representation.
 func (x *relay) resume(etag string, offset, total int64) (*forward.Answer, func()) {
-	x.life.SetDeadline(time.Now().Add(x.in.timeout))
+	x.tracker.SetDeadline(time.Now().Add(x.in.timeout))
 	x.header.Set("Range", fmt.Sprintf("bytes=%d-", offset))
 	x.header.Set("If-Range", etag)
 	r := x.another()
--- a/internal/entry/server.go
+++ b/internal/entry/server.go
@@ -284,7 +284,7 @@
 		service: in.route.ChooseService(rand.Uint64()),
 		started: begun,
 		body:    b,
-		life:    attempt.NewTracker(in.route.Repeatable(), in.deadline),
+		tracker: attempt.NewTracker(in.route.Repeatable(), in.deadline),
 		header:  s.towardsTarget(r, in),
 		prints:  printsOf(r, in, b),
 		results: make(chan result, maxTries),
--- a/internal/entry/trial.go
+++ b/internal/entry/trial.go
@@ -28,7 +28,7 @@
 		return
 	}
 	x.server.trials.Add(1)
-	x.life.RecordCopy()
+	x.tracker.RecordCopy()
 	reader, _ := x.body.reader()
 	r := x.request(choice, reader)
 	r.ID = newRequestID()
--- a/internal/entry/try.go
+++ b/internal/entry/try.go
@@ -88,7 +88,7 @@
 		Priority:   x.in.rank,
 		Route:      r.Name(),
 		Aim:        x.aim(),
-		Deadline:   x.life.Deadline(),
+		Deadline:   x.tracker.Deadline(),
 		Again:      t.again,
 		Hedge:      t.hedge,
 		Age:        t.age,
@@ -113,7 +113,7 @@
 	if d := x.in.route.TargetLatency(); d > 0 {
 		return x.started.Add(d)
 	}
-	return x.life.Deadline()
+	return x.tracker.Deadline()
 }
 
 // learnSize notes how large the answers of a route are.
