--- a/internal/entry/ended.go
+++ b/internal/entry/ended.go
@@ -63,14 +63,14 @@
 
 // ended notes that the target of an attempt has ended under the request.
 func (x *relay) ended(t *try) {
-	s := x.server.cfg.Ended(x.prints, t.choice.Key)
+	s := x.server.cfg.Ended(x.fingerprints, t.choice.Key)
 	x.suspect.Store(s.Suspect())
 	if s.Held() {
 		x.held.Store(int64(s.Wait))
 	}
 	x.server.log.WithField("request", x.id).
-		WithField("fingerprint", x.prints.Content().String()).
-		WithField("fingerprint_of_caller", x.prints.Caller().String()).
+		WithField("fingerprint", x.fingerprints.Content().String()).
+		WithField("fingerprint_of_caller", x.fingerprints.Caller().String()).
 		WithField("caller", callerOf(x.req, x.in)).
 		WithField("target", t.choice.Key).
 		WithField("ran_ms", time.Since(t.chosen).Milliseconds()).
--- a/internal/entry/log.go
+++ b/internal/entry/log.go
@@ -84,7 +84,7 @@
 		})
 	}
 	if fail != nil {
-		l = l.WithField("fingerprint", x.prints.Content().String()).WithField("caller", callerOf(x.req, x.in))
+		l = l.WithField("fingerprint", x.fingerprints.Content().String()).WithField("caller", callerOf(x.req, x.in))
 		l.WithError(fail).Warn("request failed")
 		return
 	}
--- a/internal/entry/quarantine.go
+++ b/internal/entry/quarantine.go
@@ -23,7 +23,7 @@
 // quarantine looks at what the fleet knows of the request. It returns the answer to one under
 // which too many targets ended: it has not run this time, and its caller learns when it may.
 func (x *relay) quarantine() *Error {
-	s := x.server.cfg.Quarantined(x.prints)
+	s := x.server.cfg.Quarantined(x.fingerprints)
 	x.suspect.Store(s.Suspect())
 	if !s.Held() {
 		return nil
--- a/internal/entry/relay.go
+++ b/internal/entry/relay.go
@@ -48,11 +48,11 @@
 	granted chan grant
 	// sent is when the attempt that may need a hedge was sent.
 	sent time.Time
-	// prints name what is asked for. suspect is set once a target is known to have ended under
+	// fingerprints name what is asked for. suspect is set once a target is known to have ended under
 	// the request, held is for how long it is refused then.
-	prints  quarantine.Fingerprints
-	suspect atomic.Bool
-	held    atomic.Int64
+	fingerprints quarantine.Fingerprints
+	suspect      atomic.Bool
+	held         atomic.Int64
 	// won is the try whose answer is delivered; settled is set once there is one.
 	won     *try
 	settled atomic.Bool
--- a/internal/entry/server.go
+++ b/internal/entry/server.go
@@ -277,18 +277,18 @@
 		return fail.status, fail.outcome
 	}
 	x := &relay{
-		server:  s,
-		id:      id,
-		req:     r,
-		in:      in,
-		service: in.route.ChooseService(rand.Uint64()),
-		started: begun,
-		body:    b,
-		tracker: attempt.NewTracker(in.route.Repeatable(), in.deadline),
-		header:  s.towardsTarget(r, in),
-		prints:  printsOf(r, in, b),
-		results: make(chan result, maxTries),
-		granted: make(chan grant, maxTries),
+		server:       s,
+		id:           id,
+		req:          r,
+		in:           in,
+		service:      in.route.ChooseService(rand.Uint64()),
+		started:      begun,
+		body:         b,
+		tracker:      attempt.NewTracker(in.route.Repeatable(), in.deadline),
+		header:       s.towardsTarget(r, in),
+		fingerprints: printsOf(r, in, b),
+		results:      make(chan result, maxTries),
+		granted:      make(chan grant, maxTries),
 	}
 	if fail := x.quarantine(); fail != nil {
 		s.refuse(w, id, in, fail)
@@ -303,7 +303,7 @@
 	x.logEnd(a.Status(), attempt.OutcomeDone, nil)
 	x.deliver(w, a, release)
 	if a.Status() < http.StatusInternalServerError {
-		s.cfg.Answered(x.prints)
+		s.cfg.Answered(x.fingerprints)
 	}
 	return a.Status(), attempt.OutcomeDone
 }
