--- a/internal/entry/relay.go
+++ b/internal/entry/relay.go
@@ -56,8 +56,8 @@
 	// won is the try whose answer is delivered; settled is set once there is one.
 	won     *try
 	settled atomic.Bool
-	// spare is an answer that is given only if no better one comes.
-	spare *result
+	// fallback is an answer that is given only if no better one comes.
+	fallback *result
 	// blocked says why no other try may begin, retryAfter when the caller may.
 	blocked    attempt.Reason
 	retryAfter time.Duration
@@ -88,10 +88,10 @@
 	x.trial()
 	for {
 		reason := x.launch()
-		if reason != attempt.ReasonNone && x.spare == nil {
+		if reason != attempt.ReasonNone && x.fallback == nil {
 			return nil, nil, x.giveUp(reason)
 		}
-		r := x.spare
+		r := x.fallback
 		if reason == attempt.ReasonNone {
 			r = x.await()
 		}
@@ -186,10 +186,10 @@
 		return true
 	}
 	x.count(r.try, attempt.OutcomeUnknown)
-	if x.spare != nil {
-		x.spare.discard()
+	if x.fallback != nil {
+		x.fallback.discard()
 	}
-	x.spare = &r
+	x.fallback = &r
 	return false
 }
 
@@ -197,10 +197,10 @@
 // server.
 func (x *relay) abandon(won *result) {
 	x.settled.Store(true)
-	if x.spare != nil && x.spare != won {
-		x.spare.discard()
+	if x.fallback != nil && x.fallback != won {
+		x.fallback.discard()
 	}
-	x.spare = nil
+	x.fallback = nil
 	lost := len(x.running)
 	if lost == 0 {
 		return
