--- a/internal/entry/log.go
+++ b/internal/entry/log.go
@@ -73,14 +73,14 @@
 	if x.in.workspace != "" {
 		l = l.WithField("workspace", x.in.workspace)
 	}
-	if x.won != nil {
+	if x.winner != nil {
 		l = l.WithFields(logrus.Fields{
-			"target":    x.won.choice.Key,
-			"hall":      x.won.choice.DataHall,
-			"by":        x.won.choice.By,
-			"doubt":     x.won.choice.Doubt,
-			"trial":     x.won.choice.Trial,
-			"waited_ms": x.won.chosen.Sub(x.won.begun).Milliseconds(),
+			"target":    x.winner.choice.Key,
+			"hall":      x.winner.choice.DataHall,
+			"by":        x.winner.choice.By,
+			"doubt":     x.winner.choice.Doubt,
+			"trial":     x.winner.choice.Trial,
+			"waited_ms": x.winner.chosen.Sub(x.winner.begun).Milliseconds(),
 		})
 	}
 	if fail != nil {
--- a/internal/entry/relay.go
+++ b/internal/entry/relay.go
@@ -53,8 +53,8 @@
 	fingerprints quarantine.Fingerprints
 	suspect      atomic.Bool
 	held         atomic.Int64
-	// won is the try whose answer is delivered; settled is set once there is one.
-	won     *try
+	// winner is the try whose answer is delivered; settled is set once there is one.
+	winner  *try
 	settled atomic.Bool
 	// fallback is an answer that is given only if no better one comes.
 	fallback *result
@@ -99,7 +99,7 @@
 			continue
 		}
 		x.abandon(r)
-		x.won = r.try
+		x.winner = r.try
 		return r.answer, r.try.release, nil
 	}
 }
--- a/internal/entry/resume.go
+++ b/internal/entry/resume.go
@@ -38,7 +38,7 @@
 		return nil, nil
 	}
 	x.abandon(r)
-	x.won = r.try
+	x.winner = r.try
 	a, release := r.answer, r.try.release
 	want := fmt.Sprintf("bytes %d-%d/%d", offset, total-1, total)
 	same := a.Status() == http.StatusPartialContent &&
@@ -68,8 +68,8 @@
 
 // key returns the key of the target at an address, by the choice that led there.
 func (x *relay) key(address string) string {
-	if x.won != nil && x.won.choice.Address == address {
-		return x.won.choice.Key
+	if x.winner != nil && x.winner.choice.Address == address {
+		return x.winner.choice.Key
 	}
 	return address
 }
