--- a/internal/entry/ended.go
+++ b/internal/entry/ended.go
@@ -66,7 +66,7 @@
 	s := x.server.cfg.Ended(x.fingerprints, t.choice.Key)
 	x.suspect.Store(s.Suspect())
 	if s.Held() {
-		x.held.Store(int64(s.Wait))
+		x.quarantineWait.Store(int64(s.Wait))
 	}
 	x.server.log.WithField("request", x.id).
 		WithField("fingerprint", x.fingerprints.Content().String()).
--- a/internal/entry/relay.go
+++ b/internal/entry/relay.go
@@ -50,9 +50,9 @@
 	sent time.Time
 	// fingerprints name what is asked for. suspect is set once a target is known to have ended under
 	// the request, held is for how long it is refused then.
-	fingerprints quarantine.Fingerprints
-	suspect      atomic.Bool
-	held         atomic.Int64
+	fingerprints   quarantine.Fingerprints
+	suspect        atomic.Bool
+	quarantineWait atomic.Int64
 	// winner is the try whose answer is delivered; settled is set once there is one.
 	winner  *try
 	settled atomic.Bool
@@ -226,7 +226,7 @@
 	if x.body.readError() != nil {
 		return attempt.ReasonCaller
 	}
-	if held := x.held.Load(); held > 0 {
+	if held := x.quarantineWait.Load(); held > 0 {
 		x.retryAfter = time.Duration(held)
 		return attempt.ReasonQuarantine
 	}
