--- a/internal/entry/relay.go
+++ b/internal/entry/relay.go
@@ -44,8 +44,8 @@
 	// running are the tries whose end hasn't been read from results.
 	running []*try
 	results chan result
-	// granted tells of targets that tries got.
-	granted chan grant
+	// grants tells of targets that tries got.
+	grants chan grant
 	// sent is when the attempt that may need a hedge was sent.
 	sent time.Time
 	// fingerprints name what is asked for. suspect is set once a target is known to have ended under
@@ -150,7 +150,7 @@
 			if r.try.hedge && (spent(r.err) || unsent(r.err)) {
 				hedge.Reset(hedgeAgain)
 			}
-		case g := <-x.granted:
+		case g := <-x.grants:
 			if len(x.running) > 1 {
 				continue
 			}
--- a/internal/entry/server.go
+++ b/internal/entry/server.go
@@ -288,7 +288,7 @@
 		header:       s.towardsTarget(r, in),
 		fingerprints: printsOf(r, in, b),
 		results:      make(chan result, maxTries),
-		granted:      make(chan grant, maxTries),
+		grants:       make(chan grant, maxTries),
 	}
 	if fail := x.quarantine(); fail != nil {
 		s.refuse(w, id, in, fail)
--- a/internal/entry/try.go
+++ b/internal/entry/try.go
@@ -49,7 +49,7 @@
 	}
 	t.choice = choice
 	t.chosen = time.Now()
-	x.granted <- grant{
+	x.grants <- grant{
 		at:         t.chosen,
 		hedgeAfter: choice.HedgeAfter,
 	}
