--- a/internal/entry/fail.go
+++ b/internal/entry/fail.go
@@ -24,7 +24,7 @@
 			}
 			return
 		}
-		x.blocked = none.reason
+		x.blockReason = none.reason
 		x.retryAfter = none.retryAfter
 		return
 	}
--- a/internal/entry/relay.go
+++ b/internal/entry/relay.go
@@ -58,9 +58,9 @@
 	settled atomic.Bool
 	// fallback is an answer that is given only if no better one comes.
 	fallback *result
-	// blocked says why no other try may begin, retryAfter when the caller may.
-	blocked    attempt.Reason
-	retryAfter time.Duration
+	// blockReason says why no other try may begin, retryAfter when the caller may.
+	blockReason attempt.Reason
+	retryAfter  time.Duration
 }
 
 // result is the end of a try: an answer or an error.
@@ -106,8 +106,8 @@
 
 // launch begins an attempt, or gives the reason against it.
 func (x *relay) launch() attempt.Reason {
-	if x.blocked != attempt.ReasonNone {
-		return x.blocked
+	if x.blockReason != attempt.ReasonNone {
+		return x.blockReason
 	}
 	if reason := x.may(); reason != attempt.ReasonNone {
 		return reason
