--- a/internal/entry/relay.go
+++ b/internal/entry/relay.go
@@ -46,8 +46,8 @@
 	results chan result
 	// grants tells of targets that tries got.
 	grants chan grant
-	// sent is when the attempt that may need a hedge was sent.
-	sent time.Time
+	// sentAt is when the attempt that may need a hedge was sent.
+	sentAt time.Time
 	// fingerprints name what is asked for. suspect is set once a target is known to have ended under
 	// the request, held is for how long it is refused then.
 	fingerprints   quarantine.Fingerprints
@@ -124,8 +124,8 @@
 		again:  x.launched > 0,
 		hedge:  len(x.running) > 0,
 	}
-	if t.hedge && !x.sent.IsZero() {
-		t.age = time.Since(x.sent)
+	if t.hedge && !x.sentAt.IsZero() {
+		t.age = time.Since(x.sentAt)
 	}
 	x.launched++
 	x.running = append(x.running, t)
@@ -154,7 +154,7 @@
 			if len(x.running) > 1 {
 				continue
 			}
-			x.sent = g.at
+			x.sentAt = g.at
 			if g.hedgeAfter > 0 && x.hedgeable() {
 				hedge.Reset(time.Until(g.at.Add(g.hedgeAfter)))
 			}
