--- a/internal/entry/relay.go
+++ b/internal/entry/relay.go
@@ -109,7 +109,7 @@
 	if x.blockReason != attempt.ReasonNone {
 		return x.blockReason
 	}
-	if reason := x.may(); reason != attempt.ReasonNone {
+	if reason := x.allowAttempt(); reason != attempt.ReasonNone {
 		return reason
 	}
 	reader, ok := x.body.reader()
@@ -219,7 +219,7 @@
 	}))
 }
 
-func (x *relay) may() attempt.Reason {
+func (x *relay) allowAttempt() attempt.Reason {
 	if x.req.Context().Err() != nil {
 		return attempt.ReasonCaller
 	}
