--- a/internal/entry/fail.go
+++ b/internal/entry/fail.go
@@ -37,7 +37,7 @@
 	if errors.As(r.err, &fe) {
 		outcome = fe.Outcome()
 	}
-	x.count(r.try, outcome)
+	x.recordOnce(r.try, outcome)
 	x.last = r.err
 }
 
--- a/internal/entry/hedge.go
+++ b/internal/entry/hedge.go
@@ -55,7 +55,7 @@
 // hedge asks another target while the first is still expected to answer.
 func (x *relay) hedge() {
 	for _, t := range x.running {
-		x.count(t, attempt.OutcomeUnknown)
+		x.recordOnce(t, attempt.OutcomeUnknown)
 	}
 	x.launch()
 }
--- a/internal/entry/relay.go
+++ b/internal/entry/relay.go
@@ -165,8 +165,8 @@
 	return nil
 }
 
-// count notes in the request's life that an attempt may be followed by another.
-func (x *relay) count(t *try, o attempt.Outcome) {
+// recordOnce notes in the request's life that an attempt may be followed by another.
+func (x *relay) recordOnce(t *try, o attempt.Outcome) {
 	if !t.counted {
 		t.counted = true
 		x.tracker.Record(o)
@@ -185,7 +185,7 @@
 	if !x.replaceable(r.answer) {
 		return true
 	}
-	x.count(r.try, attempt.OutcomeUnknown)
+	x.recordOnce(r.try, attempt.OutcomeUnknown)
 	if x.fallback != nil {
 		x.fallback.discard()
 	}
