--- a/internal/entry/resume.go
+++ b/internal/entry/resume.go
@@ -33,7 +33,7 @@
 	x.tracker.SetDeadline(time.Now().Add(x.in.timeout))
 	x.header.Set("Range", fmt.Sprintf("bytes=%d-", offset))
 	x.header.Set("If-Range", etag)
-	r := x.another()
+	r := x.attemptOnce()
 	if r == nil {
 		return nil, nil
 	}
@@ -52,8 +52,8 @@
 	return a, release
 }
 
-// another makes one more attempt that is sent. It gives nil if none may be made or it failed.
-func (x *relay) another() *result {
+// attemptOnce makes one more attempt that is sent. It gives nil if none may be made or it failed.
+func (x *relay) attemptOnce() *result {
 	for unsent := -1; unsent < x.unsent; {
 		unsent = x.unsent
 		if x.launch() != attempt.ReasonNone {
