--- a/internal/entry/relay.go
+++ b/internal/entry/relay.go
@@ -98,7 +98,7 @@
 		if r == nil {
 			continue
 		}
-		x.abandon(r)
+		x.cancelOthers(r)
 		x.winner = r.try
 		return r.answer, r.try.release, nil
 	}
@@ -193,9 +193,9 @@
 	return false
 }
 
-// abandon ends the tries that lost to another one. Their ends are read by the
+// cancelOthers ends the tries that lost to another one. Their ends are read by the
 // server.
-func (x *relay) abandon(won *result) {
+func (x *relay) cancelOthers(won *result) {
 	x.settled.Store(true)
 	if x.fallback != nil && x.fallback != won {
 		x.fallback.discard()
--- a/internal/entry/resume.go
+++ b/internal/entry/resume.go
@@ -37,7 +37,7 @@
 	if r == nil {
 		return nil, nil
 	}
-	x.abandon(r)
+	x.cancelOthers(r)
 	x.winner = r.try
 	a, release := r.answer, r.try.release
 	want := fmt.Sprintf("bytes %d-%d/%d", offset, total-1, total)
