--- a/internal/entry/fail.go
+++ b/internal/entry/fail.go
@@ -83,9 +83,9 @@
 	return gaveUp(x.tracker, reason, x.retryAfter, x.last)
 }
 
-// lost reports whether the request ends unserved with an attempt that failed now: its
+// expired reports whether the request ends unserved with an attempt that failed now: its
 // caller has left, or its time is over.
-func (x *relay) lost() bool {
+func (x *relay) expired() bool {
 	return !x.settled.Load() && (x.req.Context().Err() != nil || time.Until(x.tracker.Deadline()) <= 0)
 }
 
--- a/internal/entry/try.go
+++ b/internal/entry/try.go
@@ -57,7 +57,7 @@
 	a, err := x.server.client.Do(ctx, x.request(choice, t.reader))
 	t.end = endOf(a, err)
 	t.end.Ignored = t.end.Ignored || x.body.readError() != nil
-	t.end.RequestFailed = err != nil && x.lost()
+	t.end.RequestFailed = err != nil && x.expired()
 	flight.End(time.Now(), t.end)
 	x.logTry(t, a, err)
 	x.settle(t, err)
