--- a/internal/entry/fail.go
+++ b/internal/entry/fail.go
@@ -13,8 +13,8 @@
 	"ploverjunction.example/ploverjunction/internal/outlier"
 )
 
-// failed notes an attempt that failed, or one for which there was no target.
-func (x *relay) failed(r result) {
+// recordFailure notes an attempt that failed, or one for which there was no target.
+func (x *relay) recordFailure(r result) {
 	var none *NoTargetError
 	if errors.As(r.err, &none) {
 		if r.try.hedge && none.reason != attempt.ReasonDeadline {
--- a/internal/entry/relay.go
+++ b/internal/entry/relay.go
@@ -178,7 +178,7 @@
 func (x *relay) accept(r result) bool {
 	if r.err != nil {
 		r.discard()
-		x.failed(r)
+		x.recordFailure(r)
 		return false
 	}
 	x.learnSize(r.answer)
