--- a/internal/entry/fail.go
+++ b/internal/entry/fail.go
@@ -29,7 +29,7 @@
 		return
 	}
 	if unsent(r.err) {
-		x.notSent(r.try)
+		x.discountUnsent(r.try)
 		return
 	}
 	outcome := attempt.OutcomeUnknown
@@ -47,9 +47,9 @@
 	return errors.As(err, &fe) && fe.Kind() == forward.KindBarred
 }
 
-// notSent forgets an attempt whose target wanted no request any more when it was to be sent:
+// discountUnsent forgets an attempt whose target wanted no request any more when it was to be sent:
 // the next one is no repeat, and the retry budget doesn't pay for it.
-func (x *relay) notSent(t *try) {
+func (x *relay) discountUnsent(t *try) {
 	x.launched--
 	x.unsent++
 	x.mu.Lock()
