--- a/internal/entry/fail.go
+++ b/internal/entry/fail.go
@@ -63,11 +63,11 @@
 // answer than this one.
 func (x *relay) replaceable(a *forward.Answer) bool {
 	_, again := x.body.reader()
-	return x.in.route.Repeatable() && passing(a.Status()) && again
+	return x.in.route.Repeatable() && retryableStatus(a.Status()) && again
 }
 
-// passing reports whether a failure may not come from another target.
-func passing(status int) bool {
+// retryableStatus reports whether a failure may not come from another target.
+func retryableStatus(status int) bool {
 	switch status {
 	case http.StatusInternalServerError, http.StatusBadGateway, http.StatusServiceUnavailable, http.StatusGatewayTimeout:
 		return true
--- a/internal/entry/log.go
+++ b/internal/entry/log.go
@@ -19,7 +19,7 @@
 // logTry writes the line about one attempt: who chose which target, how long it
 // took and what came.
 func (x *relay) logTry(t *try, a *forward.Answer, err error) {
-	if err == nil && !t.again && !passing(a.Status()) {
+	if err == nil && !t.again && !retryableStatus(a.Status()) {
 		return
 	}
 	l := x.server.log.WithFields(logrus.Fields{
