--- a/internal/entry/hedge.go
+++ b/internal/entry/hedge.go
@@ -37,9 +37,9 @@
 	return r.Repeatable() && x.body.stream == nil && r.MaxAttempts() != 1 && !x.suspect.Load()
 }
 
-// spent reports whether there was no target because the retry budget doesn't pay for
+// budgetSpent reports whether there was no target because the retry budget doesn't pay for
 // it now.
-func spent(err error) bool {
+func budgetSpent(err error) bool {
 	var none *NoTargetError
 	return errors.As(err, &none) && none.reason == attempt.ReasonBudget
 }
--- a/internal/entry/relay.go
+++ b/internal/entry/relay.go
@@ -147,7 +147,7 @@
 			if x.accept(r) {
 				return &r
 			}
-			if r.try.hedge && (spent(r.err) || unsent(r.err)) {
+			if r.try.hedge && (budgetSpent(r.err) || unsent(r.err)) {
 				hedge.Reset(hedgeAgain)
 			}
 		case g := <-x.grants:
