--- a/internal/entry/fail.go
+++ b/internal/entry/fail.go
@@ -89,8 +89,8 @@
 	return !x.settled.Load() && (x.req.Context().Err() != nil || time.Until(x.tracker.Deadline()) <= 0)
 }
 
-// endOf says what an attempt showed of its target.
-func endOf(a *forward.Answer, err error) outlier.Result {
+// resultOf says what an attempt showed of its target.
+func resultOf(a *forward.Answer, err error) outlier.Result {
 	if a != nil {
 		return outlier.Result{
 			Failed:   a.Status() >= http.StatusInternalServerError,
--- a/internal/entry/trial.go
+++ b/internal/entry/trial.go
@@ -45,7 +45,7 @@
 	flight := x.begin(choice.Key)
 	begun := time.Now()
 	a, err := x.server.client.Do(ctx, r)
-	end := endOf(a, err)
+	end := resultOf(a, err)
 	flight.End(time.Now(), end)
 	defer func() { choice.Done(end, time.Since(begun)) }()
 	if err != nil {
--- a/internal/entry/try.go
+++ b/internal/entry/try.go
@@ -55,7 +55,7 @@
 	}
 	flight := x.begin(choice.Key)
 	a, err := x.server.client.Do(ctx, x.request(choice, t.reader))
-	t.end = endOf(a, err)
+	t.end = resultOf(a, err)
 	t.end.Ignored = t.end.Ignored || x.body.readError() != nil
 	t.end.RequestFailed = err != nil && x.expired()
 	flight.End(time.Now(), t.end)
