--- a/internal/entry/error.go
+++ b/internal/entry/error.go
@@ -75,9 +75,9 @@
 // about the time in which a slot of a target becomes free.
 const retryAfterDefault = 250 * time.Millisecond
 
-// gaveUp returns the final answer of a life that ended without an answer.
+// newFinalError returns the final answer of a life that ended without an answer.
 // retryAfter is when the caller may come back; 0 means the usual time.
-func gaveUp(l *attempt.Tracker, reason attempt.Reason, retryAfter time.Duration, cause error) *Error {
+func newFinalError(l *attempt.Tracker, reason attempt.Reason, retryAfter time.Duration, cause error) *Error {
 	e := &Error{
 		code:       CodeFailed,
 		status:     http.StatusBadGateway,
--- a/internal/entry/fail.go
+++ b/internal/entry/fail.go
@@ -80,7 +80,7 @@
 	if f := x.body.failure(x.tracker.Outcome()); f != nil {
 		return f
 	}
-	return gaveUp(x.tracker, reason, x.retryAfter, x.last)
+	return newFinalError(x.tracker, reason, x.retryAfter, x.last)
 }
 
 // expired reports whether the request ends unserved with an attempt that failed now: its
