--- a/internal/entry/deliver.go
+++ b/internal/entry/deliver.go
@@ -63,7 +63,7 @@
 			return err
 		}
 		x.broke(x.key(a.Target()))
-		x.settle(x.winner, err)
+		x.checkCrash(x.winner, err)
 		x.tracker.Record(attempt.OutcomeUnknown)
 		if !resumable || resumes == maxResumes {
 			return err
--- a/internal/entry/ended.go
+++ b/internal/entry/ended.go
@@ -22,9 +22,9 @@
 	return c
 }()
 
-// settle finds out whether the target of an attempt that broke has ended. Where one has ended
+// checkCrash finds out whether the target of an attempt that broke has ended. Where one has ended
 // under the request before, it waits until that is known: another attempt could end a third.
-func (x *relay) settle(t *try, err error) {
+func (x *relay) checkCrash(t *try, err error) {
 	known := x.look(t, err)
 	if x.suspect.Load() || t.again {
 		<-known
