--- a/internal/entry/ended.go
+++ b/internal/entry/ended.go
@@ -25,16 +25,16 @@
 // checkCrash finds out whether the target of an attempt that broke has ended. Where one has ended
 // under the request before, it waits until that is known: another attempt could end a third.
 func (x *relay) checkCrash(t *try, err error) {
-	known := x.look(t, err)
+	known := x.startCrashCheck(t, err)
 	if x.suspect.Load() || t.again {
 		<-known
 	}
 }
 
-// look finds out whether the target of an attempt that broke has ended: a connection can
+// startCrashCheck finds out whether the target of an attempt that broke has ended: a connection can
 // break for many reasons, and three in ten of a service's may, while its targets live. It
 // returns a channel that is closed when that is known.
-func (x *relay) look(t *try, err error) <-chan struct{} {
+func (x *relay) startCrashCheck(t *try, err error) <-chan struct{} {
 	var fe *forward.Error
 	if !errors.As(err, &fe) || !fe.Broke() {
 		return alreadyKnown
--- a/internal/entry/trial.go
+++ b/internal/entry/trial.go
@@ -49,7 +49,7 @@
 	flight.End(time.Now(), end)
 	defer func() { choice.Done(end, time.Since(begun)) }()
 	if err != nil {
-		x.look(&try{
+		x.startCrashCheck(&try{
 			choice: choice,
 			chosen: begun,
 		}, err)
