--- a/internal/entry/ended.go
+++ b/internal/entry/ended.go
@@ -40,7 +40,7 @@
 		return alreadyKnown
 	}
 	if fe.Refused() {
-		x.ended(t)
+		x.recordCrash(t)
 		return alreadyKnown
 	}
 	if x.server.looks.Add(1) > maxLooks {
@@ -54,15 +54,15 @@
 		defer close(known)
 		defer x.server.looks.Add(-1)
 		if x.server.client.Ended(ctx, t.choice.Address) {
-			x.ended(t)
+			x.recordCrash(t)
 		}
 		return nil
 	}))
 	return known
 }
 
-// ended notes that the target of an attempt has ended under the request.
-func (x *relay) ended(t *try) {
+// recordCrash notes that the target of an attempt has ended under the request.
+func (x *relay) recordCrash(t *try) {
 	s := x.server.cfg.Ended(x.fingerprints, t.choice.Key)
 	x.suspect.Store(s.Suspect())
 	if s.Held() {
