--- a/internal/entry/ended.go
+++ b/internal/entry/ended.go
@@ -43,8 +43,8 @@
 		x.recordCrash(t)
 		return alreadyKnown
 	}
-	if x.server.looks.Add(1) > maxLooks {
-		x.server.looks.Add(-1)
+	if x.server.crashChecks.Add(1) > maxLooks {
+		x.server.crashChecks.Add(-1)
 		x.server.log.WithField("request", x.id).WithField("target", t.choice.Key).Debug("too many targets to ask whether they have ended")
 		return alreadyKnown
 	}
@@ -52,7 +52,7 @@
 	ctx := context.WithoutCancel(x.req.Context())
 	x.server.own(task.Go(ctx, "look", func(ctx context.Context) error {
 		defer close(known)
-		defer x.server.looks.Add(-1)
+		defer x.server.crashChecks.Add(-1)
 		if x.server.client.Ended(ctx, t.choice.Address) {
 			x.recordCrash(t)
 		}
--- a/internal/entry/server.go
+++ b/internal/entry/server.go
@@ -115,8 +115,8 @@
 	inFlight atomic.Int64
 	closing  atomic.Bool
 	trials   atomic.Int32
-	// looks counts the targets that are asked whether they have ended.
-	looks atomic.Int32
+	// crashChecks counts the targets that are asked whether they have ended.
+	crashChecks atomic.Int32
 	// awaitingConfig counts the requests that wait for news of their key.
 	awaitingConfig atomic.Int32
 	tasks          chan *task.Task
