--- a/internal/entry/ended.go
+++ b/internal/entry/ended.go
@@ -11,9 +11,9 @@
 	"ploverjunction.example/ploverjunction/internal/task"
 )
 
-// maxLooks bounds how many targets a node asks at a time whether they have ended. Where a
+// maxCrashChecks bounds how many targets a node asks at a time whether they have ended. Where a
 // link breaks, many attempts break with it.
-const maxLooks = 16
+const maxCrashChecks = 16
 
 // alreadyKnown is a channel that has nothing to wait for.
 var alreadyKnown = func() <-chan struct{} {
@@ -43,7 +43,7 @@
 		x.recordCrash(t)
 		return alreadyKnown
 	}
-	if x.server.crashChecks.Add(1) > maxLooks {
+	if x.server.crashChecks.Add(1) > maxCrashChecks {
 		x.server.crashChecks.Add(-1)
 		x.server.log.WithField("request", x.id).WithField("target", t.choice.Key).Debug("too many targets to ask whether they have ended")
 		return alreadyKnown
