--- a/internal/entry/ended.go
+++ b/internal/entry/ended.go
@@ -15,8 +15,8 @@
 // link breaks, many attempts break with it.
 const maxCrashChecks = 16
 
-// alreadyKnown is a channel that has nothing to wait for.
-var alreadyKnown = func() <-chan struct{} {
+// closedChannel is a channel that has nothing to wait for.
+var closedChannel = func() <-chan struct{} {
 	c := make(chan struct{})
 	close(c)
 	return c
@@ -37,16 +37,16 @@
 func (x *relay) startCrashCheck(t *try, err error) <-chan struct{} {
 	var fe *forward.Error
 	if !errors.As(err, &fe) || !fe.Broke() {
-		return alreadyKnown
+		return closedChannel
 	}
 	if fe.Refused() {
 		x.recordCrash(t)
-		return alreadyKnown
+		return closedChannel
 	}
 	if x.server.crashChecks.Add(1) > maxCrashChecks {
 		x.server.crashChecks.Add(-1)
 		x.server.log.WithField("request", x.id).WithField("target", t.choice.Key).Debug("too many targets to ask whether they have ended")
-		return alreadyKnown
+		return closedChannel
 	}
 	known := make(chan struct{})
 	ctx := context.WithoutCancel(x.req.Context())
