--- a/internal/entry/deliver.go
+++ b/internal/entry/deliver.go
@@ -62,7 +62,7 @@
 		if !errors.As(err, &fe) {
 			return err
 		}
-		x.broke(x.key(a.Target()))
+		x.recordBrokenBody(x.key(a.Target()))
 		x.checkCrash(x.winner, err)
 		x.tracker.Record(attempt.OutcomeUnknown)
 		if !resumable || resumes == maxResumes {
--- a/internal/entry/trial.go
+++ b/internal/entry/trial.go
@@ -57,14 +57,14 @@
 	}
 	defer a.Close()
 	if _, err := io.Copy(io.Discard, a); err != nil {
-		x.broke(choice.Key)
+		x.recordBrokenBody(choice.Key)
 		return fmt.Errorf("entry: trial: %w", err)
 	}
 	return nil
 }
 
-// broke notes an answer whose body broke off.
-func (x *relay) broke(target string) {
+// recordBrokenBody notes an answer whose body broke off.
+func (x *relay) recordBrokenBody(target string) {
 	x.begin(target).End(time.Now(), outlier.Result{
 		Failed: true,
 	})
