--- a/internal/entry/trial.go
+++ b/internal/entry/trial.go
@@ -36,12 +36,12 @@
 	ctx := context.WithoutCancel(x.req.Context())
 	x.server.own(task.Go(ctx, "trial", func(ctx context.Context) error {
 		defer x.server.trials.Add(-1)
-		return x.tryOut(ctx, choice, r)
+		return x.runTrial(ctx, choice, r)
 	}))
 }
 
-// tryOut makes the attempt of a trial and reads its answer to the end.
-func (x *relay) tryOut(ctx context.Context, choice Choice, r *forward.Request) error {
+// runTrial makes the attempt of a trial and reads its answer to the end.
+func (x *relay) runTrial(ctx context.Context, choice Choice, r *forward.Request) error {
 	flight := x.begin(choice.Key)
 	begun := time.Now()
 	a, err := x.server.client.Do(ctx, r)
