--- a/internal/entry/relay.go
+++ b/internal/entry/relay.go
@@ -85,7 +85,7 @@
 // the answer's target stays taken until release is called.
 func (x *relay) answer() (a *forward.Answer, release func(), fail *Error) {
 	x.server.cfg.First(x.service.Name())
-	x.trial()
+	x.sendTrial()
 	for {
 		reason := x.launch()
 		if reason != attempt.ReasonNone && x.fallback == nil {
--- a/internal/entry/trial.go
+++ b/internal/entry/trial.go
@@ -16,10 +16,10 @@
 // maxTrials bounds the trial copies in flight on a node.
 const maxTrials = 8
 
-// trial sends a copy of a repeatable request to a target on trial, if there is
+// sendTrial sends a copy of a repeatable request to a target on trial, if there is
 // one. Nobody waits for its answer: an ejected target proves itself without any
 // caller paying for it.
-func (x *relay) trial() {
+func (x *relay) sendTrial() {
 	if !x.in.route.Repeatable() || x.body.stream != nil || x.suspect.Load() || x.server.trials.Load() >= maxTrials {
 		return
 	}
