--- a/internal/entry/relay.go
+++ b/internal/entry/relay.go
@@ -181,7 +181,7 @@
 		x.recordFailure(r)
 		return false
 	}
-	x.learnSize(r.answer)
+	x.recordSize(r.answer)
 	if !x.replaceable(r.answer) {
 		return true
 	}
--- a/internal/entry/try.go
+++ b/internal/entry/try.go
@@ -116,8 +116,8 @@
 	return x.tracker.Deadline()
 }
 
-// learnSize notes how large the answers of a route are.
-func (x *relay) learnSize(a *forward.Answer) {
+// recordSize notes how large the answers of a route are.
+func (x *relay) recordSize(a *forward.Answer) {
 	if a.Length() >= 0 {
 		x.server.sizes.add(x.in.route, a.Length())
 	}
