--- a/internal/entry/try.go
+++ b/internal/entry/try.go
@@ -87,7 +87,7 @@
 		Kilobytes:  x.server.sizes.expected(r) + int(x.body.length>>10),
 		Priority:   x.in.rank,
 		Route:      r.Name(),
-		Aim:        x.aim(),
+		Aim:        x.softDeadline(),
 		Deadline:   x.tracker.Deadline(),
 		Again:      t.again,
 		Hedge:      t.hedge,
@@ -108,8 +108,8 @@
 	return c, nil
 }
 
-// aim returns until when an answer is worth most.
-func (x *relay) aim() time.Time {
+// softDeadline returns until when an answer is worth most.
+func (x *relay) softDeadline() time.Time {
 	if d := x.in.route.TargetLatency(); d > 0 {
 		return x.started.Add(d)
 	}
