--- a/internal/entry/hedge.go
+++ b/internal/entry/hedge.go
@@ -44,9 +44,9 @@
 	return errors.As(err, &none) && none.reason == attempt.ReasonBudget
 }
 
-// hedgeAgain is after how long a second target is asked for again when none was
+// hedgeRetryDelay is after how long a second target is asked for again when none was
 // granted: what is known of the first one grows with the time that it says nothing.
-const hedgeAgain = 50 * time.Millisecond
+const hedgeRetryDelay = 50 * time.Millisecond
 
 // hedgePart is the part of a route's target latency after which a second target
 // is asked: half of it leaves the second one as much time as the first had.
--- a/internal/entry/relay.go
+++ b/internal/entry/relay.go
@@ -148,7 +148,7 @@
 				return &r
 			}
 			if r.try.hedge && (budgetSpent(r.err) || unsent(r.err)) {
-				hedge.Reset(hedgeAgain)
+				hedge.Reset(hedgeRetryDelay)
 			}
 		case g := <-x.grants:
 			if len(x.running) > 1 {
