--- a/internal/entry/hedge.go
+++ b/internal/entry/hedge.go
@@ -25,7 +25,7 @@
 	}
 	slow := x.server.cfg.Collector.SlowAfter(x.service.Name(), r.Class())
 	if aim := r.TargetLatency(); aim > 0 {
-		slow = min(slow, aim/hedgePart-time.Since(x.started))
+		slow = min(slow, aim/hedgeDivisor-time.Since(x.started))
 	}
 	return max(slow, 0)
 }
@@ -48,9 +48,9 @@
 // granted: what is known of the first one grows with the time that it says nothing.
 const hedgeRetryDelay = 50 * time.Millisecond
 
-// hedgePart is the part of a route's target latency after which a second target
+// hedgeDivisor is the part of a route's target latency after which a second target
 // is asked: half of it leaves the second one as much time as the first had.
-const hedgePart = 2
+const hedgeDivisor = 2
 
 // hedge asks another target while the first is still expected to answer.
 func (x *relay) hedge() {
