--- a/internal/entry/log.go
+++ b/internal/entry/log.go
@@ -27,7 +27,7 @@
 		"service":   x.service.Name(),
 		"target":    t.choice.Key,
 		"by":        t.choice.By,
-		"waited_ms": t.chosen.Sub(t.begun).Milliseconds(),
+		"waited_ms": t.chosen.Sub(t.started).Milliseconds(),
 		"took_ms":   time.Since(t.chosen).Milliseconds(),
 		"again":     t.again,
 		"doubt":     t.choice.Doubt,
@@ -80,7 +80,7 @@
 			"by":        x.winner.choice.By,
 			"doubt":     x.winner.choice.Doubt,
 			"trial":     x.winner.choice.Trial,
-			"waited_ms": x.winner.chosen.Sub(x.winner.begun).Milliseconds(),
+			"waited_ms": x.winner.chosen.Sub(x.winner.started).Milliseconds(),
 		})
 	}
 	if fail != nil {
--- a/internal/entry/try.go
+++ b/internal/entry/try.go
@@ -24,10 +24,10 @@
 	// age is how long the attempt beside a hedge had waited when that was asked for.
 	age    time.Duration
 	choice Choice
-	// begun is when a target was asked for, chosen when there was one.
-	begun  time.Time
-	chosen time.Time
-	end    outlier.Result
+	// started is when a target was asked for, chosen when there was one.
+	started time.Time
+	chosen  time.Time
+	end     outlier.Result
 	// released is set once the choice was given back.
 	released atomic.Bool
 	// counted is set once the attempt has been counted in the request's life.
@@ -38,7 +38,7 @@
 // reads it.
 func (t *try) run(ctx context.Context) {
 	x := t.relay
-	t.begun = time.Now()
+	t.started = time.Now()
 	choice, err := x.choose(ctx, t)
 	if err != nil {
 		x.results <- result{
