--- a/internal/entry/ended.go
+++ b/internal/entry/ended.go
@@ -26,7 +26,7 @@
 // under the request before, it waits until that is known: another attempt could end a third.
 func (x *relay) checkCrash(t *try, err error) {
 	known := x.startCrashCheck(t, err)
-	if x.suspect.Load() || t.again {
+	if x.suspect.Load() || t.retry {
 		<-known
 	}
 }
--- a/internal/entry/log.go
+++ b/internal/entry/log.go
@@ -19,7 +19,7 @@
 // logTry writes the line about one attempt: who chose which target, how long it
 // took and what came.
 func (x *relay) logTry(t *try, a *forward.Answer, err error) {
-	if err == nil && !t.again && !retryableStatus(a.Status()) {
+	if err == nil && !t.retry && !retryableStatus(a.Status()) {
 		return
 	}
 	l := x.server.log.WithFields(logrus.Fields{
@@ -29,7 +29,7 @@
 		"by":        t.choice.By,
 		"waited_ms": t.chosen.Sub(t.started).Milliseconds(),
 		"took_ms":   time.Since(t.chosen).Milliseconds(),
-		"again":     t.again,
+		"again":     t.retry,
 		"doubt":     t.choice.Doubt,
 		"trial":     t.choice.Trial,
 	})
--- a/internal/entry/relay.go
+++ b/internal/entry/relay.go
@@ -121,7 +121,7 @@
 		relay:  x,
 		reader: reader,
 		cancel: cancel,
-		again:  x.launched > 0,
+		retry:  x.launched > 0,
 		hedge:  len(x.running) > 0,
 	}
 	if t.hedge && !x.sentAt.IsZero() {
--- a/internal/entry/try.go
+++ b/internal/entry/try.go
@@ -19,7 +19,7 @@
 	relay  *relay
 	reader io.Reader
 	cancel context.CancelFunc
-	again  bool
+	retry  bool
 	hedge  bool
 	// age is how long the attempt beside a hedge had waited when that was asked for.
 	age    time.Duration
@@ -89,7 +89,7 @@
 		Route:      r.Name(),
 		Aim:        x.softDeadline(),
 		Deadline:   x.tracker.Deadline(),
-		Again:      t.again,
+		Again:      t.retry,
 		Hedge:      t.hedge,
 		Age:        t.age,
 		Regions:    x.in.regions(),
