--- a/internal/entry/memory.go
+++ b/internal/entry/memory.go
@@ -20,18 +20,18 @@
 
 // memory bounds what a node holds of bodies in one direction. It may be used concurrently.
 type memory struct {
-	// most is in bytes; 0 is no bound.
-	most int64
-	used atomic.Int64
+	// limit is in bytes; 0 is no bound.
+	limit int64
+	used  atomic.Int64
 }
 
 // take reserves bytes for a body, and reports whether there is room for them. What it returns gives
 // them back, once.
 func (m *memory) take(n int64) (give func(), ok bool) {
-	if m.most == 0 || n <= smallBody {
+	if m.limit == 0 || n <= smallBody {
 		return func() {}, true
 	}
-	if m.used.Add(n) > m.most {
+	if m.used.Add(n) > m.limit {
 		m.used.Add(-n)
 		return nil, false
 	}
--- a/internal/entry/server.go
+++ b/internal/entry/server.go
@@ -140,10 +140,10 @@
 		log:      cfg.Log,
 		tasks:    make(chan *task.Task, maxTrials),
 		inbound: memory{
-			most: cfg.Memory,
+			limit: cfg.Memory,
 		},
 		outbound: memory{
-			most: cfg.Memory,
+			limit: cfg.Memory,
 		},
 	}
 	s.buffers.New = func() any {
