--- a/internal/entry/memory.go
+++ b/internal/entry/memory.go
@@ -25,9 +25,9 @@
 	used  atomic.Int64
 }
 
-// take reserves bytes for a body, and reports whether there is room for them. What it returns gives
+// reserve reserves bytes for a body, and reports whether there is room for them. What it returns gives
 // them back, once.
-func (m *memory) take(n int64) (give func(), ok bool) {
+func (m *memory) reserve(n int64) (give func(), ok bool) {
 	if m.limit == 0 || n <= smallBody {
 		return func() {}, true
 	}
@@ -53,11 +53,11 @@
 // reserve takes the memory that a request needs for its body and its answer, or refuses it before
 // any of it is read. The answer's size is that of the route's others.
 func (s *Server) reserve(r *http.Request, in *admission) (give func(), fail *Error) {
-	up, ok := s.inbound.take(bodyCost(r.ContentLength, s.cfg.HoldBody))
+	up, ok := s.inbound.reserve(bodyCost(r.ContentLength, s.cfg.HoldBody))
 	if !ok {
 		return nil, noMemory()
 	}
-	down, ok := s.outbound.take(bodyCost(int64(s.sizes.expected(in.route))<<10, s.cfg.HoldBody))
+	down, ok := s.outbound.reserve(bodyCost(int64(s.sizes.expected(in.route))<<10, s.cfg.HoldBody))
 	if !ok {
 		up()
 		return nil, noMemory()
