--- a/internal/entry/quarantine.go
+++ b/internal/entry/quarantine.go
@@ -12,12 +12,12 @@
 
 // QuarantineError says that targets ended under a request.
 type QuarantineError struct {
-	standing quarantine.Status
+	status quarantine.Status
 }
 
 // Error says how many did.
 func (e *QuarantineError) Error() string {
-	return fmt.Sprintf("entry: %d targets ended under the request %s", e.standing.Crashes, e.standing.Fingerprint)
+	return fmt.Sprintf("entry: %d targets ended under the request %s", e.status.Crashes, e.status.Fingerprint)
 }
 
 // quarantine looks at what the fleet knows of the request. It returns the answer to one under
@@ -31,7 +31,7 @@
 	e := refuse(CodeQuarantine, http.StatusServiceUnavailable)
 	e.retryAfter = s.Wait
 	e.cause = &QuarantineError{
-		standing: s,
+		status: s,
 	}
 	return e
 }
--- a/internal/entry/refuse.go
+++ b/internal/entry/refuse.go
@@ -54,9 +54,9 @@
 	var held *QuarantineError
 	if errors.As(e, &held) {
 		l = l.WithFields(logrus.Fields{
-			"fingerprint": held.standing.Fingerprint.String(),
-			"ends":        held.standing.Crashes,
-			"age_ms":      time.Since(held.standing.Last).Milliseconds(),
+			"fingerprint": held.status.Fingerprint.String(),
+			"ends":        held.status.Crashes,
+			"age_ms":      time.Since(held.status.Last).Milliseconds(),
 		})
 	}
 	l.WithError(e).Warn("request refused")
