--- a/internal/entry/quarantine.go
+++ b/internal/entry/quarantine.go
@@ -36,9 +36,9 @@
 	return e
 }
 
-// printsOf returns what names a request by what it asks for. The host is the route's: callers
+// fingerprintsOf returns what names a request by what it asks for. The host is the route's: callers
 // of a route for any host may reach each node by another one.
-func printsOf(r *http.Request, in *admission, b *body) quarantine.Fingerprints {
+func fingerprintsOf(r *http.Request, in *admission, b *body) quarantine.Fingerprints {
 	return quarantine.NewFingerprints(quarantine.Request{
 		Method: r.Method,
 		Host:   in.route.Host(),
--- a/internal/entry/server.go
+++ b/internal/entry/server.go
@@ -286,7 +286,7 @@
 		body:         b,
 		tracker:      attempt.NewTracker(in.route.Repeatable(), in.deadline),
 		header:       s.towardsTarget(r, in),
-		fingerprints: printsOf(r, in, b),
+		fingerprints: fingerprintsOf(r, in, b),
 		results:      make(chan result, maxTries),
 		grants:       make(chan grant, maxTries),
 	}
