--- a/internal/entry/ended.go
+++ b/internal/entry/ended.go
@@ -50,7 +50,7 @@
 	}
 	known := make(chan struct{})
 	ctx := context.WithoutCancel(x.req.Context())
-	x.server.own(task.Go(ctx, "look", func(ctx context.Context) error {
+	x.server.track(task.Go(ctx, "look", func(ctx context.Context) error {
 		defer close(known)
 		defer x.server.crashChecks.Add(-1)
 		if x.server.client.Ended(ctx, t.choice.Address) {
--- a/internal/entry/relay.go
+++ b/internal/entry/relay.go
@@ -210,7 +210,7 @@
 	}
 	x.running = nil
 	ctx := context.WithoutCancel(x.req.Context())
-	x.server.own(task.Go(ctx, "lost tries", func(context.Context) error {
+	x.server.track(task.Go(ctx, "lost tries", func(context.Context) error {
 		for range lost {
 			r := <-x.results
 			r.discard()
--- a/internal/entry/server.go
+++ b/internal/entry/server.go
@@ -197,9 +197,9 @@
 	return err
 }
 
-// own takes a goroutine started for a request. Its end matters to nobody but
+// track takes a goroutine started for a request. Its end matters to nobody but
 // the log.
-func (s *Server) own(t *task.Task) {
+func (s *Server) track(t *task.Task) {
 	select {
 	case s.tasks <- t:
 	default:
--- a/internal/entry/trial.go
+++ b/internal/entry/trial.go
@@ -34,7 +34,7 @@
 	r.ID = newRequestID()
 	// The copy lives on when the caller has its answer; its own deadline ends it.
 	ctx := context.WithoutCancel(x.req.Context())
-	x.server.own(task.Go(ctx, "trial", func(ctx context.Context) error {
+	x.server.track(task.Go(ctx, "trial", func(ctx context.Context) error {
 		defer x.server.trials.Add(-1)
 		return x.runTrial(ctx, choice, r)
 	}))
