--- a/internal/entry/server.go
+++ b/internal/entry/server.go
@@ -235,7 +235,7 @@
 	if fail != nil {
 		s.refuse(w, id, in, fail)
 		s.cfg.Served("refused", in.workspaceID(), fail.status, fail.outcome.String(), time.Since(begun))
-		s.unserved(in, fail)
+		s.notifyUnserved(in, fail)
 		return
 	}
 	status, outcome := s.forward(w, r, id, begun, in)
@@ -245,8 +245,8 @@
 	s.cfg.Served(in.route.Class(), in.workspace, status, outcome.String(), time.Since(begun))
 }
 
-// unserved tells of a request that would be served but for a limit.
-func (s *Server) unserved(in *admission, fail *Error) {
+// notifyUnserved tells of a request that would be served but for a limit.
+func (s *Server) notifyUnserved(in *admission, fail *Error) {
 	if fail.code == CodeRate && s.cfg.Unserved != nil {
 		s.cfg.Unserved(in.route.Service().Name())
 	}
