--- a/internal/entry/header.go
+++ b/internal/entry/header.go
@@ -62,8 +62,8 @@
 	}
 }
 
-// towardsTarget returns the header that a target gets.
-func (s *Server) towardsTarget(r *http.Request, in *admission) http.Header {
+// targetHeader returns the header that a target gets.
+func (s *Server) targetHeader(r *http.Request, in *admission) http.Header {
 	c := s.cfg.Contract
 	h := endToEnd(c, r.Header)
 	h.Del("Expect")
--- a/internal/entry/server.go
+++ b/internal/entry/server.go
@@ -285,7 +285,7 @@
 		started:      begun,
 		body:         b,
 		tracker:      attempt.NewTracker(in.route.Repeatable(), in.deadline),
-		header:       s.towardsTarget(r, in),
+		header:       s.targetHeader(r, in),
 		fingerprints: fingerprintsOf(r, in, b),
 		results:      make(chan result, maxTries),
 		grants:       make(chan grant, maxTries),
