--- a/internal/entry/header.go
+++ b/internal/entry/header.go
@@ -44,10 +44,10 @@
 	return out
 }
 
-// identify writes the identity of a request whose caller shows a key into the header
+// setWorkspace writes the identity of a request whose caller shows a key into the header
 // that a target gets: the name of the workspace, "" for none, in place of whatever the
 // caller wrote there and of the key.
-func identify(h http.Header, header, workspace string, keyed bool) {
+func setWorkspace(h http.Header, header, workspace string, keyed bool) {
 	if keyed {
 		h.Del(contract.HeaderAuthorization)
 	}
@@ -68,7 +68,7 @@
 	h := endToEnd(c, r.Header)
 	h.Del("Expect")
 	if s.cfg.Keyed {
-		identify(h, s.cfg.WorkspaceHeader, in.workspace, in.config.Workspaces() > 0)
+		setWorkspace(h, s.cfg.WorkspaceHeader, in.workspace, in.config.Workspaces() > 0)
 	}
 	if !c.Forwarded {
 		return h
