--- a/internal/entry/size.go
+++ b/internal/entry/size.go
@@ -33,7 +33,7 @@
 	}
 }
 
-func guess(r *fleetconfig.Route) float64 {
+func initialSize(r *fleetconfig.Route) float64 {
 	if r.Bulk() {
 		return bulkGuess
 	}
@@ -48,7 +48,7 @@
 		if len(s.byRoute) >= maxSizes {
 			return
 		}
-		old = guess(r)
+		old = initialSize(r)
 	}
 	s.byRoute[r.Name()] = old + sizeStep*(float64(size)-old)
 }
@@ -59,7 +59,7 @@
 	defer s.mu.Unlock()
 	size, ok := s.byRoute[r.Name()]
 	if !ok {
-		size = guess(r)
+		size = initialSize(r)
 	}
 	return int(size)>>10 + 1
 }
