--- a/internal/entry/size.go
+++ b/internal/entry/size.go
@@ -12,10 +12,10 @@
 const (
 	// sizeStep is the part by which one answer moves the expectation.
 	sizeStep = 0.1
-	// bulkGuess and smallGuess are the sizes in bytes that are expected of routes
+	// initialBulkSize and smallGuess are the sizes in bytes that are expected of routes
 	// before their first answer.
-	bulkGuess  = 64 << 10
-	smallGuess = 1 << 10
+	initialBulkSize = 64 << 10
+	smallGuess      = 1 << 10
 	// maxSizes bounds the routes with an expectation of their own.
 	maxSizes = 16384
 )
@@ -35,7 +35,7 @@
 
 func initialSize(r *fleetconfig.Route) float64 {
 	if r.Bulk() {
-		return bulkGuess
+		return initialBulkSize
 	}
 	return smallGuess
 }
