--- a/internal/entry/size.go
+++ b/internal/entry/size.go
@@ -14,8 +14,8 @@
 	sizeStep = 0.1
 	// initialBulkSize and smallGuess are the sizes in bytes that are expected of routes
 	// before their first answer.
-	initialBulkSize = 64 << 10
-	smallGuess      = 1 << 10
+	initialBulkSize  = 64 << 10
+	initialSmallSize = 1 << 10
 	// maxSizes bounds the routes with an expectation of their own.
 	maxSizes = 16384
 )
@@ -37,7 +37,7 @@
 	if r.Bulk() {
 		return initialBulkSize
 	}
-	return smallGuess
+	return initialSmallSize
 }
 
 func (s *sizes) add(r *fleetconfig.Route, size int64) {
