--- a/internal/entry/size.go
+++ b/internal/entry/size.go
@@ -10,8 +10,8 @@
 
 // Parameters of the expected size of answers.
 const (
-	// sizeStep is the part by which one answer moves the expectation.
-	sizeStep = 0.1
+	// sizeWeight is the part by which one answer moves the expectation.
+	sizeWeight = 0.1
 	// initialBulkSize and smallGuess are the sizes in bytes that are expected of routes
 	// before their first answer.
 	initialBulkSize  = 64 << 10
@@ -50,7 +50,7 @@
 		}
 		old = initialSize(r)
 	}
-	s.byRoute[r.Name()] = old + sizeStep*(float64(size)-old)
+	s.byRoute[r.Name()] = old + sizeWeight*(float64(size)-old)
 }
 
 // expected returns the expected size in KiB, at least 1.
