--- a/internal/forward/guard.go
+++ b/internal/forward/guard.go
@@ -15,10 +15,10 @@
 	mu    sync.Mutex
 	limit time.Time
 	// barred reports whether the target wants no request now; nil means it does.
-	barred  func(now time.Time) bool
-	bound   int
-	written bool
-	sealed  bool
+	barred      func(now time.Time) bool
+	connections int
+	written     bool
+	sealed      bool
 }
 
 func newClaim(limit time.Time, barred func(now time.Time) bool) *claim {
@@ -35,8 +35,8 @@
 func (c *claim) bind() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.bound++
-	if c.bound > 1 && c.written {
+	c.connections++
+	if c.connections > 1 && c.written {
 		c.sealed = true
 	}
 }
