--- a/internal/forward/guard.go
+++ b/internal/forward/guard.go
@@ -12,8 +12,8 @@
 // claim is the right of one attempt to write to a target. It knows whether any
 // byte was handed to the kernel, which is what "not run" rests on.
 type claim struct {
-	mu    sync.Mutex
-	limit time.Time
+	mu       sync.Mutex
+	deadline time.Time
 	// barred reports whether the target wants no request now; nil means it does.
 	barred      func(now time.Time) bool
 	connections int
@@ -23,8 +23,8 @@
 
 func newClaim(limit time.Time, barred func(now time.Time) bool) *claim {
 	return &claim{
-		limit:  limit,
-		barred: barred,
+		deadline: limit,
+		barred:   barred,
 	}
 }
 
@@ -52,7 +52,7 @@
 			kind: KindSealed,
 		}
 	}
-	if !c.written && !now.Before(c.limit) {
+	if !c.written && !now.Before(c.deadline) {
 		c.sealed = true
 		return &Error{
 			kind: KindLate,
