--- a/internal/forward/guard.go
+++ b/internal/forward/guard.go
@@ -14,8 +14,8 @@
 type claim struct {
 	mu       sync.Mutex
 	deadline time.Time
-	// barred reports whether the target wants no request now; nil means it does.
-	barred      func(now time.Time) bool
+	// unavailable reports whether the target wants no request now; nil means it does.
+	unavailable func(now time.Time) bool
 	connections int
 	written     bool
 	sealed      bool
@@ -23,8 +23,8 @@
 
 func newClaim(limit time.Time, barred func(now time.Time) bool) *claim {
 	return &claim{
-		deadline: limit,
-		barred:   barred,
+		deadline:    limit,
+		unavailable: barred,
 	}
 }
 
@@ -58,7 +58,7 @@
 			kind: KindLate,
 		}
 	}
-	if !c.written && c.barred != nil && c.barred(now) {
+	if !c.written && c.unavailable != nil && c.unavailable(now) {
 		c.sealed = true
 		return &Error{
 			kind: KindBarred,
