--- a/internal/forward/guard.go
+++ b/internal/forward/guard.go
@@ -41,10 +41,10 @@
 	}
 }
 
-// enter is called immediately before bytes go to the kernel. The deadline is checked there and not
+// allowWrite is called immediately before bytes go to the kernel. The deadline is checked there and not
 // earlier, as the process may have been frozen since the target was chosen. So are the target's
 // signals: one may have arrived since, and the node that chose the target may not know it.
-func (c *claim) enter(now time.Time) error {
+func (c *claim) allowWrite(now time.Time) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.sealed {
@@ -91,7 +91,7 @@
 			kind: KindSealed,
 		}
 	}
-	if err := c.enter(time.Now()); err != nil {
+	if err := c.allowWrite(time.Now()); err != nil {
 		return 0, err
 	}
 	return g.Conn.Write(b)
