--- a/internal/forward/client.go
+++ b/internal/forward/client.go
@@ -194,7 +194,7 @@
 	trace := &httptrace.ClientTrace{
 		GotConn: func(info httptrace.GotConnInfo) {
 			if g, ok := info.Conn.(*guard); ok {
-				g.use(cl)
+				g.attach(cl)
 			}
 		},
 	}
--- a/internal/forward/export_test.go
+++ b/internal/forward/export_test.go
@@ -21,6 +21,6 @@
 		Conn: conn,
 	}
 	c := newClaim(limit, barred)
-	g.use(c)
+	g.attach(c)
 	return g, c.seal
 }
--- a/internal/forward/guard.go
+++ b/internal/forward/guard.go
@@ -97,7 +97,7 @@
 	return g.Conn.Write(b)
 }
 
-func (g *guard) use(c *claim) {
+func (g *guard) attach(c *claim) {
 	c.bind()
 	g.claim.Store(c)
 }
