--- a/internal/forward/ended.go
+++ b/internal/forward/ended.go
@@ -18,9 +18,9 @@
 
 // Refused reports whether a failure shows that nothing listens at the target's address. The
 // attempt sent its request on a connection that broke, and the next one was refused.
-func (e *Error) Refused() bool { return nothingListens(e.cause) }
+func (e *Error) Refused() bool { return connectionRefused(e.cause) }
 
-func nothingListens(err error) bool { return errors.Is(err, syscall.ECONNREFUSED) }
+func connectionRefused(err error) bool { return errors.Is(err, syscall.ECONNREFUSED) }
 
 // Ended reports whether the process of a target has ended: nothing listens at its address. It
 // opens a connection for that, and takes up to connectTimeout. A target that can't be
@@ -28,7 +28,7 @@
 func (c *Client) Ended(ctx context.Context, target string) bool {
 	conn, err := c.dial(ctx, "tcp", target)
 	if err != nil {
-		return nothingListens(err)
+		return connectionRefused(err)
 	}
 	_ = conn.Close()
 	return false
