--- a/internal/forward/client.go
+++ b/internal/forward/client.go
@@ -39,11 +39,11 @@
 type Client struct {
 	contract  *contract.Contract
 	transport *http.Transport
-	// unsafe carries requests that must not be repeated.
-	unsafe *http.Transport
-	dial   func(ctx context.Context, network, address string) (net.Conn, error)
-	hold   int64
-	stall  time.Duration
+	// nonRepeatable carries requests that must not be repeated.
+	nonRepeatable *http.Transport
+	dial          func(ctx context.Context, network, address string) (net.Conn, error)
+	hold          int64
+	stall         time.Duration
 }
 
 // NewClient returns a client that holds answers up to hold bytes whole before
@@ -66,7 +66,7 @@
 		stall:    stall,
 	}
 	cl.transport = cl.newTransport(idleTimeout)
-	cl.unsafe = cl.newTransport(idleUnsafe)
+	cl.nonRepeatable = cl.newTransport(idleUnsafe)
 	return cl
 }
 
@@ -87,7 +87,7 @@
 // Close drops all idle connections.
 func (c *Client) Close() {
 	c.transport.CloseIdleConnections()
-	c.unsafe.CloseIdleConnections()
+	c.nonRepeatable.CloseIdleConnections()
 }
 
 func (c *Client) dialGuarded(ctx context.Context, network, address string) (net.Conn, error) {
@@ -222,7 +222,7 @@
 		req.Header.Set("User-Agent", "")
 	}
 	if !r.Repeatable {
-		return c.unsafe.RoundTrip(req)
+		return c.nonRepeatable.RoundTrip(req)
 	}
 	return c.transport.RoundTrip(req)
 }
