--- a/internal/forward/client.go
+++ b/internal/forward/client.go
@@ -27,12 +27,12 @@
 	// idleTimeout is how long a connection to a target may rest. Targets close
 	// theirs after 10 s or more, some without a word.
 	idleTimeout = 6 * time.Second
-	// idleUnsafe is the same for requests that must not be repeated: what is sent
+	// idleTimeoutNonRepeatable is the same for requests that must not be repeated: what is sent
 	// on a connection that has died unnoticed may have run.
-	idleUnsafe      = 1500 * time.Millisecond
-	idlePerTarget   = 32
-	bufferSize      = 16 << 10
-	maxAnswerHeader = 256 << 10
+	idleTimeoutNonRepeatable = 1500 * time.Millisecond
+	idlePerTarget            = 32
+	bufferSize               = 16 << 10
+	maxAnswerHeader          = 256 << 10
 )
 
 // Client sends attempts to targets. It may be used concurrently.
@@ -66,7 +66,7 @@
 		stall:    stall,
 	}
 	cl.transport = cl.newTransport(idleTimeout)
-	cl.nonRepeatable = cl.newTransport(idleUnsafe)
+	cl.nonRepeatable = cl.newTransport(idleTimeoutNonRepeatable)
 	return cl
 }
 
