--- a/internal/forward/answer.go
+++ b/internal/forward/answer.go
@@ -22,7 +22,7 @@
 	response *http.Response
 	held     []byte
 	whole    bool
-	leaving  bool
+	draining bool
 	watch    *watchdog
 	stall    time.Duration
 	cancel   context.CancelFunc
@@ -50,7 +50,7 @@
 func (a *Answer) Whole() bool { return a.whole }
 
 // Leaving reports whether the target said that it is leaving.
-func (a *Answer) Leaving() bool { return a.leaving }
+func (a *Answer) Leaving() bool { return a.draining }
 
 // Close ends the answer. If the body was not read to its end the connection is
 // closed and never reused.
@@ -65,7 +65,7 @@
 		kind:    kind,
 		target:  a.target,
 		outcome: attempt.OutcomeUnknown,
-		leaving: a.leaving,
+		leaving: a.draining,
 		cause:   cause,
 	}
 }
--- a/internal/forward/client.go
+++ b/internal/forward/client.go
@@ -151,7 +151,7 @@
 		watch:    watch,
 		stall:    c.stall,
 		cancel:   cancel,
-		leaving:  c.contract.Draining(res.Header),
+		draining: c.contract.Draining(res.Header),
 		contract: c.contract,
 	}
 	c.observe(r, res)
