--- a/internal/forward/answer.go
+++ b/internal/forward/answer.go
@@ -62,11 +62,11 @@
 
 func (a *Answer) fail(kind Kind, cause error) *Error {
 	return &Error{
-		kind:    kind,
-		target:  a.target,
-		outcome: attempt.OutcomeUnknown,
-		leaving: a.draining,
-		cause:   cause,
+		kind:     kind,
+		target:   a.target,
+		outcome:  attempt.OutcomeUnknown,
+		draining: a.draining,
+		cause:    cause,
 	}
 }
 
--- a/internal/forward/error.go
+++ b/internal/forward/error.go
@@ -40,11 +40,11 @@
 
 // Error is a failed attempt.
 type Error struct {
-	kind    Kind
-	target  string
-	outcome attempt.Outcome
-	leaving bool
-	cause   error
+	kind     Kind
+	target   string
+	outcome  attempt.Outcome
+	draining bool
+	cause    error
 }
 
 // Error names the target and the failure.
@@ -66,7 +66,7 @@
 func (e *Error) Outcome() attempt.Outcome { return e.outcome }
 
 // Leaving reports whether the target said that it is leaving.
-func (e *Error) Leaving() bool { return e.leaving }
+func (e *Error) Leaving() bool { return e.draining }
 
 // Against reports whether the failure speaks against the target. Shedding is
 // health; a late start or a caller that left is not the target's doing.
