--- a/internal/forward/answer.go
+++ b/internal/forward/answer.go
@@ -108,14 +108,14 @@
 	}
 	n, err := b.ReadFrom(io.LimitReader(a.response.Body, hold+1))
 	if err != nil {
-		return a.broken(err)
+		return a.bodyError(err)
 	}
 	a.held = b.Bytes()
 	a.whole = n <= hold
 	return nil
 }
 
-func (a *Answer) broken(err error) *Error {
+func (a *Answer) bodyError(err error) *Error {
 	kind := KindReset
 	if a.watch.fired() {
 		kind = KindStall
@@ -138,7 +138,7 @@
 	n, err := a.response.Body.Read(p)
 	a.watch.stop()
 	if err != nil && !errors.Is(err, io.EOF) {
-		return n, a.broken(err)
+		return n, a.bodyError(err)
 	}
 	return n, err
 }
