--- a/internal/forward/answer.go
+++ b/internal/forward/answer.go
@@ -60,7 +60,7 @@
 	_ = a.response.Body.Close()
 }
 
-func (a *Answer) fail(kind Kind, cause error) *Error {
+func (a *Answer) newError(kind Kind, cause error) *Error {
 	return &Error{
 		kind:     kind,
 		target:   a.target,
@@ -77,15 +77,15 @@
 	h := a.response.Header
 	echo := h.Get(a.contract.RequestID)
 	if echo != "" && echo != id || a.contract.CallersID && echo != id && a.success() {
-		return a.fail(KindForeign, nil)
+		return a.newError(KindForeign, nil)
 	}
 	switch a.contract.Refused(a.Status(), h) {
 	case contract.RefusalShed:
-		e := a.fail(KindShed, nil)
+		e := a.newError(KindShed, nil)
 		e.outcome = attempt.OutcomeNotRun
 		return e
 	case contract.RefusalOtherTarget:
-		e := a.fail(KindOther, nil)
+		e := a.newError(KindOther, nil)
 		e.outcome = attempt.OutcomeNotRun
 		return e
 	default:
@@ -120,7 +120,7 @@
 	if a.watch.fired() {
 		kind = KindStall
 	}
-	return a.fail(kind, err)
+	return a.newError(kind, err)
 }
 
 // Read reads the body. It returns io.EOF only after the verified end; a broken,
