--- a/internal/forward/answer.go
+++ b/internal/forward/answer.go
@@ -97,8 +97,8 @@
 	return a.Status() >= http.StatusOK && a.Status() < http.StatusMultipleChoices
 }
 
-// fill reads the body up to hold bytes. An answer that fits is whole after it.
-func (a *Answer) fill(hold int64) error {
+// hold reads the body up to hold bytes. An answer that fits is whole after it.
+func (a *Answer) hold(hold int64) error {
 	if a.response.ContentLength > hold {
 		return nil
 	}
--- a/internal/forward/client.go
+++ b/internal/forward/client.go
@@ -159,7 +159,7 @@
 		a.Close()
 		return nil, err
 	}
-	if err := a.fill(c.hold); err != nil {
+	if err := a.hold(c.hold); err != nil {
 		a.Close()
 		return nil, err
 	}
