--- a/internal/forward/watchdog.go
+++ b/internal/forward/watchdog.go
@@ -10,14 +10,14 @@
 
 // watchdog cancels an attempt when nothing happens for too long.
 type watchdog struct {
-	timer  *time.Timer
-	expiry atomic.Bool
+	timer   *time.Timer
+	expired atomic.Bool
 }
 
 func newWatchdog(after time.Duration, cancel context.CancelFunc) *watchdog {
 	w := &watchdog{}
 	w.timer = time.AfterFunc(after, func() {
-		w.expiry.Store(true)
+		w.expired.Store(true)
 		cancel()
 	})
 	return w
@@ -29,4 +29,4 @@
 func (w *watchdog) stop() { w.timer.Stop() }
 
 // fired reports whether the time ran out.
-func (w *watchdog) fired() bool { return w.expiry.Load() }
+func (w *watchdog) fired() bool { return w.expired.Load() }
