--- a/internal/forward/client.go
+++ b/internal/forward/client.go
@@ -140,7 +140,7 @@
 	cl := newClaim(r.Deadline, r.Barred)
 	res, err := c.send(ctx, cl, r)
 	if err != nil {
-		e := failure(ctx, r.Target, cl, watch, err)
+		e := roundTripError(ctx, r.Target, cl, watch, err)
 		watch.stop()
 		cancel()
 		return nil, e
@@ -227,9 +227,9 @@
 	return c.transport.RoundTrip(req)
 }
 
-// failure says what a failed round trip proves. Sealing comes first: after it no
+// roundTripError says what a failed round trip proves. Sealing comes first: after it no
 // byte of the request can be written any more.
-func failure(ctx context.Context, target string, cl *claim, watch *watchdog, err error) *Error {
+func roundTripError(ctx context.Context, target string, cl *claim, watch *watchdog, err error) *Error {
 	e := &Error{
 		target:  target,
 		kind:    KindReset,
