--- a/internal/link/dialer.go
+++ b/internal/link/dialer.go
@@ -16,9 +16,9 @@
 	"ploverjunction.example/ploverjunction/internal/wire"
 )
 
-// mostIdle is how many connections without a call a Dialer keeps. Each holds buffers as large as
+// maxIdle is how many connections without a call a Dialer keeps. Each holds buffers as large as
 // its greatest message, at both ends.
-const mostIdle = 16
+const maxIdle = 16
 
 // Dialer keeps a connection to each of the peers that were talked to last. It may be used
 // concurrently; calls to one peer follow one another.
@@ -109,7 +109,7 @@
 // trim closes the connections that were not used for the longest time, beyond mostIdle.
 func (d *Dialer) trim() {
 	d.mu.Lock()
-	over := len(d.peers) - mostIdle
+	over := len(d.peers) - maxIdle
 	if over <= 0 {
 		d.mu.Unlock()
 		return
--- a/internal/link/export_test.go
+++ b/internal/link/export_test.go
@@ -3,7 +3,7 @@
 package link
 
 // MostIdle is how many connections without a call a Dialer keeps.
-const MostIdle = mostIdle
+const MostIdle = maxIdle
 
 // Connections returns how many connections are kept.
 func (d *Dialer) Connections() int {
