--- a/internal/link/dialer.go
+++ b/internal/link/dialer.go
@@ -30,9 +30,9 @@
 }
 
 type peerConn struct {
-	mu   sync.Mutex
-	conn *drpcconn.Conn
-	used atomic.Int64
+	mu       sync.Mutex
+	conn     *drpcconn.Conn
+	lastUsed atomic.Int64
 	// dropped is set once the dialer has forgotten the connection.
 	dropped bool
 }
@@ -71,7 +71,7 @@
 	p := d.lock(peer)
 	defer d.trim()
 	defer p.mu.Unlock()
-	p.used.Store(time.Now().UnixNano())
+	p.lastUsed.Store(time.Now().UnixNano())
 	if err := d.connect(ctx, p, peer); err != nil {
 		return zero, err
 	}
@@ -116,11 +116,11 @@
 	}
 	used := make([]int64, 0, len(d.peers))
 	for _, p := range d.peers {
-		used = append(used, p.used.Load())
+		used = append(used, p.lastUsed.Load())
 	}
 	d.mu.Unlock()
 	slices.Sort(used)
-	d.closeWhere(func(p *peerConn) bool { return p.used.Load() <= used[over-1] })
+	d.closeWhere(func(p *peerConn) bool { return p.lastUsed.Load() <= used[over-1] })
 }
 
 func (d *Dialer) connect(ctx context.Context, p *peerConn, address string) error {
@@ -158,7 +158,7 @@
 // CloseIdle closes the connections that weren't used for a while before now.
 func (d *Dialer) CloseIdle(now time.Time) {
 	d.closeWhere(func(p *peerConn) bool {
-		return now.UnixNano()-p.used.Load() > int64(idleClose)
+		return now.UnixNano()-p.lastUsed.Load() > int64(idleClose)
 	})
 }
 
