--- a/internal/link/dialer.go
+++ b/internal/link/dialer.go
@@ -120,7 +120,7 @@
 	}
 	d.mu.Unlock()
 	slices.Sort(used)
-	d.closeWhere(func(p *peerConn) bool { return p.lastUsed.Load() <= used[over-1] })
+	d.closeMatching(func(p *peerConn) bool { return p.lastUsed.Load() <= used[over-1] })
 }
 
 func (d *Dialer) connect(ctx context.Context, p *peerConn, address string) error {
@@ -157,17 +157,17 @@
 
 // CloseIdle closes the connections that weren't used for a while before now.
 func (d *Dialer) CloseIdle(now time.Time) {
-	d.closeWhere(func(p *peerConn) bool {
+	d.closeMatching(func(p *peerConn) bool {
 		return now.UnixNano()-p.lastUsed.Load() > int64(idleClose)
 	})
 }
 
 // Close closes all connections.
 func (d *Dialer) Close() {
-	d.closeWhere(func(*peerConn) bool { return true })
+	d.closeMatching(func(*peerConn) bool { return true })
 }
 
-func (d *Dialer) closeWhere(match func(*peerConn) bool) {
+func (d *Dialer) closeMatching(match func(*peerConn) bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for address, p := range d.peers {
