--- a/internal/entry/closed_test.go
+++ b/internal/entry/closed_test.go
@@ -16,7 +16,7 @@
 	evacuated, other := newSaid(t, "evacuated", well), newSaid(t, "other", well)
 	evacuated.choice.DataHall, other.choice.DataHall = "a", "b"
 	c := &choices{
-		list: []*said{evacuated, other},
+		list: []*signalTarget{evacuated, other},
 	}
 	s := signalSite(t, &signal.Ledger{}, c)
 	c.before = func(n int) {
@@ -44,7 +44,7 @@
 // Guards against a choice that doesn't know where a request may be served.
 func TestQueryHoldsTheRegionsOfRouteAndWorkspace(t *testing.T) {
 	c := &choices{
-		list:   []*said{newSaid(t, "target", well)},
+		list:   []*signalTarget{newSaid(t, "target", well)},
 		before: func(int) {},
 	}
 	s := newSite(t, func(cfg *entry.Config) { cfg.Choose = c.choose })
--- a/internal/entry/signal_test.go
+++ b/internal/entry/signal_test.go
@@ -20,15 +20,15 @@
 	"ploverjunction.example/ploverjunction/internal/signal"
 )
 
-// said is a target whose requests are counted, and how it answers.
-type said struct {
+// signalTarget is a target whose requests are counted, and how it answers.
+type signalTarget struct {
 	choice  entry.Choice
 	arrived atomic.Int64
 }
 
-func newSaid(t *testing.T, key string, serve http.HandlerFunc) *said {
+func newSaid(t *testing.T, key string, serve http.HandlerFunc) *signalTarget {
 	t.Helper()
-	s := &said{}
+	s := &signalTarget{}
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		s.arrived.Add(1)
 		serve(w, r)
@@ -51,7 +51,7 @@
 // choices gives targets in turn, and the last one again and again.
 type choices struct {
 	mu   sync.Mutex
-	list []*said
+	list []*signalTarget
 	// before is called before each choice is given, with its number.
 	before  func(n int)
 	queries []*entry.Query
@@ -77,7 +77,7 @@
 
 func well(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "answer") }
 
-func leaves(l *signal.Ledger, s *said) {
+func leaves(l *signal.Ledger, s *signalTarget) {
 	l.Observe(time.Now(), s.choice.Incarnation, signal.Signal{
 		Draining: true,
 	})
@@ -93,7 +93,7 @@
 	ledger := &signal.Ledger{}
 	left, other := newSaid(t, "left", well), newSaid(t, "other", well)
 	c := &choices{
-		list: []*said{left, other},
+		list: []*signalTarget{left, other},
 		before: func(n int) {
 			if n == 0 {
 				leaves(ledger, left)
@@ -118,7 +118,7 @@
 	left := newSaid(t, "left", well)
 	leaves(ledger, left)
 	c := &choices{
-		list:   []*said{left},
+		list:   []*signalTarget{left},
 		before: func(int) {},
 	}
 	s := signalSite(t, ledger, c)
@@ -138,7 +138,7 @@
 	slow.choice.HedgeAfter = time.Millisecond
 	leaves(ledger, left)
 	c := &choices{
-		list:   []*said{slow, left, other},
+		list:   []*signalTarget{slow, left, other},
 		before: func(int) {},
 	}
 	s := signalSite(t, ledger, c)
@@ -168,7 +168,7 @@
 	})
 	left, other := newSaid(t, "left", serve), newSaid(t, "other", serve)
 	c := &choices{
-		list: []*said{cut, left, other},
+		list: []*signalTarget{cut, left, other},
 		before: func(n int) {
 			if n == 1 {
 				leaves(ledger, left)
@@ -203,7 +203,7 @@
 	done := make(chan outlier.Result, 1)
 	left.choice.Done = func(end outlier.Result, _ time.Duration) { done <- end }
 	c := &choices{
-		list:   []*said{other},
+		list:   []*signalTarget{other},
 		before: func(int) {},
 	}
 	s := newSite(t, func(cfg *entry.Config) {
@@ -276,7 +276,7 @@
 				w.WriteHeader(tt.status)
 			})
 			c := &choices{
-				list:   []*said{target},
+				list:   []*signalTarget{target},
 				before: func(int) {},
 			}
 			s := signalSite(t, ledger, c)
