--- a/internal/entry/check.go
+++ b/internal/entry/check.go
@@ -92,8 +92,8 @@
 		return a, fail
 	}
 	a.rank = rank(cfg, a.owner, route)
-	if most := cfg.Limits().MaxBody(); most > 0 {
-		a.maxBody = most
+	if maxBody := cfg.Limits().MaxBody(); maxBody > 0 {
+		a.maxBody = maxBody
 	}
 	if route.MaxBody() > 0 {
 		a.maxBody = route.MaxBody()
