--- a/internal/entry/relay.go
+++ b/internal/entry/relay.go
@@ -232,7 +232,7 @@
 	}
 	return x.tracker.Allow(time.Now(),
 		func() bool {
-			if most := x.in.route.MaxAttempts(); most > 0 && x.tracker.PossibleRuns() >= most {
+			if maxAttempts := x.in.route.MaxAttempts(); maxAttempts > 0 && x.tracker.PossibleRuns() >= maxAttempts {
 				return false
 			}
 			return x.service.Policy().Retry(policy.Attempt{
