--- a/internal/entry/memory.go
+++ b/internal/entry/memory.go
@@ -27,7 +27,7 @@
 
 // reserve reserves bytes for a body, and reports whether there is room for them. What it returns gives
 // them back, once.
-func (m *memory) reserve(n int64) (give func(), ok bool) {
+func (m *memory) reserve(n int64) (release func(), ok bool) {
 	if m.limit == 0 || n <= smallBody {
 		return func() {}, true
 	}
