--- a/internal/entry/memory.go
+++ b/internal/entry/memory.go
@@ -52,7 +52,7 @@
 
 // reserve takes the memory that a request needs for its body and its answer, or refuses it before
 // any of it is read. The answer's size is that of the route's others.
-func (s *Server) reserve(r *http.Request, in *admission) (give func(), fail *Error) {
+func (s *Server) reserve(r *http.Request, in *admission) (release func(), fail *Error) {
 	up, ok := s.inbound.reserve(bodyCost(r.ContentLength, s.cfg.HoldBody))
 	if !ok {
 		return nil, noMemory()
