--- a/internal/entry/server.go
+++ b/internal/entry/server.go
@@ -224,25 +224,25 @@
 func (s *Server) serve(w http.ResponseWriter, r *http.Request) {
 	s.inFlight.Add(1)
 	defer s.inFlight.Add(-1)
-	begun := time.Now()
+	started := time.Now()
 	id := s.requestID(r)
 	if s.closing.Load() || len(r.TransferEncoding) > 0 {
 		// Should a chunked request hide another one, it ends here (RFC 9112,
 		// section 6.1).
 		w.Header().Set("Connection", "close")
 	}
-	in, fail := s.admit(r, begun)
+	in, fail := s.admit(r, started)
 	if fail != nil {
 		s.refuse(w, id, in, fail)
-		s.cfg.Served("refused", in.workspaceID(), fail.status, fail.outcome.String(), time.Since(begun))
+		s.cfg.Served("refused", in.workspaceID(), fail.status, fail.outcome.String(), time.Since(started))
 		s.notifyUnserved(in, fail)
 		return
 	}
-	status, outcome := s.forward(w, r, id, begun, in)
+	status, outcome := s.forward(w, r, id, started, in)
 	if outcome == attempt.OutcomeNotRun && in.owner != nil {
 		s.cfg.GiveBack(in.owner)
 	}
-	s.cfg.Served(in.route.Class(), in.workspace, status, outcome.String(), time.Since(begun))
+	s.cfg.Served(in.route.Class(), in.workspace, status, outcome.String(), time.Since(started))
 }
 
 // notifyUnserved tells of a request that would be served but for a limit.
