--- a/internal/entry/server.go
+++ b/internal/entry/server.go
@@ -262,7 +262,7 @@
 }
 
 // forward has an admitted request answered.
-func (s *Server) forward(w http.ResponseWriter, r *http.Request, id string, begun time.Time, in *admission) (int, attempt.Outcome) {
+func (s *Server) forward(w http.ResponseWriter, r *http.Request, id string, started time.Time, in *admission) (int, attempt.Outcome) {
 	give, fail := s.reserve(r, in)
 	if fail != nil {
 		// Else net/http reads the rest of the body before it answers.
@@ -282,7 +282,7 @@
 		req:          r,
 		in:           in,
 		service:      in.route.ChooseService(rand.Uint64()),
-		started:      begun,
+		started:      started,
 		body:         b,
 		tracker:      attempt.NewTracker(in.route.Repeatable(), in.deadline),
 		header:       s.targetHeader(r, in),
