--- a/internal/entry/trial.go
+++ b/internal/entry/trial.go
@@ -43,15 +43,15 @@
 // runTrial makes the attempt of a trial and reads its answer to the end.
 func (x *relay) runTrial(ctx context.Context, choice Choice, r *forward.Request) error {
 	flight := x.begin(choice.Key)
-	begun := time.Now()
+	started := time.Now()
 	a, err := x.server.client.Do(ctx, r)
 	end := resultOf(a, err)
 	flight.End(time.Now(), end)
-	defer func() { choice.Done(end, time.Since(begun)) }()
+	defer func() { choice.Done(end, time.Since(started)) }()
 	if err != nil {
 		x.startCrashCheck(&try{
 			choice: choice,
-			chosen: begun,
+			chosen: started,
 		}, err)
 		return err
 	}
