--- a/internal/entry/hedge.go
+++ b/internal/entry/hedge.go
@@ -24,8 +24,8 @@
 		return time.Until(x.tracker.Deadline()) + time.Hour
 	}
 	slow := x.server.cfg.Collector.SlowAfter(x.service.Name(), r.Class())
-	if aim := r.TargetLatency(); aim > 0 {
-		slow = min(slow, aim/hedgeDivisor-time.Since(x.started))
+	if targetLatency := r.TargetLatency(); targetLatency > 0 {
+		slow = min(slow, targetLatency/hedgeDivisor-time.Since(x.started))
 	}
 	return max(slow, 0)
 }
