--- a/internal/entry/workspace.go
+++ b/internal/entry/workspace.go
@@ -55,11 +55,11 @@
 // of its route among requests of workspaces with the same one. Callers who don't say
 // who they are come with the least urgent workspaces.
 func rank(cfg *fleetconfig.Config, owner *fleetconfig.Workspace, route *fleetconfig.Route) int {
-	of := cfg.LeastUrgent()
+	priority := cfg.LeastUrgent()
 	if owner != nil {
-		of = owner.Priority()
+		priority = owner.Priority()
 	}
-	return of*rankSpan + min(route.Priority(), rankSpan-1)
+	return priority*rankSpan + min(route.Priority(), rankSpan-1)
 }
 
 // mayBeOutdated reports whether a newer configuration may allow what was refused: a key
