--- a/internal/forward/client.go
+++ b/internal/forward/client.go
@@ -177,11 +177,11 @@
 
 // SignalOf returns what an answer says of its target, and why a part of it can't be read.
 func SignalOf(c *contract.Contract, res *http.Response) (signal.Signal, error) {
-	rest, restErr := c.Backoff(res.StatusCode, res.Header)
+	backoff, restErr := c.Backoff(res.StatusCode, res.Header)
 	rate, named, limitErr := c.Limit(res.Header)
 	return signal.Signal{
 		Draining: c.Draining(res.Header),
-		Backoff:  rest,
+		Backoff:  backoff,
 		Limit: signal.Limit{
 			Rate: rate,
 			Set:  named && limitErr == nil,
