--- a/internal/forward/client.go
+++ b/internal/forward/client.go
@@ -177,7 +177,7 @@
 
 // SignalOf returns what an answer says of its target, and why a part of it can't be read.
 func SignalOf(c *contract.Contract, res *http.Response) (signal.Signal, error) {
-	backoff, restErr := c.Backoff(res.StatusCode, res.Header)
+	backoff, backoffErr := c.Backoff(res.StatusCode, res.Header)
 	rate, named, limitErr := c.Limit(res.Header)
 	return signal.Signal{
 		Draining: c.Draining(res.Header),
@@ -187,7 +187,7 @@
 			Set:  named && limitErr == nil,
 		},
 		LimitUnreadable: limitErr != nil,
-	}, errors.Join(restErr, limitErr)
+	}, errors.Join(backoffErr, limitErr)
 }
 
 func (c *Client) send(ctx context.Context, cl *claim, r *Request) (*http.Response, error) {
