--- a/internal/forward/client.go
+++ b/internal/forward/client.go
@@ -239,11 +239,11 @@
 	if !cl.seal() {
 		e.outcome = attempt.OutcomeNotRun
 	}
-	var own *Error
+	var inner *Error
 	var op *net.OpError
 	switch {
-	case errors.As(err, &own):
-		e.kind = own.kind
+	case errors.As(err, &inner):
+		e.kind = inner.kind
 	case watch.fired():
 		e.kind = KindTimeout
 	case ctx.Err() != nil:
