--- a/internal/forward/guard.go
+++ b/internal/forward/guard.go
@@ -21,9 +21,9 @@
 	sealed      bool
 }
 
-func newClaim(limit time.Time, barred func(now time.Time) bool) *claim {
+func newClaim(deadline time.Time, barred func(now time.Time) bool) *claim {
 	return &claim{
-		deadline:    limit,
+		deadline:    deadline,
 		unavailable: barred,
 	}
 }
