--- a/internal/forward/guard.go
+++ b/internal/forward/guard.go
@@ -21,10 +21,10 @@
 	sealed      bool
 }
 
-func newClaim(deadline time.Time, barred func(now time.Time) bool) *claim {
+func newClaim(deadline time.Time, unavailable func(now time.Time) bool) *claim {
 	return &claim{
 		deadline:    deadline,
-		unavailable: barred,
+		unavailable: unavailable,
 	}
 }
 
