--- a/internal/forward/export_test.go
+++ b/internal/forward/export_test.go
@@ -16,11 +16,11 @@
 // NewGuard returns a connection that writes for an attempt with a time limit to a
 // target that may be barred, and a function that ends the attempt and reports whether
 // anything was written.
-func NewGuard(conn net.Conn, deadline time.Time, barred func(now time.Time) bool) (guarded net.Conn, seal func() bool) {
+func NewGuard(conn net.Conn, deadline time.Time, unavailable func(now time.Time) bool) (guarded net.Conn, seal func() bool) {
 	g := &guard{
 		Conn: conn,
 	}
-	c := newClaim(deadline, barred)
+	c := newClaim(deadline, unavailable)
 	g.attach(c)
 	return g, c.seal
 }
