--- a/internal/entry/body.go
+++ b/internal/entry/body.go
@@ -13,19 +13,19 @@
 	"ploverjunction.example/ploverjunction/internal/quarantine"
 )
 
-// body is the body of a caller's request. A small one is held, so that another
-// attempt can send it again; a larger one can be sent while nobody has read it.
+// body is the body of a request. A small body is held in memory, so that a retry can send it
+// again; a larger one is streamed and can be sent only while no attempt has read from it.
 type body struct {
 	held   []byte
 	stream io.Reader
-	// head is the beginning of a body that is not held.
+	// head is the beginning of a body that is streamed.
 	head    []byte
 	length  int64
 	started atomic.Bool
 	failed  atomic.Pointer[error]
 }
 
-// readError returns the error with which the caller's body broke, or nil.
+// readError returns the error with which reading the caller's body failed, or nil.
 func (b *body) readError() error {
 	if err := b.failed.Load(); err != nil {
 		return *err
@@ -33,7 +33,8 @@
 	return nil
 }
 
-// readBody takes the body of a request, up to hold bytes of it at once.
+// readBody reads the body of a request. Bodies of at most hold bytes are read whole; of larger
+// ones only the beginning.
 func readBody(w http.ResponseWriter, r *http.Request, maxBody, hold int64) (*body, *Error) {
 	if r.Body == nil || r.ContentLength == 0 {
 		return &body{}, nil
@@ -59,7 +60,7 @@
 	}, nil
 }
 
-// readHead takes the beginning of a large body, which is sent with the rest.
+// readHead reads the beginning of a large body, for its fingerprint; it is sent with the rest.
 func readHead(from io.Reader, length int64) (*body, *Error) {
 	head := make([]byte, min(length, quarantine.FingerprintBody))
 	if _, err := io.ReadFull(from, head); err != nil {
@@ -72,7 +73,7 @@
 	}, nil
 }
 
-// prefix returns the body, or its beginning.
+// prefix returns the body, or the beginning of one that is streamed.
 func (b *body) prefix() []byte {
 	if b.stream != nil {
 		return b.head
@@ -90,7 +91,7 @@
 	return e
 }
 
-// reader returns the body for another attempt, and false if it was spent.
+// reader returns the body for another attempt, and false if an attempt has read from it already.
 func (b *body) reader() (io.Reader, bool) {
 	switch {
 	case b.stream == nil:
@@ -102,7 +103,7 @@
 	}
 }
 
-// Read reads a body that is not held.
+// Read reads a body that is streamed.
 func (b *body) Read(p []byte) (int, error) {
 	b.started.Store(true)
 	n, err := b.stream.Read(p)
@@ -112,8 +113,8 @@
 	return n, err
 }
 
-// failure returns the error of a caller's body that broke while it was sent, or
-// nil. outcome is what the attempts proved.
+// failure returns the error of a request whose body broke while it was sent, or nil. outcome is
+// what the attempts proved.
 func (b *body) failure(outcome attempt.Outcome) *Error {
 	err := b.readError()
 	if err == nil {
--- a/internal/entry/capture.go
+++ b/internal/entry/capture.go
@@ -10,10 +10,10 @@
 	"sync"
 )
 
-// recordedConn is a caller's connection that keeps the raw header of the request
-// that is being read. net/http drops a Content-Length that comes together with
-// chunks before anyone sees it (RFC 9112, section 6.3, allows that), but such a
-// request is how others smuggle, so it is refused here.
+// recordedConn is a caller's connection that records the raw header of the request being read.
+// net/http drops a Content-Length that comes with chunked encoding before a handler sees it (RFC
+// 9112, section 6.3, allows that). Such requests are used for request smuggling and are refused
+// here.
 type recordedConn struct {
 	net.Conn
 	mu        sync.Mutex
@@ -22,7 +22,7 @@
 	maxHeader int
 }
 
-// Read reads from the caller and keeps what may be a header.
+// Read reads from the caller and records what may be a header.
 func (c *recordedConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	c.mu.Lock()
@@ -33,7 +33,7 @@
 	return n, err
 }
 
-// start begins to keep bytes: the next one belongs to a new request.
+// start begins recording: the next byte belongs to a new request.
 func (c *recordedConn) start() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -41,8 +41,7 @@
 	c.recording = true
 }
 
-// stop returns the kept header and keeps no more. It is empty for a request that
-// came right behind another one.
+// stop ends recording and returns the header. It is empty for a pipelined request.
 func (c *recordedConn) stop() []byte {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -51,13 +50,13 @@
 	return header
 }
 
-// recordingListener is a listener whose connections keep their headers.
+// recordingListener is a listener whose connections record request headers.
 type recordingListener struct {
 	net.Listener
 	maxHeader int
 }
 
-// Accept waits for the next caller.
+// Accept waits for the next connection.
 func (l *recordingListener) Accept() (net.Conn, error) {
 	conn, err := l.Listener.Accept()
 	if err != nil {
@@ -76,16 +75,15 @@
 	return context.WithValue(ctx, connKey{}, conn)
 }
 
-// trackConnState starts to keep a header whenever a connection waits for one.
+// trackConnState starts recording when a connection waits for a request.
 func trackConnState(conn net.Conn, state http.ConnState) {
 	if c, ok := conn.(*recordedConn); ok && (state == http.StateNew || state == http.StateIdle) {
 		c.start()
 	}
 }
 
-// hasLengthAndChunks reports whether a request stated a length and chunks. A chunked
-// request whose header isn't known, for it came right behind another one, is
-// taken for one that did.
+// hasLengthAndChunks reports whether a request has both a Content-Length and chunked encoding. A
+// chunked request whose header was not recorded, because it was pipelined, counts as one that has.
 func hasLengthAndChunks(r *http.Request) bool {
 	c, ok := r.Context().Value(connKey{}).(*recordedConn)
 	if !ok {
--- a/internal/entry/check.go
+++ b/internal/entry/check.go
@@ -12,23 +12,24 @@
 	"ploverjunction.example/ploverjunction/internal/fleetconfig"
 )
 
-// admission is a request that passed all checks, or of a refused one what is known.
+// admission is the result of the checks of a request; for a refused one it holds what was found
+// until then.
 type admission struct {
 	config *fleetconfig.Config
 	route  *fleetconfig.Route
-	// workspace is the identity of the caller's workspace; it may be empty. owner is the
-	// workspace itself, nil where none is needed.
+	// workspace is the ID of the caller's workspace; it may be empty. owner is the workspace
+	// itself, nil where none is needed.
 	workspace string
 	owner     *fleetconfig.Workspace
-	// rank is the rank under overload; 0 is served first.
+	// rank is the priority under overload; 0 is served first.
 	rank int
-	// timeout is the time to the first byte of an answer.
+	// timeout is the time to the first byte of the answer.
 	timeout  time.Duration
 	deadline time.Time
 	maxBody  int64
 }
 
-// workspaceID returns the workspace of a request, "" where it isn't known.
+// workspaceID returns the ID of the request's workspace, "" where it is not known.
 func (a *admission) workspaceID() string {
 	if a == nil {
 		return ""
@@ -36,7 +37,7 @@
 	return a.workspace
 }
 
-// regions returns what restricts where the request is served: its route and its workspace.
+// regions returns the region restrictions of the request's route and workspace.
 func (a *admission) regions() []fleetconfig.Regions {
 	var out []fleetconfig.Regions
 	if r := a.route.Regions(); len(r) > 0 {
@@ -48,8 +49,8 @@
 	return out
 }
 
-// admit checks a request before any work is done for it. What is known of a refused
-// one may be nil.
+// admit checks a request before any work is done for it. The admission of a refused request may be
+// nil.
 func (s *Server) admit(r *http.Request, now time.Time) (*admission, *Error) {
 	cfg := s.cfg.Config()
 	if cfg == nil || len(cfg.Services()) == 0 {
@@ -70,7 +71,7 @@
 	return s.check(s.cfg.Config(), r, now)
 }
 
-// check checks a request by a configuration.
+// check checks a request against a configuration.
 func (s *Server) check(cfg *fleetconfig.Config, r *http.Request, now time.Time) (*admission, *Error) {
 	if err := checkForm(r); err != nil {
 		return nil, err
@@ -109,7 +110,7 @@
 	return a, s.checkLimit(r.Context(), a)
 }
 
-// checkForm refuses requests whose meaning a target may read otherwise.
+// checkForm refuses requests that a target may interpret differently.
 func checkForm(r *http.Request) *Error {
 	if r.Method == http.MethodConnect || r.Method == http.MethodTrace {
 		return refuse(CodeMethod, http.StatusMethodNotAllowed)
@@ -163,15 +164,15 @@
 	return min(d, longest), nil
 }
 
-// awaitConfig waits a moment for the first configuration of a process that starts.
+// awaitConfig waits for the first configuration of a process that is starting.
 func (s *Server) awaitConfig(r *http.Request) *fleetconfig.Config {
 	ctx, cancel := context.WithTimeout(r.Context(), startWait(s.callerTimeout(r)))
 	defer cancel()
 	return s.cfg.AwaitConfig(ctx)
 }
 
-// callerTimeout returns how long a caller waits. What is wrong with its request is told
-// once there is a configuration.
+// callerTimeout returns how long the caller waits. An invalid header is refused later, once there
+// is a configuration.
 func (s *Server) callerTimeout(r *http.Request) time.Duration {
 	d, err := s.cfg.Contract.CallerWait(r.Header)
 	if err != nil || d == 0 {
@@ -180,6 +181,6 @@
 	return d
 }
 
-// startWait returns how long the request of a caller that waits for d waits for the first
-// configuration, and for what else a node that starts lacks.
+// startWait returns how long a request, whose caller waits for d, waits for the first
+// configuration and for other state that a starting node lacks.
 func startWait(d time.Duration) time.Duration { return min(d/startWaitDivisor, maxStartWait) }
--- a/internal/entry/choice.go
+++ b/internal/entry/choice.go
@@ -10,33 +10,34 @@
 	"ploverjunction.example/ploverjunction/internal/signal"
 )
 
-// Query asks for a target for one attempt.
+// Query requests a target for one attempt.
 type Query struct {
 	Service    *fleetconfig.Service
 	Repeatable bool
 	// Kilobytes is the expected size of the request's body and its answer in KiB,
 	// rounded up.
 	Kilobytes int
-	// Priority is the rank under overload; 0 is served first.
+	// Priority is the priority under overload; 0 is served first.
 	Priority int
 	// Route names the route: requests of one route take similar time.
 	Route string
-	// Aim is until when an answer is worth most, Deadline until when it counts.
+	// Aim is the soft deadline, after which an answer is worth less; after Deadline it is worth
+	// nothing.
 	Aim      time.Time
 	Deadline time.Time
-	// Regions are those in which the request may be served: all of them must allow it.
+	// Regions restrict where the request may be served: all of them must allow a region.
 	Regions []fleetconfig.Regions
 	// Tried are the keys of the targets that the request was sent to before.
 	Tried []string
 	// Again is set for attempts after the first one.
 	Again bool
-	// Hedge is set where an earlier attempt still goes on; Age is how long it has
-	// waited for its answer.
+	// Hedge is set where an earlier attempt is still running; Age is how long that has waited for
+	// its answer.
 	Hedge bool
 	Age   time.Duration
 }
 
-// Choice is a target taken for one attempt.
+// Choice is the target chosen for one attempt.
 type Choice struct {
 	// Address is the IP number and port.
 	Address string
@@ -44,20 +45,20 @@
 	Key string
 	// ID is the target's published ID, or "".
 	ID string
-	// Incarnation names the target's life for what it says of itself.
+	// Incarnation identifies the target's incarnation, to which its signals are attributed.
 	Incarnation signal.Incarnation
 	// Permit is checked when the request is sent.
 	Permit signal.Permit
-	// DataHall is the target's.
+	// DataHall is the target's data hall.
 	DataHall string
-	// By names the node that chose, "alone" where this one did.
+	// By names the node that chose, "alone" where this node did.
 	By string
-	// HedgeAfter is after how long without an answer a second target may be asked
-	// for, 0 if whoever chose doesn't know.
+	// HedgeAfter is the time without an answer after which a second target may be requested, 0 if
+	// the node that chose does not know.
 	HedgeAfter time.Duration
-	// Doubt is how likely the target was not to answer well, by whoever chose it.
+	// Doubt is the failure probability of the target, estimated by the node that chose.
 	Doubt float64
-	// Trial is set where the target would have got no request else.
+	// Trial is set for a trial request: the target gets no other requests.
 	Trial bool
 	// Done must be called once, when the attempt has ended.
 	Done func(end outlier.Result, took time.Duration)
--- a/internal/entry/deliver.go
+++ b/internal/entry/deliver.go
@@ -13,8 +13,8 @@
 	"ploverjunction.example/ploverjunction/internal/forward"
 )
 
-// deliver gives an answer to the caller. An answer that breaks and can't be
-// resumed ends the caller's connection, so that it can't pass for a whole one.
+// deliver sends an answer to the caller. If the answer breaks and cannot be resumed, the caller's
+// connection is closed, so that a truncated answer is not mistaken for a complete one.
 func (x *relay) deliver(w http.ResponseWriter, a *forward.Answer, release func()) {
 	h := w.Header()
 	c := x.server.cfg.Contract
@@ -75,7 +75,7 @@
 	}
 }
 
-// stream copies until the end of one target's answer.
+// stream copies one target's answer to its end.
 func (x *relay) stream(w http.ResponseWriter, a *forward.Answer) (int64, error) {
 	buf := x.server.buffers.Get().(*[]byte)
 	defer x.server.buffers.Put(buf)
--- a/internal/entry/ended.go
+++ b/internal/entry/ended.go
@@ -11,19 +11,20 @@
 	"ploverjunction.example/ploverjunction/internal/task"
 )
 
-// maxCrashChecks bounds how many targets a node asks at a time whether they have ended. Where a
-// link breaks, many attempts break with it.
+// maxCrashChecks bounds the targets that a node checks for a crash at a time. Where a network link
+// breaks, many attempts break with it.
 const maxCrashChecks = 16
 
-// closedChannel is a channel that has nothing to wait for.
+// closedChannel is returned where there is no check to wait for.
 var closedChannel = func() <-chan struct{} {
 	c := make(chan struct{})
 	close(c)
 	return c
 }()
 
-// checkCrash finds out whether the target of an attempt that broke has ended. Where one has ended
-// under the request before, it waits until that is known: another attempt could end a third.
+// checkCrash checks whether the target of a broken attempt has crashed. If a target crashed under
+// the request before, or the attempt is a retry, it waits for the result: another attempt could
+// crash a third target.
 func (x *relay) checkCrash(t *try, err error) {
 	known := x.startCrashCheck(t, err)
 	if x.suspect.Load() || t.retry {
@@ -31,9 +32,9 @@
 	}
 }
 
-// startCrashCheck finds out whether the target of an attempt that broke has ended: a connection can
-// break for many reasons, and three in ten of a service's may, while its targets live. It
-// returns a channel that is closed when that is known.
+// startCrashCheck starts checking whether the target of a broken attempt has crashed, and returns
+// a channel that is closed when the result is recorded. Connections break for many reasons: three
+// in ten of a service's may do so while its targets keep running.
 func (x *relay) startCrashCheck(t *try, err error) <-chan struct{} {
 	var fe *forward.Error
 	if !errors.As(err, &fe) || !fe.Broke() {
@@ -45,7 +46,7 @@
 	}
 	if x.server.crashChecks.Add(1) > maxCrashChecks {
 		x.server.crashChecks.Add(-1)
-		x.server.log.WithField("request", x.id).WithField("target", t.choice.Key).Debug("too many targets to ask whether they have ended")
+		x.server.log.WithField("request", x.id).WithField("target", t.choice.Key).Debug("too many crash checks in progress; target not checked")
 		return closedChannel
 	}
 	known := make(chan struct{})
@@ -61,7 +62,7 @@
 	return known
 }
 
-// recordCrash notes that the target of an attempt has ended under the request.
+// recordCrash records that the target of an attempt crashed under the request.
 func (x *relay) recordCrash(t *try) {
 	s := x.server.cfg.Ended(x.fingerprints, t.choice.Key)
 	x.suspect.Store(s.Suspect())
--- a/internal/entry/error.go
+++ b/internal/entry/error.go
@@ -35,7 +35,7 @@
 	CodeMemory        Code = "no-memory"
 )
 
-// Error is the final answer to a request that gets no answer of a target.
+// Error is the final answer to a request that was not answered by a target.
 type Error struct {
 	code       Code
 	status     int
@@ -53,7 +53,7 @@
 	return s
 }
 
-// Unwrap returns the error beneath, or nil.
+// Unwrap returns the cause, or nil.
 func (e *Error) Unwrap() error { return e.cause }
 
 // Code returns the code of the failure.
@@ -62,7 +62,7 @@
 // Status returns the HTTP status.
 func (e *Error) Status() int { return e.status }
 
-// refuse returns an error of a request that was not run.
+// refuse returns the error of a request that was not run.
 func refuse(code Code, status int) *Error {
 	return &Error{
 		code:    code,
@@ -71,12 +71,12 @@
 	}
 }
 
-// retryAfterDefault is when a caller should come back after a failure that passes soon:
-// about the time in which a slot of a target becomes free.
+// retryAfterDefault is the Retry-After of short-lived failures: about the time until a slot of a
+// target becomes free.
 const retryAfterDefault = 250 * time.Millisecond
 
-// newFinalError returns the final answer of a life that ended without an answer.
-// retryAfter is when the caller may come back; 0 means the usual time.
+// newFinalError returns the final answer of a request whose attempts all failed. retryAfter is
+// when the caller may retry; 0 means retryAfterDefault.
 func newFinalError(l *attempt.Tracker, reason attempt.Reason, retryAfter time.Duration, cause error) *Error {
 	e := &Error{
 		code:       CodeFailed,
--- a/internal/entry/fail.go
+++ b/internal/entry/fail.go
@@ -13,12 +13,12 @@
 	"ploverjunction.example/ploverjunction/internal/outlier"
 )
 
-// recordFailure notes an attempt that failed, or one for which there was no target.
+// recordFailure records an attempt that failed or got no target.
 func (x *relay) recordFailure(r result) {
 	var none *NoTargetError
 	if errors.As(r.err, &none) {
 		if r.try.hedge && none.reason != attempt.ReasonDeadline {
-			// The attempt before it goes on, and may be followed by another if it fails.
+			// The earlier attempt continues, and may be followed by another if it fails.
 			if none.reason == attempt.ReasonBudget {
 				x.launched--
 			}
@@ -41,14 +41,15 @@
 	x.last = r.err
 }
 
-// unsent reports whether nothing was sent because the target wanted no request any more.
+// unsent reports whether nothing was sent because the target became unavailable after it was
+// chosen.
 func unsent(err error) bool {
 	var fe *forward.Error
 	return errors.As(err, &fe) && fe.Kind() == forward.KindBarred
 }
 
-// discountUnsent forgets an attempt whose target wanted no request any more when it was to be sent:
-// the next one is no repeat, and the retry budget doesn't pay for it.
+// discountUnsent takes back an attempt whose target became unavailable before it was sent: the
+// next attempt is no retry and takes nothing from the retry budget.
 func (x *relay) discountUnsent(t *try) {
 	x.launched--
 	x.unsent++
@@ -59,14 +60,13 @@
 	}
 }
 
-// replaceable reports whether another target may give a repeatable request a better
-// answer than this one.
+// replaceable reports whether another target may give a repeatable request a better answer.
 func (x *relay) replaceable(a *forward.Answer) bool {
 	_, again := x.body.reader()
 	return x.in.route.Repeatable() && retryableStatus(a.Status()) && again
 }
 
-// retryableStatus reports whether a failure may not come from another target.
+// retryableStatus reports whether another target may answer without this failure.
 func retryableStatus(status int) bool {
 	switch status {
 	case http.StatusInternalServerError, http.StatusBadGateway, http.StatusServiceUnavailable, http.StatusGatewayTimeout:
@@ -83,13 +83,13 @@
 	return newFinalError(x.tracker, reason, x.retryAfter, x.last)
 }
 
-// expired reports whether the request ends unserved with an attempt that failed now: its
-// caller has left, or its time is over.
+// expired reports whether the request ends unanswered with an attempt that fails now: its caller
+// is gone, or its deadline has passed.
 func (x *relay) expired() bool {
 	return !x.settled.Load() && (x.req.Context().Err() != nil || time.Until(x.tracker.Deadline()) <= 0)
 }
 
-// resultOf says what an attempt showed of its target.
+// resultOf returns what an attempt showed of its target.
 func resultOf(a *forward.Answer, err error) outlier.Result {
 	if a != nil {
 		return outlier.Result{
--- a/internal/entry/header.go
+++ b/internal/entry/header.go
@@ -10,8 +10,8 @@
 	"ploverjunction.example/ploverjunction/internal/contract"
 )
 
-// hopByHop are the fields that concern one connection only (RFC 9110, section
-// 7.6.1), besides those that Connection names.
+// hopByHop are the fields that apply to one connection only (RFC 9110, section 7.6.1), besides
+// those that Connection names.
 var hopByHop = []string{
 	"Connection",
 	"Keep-Alive",
@@ -44,15 +44,15 @@
 	return out
 }
 
-// setWorkspace writes the identity of a request whose caller shows a key into the header
-// that a target gets: the name of the workspace, "" for none, in place of whatever the
-// caller wrote there and of the key.
+// setWorkspace writes the name of the workspace into the header that a target gets, and removes
+// any value that the caller wrote there. "" writes none. If keyed, the caller's key is removed
+// too.
 func setWorkspace(h http.Header, header, workspace string, keyed bool) {
 	if keyed {
 		h.Del(contract.HeaderAuthorization)
 	}
 	for name := range h {
-		// Targets behind gateway interfaces can't tell "_" from "-".
+		// Targets behind CGI-like gateways cannot distinguish "_" from "-".
 		if strings.EqualFold(strings.ReplaceAll(name, "_", "-"), header) {
 			delete(h, name)
 		}
--- a/internal/entry/hedge.go
+++ b/internal/entry/hedge.go
@@ -9,15 +9,15 @@
 	"ploverjunction.example/ploverjunction/internal/attempt"
 )
 
-// grant is a target that a try got.
+// grant is a target granted to an attempt.
 type grant struct {
 	at time.Time
-	// hedgeAfter is after how long a second target may be asked for, 0 if unknown.
+	// hedgeAfter is the time after which a second target may be requested, 0 if unknown.
 	hedgeAfter time.Duration
 }
 
-// hedgeAfter returns after how long another target is asked as well: when the
-// request takes unusually long, or when a second one could just be in time.
+// hedgeAfter returns the time after which a second target is requested: when the request takes
+// unusually long, or when a second one could just be in time.
 func (x *relay) hedgeAfter() time.Duration {
 	r := x.in.route
 	if !x.hedgeable() {
@@ -30,29 +30,28 @@
 	return max(slow, 0)
 }
 
-// hedgeable reports whether the request may be sent to a second target while the first
-// works on it. One under which a target has ended could end two more.
+// hedgeable reports whether the request may be sent to a second target while the first works on
+// it. A request under which a target crashed is not, as it could crash two more.
 func (x *relay) hedgeable() bool {
 	r := x.in.route
 	return r.Repeatable() && x.body.stream == nil && r.MaxAttempts() != 1 && !x.suspect.Load()
 }
 
-// budgetSpent reports whether there was no target because the retry budget doesn't pay for
-// it now.
+// budgetSpent reports whether there was no target because the retry budget is spent.
 func budgetSpent(err error) bool {
 	var none *NoTargetError
 	return errors.As(err, &none) && none.reason == attempt.ReasonBudget
 }
 
-// hedgeRetryDelay is after how long a second target is asked for again when none was
-// granted: what is known of the first one grows with the time that it says nothing.
+// hedgeRetryDelay is the time after which a second target is requested again when none was
+// granted: the longer the first one is silent, the more likely it has failed.
 const hedgeRetryDelay = 50 * time.Millisecond
 
-// hedgeDivisor is the part of a route's target latency after which a second target
-// is asked: half of it leaves the second one as much time as the first had.
+// hedgeDivisor divides a route's target latency; the result is when a second target is requested.
+// Half of it leaves the second target as much time as the first had.
 const hedgeDivisor = 2
 
-// hedge asks another target while the first is still expected to answer.
+// hedge starts another attempt while the first is still expected to answer.
 func (x *relay) hedge() {
 	for _, t := range x.running {
 		x.recordOnce(t, attempt.OutcomeUnknown)
--- a/internal/entry/id.go
+++ b/internal/entry/id.go
@@ -7,8 +7,7 @@
 	"math/rand/v2"
 )
 
-// newRequestID returns 128 random bits in hexadecimal. They name a request; they
-// are no secret.
+// newRequestID returns 128 random bits in hexadecimal. They identify a request and are not secret.
 func newRequestID() string {
 	var b [requestIDLength]byte
 	for i := range b {
--- a/internal/entry/log.go
+++ b/internal/entry/log.go
@@ -12,12 +12,11 @@
 	"ploverjunction.example/ploverjunction/internal/forward"
 )
 
-// Lines about one request carry its name in the field "request". A request that
-// went well at its first attempt has one line; each attempt that failed, or was not
-// the first one, has a line of its own.
+// Log lines about one request carry its ID in the field "request". A request that
+// succeeds at its first attempt has one line; each failed attempt and each retry has
+// a line of its own.
 
-// logTry writes the line about one attempt: who chose which target, how long it
-// took and what came.
+// logTry logs one attempt: the target, the node that chose it, the times and the result.
 func (x *relay) logTry(t *try, a *forward.Answer, err error) {
 	if err == nil && !t.retry && !retryableStatus(a.Status()) {
 		return
@@ -44,7 +43,7 @@
 	l.WithError(err).Warn("attempt failed")
 }
 
-// logNoTarget writes the line about an attempt that couldn't begin.
+// logNoTarget logs an attempt that got no target.
 func (x *relay) logNoTarget(err error, hedge bool) {
 	l := x.server.log.WithField("request", x.id).WithField("service", x.service.Name()).WithError(err)
 	var none *NoTargetError
@@ -52,13 +51,13 @@
 		l = l.WithField("retry_after_ms", none.retryAfter.Milliseconds())
 	}
 	if hedge {
-		l.Debug("no second target for a slow attempt")
+		l.Debug("no target for a hedged attempt")
 		return
 	}
 	l.Warn("no target for the attempt")
 }
 
-// logEnd writes the line about the final answer to a request.
+// logEnd logs the final answer to a request.
 func (x *relay) logEnd(status int, outcome attempt.Outcome, fail *Error) {
 	l := x.server.log.WithFields(logrus.Fields{
 		"request":  x.id,
--- a/internal/entry/memory.go
+++ b/internal/entry/memory.go
@@ -9,24 +9,24 @@
 )
 
 const (
-	// smallBody is up to how many bytes a body counts for nothing: requests with small bodies
+	// smallBody is the size in bytes up to which a body is not counted: requests with small bodies
 	// and answers are served however many large ones wait for slow callers or targets.
 	smallBody = 4 << 10
-	// streamBuffers is what a body takes that is passed on as it comes.
+	// streamBuffers is the memory in bytes that a streamed body takes.
 	streamBuffers = 64 << 10
-	// memoryRetryAfter is when a caller may come back whose body found no room.
+	// memoryRetryAfter is the Retry-After of requests refused for lack of memory.
 	memoryRetryAfter = time.Second
 )
 
-// memory bounds what a node holds of bodies in one direction. It may be used concurrently.
+// memory bounds the bytes of bodies held in one direction. It may be used concurrently.
 type memory struct {
-	// limit is in bytes; 0 is no bound.
+	// limit is in bytes; 0 means unlimited.
 	limit int64
 	used  atomic.Int64
 }
 
-// reserve reserves bytes for a body, and reports whether there is room for them. What it returns gives
-// them back, once.
+// reserve reserves n bytes for a body and reports whether they were available. release returns
+// them and must be called once.
 func (m *memory) reserve(n int64) (release func(), ok bool) {
 	if m.limit == 0 || n <= smallBody {
 		return func() {}, true
@@ -38,7 +38,8 @@
 	return func() { m.used.Add(-n) }, true
 }
 
-// bodyCost returns how many bytes of a body of a length are held at once, -1 for one that isn't known.
+// bodyCost returns how many bytes of a body of the given length are held at once; -1 means that
+// the length is unknown.
 func bodyCost(length, hold int64) int64 {
 	switch {
 	case length < 0:
@@ -50,8 +51,8 @@
 	}
 }
 
-// reserve takes the memory that a request needs for its body and its answer, or refuses it before
-// any of it is read. The answer's size is that of the route's others.
+// reserve reserves memory for a request's body and its answer, or refuses the request before its
+// body is read. The expected size of the answer is that of the route.
 func (s *Server) reserve(r *http.Request, in *admission) (release func(), fail *Error) {
 	up, ok := s.inbound.reserve(bodyCost(r.ContentLength, s.cfg.HoldBody))
 	if !ok {
@@ -74,7 +75,7 @@
 	return e
 }
 
-// Held returns how many bytes of requests and of answers are held at most for those under way.
+// Held returns an upper bound of the bytes held for the requests and answers in flight.
 func (s *Server) Held() (requests, answers int64) {
 	return s.inbound.used.Load(), s.outbound.used.Load()
 }
--- a/internal/entry/quarantine.go
+++ b/internal/entry/quarantine.go
@@ -10,18 +10,18 @@
 	"ploverjunction.example/ploverjunction/internal/quarantine"
 )
 
-// QuarantineError says that targets ended under a request.
+// QuarantineError reports that targets crashed under a request.
 type QuarantineError struct {
 	status quarantine.Status
 }
 
-// Error says how many did.
+// Error names the number of crashes and the fingerprint.
 func (e *QuarantineError) Error() string {
-	return fmt.Sprintf("entry: %d targets ended under the request %s", e.status.Crashes, e.status.Fingerprint)
+	return fmt.Sprintf("entry: %d targets crashed under request %s", e.status.Crashes, e.status.Fingerprint)
 }
 
-// quarantine looks at what the fleet knows of the request. It returns the answer to one under
-// which too many targets ended: it has not run this time, and its caller learns when it may.
+// quarantine returns the refusal of a request under which too many targets crashed, or nil. The
+// refused request was not run; the answer says when the caller may retry.
 func (x *relay) quarantine() *Error {
 	s := x.server.cfg.Quarantined(x.fingerprints)
 	x.suspect.Store(s.Suspect())
@@ -36,8 +36,8 @@
 	return e
 }
 
-// fingerprintsOf returns what names a request by what it asks for. The host is the route's: callers
-// of a route for any host may reach each node by another one.
+// fingerprintsOf returns the fingerprints of a request's content. The host is the route's: callers
+// of a route for any host may reach each node under a different one.
 func fingerprintsOf(r *http.Request, in *admission, b *body) quarantine.Fingerprints {
 	return quarantine.NewFingerprints(quarantine.Request{
 		Method: r.Method,
@@ -49,7 +49,7 @@
 	})
 }
 
-// callerOf names who asks: the workspace, or the address where there is none.
+// callerOf names the caller: the workspace, or the address where there is none.
 func callerOf(r *http.Request, in *admission) string {
 	if in.workspace != "" {
 		return in.workspace
--- a/internal/entry/refuse.go
+++ b/internal/entry/refuse.go
@@ -22,7 +22,7 @@
 	Request string `json:"request"`
 }
 
-// refuse answers a request that got no attempt.
+// refuse logs and answers a request that was refused before any attempt.
 func (s *Server) refuse(w http.ResponseWriter, id string, in *admission, e *Error) {
 	l := s.log.WithFields(logrus.Fields{
 		"request": id,
@@ -77,15 +77,15 @@
 		Request: id,
 	})
 	if err != nil {
-		panic("entry: a refusal is always JSON: " + err.Error())
+		panic("entry: encode refusal: " + err.Error())
 	}
 	h.Set("Content-Length", strconv.Itoa(len(body)))
 	w.WriteHeader(e.status)
-	// A caller that is gone needs no answer.
+	// The caller may be gone.
 	_, _ = w.Write(body)
 }
 
-// setOutcome writes the request's name and outcome into the header of an answer.
+// setOutcome writes the request ID and outcome into the header of an answer.
 func (s *Server) setOutcome(h http.Header, id string, o attempt.Outcome) {
 	c := s.cfg.Contract
 	if c.Outcome != "" {
--- a/internal/entry/relay.go
+++ b/internal/entry/relay.go
@@ -21,8 +21,8 @@
 	"ploverjunction.example/ploverjunction/internal/task"
 )
 
-// relay is the way of one request from its admission to a target's answer. It
-// belongs to the goroutine of the request, but for try.run.
+// relay carries one request from its admission to a target's answer. It belongs to the goroutine
+// of the request, except in try.run.
 type relay struct {
 	server  *Server
 	id      string
@@ -32,45 +32,44 @@
 	started time.Time
 	body    *body
 	tracker *attempt.Tracker
-	// tried are the keys of the targets that were asked. It is written by the
-	// tries, under mu.
+	// tried are the keys of the targets that were tried. It is written by the attempts, under mu.
 	mu     sync.Mutex
 	tried  []string
 	header http.Header
 	last   error
-	// launched counts the tries that were begun, but for those that ended unsent.
+	// launched counts the attempts that were started, except those that ended unsent.
 	launched int
 	unsent   int
-	// running are the tries whose end hasn't been read from results.
+	// running are the attempts whose result has not been read from results.
 	running []*try
 	results chan result
-	// grants tells of targets that tries got.
+	// grants receives the targets granted to attempts.
 	grants chan grant
 	// sentAt is when the attempt that may need a hedge was sent.
 	sentAt time.Time
-	// fingerprints name what is asked for. suspect is set once a target is known to have ended under
-	// the request, held is for how long it is refused then.
+	// fingerprints identify the request's content. suspect is set once a target is known to have
+	// crashed under the request; quarantineWait is for how long it is then refused.
 	fingerprints   quarantine.Fingerprints
 	suspect        atomic.Bool
 	quarantineWait atomic.Int64
-	// winner is the try whose answer is delivered; settled is set once there is one.
+	// winner is the attempt whose answer is delivered; settled is set once there is one.
 	winner  *try
 	settled atomic.Bool
-	// fallback is an answer that is given only if no better one comes.
+	// fallback is an answer that is delivered only if no better one arrives.
 	fallback *result
-	// blockReason says why no other try may begin, retryAfter when the caller may.
+	// blockReason is why no other attempt may start, retryAfter when the caller may retry.
 	blockReason attempt.Reason
 	retryAfter  time.Duration
 }
 
-// result is the end of a try: an answer or an error.
+// result is the end of an attempt: an answer or an error.
 type result struct {
 	try    *try
 	answer *forward.Answer
 	err    error
 }
 
-// discard gives up what a result holds.
+// discard releases the answer and the target of a result.
 func (r result) discard() {
 	if r.answer != nil {
 		r.answer.Close()
@@ -78,11 +77,11 @@
 	r.try.release()
 }
 
-// maxTries bounds the attempts of a request, whatever its policy says.
+// maxTries bounds the attempts of a request, regardless of its policy.
 const maxTries = 16
 
-// answer makes attempts until one answers or no other may follow. The pick of
-// the answer's target stays taken until release is called.
+// answer makes attempts until one answers or no other may follow. The answer's target stays in use
+// until release is called.
 func (x *relay) answer() (a *forward.Answer, release func(), fail *Error) {
 	x.server.cfg.First(x.service.Name())
 	x.sendTrial()
@@ -104,7 +103,7 @@
 	}
 }
 
-// launch begins an attempt, or gives the reason against it.
+// launch starts an attempt, or returns why it may not.
 func (x *relay) launch() attempt.Reason {
 	if x.blockReason != attempt.ReasonNone {
 		return x.blockReason
@@ -133,10 +132,9 @@
 	return attempt.ReasonNone
 }
 
-// await waits for the answer of one of the tries that are running. A repeatable
-// request that takes unusually long is sent to another target as well
-// (Dean and Barroso, "The tail at scale", CACM 2013). It gives nil when all
-// tries have failed.
+// await waits for the answer of one of the running attempts. A repeatable request that takes
+// unusually long is also sent to another target (Dean and Barroso, "The tail at scale", CACM
+// 2013). It returns nil when all attempts have failed.
 func (x *relay) await() *result {
 	hedge := time.NewTimer(x.hedgeAfter())
 	defer hedge.Stop()
@@ -165,7 +163,8 @@
 	return nil
 }
 
-// recordOnce notes in the request's life that an attempt may be followed by another.
+// recordOnce records the outcome of an attempt that may be followed by another, unless it is
+// recorded already.
 func (x *relay) recordOnce(t *try, o attempt.Outcome) {
 	if !t.counted {
 		t.counted = true
@@ -173,8 +172,8 @@
 	}
 }
 
-// accept reports whether a result is the answer for the caller. Any other is noted
-// and given up, or kept as a spare.
+// accept reports whether a result is the answer for the caller. Any other is recorded and
+// discarded, or kept as the fallback.
 func (x *relay) accept(r result) bool {
 	if r.err != nil {
 		r.discard()
@@ -193,8 +192,7 @@
 	return false
 }
 
-// cancelOthers ends the tries that lost to another one. Their ends are read by the
-// server.
+// cancelOthers cancels the remaining attempts. Their results are read by a task of the server.
 func (x *relay) cancelOthers(won *result) {
 	x.settled.Store(true)
 	if x.fallback != nil && x.fallback != won {
--- a/internal/entry/resume.go
+++ b/internal/entry/resume.go
@@ -12,9 +12,9 @@
 	"ploverjunction.example/ploverjunction/internal/forward"
 )
 
-// resumable reports whether the rest of an answer can be had from another target:
-// the route is repeatable and the target offers ranges and a strong validator
-// (RFC 9110, sections 8.8.1 and 14.2).
+// resumable reports whether the rest of an answer can be requested from another target: the route
+// is repeatable and the target offers ranges and a strong validator (RFC 9110, sections 8.8.1 and
+// 14.2).
 func (x *relay) resumable(a *forward.Answer) bool {
 	h := a.Header()
 	etag := h.Get("Etag")
@@ -27,8 +27,8 @@
 		strings.HasPrefix(etag, `"`)
 }
 
-// resume asks for the bytes of a from offset on. It gives nil if no target
-// continues the very same representation.
+// resume requests the bytes of the answer from offset on. It returns nil if no target continues
+// the same representation.
 func (x *relay) resume(etag string, offset, total int64) (*forward.Answer, func()) {
 	x.tracker.SetDeadline(time.Now().Add(x.in.timeout))
 	x.header.Set("Range", fmt.Sprintf("bytes=%d-", offset))
@@ -52,7 +52,8 @@
 	return a, release
 }
 
-// attemptOnce makes one more attempt that is sent. It gives nil if none may be made or it failed.
+// attemptOnce makes attempts until one is sent. It returns nil if none may be made or the sent one
+// failed.
 func (x *relay) attemptOnce() *result {
 	for unsent := -1; unsent < x.unsent; {
 		unsent = x.unsent
@@ -66,7 +67,7 @@
 	return nil
 }
 
-// key returns the key of the target at an address, by the choice that led there.
+// key returns the key of the target at an address, if it is the winner's; else the address.
 func (x *relay) key(address string) string {
 	if x.winner != nil && x.winner.choice.Address == address {
 		return x.winner.choice.Key
--- a/internal/entry/server.go
+++ b/internal/entry/server.go
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package entry serves callers: it checks their requests, has them answered by
-// targets and gives the answers back whole.
+// Package entry serves callers: it checks their requests, forwards them to targets and delivers
+// complete answers.
 package entry
 
 import (
@@ -29,64 +29,64 @@
 	"ploverjunction.example/ploverjunction/internal/task"
 )
 
-// Config holds the values and seams of a Server. All functions may be called
+// Config holds the settings and dependencies of a Server. All functions may be called
 // concurrently.
 type Config struct {
 	Listen    netip.AddrPort
 	MaxBody   int64
 	MaxHeader int64
 	HoldBody  int64
-	// Unserved gets the service of each request that is refused for a limit; nil gets none.
+	// Unserved is called with the service of each request that is refused for a limit; nil
+	// disables it.
 	Unserved func(service string)
-	// Memory bounds the bytes of bodies that are held in each direction; 0 is no bound.
+	// Memory bounds the bytes of bodies held in each direction; 0 means unlimited.
 	Memory   int64
 	Deadline time.Duration
 	Stall    time.Duration
 	Outgoing netip.Addr
-	// WorkspaceHeader names the workspace of a request: callers write it, or where Keyed
-	// is set the server does so for targets.
+	// WorkspaceHeader names the header with a request's workspace. Callers set it or, if Keyed is
+	// set, the server sets it for targets.
 	WorkspaceHeader string
-	// Keyed is set where callers show keys of their workspaces.
+	// Keyed is set where callers authenticate with keys of their workspaces.
 	Keyed bool
-	// Trusted reports whether keys that are known may still be believed; nil means always.
+	// Trusted reports whether the local copy of the keys is still valid; nil means always.
 	Trusted func() bool
-	// Current reports whether this node can know the newest configuration, AwaitCurrent
-	// waits until it can, or the context ends, and returns whether it does.
+	// Current reports whether this node can have the newest configuration. AwaitCurrent waits
+	// until it can, or the context ends, and returns whether it can.
 	Current      func() bool
 	AwaitCurrent func(ctx context.Context) bool
 	// Config returns the configuration in force, or nil before the first one.
 	Config func() *fleetconfig.Config
-	// AwaitConfig waits for the first configuration until the context ends; it
-	// returns nil if none came.
+	// AwaitConfig waits for the first configuration until the context ends; it returns nil if
+	// there is none by then.
 	AwaitConfig func(ctx context.Context) *fleetconfig.Config
 	// Contract names the headers between callers, the fleet and targets.
 	Contract *contract.Contract
-	// Choose takes a target for an attempt. It may wait for one until the end of
-	// the context; it returns a *NoTargetError where there is none.
+	// Choose chooses a target for an attempt. It may wait for one until the context ends; it
+	// returns a *NoTargetError if there is none.
 	Choose func(ctx context.Context, q *Query) (Choice, error)
-	// Trial takes a target that should get a copy of a repeatable request, if
+	// Trial returns a target that should get a copy of a repeatable request as a trial request, if
 	// there is one.
 	Trial func(service *fleetconfig.Service) (Choice, bool)
-	// First pays into a service's retry budget, Retry takes one retry out of it
-	// and reports whether there was one.
+	// First deposits into a service's retry budget; Retry withdraws one retry and reports whether
+	// there was one.
 	First func(service string)
 	Retry func(service string) bool
-	// Limit takes a request of a workspace into account of its limit. It returns nil if the
-	// request may go on. It takes some milliseconds, and up to patience on a node that
-	// starts. GiveBack returns what a request took that has not run.
+	// Limit charges a request to its workspace's limit and returns nil if it may proceed. It takes
+	// some milliseconds, and up to patience on a node that is starting. GiveBack returns the
+	// tokens of a request that was not run.
 	Limit    func(ctx context.Context, w *fleetconfig.Workspace, patience time.Duration) *LimitError
 	GiveBack func(w *fleetconfig.Workspace)
-	// Quarantined returns what the fleet knows of a request under which targets ended.
-	// Ended notes that a target ended under one, and returns the same; Answered notes that a
-	// target answered one.
+	// Quarantined returns the quarantine status of a request. Ended records that a target crashed
+	// under a request and returns the new status; Answered records that a target answered one.
 	Quarantined func(prints quarantine.Fingerprints) quarantine.Status
 	Ended       func(prints quarantine.Fingerprints, target string) quarantine.Status
 	Answered    func(prints quarantine.Fingerprints)
-	// Signals keeps what targets say of themselves in their answers.
+	// Signals records the signals in targets' answers.
 	Signals *signal.Ledger
-	// Collector counts what attempts show of the targets.
+	// Collector records the results of attempts per target.
 	Collector *outlier.Collector
-	// Served notes the final answer to a request.
+	// Served records the final answer to a request.
 	Served func(class, workspace string, status int, outcome string, took time.Duration)
 	Log    *logrus.Entry
 }
@@ -98,8 +98,8 @@
 	copyBuffer      = 32 << 10
 	maxResumes      = 3
 	requestIDLength = 16
-	// startWaitDivisor is the part of a caller's time, one in so many, for which its request waits
-	// for the first configuration; startMost bounds it.
+	// startWaitDivisor divides the caller's timeout; its request waits that long for the first
+	// configuration, at most maxStartWait.
 	startWaitDivisor = 6
 	maxStartWait     = 1300 * time.Millisecond
 )
@@ -115,18 +115,18 @@
 	inFlight atomic.Int64
 	closing  atomic.Bool
 	trials   atomic.Int32
-	// crashChecks counts the targets that are asked whether they have ended.
+	// crashChecks counts the crash checks in progress.
 	crashChecks atomic.Int32
-	// awaitingConfig counts the requests that wait for news of their key.
+	// awaitingConfig counts the requests that wait for a configuration with their key.
 	awaitingConfig atomic.Int32
 	tasks          chan *task.Task
 	buffers        sync.Pool
-	// inbound and outbound bound what is held of requests and of answers.
+	// inbound and outbound bound the bytes held of requests and of answers.
 	inbound  memory
 	outbound memory
 }
 
-// New returns a server that listens already but does not serve yet.
+// New returns a server that listens but does not serve yet.
 func New(cfg Config) (*Server, error) {
 	lis, err := net.Listen("tcp", cfg.Listen.String())
 	if err != nil {
@@ -150,8 +150,8 @@
 		b := make([]byte, copyBuffer)
 		return &b
 	}
-	// The filter stands before kratos' router, which would clean paths and
-	// redirect; the timeout is off, for kratos gives each request one second.
+	// The filter runs before kratos' router, which would clean paths and redirect. The timeout is
+	// disabled, as kratos gives each request one second.
 	s.http = kratos.NewServer(
 		kratos.Address(lis.Addr().String()),
 		kratos.Listener(&recordingListener{
@@ -172,7 +172,7 @@
 // Addr returns the address on which the server listens.
 func (s *Server) Addr() string { return s.listener.Addr().String() }
 
-// Serve serves until the context ends or Drain was called.
+// Serve serves until the context ends or Drain is called.
 func (s *Server) Serve(ctx context.Context) error {
 	defer s.client.Close()
 	reaper := task.Go(ctx, "entry reaper", s.reap)
@@ -180,15 +180,15 @@
 	return errors.Join(err, reaper.Stop())
 }
 
-// InFlight returns the number of requests that are being served.
+// InFlight returns the number of requests in flight.
 func (s *Server) InFlight() int64 { return s.inFlight.Load() }
 
-// Closing makes each answer close its connection, so that callers and the
-// balancer open their next one elsewhere.
+// Closing makes each answer close its connection, so that callers and the load balancer open their
+// next connection to another node.
 func (s *Server) Closing() { s.closing.Store(true) }
 
-// Drain stops accepting and waits until all requests in flight have ended,
-// however long they take, or the context ends. Then all is closed.
+// Drain stops accepting connections and waits until all requests in flight have ended, however
+// long they take, or the context ends. Then it closes all connections.
 func (s *Server) Drain(ctx context.Context) error {
 	err := s.http.Stop(ctx)
 	if cerr := s.http.Close(); err == nil {
@@ -197,17 +197,16 @@
 	return err
 }
 
-// track takes a goroutine started for a request. Its end matters to nobody but
-// the log.
+// track passes a goroutine started for a request to reap, which logs its error.
 func (s *Server) track(t *task.Task) {
 	select {
 	case s.tasks <- t:
 	default:
-		// The owner is behind: the end is buffered in the task itself.
+		// reap is behind: the result is buffered in the task itself.
 	}
 }
 
-// reap reads the ends of the goroutines started for requests.
+// reap logs the errors of the goroutines started for requests.
 func (s *Server) reap(ctx context.Context) error {
 	for {
 		select {
@@ -227,7 +226,7 @@
 	started := time.Now()
 	id := s.requestID(r)
 	if s.closing.Load() || len(r.TransferEncoding) > 0 {
-		// Should a chunked request hide another one, it ends here (RFC 9112,
+		// Prevents a request smuggled behind a chunked one from being read (RFC 9112,
 		// section 6.1).
 		w.Header().Set("Connection", "close")
 	}
@@ -245,15 +244,14 @@
 	s.cfg.Served(in.route.Class(), in.workspace, status, outcome.String(), time.Since(started))
 }
 
-// notifyUnserved tells of a request that would be served but for a limit.
+// notifyUnserved reports a request that was refused only for a limit.
 func (s *Server) notifyUnserved(in *admission, fail *Error) {
 	if fail.code == CodeRate && s.cfg.Unserved != nil {
 		s.cfg.Unserved(in.route.Service().Name())
 	}
 }
 
-// requestID returns the name of a request: the caller's where the contract says
-// so, else a new one.
+// requestID returns the ID of a request: the caller's if the contract says so, else a new one.
 func (s *Server) requestID(r *http.Request) string {
 	if s.cfg.Contract.CallersID {
 		return r.Header.Get(s.cfg.Contract.RequestID)
@@ -261,11 +259,11 @@
 	return newRequestID()
 }
 
-// forward has an admitted request answered.
+// forward has an admitted request answered and returns the final status and outcome.
 func (s *Server) forward(w http.ResponseWriter, r *http.Request, id string, started time.Time, in *admission) (int, attempt.Outcome) {
 	give, fail := s.reserve(r, in)
 	if fail != nil {
-		// Else net/http reads the rest of the body before it answers.
+		// Otherwise net/http reads the rest of the body before it answers.
 		w.Header().Set("Connection", "close")
 		s.refuse(w, id, in, fail)
 		return fail.status, fail.outcome
@@ -308,7 +306,7 @@
 	return a.Status(), attempt.OutcomeDone
 }
 
-// Close ends all connections at once, and Serve.
+// Close closes all connections at once and ends Serve.
 func (s *Server) Close() error {
 	return s.http.Close()
 }
--- a/internal/entry/signal.go
+++ b/internal/entry/signal.go
@@ -8,7 +8,7 @@
 	"ploverjunction.example/ploverjunction/internal/signal"
 )
 
-// observe records the signal of a response, and logs it if it changes the target's standing.
+// observe records the signal of an answer, and logs it if it changes the target's status.
 func (x *relay) observe(c Choice, s signal.Signal, err error) {
 	if s == (signal.Signal{}) && err == nil && x.server.cfg.Signals.Empty() {
 		return
--- a/internal/entry/size.go
+++ b/internal/entry/size.go
@@ -10,18 +10,17 @@
 
 // Parameters of the expected size of answers.
 const (
-	// sizeWeight is the part by which one answer moves the expectation.
+	// sizeWeight is the weight of a new answer in the exponential moving average.
 	sizeWeight = 0.1
-	// initialBulkSize and smallGuess are the sizes in bytes that are expected of routes
-	// before their first answer.
+	// initialBulkSize and initialSmallSize are the sizes in bytes expected of a route before its
+	// first answer.
 	initialBulkSize  = 64 << 10
 	initialSmallSize = 1 << 10
-	// maxSizes bounds the routes with an expectation of their own.
+	// maxSizes bounds the number of routes with an average of their own.
 	maxSizes = 16384
 )
 
-// sizes holds the expected size of the answers of each route. It may be used
-// concurrently.
+// sizes holds the expected answer size of each route. It may be used concurrently.
 type sizes struct {
 	mu      sync.Mutex
 	byRoute map[string]float64
--- a/internal/entry/trial.go
+++ b/internal/entry/trial.go
@@ -13,12 +13,11 @@
 	"ploverjunction.example/ploverjunction/internal/task"
 )
 
-// maxTrials bounds the trial copies in flight on a node.
+// maxTrials bounds the trial requests in flight on a node.
 const maxTrials = 8
 
-// sendTrial sends a copy of a repeatable request to a target on trial, if there is
-// one. Nobody waits for its answer: an ejected target proves itself without any
-// caller paying for it.
+// sendTrial sends a copy of a repeatable request to a target on trial, if there is one. No caller
+// waits for its answer, so an ejected target can show recovery at no caller's cost.
 func (x *relay) sendTrial() {
 	if !x.in.route.Repeatable() || x.body.stream != nil || x.suspect.Load() || x.server.trials.Load() >= maxTrials {
 		return
@@ -32,7 +31,7 @@
 	reader, _ := x.body.reader()
 	r := x.request(choice, reader)
 	r.ID = newRequestID()
-	// The copy lives on when the caller has its answer; its own deadline ends it.
+	// The copy continues after the caller has its answer; its own deadline ends it.
 	ctx := context.WithoutCancel(x.req.Context())
 	x.server.track(task.Go(ctx, "trial", func(ctx context.Context) error {
 		defer x.server.trials.Add(-1)
@@ -40,7 +39,7 @@
 	}))
 }
 
-// runTrial makes the attempt of a trial and reads its answer to the end.
+// runTrial sends a trial request and reads its answer to the end.
 func (x *relay) runTrial(ctx context.Context, choice Choice, r *forward.Request) error {
 	flight := x.begin(choice.Key)
 	started := time.Now()
@@ -63,7 +62,7 @@
 	return nil
 }
 
-// recordBrokenBody notes an answer whose body broke off.
+// recordBrokenBody records an answer whose body broke.
 func (x *relay) recordBrokenBody(target string) {
 	x.begin(target).End(time.Now(), outlier.Result{
 		Failed: true,
--- a/internal/entry/try.go
+++ b/internal/entry/try.go
@@ -14,28 +14,27 @@
 	"ploverjunction.example/ploverjunction/internal/outlier"
 )
 
-// try is one attempt under way.
+// try is one attempt in progress.
 type try struct {
 	relay  *relay
 	reader io.Reader
 	cancel context.CancelFunc
 	retry  bool
 	hedge  bool
-	// age is how long the attempt beside a hedge had waited when that was asked for.
+	// age is how long the attempt beside a hedge had waited when the hedge was launched.
 	age    time.Duration
 	choice Choice
-	// started is when a target was asked for, chosen when there was one.
+	// started is when a target was requested, chosen when it was granted.
 	started time.Time
 	chosen  time.Time
 	end     outlier.Result
-	// released is set once the choice was given back.
+	// released is set once the choice was released.
 	released atomic.Bool
-	// counted is set once the attempt has been counted in the request's life.
+	// counted is set once the attempt was recorded by the tracker.
 	counted bool
 }
 
-// run chooses a target, makes the attempt and reports its end to the relay, which
-// reads it.
+// run chooses a target, makes the attempt and sends its result to the relay.
 func (t *try) run(ctx context.Context) {
 	x := t.relay
 	t.started = time.Now()
@@ -71,14 +70,14 @@
 	}
 }
 
-// release gives the choice back; more than one call does no harm.
+// release releases the choice. It may be called more than once.
 func (t *try) release() {
 	if t.choice.Done != nil && t.released.CompareAndSwap(false, true) {
 		t.choice.Done(t.end, time.Since(t.chosen))
 	}
 }
 
-// choose takes a target for an attempt and notes that it was tried.
+// choose chooses a target for an attempt and records it as tried.
 func (x *relay) choose(ctx context.Context, t *try) (Choice, error) {
 	r := x.in.route
 	q := &Query{
@@ -108,7 +107,7 @@
 	return c, nil
 }
 
-// softDeadline returns until when an answer is worth most.
+// softDeadline returns the soft deadline, after which an answer is worth less.
 func (x *relay) softDeadline() time.Time {
 	if d := x.in.route.TargetLatency(); d > 0 {
 		return x.started.Add(d)
@@ -116,21 +115,21 @@
 	return x.tracker.Deadline()
 }
 
-// recordSize notes how large the answers of a route are.
+// recordSize records the size of an answer of the route.
 func (x *relay) recordSize(a *forward.Answer) {
 	if a.Length() >= 0 {
 		x.server.sizes.add(x.in.route, a.Length())
 	}
 }
 
-// NoTargetError says why no target could be chosen for an attempt.
+// NoTargetError reports why no target could be chosen for an attempt.
 type NoTargetError struct {
 	reason     attempt.Reason
 	retryAfter time.Duration
 }
 
-// NewNoTargetError returns the error for a reason; retryAfter is when the caller
-// may come back, 0 if that isn't known.
+// NewNoTargetError returns the error for a reason; retryAfter is when the caller may retry, 0 if
+// unknown.
 func NewNoTargetError(reason attempt.Reason, retryAfter time.Duration) *NoTargetError {
 	return &NoTargetError{
 		reason:     reason,
--- a/internal/entry/workspace.go
+++ b/internal/entry/workspace.go
@@ -12,14 +12,14 @@
 
 // Bounds of requests whose key is not known yet.
 const (
-	// maxAwaitingConfig is how many requests of a node wait for news at a time. Anyone can send
-	// keys that don't exist: they must not fill its memory.
+	// maxAwaitingConfig bounds the requests of a node that wait for a configuration with their
+	// key. Anyone can send keys that do not exist; they must not exhaust its memory.
 	maxAwaitingConfig = 64
-	// rankSpan is how many ranks of routes lie between two of workspaces.
+	// rankSpan is the number of route priorities between two workspace priorities.
 	rankSpan = 1 << 8
 )
 
-// owner finds the workspace of a request, or says why it may not go on. It is nil
+// owner returns the workspace of a request, or why the request is refused. The workspace is nil
 // where none is needed.
 func (s *Server) owner(r *http.Request, a *admission) (*fleetconfig.Workspace, *Error) {
 	if a.config.Workspaces() == 0 {
@@ -51,9 +51,8 @@
 	return owner, nil
 }
 
-// rank returns the rank of a request under overload: that of its workspace, and that
-// of its route among requests of workspaces with the same one. Callers who don't say
-// who they are come with the least urgent workspaces.
+// rank returns the priority of a request under overload: the workspace's first, then the route's.
+// Callers without a workspace rank with the least urgent workspaces.
 func rank(cfg *fleetconfig.Config, owner *fleetconfig.Workspace, route *fleetconfig.Route) int {
 	priority := cfg.LeastUrgent()
 	if owner != nil {
@@ -62,12 +61,12 @@
 	return priority*rankSpan + min(route.Priority(), rankSpan-1)
 }
 
-// mayBeOutdated reports whether a newer configuration may allow what was refused: a key
-// that is not known may be one that was just given out.
+// mayBeOutdated reports whether a newer configuration may allow what was refused: an unknown key
+// may have just been issued.
 func (e *Error) mayBeOutdated() bool { return e.code == CodeKey || e.code == CodeNoKey }
 
-// keyNotChecked returns the answer to a request of which this node can't know whether the
-// newest configuration allows it.
+// keyNotChecked returns the refusal of a request that the newest configuration may allow, where
+// this node cannot have that configuration.
 func keyNotChecked(cause *Error) *Error {
 	e := refuse(CodeKeyUnsure, http.StatusServiceUnavailable)
 	e.retryAfter = keyRetryAfter
@@ -75,12 +74,12 @@
 	return e
 }
 
-// keyRetryAfter is when a caller whose key could not be checked may come back. Nodes that
-// lost the platform are back in touch within seconds, and another one may be.
+// keyRetryAfter is the Retry-After of callers whose key could not be checked. Nodes that lost the
+// platform reconnect within seconds, and another node may be connected.
 const keyRetryAfter = time.Second
 
-// awaitCurrent waits until this node can know the newest configuration, for the part of the
-// caller's time that a request of a starting node waits for the first one.
+// awaitCurrent waits until this node can have the newest configuration, for at most startWait of
+// the caller's timeout.
 func (s *Server) awaitCurrent(r *http.Request) bool {
 	if s.awaitingConfig.Add(1) > maxAwaitingConfig {
 		s.awaitingConfig.Add(-1)
@@ -92,7 +91,7 @@
 	return s.cfg.AwaitCurrent(ctx)
 }
 
-// checkLimit takes a request into account of its workspace's limit.
+// checkLimit charges a request to its workspace's limit.
 func (s *Server) checkLimit(ctx context.Context, a *admission) *Error {
 	if a.owner == nil {
 		return nil
@@ -106,20 +105,19 @@
 	return nil
 }
 
-// LimitError says why a request is beyond the limit of its workspace.
+// LimitError reports that a request exceeds the limit of its workspace.
 type LimitError struct {
-	// Wait is when the caller may come back.
+	// Wait is when the caller may retry.
 	Wait time.Duration
-	// By says who decided.
+	// By names who decided.
 	By string
-	// Rate is the limit in requests a second. Level are the tokens that were left for all
-	// nodes and Kept the part of the rate that is kept back for nodes out of reach, by what
-	// the allocator said Age ago.
+	// Rate is the limit in requests per second. Level are the tokens left for all nodes and Kept
+	// the share of the rate withheld for unreachable nodes, as the allocator reported Age ago.
 	Rate  float64
 	Level float64
 	Kept  float64
 	Age   time.Duration
 }
 
-// Error says who decided.
-func (e *LimitError) Error() string { return "entry: beyond the limit, by " + e.By }
+// Error names who decided.
+func (e *LimitError) Error() string { return "entry: limit exceeded, decided by " + e.By }
