--- a/internal/forward/answer.go
+++ b/internal/forward/answer.go
@@ -14,9 +14,8 @@
 	"ploverjunction.example/ploverjunction/internal/contract"
 )
 
-// Answer is the answer of a target. Its headers are known; its body is held
-// whole if it is small, else it is read as it comes. It isn't safe for
-// concurrent use.
+// Answer is the answer of a target. A small body is held whole in memory; a larger one is
+// streamed. It is not safe for concurrent use.
 type Answer struct {
 	target   string
 	response *http.Response
@@ -32,7 +31,7 @@
 // Status returns the status code.
 func (a *Answer) Status() int { return a.response.StatusCode }
 
-// Header returns the header, with its hop-by-hop fields. It must not be changed.
+// Header returns the header, including hop-by-hop fields. It must not be changed.
 func (a *Answer) Header() http.Header { return a.response.Header }
 
 // Length returns the length of the body in bytes, or -1 if it is not known yet.
@@ -49,11 +48,11 @@
 // Whole reports whether the body was read to its verified end.
 func (a *Answer) Whole() bool { return a.whole }
 
-// Leaving reports whether the target said that it is leaving.
+// Leaving reports whether the target signalled that it is draining.
 func (a *Answer) Leaving() bool { return a.draining }
 
-// Close ends the answer. If the body was not read to its end the connection is
-// closed and never reused.
+// Close releases the answer. If the body was not read to its end, the connection is closed and
+// never reused.
 func (a *Answer) Close() {
 	a.watch.stop()
 	a.cancel()
@@ -70,9 +69,8 @@
 	}
 }
 
-// check looks at the headers of the answer. A body without length whose end is
-// the end of its connection is whole if the connection ends without an error
-// (RFC 9112, section 8).
+// check checks the header of the answer. A body without length, which ends with its connection, is
+// complete if the connection ends without an error (RFC 9112, section 8).
 func (a *Answer) check(id string) error {
 	h := a.response.Header
 	echo := h.Get(a.contract.RequestID)
@@ -97,7 +95,7 @@
 	return a.Status() >= http.StatusOK && a.Status() < http.StatusMultipleChoices
 }
 
-// hold reads the body up to hold bytes. An answer that fits is whole after it.
+// hold reads up to limit bytes of the body into memory. An answer that fits is complete then.
 func (a *Answer) hold(hold int64) error {
 	if a.response.ContentLength > hold {
 		return nil
@@ -123,8 +121,8 @@
 	return a.newError(kind, err)
 }
 
-// Read reads the body. It returns io.EOF only after the verified end; a broken,
-// short or stalled body gives an *Error.
+// Read reads the body. It returns io.EOF only after the verified end, and an *Error for a broken,
+// short or stalled body.
 func (a *Answer) Read(p []byte) (int, error) {
 	if len(a.held) > 0 {
 		n := copy(p, a.held)
--- a/internal/forward/client.go
+++ b/internal/forward/client.go
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 // Package forward sends one attempt of a request to one target and checks that
-// the answer is whole and belongs to the request.
+// the answer is complete and belongs to the request.
 package forward
 
 import (
@@ -21,14 +21,14 @@
 
 // Bounds of connections to targets.
 const (
-	// connectTimeout is some ten round trips between regions. A target that is
-	// dark says nothing; another one can be asked while the caller still waits.
+	// connectTimeout is some ten round trips between regions. An unreachable target does not
+	// answer; another one can be tried while the caller still waits.
 	connectTimeout = 300 * time.Millisecond
-	// idleTimeout is how long a connection to a target may rest. Targets close
-	// theirs after 10 s or more, some without a word.
+	// idleTimeout is how long a connection to a target may be idle. Targets close
+	// theirs after 10 s or more, some without notice.
 	idleTimeout = 6 * time.Second
-	// idleTimeoutNonRepeatable is the same for requests that must not be repeated: what is sent
-	// on a connection that has died unnoticed may have run.
+	// idleTimeoutNonRepeatable is the same for requests that must not be repeated: what is sent on
+	// a connection that the target closed unnoticed may have run.
 	idleTimeoutNonRepeatable = 1500 * time.Millisecond
 	idlePerTarget            = 32
 	bufferSize               = 16 << 10
@@ -46,10 +46,9 @@
 	stall         time.Duration
 }
 
-// NewClient returns a client that holds answers up to hold bytes whole before
-// it gives them out; 0 streams all answers. The body of an answer that stops for
-// stall counts as broken. Connections come from the IP number outgoing, or from
-// any if it is the zero value.
+// NewClient returns a client that reads answers of at most hold bytes whole before it returns
+// them; 0 streams all answers. A body without progress for stall counts as broken. Connections use
+// the local address outgoing, or any if it is the zero value.
 func NewClient(c *contract.Contract, hold int64, stall time.Duration, outgoing netip.Addr) *Client {
 	dialer := &net.Dialer{
 		Timeout: connectTimeout,
@@ -84,7 +83,7 @@
 	}
 }
 
-// Close drops all idle connections.
+// Close closes all idle connections.
 func (c *Client) Close() {
 	c.transport.CloseIdleConnections()
 	c.nonRepeatable.CloseIdleConnections()
@@ -100,8 +99,8 @@
 	}, nil
 }
 
-// Request is what an attempt sends. The header must hold no hop-by-hop fields; it
-// belongs to the attempt, which adds to it.
+// Request is what an attempt sends. The header must have no hop-by-hop fields; it belongs to the
+// attempt, which adds to it.
 type Request struct {
 	ID     string
 	Target string
@@ -116,19 +115,19 @@
 	Body       io.Reader
 	Length     int64
 	Deadline   time.Time
-	// Observe takes what the target says of itself in its answer, however the attempt ends,
-	// and why it can't be read. nil takes nothing.
+	// Observe is called with the target's signal in its answer, however the attempt ends, and the
+	// error of a signal that cannot be read. It may be nil.
 	Observe func(n signal.Signal, err error)
-	// Barred reports whether the target has said that it wants no request now. It is asked
-	// last before the first byte is sent. nil means that it never has.
+	// Barred reports whether the target is unavailable. The last call is made
+	// immediately before the first byte is sent. nil means never.
 	Barred func(now time.Time) bool
 }
 
-// Do makes one attempt. It returns the answer, whose Close must be called, or an
-// *Error. ctx is the caller's: its end cancels the attempt and the answer.
+// Do makes one attempt. It returns the answer, whose Close must be called, or an *Error. ctx is
+// the caller's: its end cancels the attempt and the answer.
 func (c *Client) Do(ctx context.Context, r *Request) (*Answer, error) {
 	if r.Barred != nil && r.Barred(time.Now()) {
-		// The claim would end the connection, which is of use once the target's rest is over.
+		// The claim would close the connection, which is of use once the target's backoff is over.
 		return nil, &Error{
 			kind:    KindBarred,
 			target:  r.Target,
@@ -166,8 +165,8 @@
 	return a, nil
 }
 
-// observe passes on what the answer of a target says of it. An answer of another process at
-// its address says nothing of it; one to another request does.
+// observe passes on the signal in a target's answer. The answer of another process at its address
+// carries no signal of it; an answer to another request does.
 func (c *Client) observe(r *Request, res *http.Response) {
 	if r.Observe == nil || c.contract.Refused(res.StatusCode, res.Header) == contract.RefusalOtherTarget {
 		return
@@ -175,7 +174,7 @@
 	r.Observe(SignalOf(c.contract, res))
 }
 
-// SignalOf returns what an answer says of its target, and why a part of it can't be read.
+// SignalOf returns the signal in a target's answer, and the error of a part that cannot be read.
 func SignalOf(c *contract.Contract, res *http.Response) (signal.Signal, error) {
 	backoff, backoffErr := c.Backoff(res.StatusCode, res.Header)
 	rate, named, limitErr := c.Limit(res.Header)
@@ -202,7 +201,7 @@
 	if err != nil {
 		return nil, err
 	}
-	// A GetBody would allow net/http to send the request again by itself.
+	// With GetBody net/http could send the request again by itself.
 	req.GetBody = nil
 	req.ContentLength = r.Length
 	if r.Length == 0 {
@@ -227,8 +226,8 @@
 	return c.transport.RoundTrip(req)
 }
 
-// roundTripError says what a failed round trip proves. Sealing comes first: after it no
-// byte of the request can be written any more.
+// roundTripError returns what a failed round trip proves. The claim is sealed first: after that no
+// byte of the request can be written.
 func roundTripError(ctx context.Context, target string, cl *claim, watch *watchdog, err error) *Error {
 	e := &Error{
 		target:  target,
--- a/internal/forward/error.go
+++ b/internal/forward/error.go
@@ -8,7 +8,7 @@
 	"ploverjunction.example/ploverjunction/internal/attempt"
 )
 
-// Kind says how an attempt failed.
+// Kind names how an attempt failed.
 type Kind string
 
 // Kinds of failed attempts.
@@ -25,14 +25,13 @@
 	KindReset Kind = "connection broken"
 	// KindShed means that the target refused the request before running it.
 	KindShed Kind = "refused by the target"
-	// KindBarred means that the target had said that it wants no request now, so that
-	// nothing was sent.
+	// KindBarred means that the target was unavailable, so that nothing was sent.
 	KindBarred Kind = "target wants no request now"
 	// KindForeign means that the answer belongs to another request.
 	KindForeign Kind = "answer to another request"
 	// KindOther means that another process has the target's address.
 	KindOther Kind = "another target at the address"
-	// KindStall means that the answer's body stopped coming.
+	// KindStall means that the answer's body made no progress.
 	KindStall Kind = "answer stalled"
 	// KindCaller means that the caller is gone or its body broke.
 	KindCaller Kind = "caller gone"
@@ -56,20 +55,20 @@
 	return s
 }
 
-// Unwrap returns the error beneath, or nil.
+// Unwrap returns the cause, or nil.
 func (e *Error) Unwrap() error { return e.cause }
 
 // Kind returns how the attempt failed.
 func (e *Error) Kind() Kind { return e.kind }
 
-// Outcome returns what is known about the request's run.
+// Outcome returns what is known about whether the request ran.
 func (e *Error) Outcome() attempt.Outcome { return e.outcome }
 
-// Leaving reports whether the target said that it is leaving.
+// Leaving reports whether the target signalled that it is draining.
 func (e *Error) Leaving() bool { return e.draining }
 
-// Against reports whether the failure speaks against the target. Shedding is
-// health; a late start or a caller that left is not the target's doing.
+// Against reports whether the failure counts against the target. Load shedding is healthy; a late
+// start or a caller that is gone is not the target's fault.
 func (e *Error) Against() bool {
 	switch e.kind {
 	case KindShed, KindOther, KindLate, KindSealed, KindCaller, KindBarred:
--- a/internal/forward/export_test.go
+++ b/internal/forward/export_test.go
@@ -8,14 +8,13 @@
 	"time"
 )
 
-// SetDial replaces how a client opens connections.
+// SetDial replaces the client's dial function.
 func (c *Client) SetDial(dial func(ctx context.Context, network, address string) (net.Conn, error)) {
 	c.dial = dial
 }
 
-// NewGuard returns a connection that writes for an attempt with a time limit to a
-// target that may be barred, and a function that ends the attempt and reports whether
-// anything was written.
+// NewGuard returns a connection that writes for an attempt with a deadline to a target that may be
+// unavailable, and a function that ends the attempt and reports whether anything was written.
 func NewGuard(conn net.Conn, deadline time.Time, unavailable func(now time.Time) bool) (guarded net.Conn, seal func() bool) {
 	g := &guard{
 		Conn: conn,
--- a/internal/forward/guard.go
+++ b/internal/forward/guard.go
@@ -9,12 +9,12 @@
 	"time"
 )
 
-// claim is the right of one attempt to write to a target. It knows whether any
-// byte was handed to the kernel, which is what "not run" rests on.
+// claim is the right of one attempt to write to a target. It records whether any byte was passed
+// to the kernel, on which the outcome "not run" is based.
 type claim struct {
 	mu       sync.Mutex
 	deadline time.Time
-	// unavailable reports whether the target wants no request now; nil means it does.
+	// unavailable reports whether the target is unavailable now; nil means never.
 	unavailable func(now time.Time) bool
 	connections int
 	written     bool
@@ -28,10 +28,10 @@
 	}
 }
 
-// bind is called when the attempt gets a connection. net/http silently sends a
-// request again on another connection when it deems that safe (it does for any
-// request with an Idempotency-Key header); only this package may decide that,
-// so a claim that has written anything ends with its first connection.
+// bind is called when the attempt gets a connection. net/http silently resends a request on
+// another connection when it deems that safe (it does for any request with an Idempotency-Key
+// header). Only this package may decide that, so a claim that has written anything is valid for
+// its first connection only.
 func (c *claim) bind() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -41,9 +41,10 @@
 	}
 }
 
-// allowWrite is called immediately before bytes go to the kernel. The deadline is checked there and not
-// earlier, as the process may have been frozen since the target was chosen. So are the target's
-// signals: one may have arrived since, and the node that chose the target may not know it.
+// allowWrite is called immediately before bytes are passed to the kernel. The deadline is checked
+// there and not earlier, as the process may have been frozen since the target was chosen. So are
+// the target's signals: one may have arrived since, which the node that chose the target may not
+// have received.
 func (c *claim) allowWrite(now time.Time) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -68,8 +69,8 @@
 	return nil
 }
 
-// seal ends the claim and reports whether any byte was written. After it no
-// byte can follow, so that the report stays true.
+// seal ends the claim and reports whether any byte was written. No byte can be written after it,
+// so the report stays true.
 func (c *claim) seal() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -83,7 +84,7 @@
 	claim atomic.Pointer[claim]
 }
 
-// Write hands b to the kernel if the claim in force allows it.
+// Write writes b to the connection if the current claim allows it.
 func (g *guard) Write(b []byte) (int, error) {
 	c := g.claim.Load()
 	if c == nil {
--- a/internal/forward/watchdog.go
+++ b/internal/forward/watchdog.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// watchdog cancels an attempt when nothing happens for too long.
+// watchdog cancels an attempt that makes no progress in time.
 type watchdog struct {
 	timer   *time.Timer
 	expired atomic.Bool
@@ -23,10 +23,10 @@
 	return w
 }
 
-// reset gives the attempt another stretch of time.
+// reset restarts the timer.
 func (w *watchdog) reset(after time.Duration) { w.timer.Reset(after) }
 
 func (w *watchdog) stop() { w.timer.Stop() }
 
-// fired reports whether the time ran out.
+// fired reports whether the timer expired.
 func (w *watchdog) fired() bool { return w.expired.Load() }
