--- a/internal/link/datagram.go
+++ b/internal/link/datagram.go
@@ -17,10 +17,10 @@
 
 // Sizes of datagrams.
 const (
-	// maxDatagram is the greatest datagram in bytes; with the headers below it,
-	// it fits into one Ethernet frame.
+	// maxDatagram is the largest datagram in bytes; with the headers below it, it fits into one
+	// Ethernet frame.
 	maxDatagram = 1400
-	// tagSize is how much of the keyed hash is sent.
+	// tagSize is the number of bytes of the HMAC that are sent.
 	tagSize = 16
 )
 
@@ -31,8 +31,8 @@
 	KindLarge    Kind = "datagram too large"
 )
 
-// Socket sends and receives datagrams on the IP number and port of the listener
-// for peers. Send may be called concurrently.
+// Socket sends and receives datagrams on the address of the listener for peers. Send may be called
+// concurrently.
 type Socket struct {
 	conn    *net.UDPConn
 	secret  []byte
@@ -40,8 +40,9 @@
 	refused func(error)
 }
 
-// OpenSocket opens the socket. Datagrams carry a hash with the key secret, if it
-// isn't empty, and those without it are refused; refused gets each one.
+// OpenSocket opens the socket. Unless secret is empty, datagrams carry an HMAC with this key, and
+// those without a valid one are refused. refused is called with the error of each refused
+// datagram.
 func OpenSocket(address netip.AddrPort, secret string, traffic *Traffic, refused func(error)) (*Socket, error) {
 	conn, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(address))
 	if err != nil {
@@ -65,7 +66,7 @@
 	return h.Sum(nil)[:tagSize]
 }
 
-// Send sends one datagram. That it was sent doesn't mean that it arrives.
+// Send sends one datagram. Delivery is not guaranteed.
 func (s *Socket) Send(peer string, d *wire.Datagram) error {
 	fault := func(kind Kind, cause error) error {
 		return &Error{
@@ -96,7 +97,7 @@
 	return nil
 }
 
-// Serve hands each datagram to handle, one after another, until the context ends.
+// Serve passes each datagram to handle, one after another, until the context ends.
 func (s *Socket) Serve(ctx context.Context, handle func(*wire.Datagram)) error {
 	stop := context.AfterFunc(ctx, func() { _ = s.conn.Close() })
 	defer stop()
@@ -149,5 +150,5 @@
 	return d, nil
 }
 
-// Close closes the socket; Serve ends with an error unless its context ended.
+// Close closes the socket; Serve then returns an error unless its context has ended.
 func (s *Socket) Close() error { return s.conn.Close() }
--- a/internal/link/dialer.go
+++ b/internal/link/dialer.go
@@ -16,12 +16,12 @@
 	"ploverjunction.example/ploverjunction/internal/wire"
 )
 
-// maxIdle is how many connections without a call a Dialer keeps. Each holds buffers as large as
-// its greatest message, at both ends.
+// maxIdle bounds the connections without a call that a Dialer keeps. Each holds buffers as large
+// as its largest message, at both ends.
 const maxIdle = 16
 
-// Dialer keeps a connection to each of the peers that were talked to last. It may be used
-// concurrently; calls to one peer follow one another.
+// Dialer keeps connections to the most recently called peers. It may be used concurrently; calls
+// to one peer run one at a time.
 type Dialer struct {
 	keys    *Keys
 	traffic *Traffic
@@ -33,7 +33,7 @@
 	mu       sync.Mutex
 	conn     *drpcconn.Conn
 	lastUsed atomic.Int64
-	// dropped is set once the dialer has forgotten the connection.
+	// dropped is set once the dialer has removed the connection.
 	dropped bool
 }
 
@@ -88,7 +88,7 @@
 	return out, nil
 }
 
-// lock returns the connection to a peer for one call; its mu is held.
+// lock returns the connection to a peer for one call, with its mu locked.
 func (d *Dialer) lock(address string) *peerConn {
 	for {
 		d.mu.Lock()
@@ -106,7 +106,7 @@
 	}
 }
 
-// trim closes the connections that were not used for the longest time, beyond mostIdle.
+// trim closes the least recently used connections beyond maxIdle.
 func (d *Dialer) trim() {
 	d.mu.Lock()
 	over := len(d.peers) - maxIdle
@@ -155,7 +155,7 @@
 	return nil
 }
 
-// CloseIdle closes the connections that weren't used for a while before now.
+// CloseIdle closes the connections that have been idle for longer than idleClose at now.
 func (d *Dialer) CloseIdle(now time.Time) {
 	d.closeMatching(func(p *peerConn) bool {
 		return now.UnixNano()-p.lastUsed.Load() > int64(idleClose)
@@ -171,7 +171,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for address, p := range d.peers {
-		// A peer whose call is under way is in use.
+		// A peer with a call in progress is in use.
 		if !match(p) || !p.mu.TryLock() {
 			continue
 		}
--- a/internal/link/export_test.go
+++ b/internal/link/export_test.go
@@ -2,10 +2,10 @@
 
 package link
 
-// MostIdle is how many connections without a call a Dialer keeps.
+// MostIdle is the number of connections without a call that a Dialer keeps.
 const MostIdle = maxIdle
 
-// Connections returns how many connections are kept.
+// Connections returns the number of connections that are kept.
 func (d *Dialer) Connections() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/link/keys.go
+++ b/internal/link/keys.go
@@ -8,13 +8,14 @@
 	"os"
 )
 
-// Keys are the keys that the fleet's processes share trust by.
+// Keys are the TLS certificate and authority with which the fleet's processes authenticate each
+// other.
 type Keys struct {
 	config *tls.Config
 }
 
-// LoadKeys reads the certificate and key of this process and the authority that
-// all processes of the fleet are signed by.
+// LoadKeys reads the certificate and key of this process and the authority that signs the
+// certificates of all processes of the fleet.
 func LoadKeys(cert, key, authority string) (*Keys, error) {
 	pair, err := tls.LoadX509KeyPair(cert, key)
 	if err != nil {
--- a/internal/link/link.go
+++ b/internal/link/link.go
@@ -1,8 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 // Package link carries messages between the processes of the fleet over drpc.
-// Peers are believed only if they hold a certificate of the fleet's authority,
-// where the settings give one.
+// If the settings give a certificate authority, peers must hold a certificate of it.
 package link
 
 import (
@@ -28,7 +27,7 @@
 	idleClose = 30 * time.Second
 )
 
-// Kind says what failed on a link.
+// Kind names what failed on a link.
 type Kind string
 
 // Kinds of failures.
@@ -49,7 +48,7 @@
 // Error names the peer and the failure.
 func (e *Error) Error() string { return fmt.Sprintf("link: %s: %s: %v", e.peer, e.kind, e.cause) }
 
-// Unwrap returns the error beneath.
+// Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.cause }
 
 // Kind returns what failed.
@@ -111,8 +110,8 @@
 	server   *drpcserver.Server
 }
 
-// Listen opens the listener for peers. keys may be nil: then anyone who reaches
-// the address is believed. refused gets connections that ended in error.
+// Listen opens the listener for peers. If keys is nil, anyone who reaches the address is trusted.
+// refused is called with the errors of connections.
 func Listen(address string, keys *Keys, traffic *Traffic, handler wire.DRPCPeerServer, refused func(error)) (*Server, error) {
 	lis, err := net.Listen("tcp", address)
 	if err != nil {
@@ -131,7 +130,7 @@
 	}
 	mux := drpcmux.New()
 	if err := wire.DRPCRegisterPeer(mux, handler); err != nil {
-		panic("link: the generated service registers: " + err.Error())
+		panic("link: register peer service: " + err.Error())
 	}
 	return &Server{
 		listener: lis,
