--- a/internal/entry/ended.go
+++ b/internal/entry/ended.go
@@ -72,7 +72,7 @@
 	x.server.log.WithField("request", x.id).
 		WithField("fingerprint", x.fingerprints.Content().String()).
 		WithField("fingerprint_of_caller", x.fingerprints.Caller().String()).
-		WithField("caller", callerOf(x.req, x.in)).
+		WithField("caller", callerOf(x.req, x.admission)).
 		WithField("target", t.choice.Key).
 		WithField("ran_ms", time.Since(t.chosen).Milliseconds()).
 		WithField("ends", s.Crashes).
--- a/internal/entry/fail.go
+++ b/internal/entry/fail.go
@@ -63,7 +63,7 @@
 // replaceable reports whether another target may give a repeatable request a better answer.
 func (x *relay) replaceable(a *forward.Answer) bool {
 	_, again := x.body.reader()
-	return x.in.route.Repeatable() && retryableStatus(a.Status()) && again
+	return x.admission.route.Repeatable() && retryableStatus(a.Status()) && again
 }
 
 // retryableStatus reports whether another target may answer without this failure.
--- a/internal/entry/hedge.go
+++ b/internal/entry/hedge.go
@@ -19,7 +19,7 @@
 // hedgeAfter returns the time after which a second target is requested: when the request takes
 // unusually long, or when a second one could just be in time.
 func (x *relay) hedgeAfter() time.Duration {
-	r := x.in.route
+	r := x.admission.route
 	if !x.hedgeable() {
 		return time.Until(x.tracker.Deadline()) + time.Hour
 	}
@@ -33,7 +33,7 @@
 // hedgeable reports whether the request may be sent to a second target while the first works on
 // it. A request under which a target crashed is not, as it could crash two more.
 func (x *relay) hedgeable() bool {
-	r := x.in.route
+	r := x.admission.route
 	return r.Repeatable() && x.body.stream == nil && r.MaxAttempts() != 1 && !x.suspect.Load()
 }
 
--- a/internal/entry/log.go
+++ b/internal/entry/log.go
@@ -61,16 +61,16 @@
 func (x *relay) logEnd(status int, outcome attempt.Outcome, fail *Error) {
 	l := x.server.log.WithFields(logrus.Fields{
 		"request":  x.id,
-		"route":    x.in.route.Name(),
-		"revision": x.in.config.Position().Revision(),
+		"route":    x.admission.route.Name(),
+		"revision": x.admission.config.Position().Revision(),
 		"service":  x.service.Name(),
 		"status":   status,
 		"outcome":  outcome.String(),
 		"attempts": x.launched,
 		"took_ms":  time.Since(x.started).Milliseconds(),
 	})
-	if x.in.workspace != "" {
-		l = l.WithField("workspace", x.in.workspace)
+	if x.admission.workspace != "" {
+		l = l.WithField("workspace", x.admission.workspace)
 	}
 	if x.winner != nil {
 		l = l.WithFields(logrus.Fields{
@@ -83,7 +83,7 @@
 		})
 	}
 	if fail != nil {
-		l = l.WithField("fingerprint", x.fingerprints.Content().String()).WithField("caller", callerOf(x.req, x.in))
+		l = l.WithField("fingerprint", x.fingerprints.Content().String()).WithField("caller", callerOf(x.req, x.admission))
 		l.WithError(fail).Warn("request failed")
 		return
 	}
--- a/internal/entry/relay.go
+++ b/internal/entry/relay.go
@@ -24,14 +24,14 @@
 // relay carries one request from its admission to a target's answer. It belongs to the goroutine
 // of the request, except in try.run.
 type relay struct {
-	server  *Server
-	id      string
-	req     *http.Request
-	in      *admission
-	service *fleetconfig.Service
-	started time.Time
-	body    *body
-	tracker *attempt.Tracker
+	server    *Server
+	id        string
+	req       *http.Request
+	admission *admission
+	service   *fleetconfig.Service
+	started   time.Time
+	body      *body
+	tracker   *attempt.Tracker
 	// tried are the keys of the targets that were tried. It is written by the attempts, under mu.
 	mu     sync.Mutex
 	tried  []string
@@ -230,16 +230,16 @@
 	}
 	return x.tracker.Allow(time.Now(),
 		func() bool {
-			if maxAttempts := x.in.route.MaxAttempts(); maxAttempts > 0 && x.tracker.PossibleRuns() >= maxAttempts {
+			if maxAttempts := x.admission.route.MaxAttempts(); maxAttempts > 0 && x.tracker.PossibleRuns() >= maxAttempts {
 				return false
 			}
 			return x.service.Policy().Retry(policy.Attempt{
 				Attempt:    x.tracker.Attempts(),
 				Outcome:    x.tracker.Outcome().String(),
-				Repeatable: x.in.route.Repeatable(),
+				Repeatable: x.admission.route.Repeatable(),
 				Method:     x.req.Method,
-				Route:      x.in.route.Name(),
-				Class:      x.in.route.Class(),
+				Route:      x.admission.route.Name(),
+				Class:      x.admission.route.Class(),
 			})
 		},
 		func() bool { return x.server.cfg.Retry(x.service.Name()) },
@@ -247,7 +247,7 @@
 }
 
 func (x *relay) begin(target string) *outlier.Attempt {
-	return x.server.cfg.Collector.Begin(time.Now(), x.service.Name(), x.in.route.Class(), target)
+	return x.server.cfg.Collector.Begin(time.Now(), x.service.Name(), x.admission.route.Class(), target)
 }
 
 func (x *relay) request(c Choice, reader io.Reader) *forward.Request {
@@ -255,7 +255,7 @@
 		ID:         x.id,
 		Target:     c.Address,
 		Expect:     c.ID,
-		Repeatable: x.in.route.Repeatable(),
+		Repeatable: x.admission.route.Repeatable(),
 		Method:     x.req.Method,
 		Host:       x.req.Host,
 		URI:        x.req.URL.RequestURI(),
--- a/internal/entry/resume.go
+++ b/internal/entry/resume.go
@@ -18,7 +18,7 @@
 func (x *relay) resumable(a *forward.Answer) bool {
 	h := a.Header()
 	etag := h.Get("Etag")
-	return x.in.route.Repeatable() &&
+	return x.admission.route.Repeatable() &&
 		x.req.Method == http.MethodGet &&
 		x.req.Header.Get("Range") == "" &&
 		a.Status() == http.StatusOK &&
@@ -30,7 +30,7 @@
 // resume requests the bytes of the answer from offset on. It returns nil if no target continues
 // the same representation.
 func (x *relay) resume(etag string, offset, total int64) (*forward.Answer, func()) {
-	x.tracker.SetDeadline(time.Now().Add(x.in.timeout))
+	x.tracker.SetDeadline(time.Now().Add(x.admission.timeout))
 	x.header.Set("Range", fmt.Sprintf("bytes=%d-", offset))
 	x.header.Set("If-Range", etag)
 	r := x.attemptOnce()
--- a/internal/entry/server.go
+++ b/internal/entry/server.go
@@ -278,7 +278,7 @@
 		server:       s,
 		id:           id,
 		req:          r,
-		in:           in,
+		admission:    in,
 		service:      in.route.ChooseService(rand.Uint64()),
 		started:      started,
 		body:         b,
--- a/internal/entry/try.go
+++ b/internal/entry/try.go
@@ -79,19 +79,19 @@
 
 // choose chooses a target for an attempt and records it as tried.
 func (x *relay) choose(ctx context.Context, t *try) (Choice, error) {
-	r := x.in.route
+	r := x.admission.route
 	q := &Query{
 		Service:    x.service,
 		Repeatable: r.Repeatable(),
 		Kilobytes:  x.server.sizes.expected(r) + int(x.body.length>>10),
-		Priority:   x.in.rank,
+		Priority:   x.admission.rank,
 		Route:      r.Name(),
 		Aim:        x.softDeadline(),
 		Deadline:   x.tracker.Deadline(),
 		Again:      t.retry,
 		Hedge:      t.hedge,
 		Age:        t.age,
-		Regions:    x.in.regions(),
+		Regions:    x.admission.regions(),
 	}
 	x.mu.Lock()
 	q.Tried = slices.Clone(x.tried)
@@ -109,7 +109,7 @@
 
 // softDeadline returns the soft deadline, after which an answer is worth less.
 func (x *relay) softDeadline() time.Time {
-	if d := x.in.route.TargetLatency(); d > 0 {
+	if d := x.admission.route.TargetLatency(); d > 0 {
 		return x.started.Add(d)
 	}
 	return x.tracker.Deadline()
@@ -118,7 +118,7 @@
 // recordSize records the size of an answer of the route.
 func (x *relay) recordSize(a *forward.Answer) {
 	if a.Length() >= 0 {
-		x.server.sizes.add(x.in.route, a.Length())
+		x.server.sizes.add(x.admission.route, a.Length())
 	}
 }
 
