--- a/internal/entry/signal_test.go
+++ b/internal/entry/signal_test.go
@@ -26,7 +26,7 @@
 	arrived atomic.Int64
 }
 
-func newSaid(t *testing.T, key string, serve http.HandlerFunc) *signalTarget {
+func newSignalTarget(t *testing.T, key string, serve http.HandlerFunc) *signalTarget {
 	t.Helper()
 	s := &signalTarget{}
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -91,7 +91,7 @@
 // the next target gets the request as if it were the first: no repeat is paid for.
 func TestGrantUnderWayIsNotSent(t *testing.T) {
 	ledger := &signal.Ledger{}
-	left, other := newSaid(t, "left", well), newSaid(t, "other", well)
+	left, other := newSignalTarget(t, "left", well), newSignalTarget(t, "other", well)
 	c := &choices{
 		list: []*signalTarget{left, other},
 		before: func(n int) {
@@ -115,7 +115,7 @@
 // A target that all choices name in vain costs the request no more than its tries.
 func TestTargetThatIsChosenInVain(t *testing.T) {
 	ledger := &signal.Ledger{}
-	left := newSaid(t, "left", well)
+	left := newSignalTarget(t, "left", well)
 	leaves(ledger, left)
 	c := &choices{
 		list:   []*signalTarget{left},
@@ -133,8 +133,8 @@
 // The second attempt beside a slow one goes past a target that leaves.
 func TestHedgeIsNotSent(t *testing.T) {
 	ledger := &signal.Ledger{}
-	slow := newSaid(t, "slow", func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() })
-	left, other := newSaid(t, "left", well), newSaid(t, "other", well)
+	slow := newSignalTarget(t, "slow", func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() })
+	left, other := newSignalTarget(t, "left", well), newSignalTarget(t, "other", well)
 	slow.choice.HedgeAfter = time.Millisecond
 	leaves(ledger, left)
 	c := &choices{
@@ -159,14 +159,14 @@
 		http.ServeContent(w, r, "", time.Time{}, bytes.NewReader(content))
 	}
 	ledger := &signal.Ledger{}
-	cut := newSaid(t, "cut", func(w http.ResponseWriter, _ *http.Request) {
+	cut := newSignalTarget(t, "cut", func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Etag", `"v1"`)
 		w.Header().Set("Accept-Ranges", "bytes")
 		w.Header().Set("Content-Length", strconv.Itoa(size))
 		_, _ = w.Write(content[:size/2])
 		panic(http.ErrAbortHandler)
 	})
-	left, other := newSaid(t, "left", serve), newSaid(t, "other", serve)
+	left, other := newSignalTarget(t, "left", serve), newSignalTarget(t, "other", serve)
 	c := &choices{
 		list: []*signalTarget{cut, left, other},
 		before: func(n int) {
@@ -198,7 +198,7 @@
 // A copy for a target on trial isn't sent to one that leaves.
 func TestTrialIsNotSent(t *testing.T) {
 	ledger := &signal.Ledger{}
-	left, other := newSaid(t, "left", well), newSaid(t, "other", well)
+	left, other := newSignalTarget(t, "left", well), newSignalTarget(t, "other", well)
 	leaves(ledger, left)
 	done := make(chan outlier.Result, 1)
 	left.choice.Done = func(end outlier.Result, _ time.Duration) { done <- end }
@@ -268,7 +268,7 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			ledger := &signal.Ledger{}
-			target := newSaid(t, "t", func(w http.ResponseWriter, _ *http.Request) {
+			target := newSignalTarget(t, "t", func(w http.ResponseWriter, _ *http.Request) {
 				w.Header().Set("Plover-State", "leaving")
 				for name, value := range tt.header {
 					w.Header().Set(name, value)
