--- a/internal/entry/signal_test.go
+++ b/internal/entry/signal_test.go
@@ -77,7 +77,7 @@
 
 func well(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "answer") }
 
-func leaves(l *signal.Ledger, s *signalTarget) {
+func observeDraining(l *signal.Ledger, s *signalTarget) {
 	l.Observe(time.Now(), s.choice.Incarnation, signal.Signal{
 		Draining: true,
 	})
@@ -96,7 +96,7 @@
 		list: []*signalTarget{left, other},
 		before: func(n int) {
 			if n == 0 {
-				leaves(ledger, left)
+				observeDraining(ledger, left)
 			}
 		},
 	}
@@ -116,7 +116,7 @@
 func TestTargetThatIsChosenInVain(t *testing.T) {
 	ledger := &signal.Ledger{}
 	left := newSignalTarget(t, "left", well)
-	leaves(ledger, left)
+	observeDraining(ledger, left)
 	c := &choices{
 		list:   []*signalTarget{left},
 		before: func(int) {},
@@ -136,7 +136,7 @@
 	slow := newSignalTarget(t, "slow", func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() })
 	left, other := newSignalTarget(t, "left", well), newSignalTarget(t, "other", well)
 	slow.choice.HedgeAfter = time.Millisecond
-	leaves(ledger, left)
+	observeDraining(ledger, left)
 	c := &choices{
 		list:   []*signalTarget{slow, left, other},
 		before: func(int) {},
@@ -171,7 +171,7 @@
 		list: []*signalTarget{cut, left, other},
 		before: func(n int) {
 			if n == 1 {
-				leaves(ledger, left)
+				observeDraining(ledger, left)
 			}
 		},
 	}
@@ -199,7 +199,7 @@
 func TestTrialIsNotSent(t *testing.T) {
 	ledger := &signal.Ledger{}
 	left, other := newSignalTarget(t, "left", well), newSignalTarget(t, "other", well)
-	leaves(ledger, left)
+	observeDraining(ledger, left)
 	done := make(chan outlier.Result, 1)
 	left.choice.Done = func(end outlier.Result, _ time.Duration) { done <- end }
 	c := &choices{
