--- a/internal/entry/closed_test.go
+++ b/internal/entry/closed_test.go
@@ -13,7 +13,7 @@
 
 // Guards against requests that were granted before an evacuation and are sent after it.
 func TestGrantInAnEvacuatedDataHallIsNotSent(t *testing.T) {
-	evacuated, other := newSignalTarget(t, "evacuated", well), newSignalTarget(t, "other", well)
+	evacuated, other := newSignalTarget(t, "evacuated", serveOK), newSignalTarget(t, "other", serveOK)
 	evacuated.choice.DataHall, other.choice.DataHall = "a", "b"
 	c := &choices{
 		list: []*signalTarget{evacuated, other},
@@ -44,7 +44,7 @@
 // Guards against a choice that doesn't know where a request may be served.
 func TestQueryHoldsTheRegionsOfRouteAndWorkspace(t *testing.T) {
 	c := &choices{
-		list:   []*signalTarget{newSignalTarget(t, "target", well)},
+		list:   []*signalTarget{newSignalTarget(t, "target", serveOK)},
 		before: func(int) {},
 	}
 	s := newSite(t, func(cfg *entry.Config) { cfg.Choose = c.choose })
--- a/internal/entry/memory_test.go
+++ b/internal/entry/memory_test.go
@@ -16,7 +16,7 @@
 func TestSlowUploadsHoldNoMoreThanTheirPart(t *testing.T) {
 	const uploads, size = 200, 16 << 10
 	c := &choices{
-		list:   []*signalTarget{newSignalTarget(t, "target", well)},
+		list:   []*signalTarget{newSignalTarget(t, "target", serveOK)},
 		before: func(int) {},
 	}
 	s := newSite(t, func(cfg *entry.Config) {
--- a/internal/entry/signal_test.go
+++ b/internal/entry/signal_test.go
@@ -75,7 +75,7 @@
 	})
 }
 
-func well(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "answer") }
+func serveOK(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "answer") }
 
 func observeDraining(l *signal.Ledger, s *signalTarget) {
 	l.Observe(time.Now(), s.choice.Incarnation, signal.Signal{
@@ -91,7 +91,7 @@
 // the next target gets the request as if it were the first: no repeat is paid for.
 func TestGrantUnderWayIsNotSent(t *testing.T) {
 	ledger := &signal.Ledger{}
-	left, other := newSignalTarget(t, "left", well), newSignalTarget(t, "other", well)
+	left, other := newSignalTarget(t, "left", serveOK), newSignalTarget(t, "other", serveOK)
 	c := &choices{
 		list: []*signalTarget{left, other},
 		before: func(n int) {
@@ -115,7 +115,7 @@
 // A target that all choices name in vain costs the request no more than its tries.
 func TestTargetThatIsChosenInVain(t *testing.T) {
 	ledger := &signal.Ledger{}
-	left := newSignalTarget(t, "left", well)
+	left := newSignalTarget(t, "left", serveOK)
 	observeDraining(ledger, left)
 	c := &choices{
 		list:   []*signalTarget{left},
@@ -134,7 +134,7 @@
 func TestHedgeIsNotSent(t *testing.T) {
 	ledger := &signal.Ledger{}
 	slow := newSignalTarget(t, "slow", func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() })
-	left, other := newSignalTarget(t, "left", well), newSignalTarget(t, "other", well)
+	left, other := newSignalTarget(t, "left", serveOK), newSignalTarget(t, "other", serveOK)
 	slow.choice.HedgeAfter = time.Millisecond
 	observeDraining(ledger, left)
 	c := &choices{
@@ -198,7 +198,7 @@
 // A copy for a target on trial isn't sent to one that leaves.
 func TestTrialIsNotSent(t *testing.T) {
 	ledger := &signal.Ledger{}
-	left, other := newSignalTarget(t, "left", well), newSignalTarget(t, "other", well)
+	left, other := newSignalTarget(t, "left", serveOK), newSignalTarget(t, "other", serveOK)
 	observeDraining(ledger, left)
 	done := make(chan outlier.Result, 1)
 	left.choice.Done = func(end outlier.Result, _ time.Duration) { done <- end }
