--- a/internal/entry/signal_test.go
+++ b/internal/entry/signal_test.go
@@ -67,7 +67,7 @@
 }
 
 // signalSite returns a site that keeps signals in a ledger and takes its targets from choices.
-func signalSite(t *testing.T, ledger *signal.Ledger, c *choices) *site {
+func signalSite(t *testing.T, ledger *signal.Ledger, c *choices) *testSite {
 	t.Helper()
 	return newSite(t, func(cfg *entry.Config) {
 		cfg.Signals = ledger
--- a/internal/entry/workspace_test.go
+++ b/internal/entry/workspace_test.go
@@ -86,8 +86,8 @@
 	return c
 }
 
-// site is a server in front of one target that keeps the requests it gets.
-type site struct {
+// testSite is a server in front of one target that keeps the requests it gets.
+type testSite struct {
 	server  *entry.Server
 	url     string
 	config  atomic.Pointer[fleetconfig.Config]
@@ -111,7 +111,7 @@
 	none   bool
 }
 
-func (s *site) limit(_ context.Context, w *fleetconfig.Workspace, _ time.Duration) *entry.LimitError {
+func (s *testSite) limit(_ context.Context, w *fleetconfig.Workspace, _ time.Duration) *entry.LimitError {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.full {
@@ -124,13 +124,13 @@
 	return nil
 }
 
-func (s *site) giveBack(w *fleetconfig.Workspace) {
+func (s *testSite) giveBack(w *fleetconfig.Workspace) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.tokens[w.ID()]--
 }
 
-func (s *site) took(r *http.Request) {
+func (s *testSite) took(r *http.Request) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.seen = append(s.seen, r.Clone(context.Background()))
@@ -138,7 +138,7 @@
 }
 
 // last returns the newest request that reached the target, and how many did.
-func (s *site) last() (*http.Request, int) {
+func (s *testSite) last() (*http.Request, int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if len(s.seen) == 0 {
@@ -148,22 +148,22 @@
 }
 
 // Write takes what the server logs.
-func (s *site) Write(p []byte) (int, error) {
+func (s *testSite) Write(p []byte) (int, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.log.Write(p)
 }
 
-func (s *site) logged() string {
+func (s *testSite) logged() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.log.String()
 }
 
 // newSite starts the server; change may alter its configuration.
-func newSite(t *testing.T, change ...func(cfg *entry.Config)) *site {
+func newSite(t *testing.T, change ...func(cfg *entry.Config)) *testSite {
 	t.Helper()
-	s := &site{
+	s := &testSite{
 		await:   func(context.Context) bool { return false },
 		arrived: make(chan struct{}, 100),
 		tokens:  map[string]int{},
@@ -241,7 +241,7 @@
 }
 
 // get sends a request with some lines of its header and returns the status.
-func (s *site) get(t *testing.T, client *http.Client, path string, lines http.Header) int {
+func (s *testSite) get(t *testing.T, client *http.Client, path string, lines http.Header) int {
 	t.Helper()
 	r, err := http.NewRequest(http.MethodGet, s.url+path, nil)
 	if err != nil {
@@ -500,17 +500,17 @@
 	}
 	cases := []struct {
 		name   string
-		await  func(t *testing.T, s *site) bool
+		await  func(t *testing.T, s *testSite) bool
 		status int
 	}{
 		{
 			name:   "no news",
-			await:  func(*testing.T, *site) bool { return false },
+			await:  func(*testing.T, *testSite) bool { return false },
 			status: http.StatusServiceUnavailable,
 		},
 		{
 			name: "the news has the key",
-			await: func(t *testing.T, s *site) bool {
+			await: func(t *testing.T, s *testSite) bool {
 				s.config.Store(newer(t))
 				return true
 			},
@@ -518,7 +518,7 @@
 		},
 		{
 			name:   "there is no news",
-			await:  func(*testing.T, *site) bool { return true },
+			await:  func(*testing.T, *testSite) bool { return true },
 			status: http.StatusUnauthorized,
 		},
 	}
@@ -567,7 +567,7 @@
 	}
 	cases := []struct {
 		name    string
-		prepare func(s *site)
+		prepare func(s *testSite)
 		path    string
 		lines   http.Header
 		status  int
@@ -575,7 +575,7 @@
 	}{
 		{
 			name:    "answered",
-			prepare: func(*site) {},
+			prepare: func(*testSite) {},
 			path:    "/quotes/1",
 			lines:   brokers,
 			status:  http.StatusOK,
@@ -583,28 +583,28 @@
 		},
 		{
 			name:    "beyond the limit",
-			prepare: func(s *site) { s.full = true },
+			prepare: func(s *testSite) { s.full = true },
 			path:    "/quotes/1",
 			lines:   brokers,
 			status:  http.StatusTooManyRequests,
 		},
 		{
 			name:    "not run",
-			prepare: func(s *site) { s.none = true },
+			prepare: func(s *testSite) { s.none = true },
 			path:    "/quotes/1",
 			lines:   brokers,
 			status:  http.StatusServiceUnavailable,
 		},
 		{
 			name:    "no route",
-			prepare: func(*site) {},
+			prepare: func(*testSite) {},
 			path:    "/nowhere",
 			lines:   brokers,
 			status:  http.StatusNotFound,
 		},
 		{
 			name:    "public, without a key",
-			prepare: func(s *site) { s.full = true },
+			prepare: func(s *testSite) { s.full = true },
 			path:    "/open/1",
 			status:  http.StatusOK,
 		},
