--- a/internal/entry/workspace_test.go
+++ b/internal/entry/workspace_test.go
@@ -130,7 +130,7 @@
 	s.tokens[w.ID()]--
 }
 
-func (s *testSite) took(r *http.Request) {
+func (s *testSite) recordRequest(r *http.Request) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.seen = append(s.seen, r.Clone(context.Background()))
@@ -172,7 +172,7 @@
 	s.trusted.Store(true)
 	s.config.Store(build(t, document()))
 	target := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		s.took(r)
+		s.recordRequest(r)
 		_, _ = io.WriteString(w, "answer")
 	}))
 	t.Cleanup(target.Close)
