--- a/internal/entry/workspace_test.go
+++ b/internal/entry/workspace_test.go
@@ -106,9 +106,9 @@
 	log     bytes.Buffer
 	// tokens are those that requests took and did not give back, full is set where there
 	// are none left; none is set where no target can be chosen.
-	tokens map[string]int
-	full   bool
-	none   bool
+	tokens   map[string]int
+	full     bool
+	noTarget bool
 }
 
 func (s *testSite) limit(_ context.Context, w *fleetconfig.Workspace, _ time.Duration) *entry.LimitError {
@@ -204,7 +204,7 @@
 			s.mu.Lock()
 			defer s.mu.Unlock()
 			s.queries = append(s.queries, q)
-			if s.none {
+			if s.noTarget {
 				return entry.Choice{}, entry.NewNoTargetError(attempt.ReasonTargets, time.Second)
 			}
 			return choice, nil
@@ -590,7 +590,7 @@
 		},
 		{
 			name:    "not run",
-			prepare: func(s *testSite) { s.none = true },
+			prepare: func(s *testSite) { s.noTarget = true },
 			path:    "/quotes/1",
 			lines:   brokers,
 			status:  http.StatusServiceUnavailable,
