--- a/internal/entry/workspace_test.go
+++ b/internal/entry/workspace_test.go
@@ -106,15 +106,15 @@
 	log     bytes.Buffer
 	// tokens are those that requests took and did not give back, full is set where there
 	// are none left; none is set where no target can be chosen.
-	tokens   map[string]int
-	full     bool
-	noTarget bool
+	tokens       map[string]int
+	limitReached bool
+	noTarget     bool
 }
 
 func (s *testSite) limit(_ context.Context, w *fleetconfig.Workspace, _ time.Duration) *entry.LimitError {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.full {
+	if s.limitReached {
 		return &entry.LimitError{
 			Wait: 1500 * time.Millisecond,
 			By:   "allocator",
@@ -583,7 +583,7 @@
 		},
 		{
 			name:    "beyond the limit",
-			prepare: func(s *testSite) { s.full = true },
+			prepare: func(s *testSite) { s.limitReached = true },
 			path:    "/quotes/1",
 			lines:   brokers,
 			status:  http.StatusTooManyRequests,
@@ -604,7 +604,7 @@
 		},
 		{
 			name:    "public, without a key",
-			prepare: func(s *testSite) { s.full = true },
+			prepare: func(s *testSite) { s.limitReached = true },
 			path:    "/open/1",
 			status:  http.StatusOK,
 		},
