--- a/internal/forward/guard_test.go
+++ b/internal/forward/guard_test.go
@@ -12,8 +12,8 @@
 	"ploverjunction.example/ploverjunction/internal/forward"
 )
 
-// barredAfter returns a function that bars a target from a time on, none for 0.
-func barredAfter(d time.Duration) func(time.Time) bool {
+// unavailableAfter returns a function that bars a target from a time on, none for 0.
+func unavailableAfter(d time.Duration) func(time.Time) bool {
 	if d == 0 {
 		return nil
 	}
@@ -105,7 +105,7 @@
 					b, _ := io.ReadAll(far)
 					got <- string(b)
 				}()
-				c, seal := forward.NewGuard(near, time.Now().Add(time.Second), barredAfter(tc.barred))
+				c, seal := forward.NewGuard(near, time.Now().Add(time.Second), unavailableAfter(tc.barred))
 				tc.steps(c, seal)
 				if wrote := seal(); wrote != tc.wrote {
 					t.Errorf("seal says written %t, want %t", wrote, tc.wrote)
