--- a/internal/forward/client_test.go
+++ b/internal/forward/client_test.go
@@ -274,18 +274,18 @@
 // resetConn is a connection that answers what is written to it and is then reset.
 type resetConn struct {
 	net.Conn
-	answer *strings.Reader
-	asked  chan struct{}
-	once   sync.Once
+	answer  *strings.Reader
+	written chan struct{}
+	once    sync.Once
 }
 
 func (c *resetConn) Write(p []byte) (int, error) {
-	c.once.Do(func() { close(c.asked) })
+	c.once.Do(func() { close(c.written) })
 	return len(p), nil
 }
 
 func (c *resetConn) Read(p []byte) (int, error) {
-	<-c.asked
+	<-c.written
 	if c.answer.Len() == 0 {
 		return 0, syscall.ECONNRESET
 	}
@@ -299,9 +299,9 @@
 	c.SetDial(func(context.Context, string, string) (net.Conn, error) {
 		near, _ := net.Pipe()
 		return &resetConn{
-			Conn:   near,
-			answer: strings.NewReader("HTTP/1.1 200 OK\r\n\r\nbo"),
-			asked:  make(chan struct{}),
+			Conn:    near,
+			answer:  strings.NewReader("HTTP/1.1 200 OK\r\n\r\nbo"),
+			written: make(chan struct{}),
 		}, nil
 	})
 	_, err := c.Do(t.Context(), &forward.Request{
