--- a/internal/forward/client_test.go
+++ b/internal/forward/client_test.go
@@ -59,7 +59,7 @@
 	}
 }
 
-func failed(t *testing.T, err error) *forward.Error {
+func asError(t *testing.T, err error) *forward.Error {
 	t.Helper()
 	var fe *forward.Error
 	if !errors.As(err, &fe) {
@@ -85,7 +85,7 @@
 			return conn, err
 		})
 		_, err := c.Do(t.Context(), request(time.Now().Add(time.Second)))
-		if fe := failed(t, err); fe.Outcome() != attempt.OutcomeNotRun {
+		if fe := asError(t, err); fe.Outcome() != attempt.OutcomeNotRun {
 			t.Errorf("outcome %v, want not run: %v", fe.Outcome(), err)
 		}
 		time.Sleep(time.Minute)
@@ -212,7 +212,7 @@
 			c.SetDial(pipe(reply(tc.text)))
 			a, err := c.Do(t.Context(), request(time.Now().Add(time.Minute)))
 			if tc.kind != "" {
-				if fe := failed(t, err); fe.Kind() != tc.kind || fe.Outcome() != tc.outcome {
+				if fe := asError(t, err); fe.Kind() != tc.kind || fe.Outcome() != tc.outcome {
 					t.Fatalf("kind %q outcome %v, want %q %v: %v", fe.Kind(), fe.Outcome(), tc.kind, tc.outcome, err)
 				}
 				return
@@ -236,7 +236,7 @@
 		c.SetDial(pipe(func(far net.Conn) { _, _ = io.Copy(io.Discard, far) }))
 		begun := time.Now()
 		_, err := c.Do(t.Context(), request(begun.Add(3*time.Second)))
-		fe := failed(t, err)
+		fe := asError(t, err)
 		if fe.Kind() != forward.KindTimeout || fe.Outcome() != attempt.OutcomeUnknown {
 			t.Errorf("kind %q outcome %v", fe.Kind(), fe.Outcome())
 		}
@@ -262,7 +262,7 @@
 		defer a.Close()
 		begun := time.Now()
 		body, err := io.ReadAll(a)
-		if fe := failed(t, err); fe.Kind() != forward.KindStall || string(body) != "body" {
+		if fe := asError(t, err); fe.Kind() != forward.KindStall || string(body) != "body" {
 			t.Errorf("kind %q after %q", fe.Kind(), body)
 		}
 		if took := time.Since(begun); took != 4*time.Second {
