--- a/internal/entry/ended.go
+++ b/internal/entry/ended.go
@@ -49,17 +49,17 @@
 		x.server.log.WithField("request", x.id).WithField("target", t.choice.Key).Debug("too many crash checks in progress; target not checked")
 		return closedChannel
 	}
-	known := make(chan struct{})
+	done := make(chan struct{})
 	ctx := context.WithoutCancel(x.req.Context())
 	x.server.track(task.Go(ctx, "look", func(ctx context.Context) error {
-		defer close(known)
+		defer close(done)
 		defer x.server.crashChecks.Add(-1)
 		if x.server.client.Ended(ctx, t.choice.Address) {
 			x.recordCrash(t)
 		}
 		return nil
 	}))
-	return known
+	return done
 }
 
 // recordCrash records that the target of an attempt crashed under the request.
