--- a/internal/entry/ended.go
+++ b/internal/entry/ended.go
@@ -26,9 +26,9 @@
 // the request before, or the attempt is a retry, it waits for the result: another attempt could
 // crash a third target.
 func (x *relay) checkCrash(t *try, err error) {
-	known := x.startCrashCheck(t, err)
+	done := x.startCrashCheck(t, err)
 	if x.suspect.Load() || t.retry {
-		<-known
+		<-done
 	}
 }
 
