--- a/internal/entry/refuse.go
+++ b/internal/entry/refuse.go
@@ -51,12 +51,12 @@
 			"age_ms": over.Age.Milliseconds(),
 		})
 	}
-	var held *QuarantineError
-	if errors.As(e, &held) {
+	var quarantined *QuarantineError
+	if errors.As(e, &quarantined) {
 		l = l.WithFields(logrus.Fields{
-			"fingerprint": held.status.Fingerprint.String(),
-			"ends":        held.status.Crashes,
-			"age_ms":      time.Since(held.status.Last).Milliseconds(),
+			"fingerprint": quarantined.status.Fingerprint.String(),
+			"ends":        quarantined.status.Crashes,
+			"age_ms":      time.Since(quarantined.status.Last).Milliseconds(),
 		})
 	}
 	l.WithError(e).Warn("request refused")
