--- a/internal/entry/refuse.go
+++ b/internal/entry/refuse.go
@@ -41,14 +41,14 @@
 	if e.retryAfter > 0 {
 		l = l.WithField("retry_after_ms", e.retryAfter.Milliseconds())
 	}
-	var over *LimitError
-	if errors.As(e, &over) {
+	var limitErr *LimitError
+	if errors.As(e, &limitErr) {
 		l = l.WithFields(logrus.Fields{
-			"by":     over.By,
-			"limit":  over.Rate,
-			"kept":   math.Round(10*over.Kept) / 10,
-			"tokens": math.Round(10*over.Level) / 10,
-			"age_ms": over.Age.Milliseconds(),
+			"by":     limitErr.By,
+			"limit":  limitErr.Rate,
+			"kept":   math.Round(10*limitErr.Kept) / 10,
+			"tokens": math.Round(10*limitErr.Level) / 10,
+			"age_ms": limitErr.Age.Milliseconds(),
 		})
 	}
 	var quarantined *QuarantineError
