--- a/internal/entry/workspace.go
+++ b/internal/entry/workspace.go
@@ -96,10 +96,10 @@
 	if a.owner == nil {
 		return nil
 	}
-	if over := s.cfg.Limit(ctx, a.owner, startWait(a.timeout)); over != nil {
+	if limitErr := s.cfg.Limit(ctx, a.owner, startWait(a.timeout)); limitErr != nil {
 		e := refuse(CodeRate, http.StatusTooManyRequests)
-		e.retryAfter = over.Wait
-		e.cause = over
+		e.retryAfter = limitErr.Wait
+		e.cause = limitErr
 		return e
 	}
 	return nil
