--- a/internal/entry/workspace_test.go
+++ b/internal/entry/workspace_test.go
@@ -372,9 +372,9 @@
 				}
 				return
 			}
-			told := r.Header.Values(header)
-			if c.workspace == "" && len(told) > 0 || c.workspace != "" && (len(told) != 1 || told[0] != c.workspace) {
-				t.Errorf("the target was told %q, want %q", told, c.workspace)
+			received := r.Header.Values(header)
+			if c.workspace == "" && len(received) > 0 || c.workspace != "" && (len(received) != 1 || received[0] != c.workspace) {
+				t.Errorf("the target was told %q, want %q", received, c.workspace)
 			}
 			for name, values := range r.Header {
 				if strings.Contains(name, "_") || strings.Contains(strings.Join(values, " "), keyBrokers) || name == "Authorization" {
