--- a/internal/entry/workspace_test.go
+++ b/internal/entry/workspace_test.go
@@ -444,7 +444,7 @@
 // the last ones.
 func TestRanks(t *testing.T) {
 	s := newSite(t)
-	ask := func(path, key string) int {
+	priority := func(path, key string) int {
 		lines := http.Header{}
 		if key != "" {
 			lines.Set("Authorization", "Bearer "+key)
@@ -455,17 +455,17 @@
 		return s.queries[len(s.queries)-1].Priority
 	}
 	order := []int{
-		ask("/open/1", keyClinics),
-		ask("/quotes/1", keyClinics),
-		ask("/open/1", keyBrokers),
-		ask("/quotes/1", keyBrokers),
+		priority("/open/1", keyClinics),
+		priority("/quotes/1", keyClinics),
+		priority("/open/1", keyBrokers),
+		priority("/quotes/1", keyBrokers),
 	}
 	for i := 1; i < len(order); i++ {
 		if order[i] <= order[i-1] {
 			t.Errorf("ranks %v", order)
 		}
 	}
-	if anonymous := ask("/open/1", ""); anonymous != order[2] {
+	if anonymous := priority("/open/1", ""); anonymous != order[2] {
 		t.Errorf("rank without a key %d, among %v", anonymous, order)
 	}
 }
