--- a/internal/forward/client_test.go
+++ b/internal/forward/client_test.go
@@ -234,13 +234,13 @@
 		c := forward.NewClient(contract.Plover(), 1<<10, time.Second, netip.Addr{})
 		defer c.Close()
 		c.SetDial(pipe(func(far net.Conn) { _, _ = io.Copy(io.Discard, far) }))
-		begun := time.Now()
-		_, err := c.Do(t.Context(), request(begun.Add(3*time.Second)))
+		started := time.Now()
+		_, err := c.Do(t.Context(), request(started.Add(3*time.Second)))
 		fe := asError(t, err)
 		if fe.Kind() != forward.KindTimeout || fe.Outcome() != attempt.OutcomeUnknown {
 			t.Errorf("kind %q outcome %v", fe.Kind(), fe.Outcome())
 		}
-		if took := time.Since(begun); took != 3*time.Second {
+		if took := time.Since(started); took != 3*time.Second {
 			t.Errorf("took %v", took)
 		}
 	})
