--- a/internal/forward/client_test.go
+++ b/internal/forward/client_test.go
@@ -260,12 +260,12 @@
 			t.Fatal(err)
 		}
 		defer a.Close()
-		begun := time.Now()
+		started := time.Now()
 		body, err := io.ReadAll(a)
 		if fe := asError(t, err); fe.Kind() != forward.KindStall || string(body) != "body" {
 			t.Errorf("kind %q after %q", fe.Kind(), body)
 		}
-		if took := time.Since(begun); took != 4*time.Second {
+		if took := time.Since(started); took != 4*time.Second {
 			t.Errorf("took %v", took)
 		}
 	})
