--- a/internal/entry/signal_test.go
+++ b/internal/entry/signal_test.go
@@ -91,12 +91,12 @@
 // the next target gets the request as if it were the first: no repeat is paid for.
 func TestGrantUnderWayIsNotSent(t *testing.T) {
 	ledger := &signal.Ledger{}
-	left, other := newSignalTarget(t, "left", serveOK), newSignalTarget(t, "other", serveOK)
+	draining, other := newSignalTarget(t, "left", serveOK), newSignalTarget(t, "other", serveOK)
 	c := &choices{
-		list: []*signalTarget{left, other},
+		list: []*signalTarget{draining, other},
 		before: func(n int) {
 			if n == 0 {
-				observeDraining(ledger, left)
+				observeDraining(ledger, draining)
 			}
 		},
 	}
@@ -104,7 +104,7 @@
 	if status := s.get(t, http.DefaultClient, "/quotes/1", brokers); status != http.StatusOK {
 		t.Errorf("status %d", status)
 	}
-	if n := left.arrived.Load(); n != 0 {
+	if n := draining.arrived.Load(); n != 0 {
 		t.Errorf("%d requests reached the target that leaves", n)
 	}
 	if len(c.queries) != 2 || c.queries[1].Again || len(c.queries[1].Tried) != 0 {
