--- a/internal/entry/signal_test.go
+++ b/internal/entry/signal_test.go
@@ -115,17 +115,17 @@
 // A target that all choices name in vain costs the request no more than its tries.
 func TestTargetThatIsChosenInVain(t *testing.T) {
 	ledger := &signal.Ledger{}
-	left := newSignalTarget(t, "left", serveOK)
-	observeDraining(ledger, left)
+	draining := newSignalTarget(t, "left", serveOK)
+	observeDraining(ledger, draining)
 	c := &choices{
-		list:   []*signalTarget{left},
+		list:   []*signalTarget{draining},
 		before: func(int) {},
 	}
 	s := signalSite(t, ledger, c)
 	if status := s.get(t, http.DefaultClient, "/quotes/1", brokers); status != http.StatusServiceUnavailable {
 		t.Errorf("status %d", status)
 	}
-	if n := left.arrived.Load(); n != 0 {
+	if n := draining.arrived.Load(); n != 0 {
 		t.Errorf("%d requests reached the target that leaves", n)
 	}
 }
