--- a/internal/entry/signal_test.go
+++ b/internal/entry/signal_test.go
@@ -134,18 +134,18 @@
 func TestHedgeIsNotSent(t *testing.T) {
 	ledger := &signal.Ledger{}
 	slow := newSignalTarget(t, "slow", func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() })
-	left, other := newSignalTarget(t, "left", serveOK), newSignalTarget(t, "other", serveOK)
+	draining, other := newSignalTarget(t, "left", serveOK), newSignalTarget(t, "other", serveOK)
 	slow.choice.HedgeAfter = time.Millisecond
-	observeDraining(ledger, left)
+	observeDraining(ledger, draining)
 	c := &choices{
-		list:   []*signalTarget{slow, left, other},
+		list:   []*signalTarget{slow, draining, other},
 		before: func(int) {},
 	}
 	s := signalSite(t, ledger, c)
 	if status := s.get(t, http.DefaultClient, "/quotes/1", brokers); status != http.StatusOK {
 		t.Errorf("status %d", status)
 	}
-	if n := left.arrived.Load(); n != 0 {
+	if n := draining.arrived.Load(); n != 0 {
 		t.Errorf("%d requests reached the target that leaves", n)
 	}
 }
