--- a/internal/entry/signal_test.go
+++ b/internal/entry/signal_test.go
@@ -166,12 +166,12 @@
 		_, _ = w.Write(content[:size/2])
 		panic(http.ErrAbortHandler)
 	})
-	left, other := newSignalTarget(t, "left", serve), newSignalTarget(t, "other", serve)
+	draining, other := newSignalTarget(t, "left", serve), newSignalTarget(t, "other", serve)
 	c := &choices{
-		list: []*signalTarget{cut, left, other},
+		list: []*signalTarget{cut, draining, other},
 		before: func(n int) {
 			if n == 1 {
-				observeDraining(ledger, left)
+				observeDraining(ledger, draining)
 			}
 		},
 	}
@@ -190,7 +190,7 @@
 	if err != nil || !bytes.Equal(got, content) {
 		t.Errorf("%d bytes, error %v", len(got), err)
 	}
-	if n := left.arrived.Load(); n != 0 || other.arrived.Load() != 1 {
+	if n := draining.arrived.Load(); n != 0 || other.arrived.Load() != 1 {
 		t.Errorf("%d requests reached the target that leaves, %d the other", n, other.arrived.Load())
 	}
 }
