--- a/internal/entry/signal_test.go
+++ b/internal/entry/signal_test.go
@@ -198,10 +198,10 @@
 // A copy for a target on trial isn't sent to one that leaves.
 func TestTrialIsNotSent(t *testing.T) {
 	ledger := &signal.Ledger{}
-	left, other := newSignalTarget(t, "left", serveOK), newSignalTarget(t, "other", serveOK)
-	observeDraining(ledger, left)
+	draining, other := newSignalTarget(t, "left", serveOK), newSignalTarget(t, "other", serveOK)
+	observeDraining(ledger, draining)
 	done := make(chan outlier.Result, 1)
-	left.choice.Done = func(end outlier.Result, _ time.Duration) { done <- end }
+	draining.choice.Done = func(end outlier.Result, _ time.Duration) { done <- end }
 	c := &choices{
 		list:   []*signalTarget{other},
 		before: func(int) {},
@@ -209,7 +209,7 @@
 	s := newSite(t, func(cfg *entry.Config) {
 		cfg.Signals = ledger
 		cfg.Choose = c.choose
-		cfg.Trial = func(*fleetconfig.Service) (entry.Choice, bool) { return left.choice, true }
+		cfg.Trial = func(*fleetconfig.Service) (entry.Choice, bool) { return draining.choice, true }
 	})
 	if status := s.get(t, http.DefaultClient, "/quotes/1", brokers); status != http.StatusOK {
 		t.Errorf("status %d", status)
@@ -217,7 +217,7 @@
 	if end := <-done; !end.Ignored {
 		t.Errorf("the copy that wasn't sent counts: %+v", end)
 	}
-	if n := left.arrived.Load(); n != 0 {
+	if n := draining.arrived.Load(); n != 0 {
 		t.Errorf("%d copies reached the target that leaves", n)
 	}
 }
