--- a/internal/forward/guard_test.go
+++ b/internal/forward/guard_test.go
@@ -24,11 +24,11 @@
 func TestGuardWritesOnlyForAValidClaim(t *testing.T) {
 	cases := []struct {
 		name string
-		// barred is after how long the target wants nothing any more, 0 for never.
-		barred time.Duration
-		steps  func(c net.Conn, seal func() bool)
-		want   string
-		wrote  bool
+		// unavailableAfter is after how long the target wants nothing any more, 0 for never.
+		unavailableAfter time.Duration
+		steps            func(c net.Conn, seal func() bool)
+		want             string
+		wrote            bool
 	}{
 		{
 			name:  "in time",
@@ -56,8 +56,8 @@
 			wrote: true,
 		},
 		{
-			name:   "barred since it was chosen",
-			barred: 10 * time.Millisecond,
+			name:             "barred since it was chosen",
+			unavailableAfter: 10 * time.Millisecond,
 			steps: func(c net.Conn, _ func() bool) {
 				time.Sleep(20 * time.Millisecond)
 				_, _ = io.WriteString(c, "a")
@@ -66,8 +66,8 @@
 			wrote: false,
 		},
 		{
-			name:   "barred once it has begun",
-			barred: 10 * time.Millisecond,
+			name:             "barred once it has begun",
+			unavailableAfter: 10 * time.Millisecond,
 			steps: func(c net.Conn, _ func() bool) {
 				_, _ = io.WriteString(c, "a")
 				time.Sleep(20 * time.Millisecond)
@@ -105,7 +105,7 @@
 					b, _ := io.ReadAll(far)
 					got <- string(b)
 				}()
-				c, seal := forward.NewGuard(near, time.Now().Add(time.Second), unavailableAfter(tc.barred))
+				c, seal := forward.NewGuard(near, time.Now().Add(time.Second), unavailableAfter(tc.unavailableAfter))
 				tc.steps(c, seal)
 				if wrote := seal(); wrote != tc.wrote {
 					t.Errorf("seal says written %t, want %t", wrote, tc.wrote)
