--- a/internal/entry/closed_test.go
+++ b/internal/entry/closed_test.go
@@ -37,11 +37,11 @@
 		t.Errorf("%d requests reached the evacuated data hall", n)
 	}
 	if len(c.queries) != 2 || c.queries[1].Again {
-		t.Errorf("%d choices, the second one a repeat", len(c.queries))
+		t.Errorf("%d choices, or the second one is a retry", len(c.queries))
 	}
 }
 
-// Guards against a choice that doesn't know where a request may be served.
+// Guards against a query without the regions where a request may be served.
 func TestQueryHoldsTheRegionsOfRouteAndWorkspace(t *testing.T) {
 	c := &choices{
 		list:   []*signalTarget{newSignalTarget(t, "target", serveOK)},
--- a/internal/entry/memory_test.go
+++ b/internal/entry/memory_test.go
@@ -12,8 +12,8 @@
 	"ploverjunction.example/ploverjunction/internal/signal"
 )
 
-// Guards against a node that ends because many large bodies come slowly.
-func TestSlowUploadsHoldNoMoreThanTheirPart(t *testing.T) {
+// Guards against a node that runs out of memory because many large bodies arrive slowly.
+func TestSlowUploadsStayWithinMemoryLimit(t *testing.T) {
 	const uploads, size = 200, 16 << 10
 	c := &choices{
 		list:   []*signalTarget{newSignalTarget(t, "target", serveOK)},
@@ -63,27 +63,27 @@
 			t.Fatal(e.err)
 		}
 		if e.status != http.StatusServiceUnavailable {
-			t.Fatalf("status %d of a body that has not come", e.status)
+			t.Fatalf("status %d before the body was sent", e.status)
 		}
 		refused++
 	}
 	if held, _ := s.server.Held(); held != 40*size {
-		t.Errorf("%d bytes held", held)
+		t.Errorf("%d bytes held, want the limit", held)
 	}
 	if status := s.get(t, http.DefaultClient, "/quotes/1", brokers); status != http.StatusOK {
-		t.Errorf("status %d of a request without a body", status)
+		t.Errorf("status %d for a request without a body", status)
 	}
 	for _, w := range writers {
-		// Those that were refused have been closed by the client.
+		// The client has closed the bodies of refused requests.
 		_, _ = io.Copy(w, strings.NewReader(strings.Repeat("x", size)))
 		_ = w.Close()
 	}
 	for range uploads - refused {
 		if e := <-ends; e.err != nil || e.status != http.StatusOK {
-			t.Errorf("status %d, %v of a body that came late", e.status, e.err)
+			t.Errorf("status %d, error %v for a body that was sent late", e.status, e.err)
 		}
 	}
 	if held, _ := s.server.Held(); held != 0 {
-		t.Errorf("%d bytes held in the end", held)
+		t.Errorf("%d bytes held after all requests ended", held)
 	}
 }
--- a/internal/entry/signal_test.go
+++ b/internal/entry/signal_test.go
@@ -20,7 +20,7 @@
 	"ploverjunction.example/ploverjunction/internal/signal"
 )
 
-// signalTarget is a target whose requests are counted, and how it answers.
+// signalTarget is a test target that counts its requests.
 type signalTarget struct {
 	choice  entry.Choice
 	arrived atomic.Int64
@@ -48,11 +48,11 @@
 	return s
 }
 
-// choices gives targets in turn, and the last one again and again.
+// choices returns its targets in order, and then the last one repeatedly.
 type choices struct {
 	mu   sync.Mutex
 	list []*signalTarget
-	// before is called before each choice is given, with its number.
+	// before is called before each choice, with its number.
 	before  func(n int)
 	queries []*entry.Query
 }
@@ -66,7 +66,7 @@
 	return c.list[min(n, len(c.list)-1)].choice, nil
 }
 
-// signalSite returns a site that keeps signals in a ledger and takes its targets from choices.
+// signalSite returns a site that records signals in a ledger and chooses targets from c.
 func signalSite(t *testing.T, ledger *signal.Ledger, c *choices) *testSite {
 	t.Helper()
 	return newSite(t, func(cfg *entry.Config) {
@@ -87,9 +87,9 @@
 	"Authorization": {"Bearer " + keyBrokers},
 }
 
-// A target may say that it leaves between the choice and the first byte. Nothing is sent then, and
-// the next target gets the request as if it were the first: no repeat is paid for.
-func TestGrantUnderWayIsNotSent(t *testing.T) {
+// A target may signal draining between the choice and the first byte. Nothing is sent then, and the
+// next target gets the request as a first attempt, at no cost to the retry budget.
+func TestDrainingTargetGetsNoGrantedRequest(t *testing.T) {
 	ledger := &signal.Ledger{}
 	draining, other := newSignalTarget(t, "left", serveOK), newSignalTarget(t, "other", serveOK)
 	c := &choices{
@@ -105,15 +105,15 @@
 		t.Errorf("status %d", status)
 	}
 	if n := draining.arrived.Load(); n != 0 {
-		t.Errorf("%d requests reached the target that leaves", n)
+		t.Errorf("%d requests reached the draining target", n)
 	}
 	if len(c.queries) != 2 || c.queries[1].Again || len(c.queries[1].Tried) != 0 {
-		t.Errorf("%d choices, the second one a repeat", len(c.queries))
+		t.Errorf("%d choices, or the second one is a retry", len(c.queries))
 	}
 }
 
-// A target that all choices name in vain costs the request no more than its tries.
-func TestTargetThatIsChosenInVain(t *testing.T) {
+// A request whose choices are all unavailable ends after maxTries attempts.
+func TestRequestEndsIfAllChoicesAreDraining(t *testing.T) {
 	ledger := &signal.Ledger{}
 	draining := newSignalTarget(t, "left", serveOK)
 	observeDraining(ledger, draining)
@@ -126,12 +126,12 @@
 		t.Errorf("status %d", status)
 	}
 	if n := draining.arrived.Load(); n != 0 {
-		t.Errorf("%d requests reached the target that leaves", n)
+		t.Errorf("%d requests reached the draining target", n)
 	}
 }
 
-// The second attempt beside a slow one goes past a target that leaves.
-func TestHedgeIsNotSent(t *testing.T) {
+// A hedge skips a draining target.
+func TestHedgeIsNotSentToDrainingTarget(t *testing.T) {
 	ledger := &signal.Ledger{}
 	slow := newSignalTarget(t, "slow", func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() })
 	draining, other := newSignalTarget(t, "left", serveOK), newSignalTarget(t, "other", serveOK)
@@ -146,12 +146,12 @@
 		t.Errorf("status %d", status)
 	}
 	if n := draining.arrived.Load(); n != 0 {
-		t.Errorf("%d requests reached the target that leaves", n)
+		t.Errorf("%d requests reached the draining target", n)
 	}
 }
 
-// A download whose target breaks off goes on at a target that stays.
-func TestResumedDownloadIsNotSent(t *testing.T) {
+// A download whose target breaks the connection is not resumed at a draining target.
+func TestResumedDownloadIsNotSentToDrainingTarget(t *testing.T) {
 	const size = 200 << 10
 	content := bytes.Repeat([]byte("document"), size/8)
 	serve := func(w http.ResponseWriter, r *http.Request) {
@@ -191,12 +191,12 @@
 		t.Errorf("%d bytes, error %v", len(got), err)
 	}
 	if n := draining.arrived.Load(); n != 0 || other.arrived.Load() != 1 {
-		t.Errorf("%d requests reached the target that leaves, %d the other", n, other.arrived.Load())
+		t.Errorf("%d requests reached the draining target, %d the other", n, other.arrived.Load())
 	}
 }
 
-// A copy for a target on trial isn't sent to one that leaves.
-func TestTrialIsNotSent(t *testing.T) {
+// A trial request is not sent to a draining target.
+func TestTrialRequestIsNotSentToDrainingTarget(t *testing.T) {
 	ledger := &signal.Ledger{}
 	draining, other := newSignalTarget(t, "left", serveOK), newSignalTarget(t, "other", serveOK)
 	observeDraining(ledger, draining)
@@ -215,16 +215,16 @@
 		t.Errorf("status %d", status)
 	}
 	if end := <-done; !end.Ignored {
-		t.Errorf("the copy that wasn't sent counts: %+v", end)
+		t.Errorf("the trial request was not sent but counts: %+v", end)
 	}
 	if n := draining.arrived.Load(); n != 0 {
-		t.Errorf("%d copies reached the target that leaves", n)
+		t.Errorf("%d copies reached the draining target", n)
 	}
 }
 
-// Whatever comes of an attempt, what its answer says of the target is heard: also of a failure,
-// a refusal and an answer to another request, but not where another process answers.
-func TestAnyAnswerIsHeard(t *testing.T) {
+// The signal in any answer is recorded, also in a failure, a refusal and an answer to another
+// request, but not where another process answers.
+func TestAnyAnswerSignalIsRecorded(t *testing.T) {
 	tests := []struct {
 		name   string
 		status int
@@ -242,7 +242,7 @@
 			want:   true,
 		},
 		{
-			name:   "turned away",
+			name:   "load shed",
 			status: http.StatusServiceUnavailable,
 			header: map[string]string{
 				"Plover-Outcome": "not-run",
@@ -258,7 +258,7 @@
 			want: true,
 		},
 		{
-			name:   "of another process",
+			name:   "answer of another process",
 			status: http.StatusMisdirectedRequest,
 			header: map[string]string{
 				"Plover-Outcome": "not-run",
@@ -282,7 +282,7 @@
 			s := signalSite(t, ledger, c)
 			s.get(t, http.DefaultClient, "/quotes/1", brokers)
 			if got := ledger.Status(time.Now(), target.choice.Incarnation).Draining; got != tt.want {
-				t.Errorf("leaving %v, want %v", got, tt.want)
+				t.Errorf("draining %v, want %v", got, tt.want)
 			}
 		})
 	}
--- a/internal/entry/start_test.go
+++ b/internal/entry/start_test.go
@@ -9,7 +9,7 @@
 	"ploverjunction.example/ploverjunction/internal/entry"
 )
 
-// A request waits for the first configuration no longer than its caller can spare.
+// A request waits for the first configuration for a share of its caller's timeout only.
 func TestStartWait(t *testing.T) {
 	tests := []struct {
 		name   string
@@ -17,17 +17,17 @@
 		want   time.Duration
 	}{
 		{
-			name:   "a caller with little time is refused soon",
+			name:   "short timeout",
 			caller: 1500 * time.Millisecond,
 			want:   250 * time.Millisecond,
 		},
 		{
-			name:   "a part of the caller's time",
+			name:   "a share of the caller's timeout",
 			caller: 6 * time.Second,
 			want:   time.Second,
 		},
 		{
-			name:   "at most as long as a fleet takes to start",
+			name:   "at most the maximum wait",
 			caller: time.Minute,
 			want:   1300 * time.Millisecond,
 		},
--- a/internal/entry/workspace_test.go
+++ b/internal/entry/workspace_test.go
@@ -31,7 +31,7 @@
 const (
 	keyBrokers = "ta828m82thhkmgjqnirt"
 	keyClinics = "h5mgjy5rcpihhacrudde"
-	// header names the workspace towards targets.
+	// header names the workspace to targets.
 	header = "Plover-Workspace"
 )
 
@@ -40,7 +40,7 @@
 	return d[:]
 }
 
-// document is a service with an ordinary and a public route and two workspaces.
+// document returns a service with an ordinary and a public route, and two workspaces.
 func document() *wire.Document {
 	return &wire.Document{
 		Services: []*wire.Service{
@@ -86,26 +86,26 @@
 	return c
 }
 
-// testSite is a server in front of one target that keeps the requests it gets.
+// testSite is a server in front of one target that records its requests.
 type testSite struct {
 	server  *entry.Server
 	url     string
 	config  atomic.Pointer[fleetconfig.Config]
 	current atomic.Bool
 	trusted atomic.Bool
-	// await answers for AwaitCurrent.
+	// await implements AwaitCurrent.
 	await func(ctx context.Context) bool
 	// trial is set where a target is on trial.
 	trial atomic.Bool
-	// arrived holds a value for each request that reached the target.
+	// arrived receives a value for each request that reached the target.
 	arrived chan struct{}
 
 	mu      sync.Mutex
 	seen    []*http.Request
 	queries []*entry.Query
 	log     bytes.Buffer
-	// tokens are those that requests took and did not give back, full is set where there
-	// are none left; none is set where no target can be chosen.
+	// tokens counts the tokens taken and not returned, by workspace. limitReached is set
+	// where none are left, noTarget where no target can be chosen.
 	tokens       map[string]int
 	limitReached bool
 	noTarget     bool
@@ -137,7 +137,7 @@
 	s.arrived <- struct{}{}
 }
 
-// last returns the newest request that reached the target, and how many did.
+// last returns the most recent request that reached the target, and their number.
 func (s *testSite) last() (*http.Request, int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -147,7 +147,7 @@
 	return s.seen[len(s.seen)-1], len(s.seen)
 }
 
-// Write takes what the server logs.
+// Write records the server's log.
 func (s *testSite) Write(p []byte) (int, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -160,7 +160,7 @@
 	return s.log.String()
 }
 
-// newSite starts the server; change may alter its configuration.
+// newSite starts the server; each change may modify its configuration.
 func newSite(t *testing.T, change ...func(cfg *entry.Config)) *testSite {
 	t.Helper()
 	s := &testSite{
@@ -240,7 +240,7 @@
 	return s
 }
 
-// get sends a request with some lines of its header and returns the status.
+// get sends a request with the given header lines and returns the status.
 func (s *testSite) get(t *testing.T, client *http.Client, path string, lines http.Header) int {
 	t.Helper()
 	r, err := http.NewRequest(http.MethodGet, s.url+path, nil)
@@ -267,7 +267,7 @@
 		path   string
 		lines  http.Header
 		status int
-		// workspace is what the target is told, where the request reaches it.
+		// workspace is what the target receives if the request reaches it.
 		workspace string
 	}{
 		{
@@ -309,7 +309,7 @@
 			workspace: "brokers",
 		},
 		{
-			name: "the caller names another workspace, in odd spellings too",
+			name: "the caller names another workspace, also with underscores",
 			path: "/quotes/1",
 			lines: http.Header{
 				"Authorization":    {"bearer  " + keyClinics},
@@ -354,7 +354,7 @@
 			status: http.StatusUnauthorized,
 		},
 		{
-			name:   "no route goes before no key",
+			name:   "no route takes precedence over no key",
 			path:   "/nowhere",
 			status: http.StatusNotFound,
 		},
@@ -374,18 +374,18 @@
 			}
 			received := r.Header.Values(header)
 			if c.workspace == "" && len(received) > 0 || c.workspace != "" && (len(received) != 1 || received[0] != c.workspace) {
-				t.Errorf("the target was told %q, want %q", received, c.workspace)
+				t.Errorf("the target received workspace %q, want %q", received, c.workspace)
 			}
 			for name, values := range r.Header {
 				if strings.Contains(name, "_") || strings.Contains(strings.Join(values, " "), keyBrokers) || name == "Authorization" {
-					t.Errorf("the target got %s: %q", name, values)
+					t.Errorf("the target received %s: %q", name, values)
 				}
 			}
 		})
 	}
 }
 
-// A key is in no line of the log, whatever becomes of its request.
+// Keys are never logged, for accepted and refused requests alike.
 func TestKeysAreNotLogged(t *testing.T) {
 	s := newSite(t)
 	for _, key := range []string{keyBrokers, "unknown-" + keyClinics} {
@@ -395,16 +395,15 @@
 	}
 	out := s.logged()
 	if strings.Contains(out, keyBrokers) || strings.Contains(out, keyClinics) {
-		t.Errorf("a key is in the log:\n%s", out)
+		t.Errorf("the log contains a key:\n%s", out)
 	}
 	if !strings.Contains(out, "workspace=brokers") || !strings.Contains(out, string(entry.CodeKey)) {
-		t.Errorf("the log doesn't tell the workspace, or why a request was refused:\n%s", out)
+		t.Errorf("the log lacks the workspace or the code of a refusal:\n%s", out)
 	}
 }
 
-// Without workspaces nobody needs a key, and what callers send under the header of keys
-// is the targets' own.
-func TestNoWorkspaces(t *testing.T) {
+// Without workspaces no key is needed, and the Authorization header is passed on to targets.
+func TestNoWorkspacesNeedNoKey(t *testing.T) {
 	s := newSite(t)
 	d := document()
 	d.Workspaces = nil
@@ -419,8 +418,8 @@
 	}
 }
 
-// A copy for a target on trial tells the workspace and no key either.
-func TestTrialCopies(t *testing.T) {
+// A trial request carries the workspace and not the key.
+func TestTrialRequestCarriesWorkspaceWithoutKey(t *testing.T) {
 	s := newSite(t)
 	s.trial.Store(true)
 	s.get(t, &http.Client{}, "/quotes/1", http.Header{
@@ -440,9 +439,9 @@
 	}
 }
 
-// The rank of a workspace goes before that of a route; callers without a key come with
-// the last ones.
-func TestRanks(t *testing.T) {
+// The priority of a workspace takes precedence over that of a route; callers without a key rank
+// with the least urgent workspace.
+func TestRankOrder(t *testing.T) {
 	s := newSite(t)
 	priority := func(path, key string) int {
 		lines := http.Header{}
@@ -470,8 +469,8 @@
 	}
 }
 
-// A key that was taken away is refused on a connection that was open before.
-func TestKeyTakenAway(t *testing.T) {
+// A revoked key is refused also on a connection that was opened before.
+func TestRevokedKeyIsRefusedOnOpenConnection(t *testing.T) {
 	s := newSite(t)
 	client := &http.Client{}
 	lines := http.Header{
@@ -484,12 +483,12 @@
 	d.Workspaces[0].Keys = nil
 	s.config.Store(build(t, d))
 	if got := s.get(t, client, "/quotes/1", lines); got != http.StatusUnauthorized {
-		t.Errorf("status %d after the key was taken away", got)
+		t.Errorf("status %d after the key was revoked", got)
 	}
 }
 
-// Who can't know the newest configuration doesn't say that a key is wrong.
-func TestUnsureOfTheNewestConfiguration(t *testing.T) {
+// A node that may lack the newest configuration does not refuse a key as unknown.
+func TestUnknownKeyWithoutNewestConfiguration(t *testing.T) {
 	lines := http.Header{
 		"Authorization": {"Bearer new"},
 	}
@@ -504,12 +503,12 @@
 		status int
 	}{
 		{
-			name:   "no news",
+			name:   "node stays outdated",
 			await:  func(*testing.T, *testSite) bool { return false },
 			status: http.StatusServiceUnavailable,
 		},
 		{
-			name: "the news has the key",
+			name: "newer configuration has the key",
 			await: func(t *testing.T, s *testSite) bool {
 				s.config.Store(newer(t))
 				return true
@@ -517,7 +516,7 @@
 			status: http.StatusOK,
 		},
 		{
-			name:   "there is no news",
+			name:   "configuration is the newest",
 			await:  func(*testing.T, *testSite) bool { return true },
 			status: http.StatusUnauthorized,
 		},
@@ -528,7 +527,7 @@
 			s.current.Store(false)
 			s.await = func(ctx context.Context) bool {
 				if _, ok := ctx.Deadline(); !ok {
-					t.Error("a request waits for news without end")
+					t.Error("a request waits for a configuration without a deadline")
 				}
 				return c.await(t, s)
 			}
@@ -538,15 +537,15 @@
 			if got := s.get(t, &http.Client{}, "/quotes/1", http.Header{
 				"Authorization": {"Bearer " + keyBrokers},
 			}); got != http.StatusOK {
-				t.Errorf("status %d for a key that is known", got)
+				t.Errorf("status %d for a known key", got)
 			}
 		})
 	}
 }
 
-// Where the settings ask for it, a node that lost the platform serves no key, however
-// well it knows it, and still what needs none.
-func TestStrict(t *testing.T) {
+// With the strict setting, a node that lost the platform refuses all keys, also known ones, and
+// still serves public routes.
+func TestStrictNodeWithoutPlatformRefusesKeys(t *testing.T) {
 	s := newSite(t)
 	s.trusted.Store(false)
 	if got := s.get(t, &http.Client{}, "/quotes/1", http.Header{
@@ -559,8 +558,8 @@
 	}
 }
 
-// A request takes a token, and one that has not run gives it back. Refusals before the
-// limit take none.
+// A request takes a token and returns it if it was not run. Requests refused before the limit is
+// checked take none.
 func TestLimit(t *testing.T) {
 	brokers := http.Header{
 		"Authorization": {"Bearer " + keyBrokers},
@@ -582,7 +581,7 @@
 			tokens:  1,
 		},
 		{
-			name:    "beyond the limit",
+			name:    "limit exceeded",
 			prepare: func(s *testSite) { s.limitReached = true },
 			path:    "/quotes/1",
 			lines:   brokers,
--- a/internal/forward/client_test.go
+++ b/internal/forward/client_test.go
@@ -68,8 +68,8 @@
 	return fe
 }
 
-// A process that was frozen between the choice of a target and the write wakes
-// with a connection and an old decision: nothing may be written then.
+// Guards against writes by a process that was frozen between the choice of a target and
+// the write, and resumes with an outdated decision.
 func TestNothingIsWrittenAfterTheDeadline(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var wrote atomic.Int64
@@ -79,8 +79,7 @@
 				n, _ := io.Copy(io.Discard, far)
 				wrote.Add(n)
 			})(ctx, network, address)
-			// The context doesn't end a dial here, as it doesn't in a frozen
-			// process.
+			// The dial ignores the context, as in a frozen process.
 			time.Sleep(2 * time.Second)
 			return conn, err
 		})
@@ -97,7 +96,7 @@
 	})
 }
 
-func TestAnswersAreJudged(t *testing.T) {
+func TestOnlyCompleteOwnAnswersAreAccepted(t *testing.T) {
 	const head = "HTTP/1.1 200 OK\r\nPlover-Request-Id: the-id\r\n"
 	cases := []struct {
 		name    string
@@ -229,7 +228,7 @@
 	}
 }
 
-func TestSilenceEndsAtTheDeadline(t *testing.T) {
+func TestSilentTargetTimesOutAtTheDeadline(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := forward.NewClient(contract.Plover(), 1<<10, time.Second, netip.Addr{})
 		defer c.Close()
@@ -271,7 +270,7 @@
 	})
 }
 
-// resetConn is a connection that answers what is written to it and is then reset.
+// resetConn is a connection that sends an answer once written to, and is then reset.
 type resetConn struct {
 	net.Conn
 	answer  *strings.Reader
@@ -292,7 +291,7 @@
 	return c.answer.Read(p)
 }
 
-// The end of a connection ends a body without length, but only a clean one.
+// A body without length ends with its connection, unless the connection is reset.
 func TestBodyWithoutLengthThatIsResetIsNotWhole(t *testing.T) {
 	c := forward.NewClient(contract.Plover(), 1<<10, time.Second, netip.Addr{})
 	defer c.Close()
--- a/internal/forward/guard_test.go
+++ b/internal/forward/guard_test.go
@@ -12,7 +12,7 @@
 	"ploverjunction.example/ploverjunction/internal/forward"
 )
 
-// unavailableAfter returns a function that bars a target from a time on, none for 0.
+// unavailableAfter returns a function that reports a target unavailable after d, nil for 0.
 func unavailableAfter(d time.Duration) func(time.Time) bool {
 	if d == 0 {
 		return nil
@@ -37,7 +37,7 @@
 			wrote: true,
 		},
 		{
-			name: "woken late",
+			name: "resumed after the deadline",
 			steps: func(c net.Conn, _ func() bool) {
 				time.Sleep(time.Second)
 				_, _ = io.WriteString(c, "a")
@@ -46,7 +46,7 @@
 			wrote: false,
 		},
 		{
-			name: "goes on after the limit once begun",
+			name: "continues after the deadline once started",
 			steps: func(c net.Conn, _ func() bool) {
 				_, _ = io.WriteString(c, "a")
 				time.Sleep(time.Second)
@@ -56,7 +56,7 @@
 			wrote: true,
 		},
 		{
-			name:             "barred since it was chosen",
+			name:             "unavailable since it was chosen",
 			unavailableAfter: 10 * time.Millisecond,
 			steps: func(c net.Conn, _ func() bool) {
 				time.Sleep(20 * time.Millisecond)
@@ -66,7 +66,7 @@
 			wrote: false,
 		},
 		{
-			name:             "barred once it has begun",
+			name:             "unavailable after the first write",
 			unavailableAfter: 10 * time.Millisecond,
 			steps: func(c net.Conn, _ func() bool) {
 				_, _ = io.WriteString(c, "a")
@@ -77,7 +77,7 @@
 			wrote: true,
 		},
 		{
-			name: "given up before the write",
+			name: "sealed before the write",
 			steps: func(c net.Conn, seal func() bool) {
 				seal()
 				_, _ = io.WriteString(c, "a")
@@ -86,7 +86,7 @@
 			wrote: false,
 		},
 		{
-			name: "given up within the request",
+			name: "sealed during the request",
 			steps: func(c net.Conn, seal func() bool) {
 				_, _ = io.WriteString(c, "a")
 				seal()
@@ -108,11 +108,11 @@
 				c, seal := forward.NewGuard(near, time.Now().Add(time.Second), unavailableAfter(tc.unavailableAfter))
 				tc.steps(c, seal)
 				if wrote := seal(); wrote != tc.wrote {
-					t.Errorf("seal says written %t, want %t", wrote, tc.wrote)
+					t.Errorf("seal reports written %t, want %t", wrote, tc.wrote)
 				}
 				_ = near.Close()
 				if b := <-got; b != tc.want {
-					t.Errorf("the target got %q, want %q", b, tc.want)
+					t.Errorf("the target received %q, want %q", b, tc.want)
 				}
 			})
 		})
--- a/internal/link/dialer_test.go
+++ b/internal/link/dialer_test.go
@@ -11,7 +11,7 @@
 	"ploverjunction.example/ploverjunction/internal/wire"
 )
 
-// echo answers each call with the digest that it named.
+// echo answers each call with the digest of its request.
 type echo struct {
 	wire.DRPCPeerUnimplementedServer
 }
@@ -22,7 +22,7 @@
 	}, nil
 }
 
-// Guards against a node that keeps a connection, with its buffers, to each of many peers.
+// Guards against a dialer that keeps a connection, with its buffers, to each of many peers.
 func TestDialerKeepsFewConnections(t *testing.T) {
 	const servers, callers, calls = 3 * link.MostIdle, 8, 100
 	ctx, cancel := context.WithCancel(context.Background())
@@ -50,7 +50,7 @@
 					return err
 				}
 				if reply.GetDigest() != want {
-					t.Errorf("got the answer to another call")
+					t.Errorf("received the answer to another call")
 				}
 			}
 			return nil
@@ -60,7 +60,7 @@
 		t.Error(err)
 	}
 	if n := d.Connections(); n > link.MostIdle {
-		t.Errorf("%d connections are kept", n)
+		t.Errorf("%d idle connections, more than the limit", n)
 	}
 	d.Close()
 	cancel()
