--- a/internal/entry/crash.go
+++ b/internal/entry/crash.go
@@ -34,7 +34,7 @@
 
 // startCrashCheck starts checking whether the target of a broken attempt has crashed, and returns
 // a channel that is closed when the result is recorded. Connections break for many reasons: three
-// in ten of a service's may do so while its targets keep running.
+// in ten of a service's may break while its targets keep running.
 func (x *relay) startCrashCheck(t *try, err error) <-chan struct{} {
 	var fe *forward.Error
 	if !errors.As(err, &fe) || !fe.Broke() {
--- a/internal/entry/server.go
+++ b/internal/entry/server.go
@@ -73,7 +73,7 @@
 	First func(service string)
 	Retry func(service string) bool
 	// Limit charges a request to its workspace's limit and returns nil if it may proceed. It takes
-	// some milliseconds, and up to patience on a node that is starting. GiveBack returns the
+	// some milliseconds, and up to maxWait on a node that is starting. GiveBack returns the
 	// tokens of a request that was not run.
 	Limit    func(ctx context.Context, w *fleetconfig.Workspace, patience time.Duration) *LimitError
 	GiveBack func(w *fleetconfig.Workspace)
