--- a/internal/entry/server.go
+++ b/internal/entry/server.go
@@ -75,7 +75,7 @@
 	// Limit charges a request to its workspace's limit and returns nil if it may proceed. It takes
 	// some milliseconds, and up to maxWait on a node that is starting. GiveBack returns the
 	// tokens of a request that was not run.
-	Limit    func(ctx context.Context, w *fleetconfig.Workspace, patience time.Duration) *LimitError
+	Limit    func(ctx context.Context, w *fleetconfig.Workspace, maxWait time.Duration) *LimitError
 	GiveBack func(w *fleetconfig.Workspace)
 	// Quarantined returns the quarantine status of a request. Ended records that a target crashed
 	// under a request and returns the new status; Answered records that a target answered one.
