--- a/internal/entry/failure.go
+++ b/internal/entry/failure.go
@@ -62,8 +62,8 @@
 
 // replaceable reports whether another target may give a repeatable request a better answer.
 func (x *relay) replaceable(a *forward.Answer) bool {
-	_, again := x.body.reader()
-	return x.admission.route.Repeatable() && retryableStatus(a.Status()) && again
+	_, sendable := x.body.reader()
+	return x.admission.route.Repeatable() && retryableStatus(a.Status()) && sendable
 }
 
 // retryableStatus reports whether another target may answer without this failure.
