--- a/internal/entry/relay.go
+++ b/internal/entry/relay.go
@@ -199,8 +199,8 @@
 		x.fallback.discard()
 	}
 	x.fallback = nil
-	lost := len(x.running)
-	if lost == 0 {
+	cancelled := len(x.running)
+	if cancelled == 0 {
 		return
 	}
 	for _, t := range x.running {
@@ -209,7 +209,7 @@
 	x.running = nil
 	ctx := context.WithoutCancel(x.req.Context())
 	x.server.track(task.Go(ctx, "lost tries", func(context.Context) error {
-		for range lost {
+		for range cancelled {
 			r := <-x.results
 			r.discard()
 		}
