--- a/internal/entry/relay.go
+++ b/internal/entry/relay.go
@@ -193,9 +193,9 @@
 }
 
 // cancelOthers cancels the remaining attempts. Their results are read by a task of the server.
-func (x *relay) cancelOthers(won *result) {
+func (x *relay) cancelOthers(winner *result) {
 	x.settled.Store(true)
-	if x.fallback != nil && x.fallback != won {
+	if x.fallback != nil && x.fallback != winner {
 		x.fallback.discard()
 	}
 	x.fallback = nil
