--- a/internal/entry/relay.go
+++ b/internal/entry/relay.go
@@ -246,7 +246,7 @@
 	)
 }
 
-func (x *relay) begin(target string) *outlier.Attempt {
+func (x *relay) startAttempt(target string) *outlier.Attempt {
 	return x.server.cfg.Collector.Begin(time.Now(), x.service.Name(), x.admission.route.Class(), target)
 }
 
--- a/internal/entry/trial.go
+++ b/internal/entry/trial.go
@@ -41,7 +41,7 @@
 
 // runTrial sends a trial request and reads its answer to the end.
 func (x *relay) runTrial(ctx context.Context, choice Choice, r *forward.Request) error {
-	flight := x.begin(choice.Key)
+	flight := x.startAttempt(choice.Key)
 	started := time.Now()
 	a, err := x.server.client.Do(ctx, r)
 	end := resultOf(a, err)
@@ -64,7 +64,7 @@
 
 // recordBrokenBody records an answer whose body broke.
 func (x *relay) recordBrokenBody(target string) {
-	x.begin(target).End(time.Now(), outlier.Result{
+	x.startAttempt(target).End(time.Now(), outlier.Result{
 		Failed: true,
 	})
 }
--- a/internal/entry/try.go
+++ b/internal/entry/try.go
@@ -52,7 +52,7 @@
 		at:         t.chosen,
 		hedgeAfter: choice.HedgeAfter,
 	}
-	flight := x.begin(choice.Key)
+	flight := x.startAttempt(choice.Key)
 	a, err := x.server.client.Do(ctx, x.request(choice, t.reader))
 	t.end = resultOf(a, err)
 	t.end.Ignored = t.end.Ignored || x.body.readError() != nil
