--- a/internal/entry/failure.go
+++ b/internal/entry/failure.go
@@ -38,7 +38,7 @@
 		outcome = fe.Outcome()
 	}
 	x.recordOnce(r.try, outcome)
-	x.last = r.err
+	x.lastErr = r.err
 }
 
 // unsent reports whether nothing was sent because the target became unavailable after it was
@@ -80,7 +80,7 @@
 	if f := x.body.failure(x.tracker.Outcome()); f != nil {
 		return f
 	}
-	return newFinalError(x.tracker, reason, x.retryAfter, x.last)
+	return newFinalError(x.tracker, reason, x.retryAfter, x.lastErr)
 }
 
 // expired reports whether the request ends unanswered with an attempt that fails now: its caller
--- a/internal/entry/relay.go
+++ b/internal/entry/relay.go
@@ -33,10 +33,10 @@
 	body      *body
 	tracker   *attempt.Tracker
 	// tried are the keys of the targets that were tried. It is written by the attempts, under mu.
-	mu     sync.Mutex
-	tried  []string
-	header http.Header
-	last   error
+	mu      sync.Mutex
+	tried   []string
+	header  http.Header
+	lastErr error
 	// launched counts the attempts that were started, except those that ended unsent.
 	launched int
 	unsent   int
