--- a/internal/forward/answer.go
+++ b/internal/forward/answer.go
@@ -95,8 +95,8 @@
 	return a.Status() >= http.StatusOK && a.Status() < http.StatusMultipleChoices
 }
 
-// limit reads up to limit bytes of the body into memory. An answer that fits is complete then.
-func (a *Answer) limit(hold int64) error {
+// readHeld reads up to limit bytes of the body into memory. An answer that fits is complete then.
+func (a *Answer) readHeld(hold int64) error {
 	if a.response.ContentLength > hold {
 		return nil
 	}
--- a/internal/forward/client.go
+++ b/internal/forward/client.go
@@ -158,7 +158,7 @@
 		a.Close()
 		return nil, err
 	}
-	if err := a.limit(c.hold); err != nil {
+	if err := a.readHeld(c.hold); err != nil {
 		a.Close()
 		return nil, err
 	}
