--- a/internal/forward/answer.go
+++ b/internal/forward/answer.go
@@ -95,7 +95,7 @@
 	return a.Status() >= http.StatusOK && a.Status() < http.StatusMultipleChoices
 }
 
-// readHeld reads up to limit bytes of the body into memory. An answer that fits is complete then.
+// readHeld reads up to hold bytes of the body into memory. An answer that fits is complete then.
 func (a *Answer) readHeld(hold int64) error {
 	if a.response.ContentLength > hold {
 		return nil
--- a/internal/forward/client.go
+++ b/internal/forward/client.go
@@ -48,7 +48,7 @@
 
 // NewClient returns a client that reads answers of at most hold bytes whole before it returns
 // them; 0 streams all answers. A body without progress for stall counts as broken. Connections use
-// the local address outgoing, or any if it is the zero value.
+// the local IP address outgoing, or any if it is the zero value.
 func NewClient(c *contract.Contract, hold int64, stall time.Duration, outgoing netip.Addr) *Client {
 	dialer := &net.Dialer{
 		Timeout: connectTimeout,
--- a/internal/forward/guard_test.go
+++ b/internal/forward/guard_test.go
@@ -24,7 +24,7 @@
 func TestGuardWritesOnlyForAValidClaim(t *testing.T) {
 	cases := []struct {
 		name string
-		// unavailableAfter is after how long the target wants nothing any more, 0 for never.
+		// unavailableAfter is when the target becomes unavailable, 0 for never.
 		unavailableAfter time.Duration
 		steps            func(c net.Conn, seal func() bool)
 		want             string
--- a/internal/link/keys.go
+++ b/internal/link/keys.go
@@ -8,8 +8,7 @@
 	"os"
 )
 
-// Keys are the TLS certificate and authority with which the fleet's processes authenticate each
-// other.
+// Keys are the TLS keys with which the fleet's processes authenticate each other.
 type Keys struct {
 	config *tls.Config
 }
