--- a/internal/entry/capture.go
+++ b/internal/entry/capture.go
@@ -10,84 +10,82 @@
 	"sync"
 )
 
-// captured is a caller's connection that keeps the raw header of the request
-// that is being read. net/http drops a Content-Length that comes together with
-// chunks before anyone sees it (RFC 9112, section 6.3, allows that), but such a
-// request is how others smuggle, so it is refused here.
-type captured struct {
+// recordedConn is a caller's connection that records the raw header of the request being read.
+// net/http drops a Content-Length that comes with chunked encoding before a handler sees it (RFC
+// 9112, section 6.3, allows that). Such requests are used for request smuggling and are refused
+// here.
+type recordedConn struct {
 	net.Conn
-	mu     sync.Mutex
-	header []byte
-	on     bool
-	most   int
+	mu        sync.Mutex
+	header    []byte
+	recording bool
+	maxHeader int
 }
 
-// Read reads from the caller and keeps what may be a header.
-func (c *captured) Read(p []byte) (int, error) {
+// Read reads from the caller and records what may be a header.
+func (c *recordedConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.on && len(c.header) < c.most {
+	if c.recording && len(c.header) < c.maxHeader {
 		c.header = append(c.header, p[:n]...)
 	}
 	return n, err
 }
 
-// start begins to keep bytes: the next one belongs to a new request.
-func (c *captured) start() {
+// start begins recording: the next byte belongs to a new request.
+func (c *recordedConn) start() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.header = c.header[:0]
-	c.on = true
+	c.recording = true
 }
 
-// stop returns the kept header and keeps no more. It is empty for a request that
-// came right behind another one.
-func (c *captured) stop() []byte {
+// stop ends recording and returns the header. It is empty for a pipelined request.
+func (c *recordedConn) stop() []byte {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.on = false
+	c.recording = false
 	header, _, _ := bytes.Cut(c.header, []byte("\r\n\r\n"))
 	return header
 }
 
-// capturing is a listener whose connections keep their headers.
-type capturing struct {
+// recordingListener is a listener whose connections record request headers.
+type recordingListener struct {
 	net.Listener
-	most int
+	maxHeader int
 }
 
-// Accept waits for the next caller.
-func (l *capturing) Accept() (net.Conn, error) {
+// Accept waits for the next connection.
+func (l *recordingListener) Accept() (net.Conn, error) {
 	conn, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	return &captured{
-		Conn: conn,
-		most: l.most,
+	return &recordedConn{
+		Conn:      conn,
+		maxHeader: l.maxHeader,
 	}, nil
 }
 
-type capturedKey struct{}
+type connKey struct{}
 
-// keepConn puts the connection into the context of its requests.
-func keepConn(ctx context.Context, conn net.Conn) context.Context {
-	return context.WithValue(ctx, capturedKey{}, conn)
+// withConn puts the connection into the context of its requests.
+func withConn(ctx context.Context, conn net.Conn) context.Context {
+	return context.WithValue(ctx, connKey{}, conn)
 }
 
-// followConn starts to keep a header whenever a connection waits for one.
-func followConn(conn net.Conn, state http.ConnState) {
-	if c, ok := conn.(*captured); ok && (state == http.StateNew || state == http.StateIdle) {
+// trackConnState starts recording when a connection waits for a request.
+func trackConnState(conn net.Conn, state http.ConnState) {
+	if c, ok := conn.(*recordedConn); ok && (state == http.StateNew || state == http.StateIdle) {
 		c.start()
 	}
 }
 
-// bothLengths reports whether a request stated a length and chunks. A chunked
-// request whose header isn't known, for it came right behind another one, is
-// taken for one that did.
-func bothLengths(r *http.Request) bool {
-	c, ok := r.Context().Value(capturedKey{}).(*captured)
+// hasLengthAndChunks reports whether a request has both a Content-Length and chunked encoding. A
+// chunked request whose header was not recorded, because it was pipelined, counts as one that has.
+func hasLengthAndChunks(r *http.Request) bool {
+	c, ok := r.Context().Value(connKey{}).(*recordedConn)
 	if !ok {
 		return false
 	}
--- a/internal/entry/check.go
+++ b/internal/entry/check.go
@@ -12,32 +12,33 @@
 	"ploverjunction.example/ploverjunction/internal/fleetconfig"
 )
 
-// admitted is a request that passed all checks, or of a refused one what is known.
-type admitted struct {
+// admission is the result of the checks of a request; for a refused one it holds what was found
+// until then.
+type admission struct {
 	config *fleetconfig.Config
 	route  *fleetconfig.Route
-	// workspace is the identity of the caller's workspace; it may be empty. owner is the
-	// workspace itself, nil where none is needed.
+	// workspace is the ID of the caller's workspace; it may be empty. owner is the workspace
+	// itself, nil where none is needed.
 	workspace string
 	owner     *fleetconfig.Workspace
-	// rank is the rank under overload; 0 is served first.
+	// rank is the priority under overload; 0 is served first.
 	rank int
-	// wait is the time to the first byte of an answer.
-	wait     time.Duration
+	// timeout is the time to the first byte of the answer.
+	timeout  time.Duration
 	deadline time.Time
 	maxBody  int64
 }
 
-// of returns the workspace of a request, "" where it isn't known.
-func (a *admitted) of() string {
+// workspaceID returns the ID of the request's workspace, "" where it is not known.
+func (a *admission) workspaceID() string {
 	if a == nil {
 		return ""
 	}
 	return a.workspace
 }
 
-// regions returns what restricts where the request is served: its route and its workspace.
-func (a *admitted) regions() []fleetconfig.Regions {
+// regions returns the region restrictions of the request's route and workspace.
+func (a *admission) regions() []fleetconfig.Regions {
 	var out []fleetconfig.Regions
 	if r := a.route.Regions(); len(r) > 0 {
 		out = append(out, r)
@@ -48,12 +49,12 @@
 	return out
 }
 
-// admit checks a request before any work is done for it. What is known of a refused
-// one may be nil.
-func (s *Server) admit(r *http.Request, now time.Time) (*admitted, *Error) {
+// admit checks a request before any work is done for it. The admission of a refused request may be
+// nil.
+func (s *Server) admit(r *http.Request, now time.Time) (*admission, *Error) {
 	cfg := s.cfg.Config()
 	if cfg == nil || len(cfg.Services()) == 0 {
-		cfg = s.await(r)
+		cfg = s.awaitConfig(r)
 	}
 	if cfg == nil {
 		e := refuse(CodeNotReady, http.StatusServiceUnavailable)
@@ -61,17 +62,17 @@
 		return nil, e
 	}
 	a, fail := s.check(cfg, r, now)
-	if fail == nil || !fail.hingesOnNews() || s.cfg.Current() {
+	if fail == nil || !fail.mayBeOutdated() || s.cfg.Current() {
 		return a, fail
 	}
-	if !s.awaitNews(r) {
-		return a, unsure(fail)
+	if !s.awaitCurrent(r) {
+		return a, keyNotChecked(fail)
 	}
 	return s.check(s.cfg.Config(), r, now)
 }
 
-// check checks a request by a configuration.
-func (s *Server) check(cfg *fleetconfig.Config, r *http.Request, now time.Time) (*admitted, *Error) {
+// check checks a request against a configuration.
+func (s *Server) check(cfg *fleetconfig.Config, r *http.Request, now time.Time) (*admission, *Error) {
 	if err := checkForm(r); err != nil {
 		return nil, err
 	}
@@ -82,7 +83,7 @@
 	case fleetconfig.MatchPath:
 		return nil, refuse(CodeMethod, http.StatusMethodNotAllowed)
 	}
-	a := &admitted{
+	a := &admission{
 		config:  cfg,
 		route:   route,
 		maxBody: s.cfg.MaxBody,
@@ -92,8 +93,8 @@
 		return a, fail
 	}
 	a.rank = rank(cfg, a.owner, route)
-	if most := cfg.Limits().MaxBody(); most > 0 {
-		a.maxBody = most
+	if maxBody := cfg.Limits().MaxBody(); maxBody > 0 {
+		a.maxBody = maxBody
 	}
 	if route.MaxBody() > 0 {
 		a.maxBody = route.MaxBody()
@@ -101,20 +102,20 @@
 	if r.ContentLength > a.maxBody {
 		return a, refuse(CodeBodySize, http.StatusRequestEntityTooLarge)
 	}
-	a.wait, fail = s.callerWait(r, route)
+	a.timeout, fail = s.requestTimeout(r, route)
 	if fail != nil {
 		return a, fail
 	}
-	a.deadline = now.Add(a.wait)
+	a.deadline = now.Add(a.timeout)
 	return a, s.checkLimit(r.Context(), a)
 }
 
-// checkForm refuses requests whose meaning a target may read otherwise.
+// checkForm refuses requests that a target may interpret differently.
 func checkForm(r *http.Request) *Error {
 	if r.Method == http.MethodConnect || r.Method == http.MethodTrace {
 		return refuse(CodeMethod, http.StatusMethodNotAllowed)
 	}
-	if bothLengths(r) {
+	if hasLengthAndChunks(r) {
 		return refuse(CodeBadRequest, http.StatusBadRequest)
 	}
 	p := r.URL.Path
@@ -146,7 +147,7 @@
 	return strings.ToLower(host)
 }
 
-func (s *Server) callerWait(r *http.Request, route *fleetconfig.Route) (time.Duration, *Error) {
+func (s *Server) requestTimeout(r *http.Request, route *fleetconfig.Route) (time.Duration, *Error) {
 	longest := route.Deadline()
 	if longest == 0 {
 		longest = s.cfg.Deadline
@@ -163,16 +164,16 @@
 	return min(d, longest), nil
 }
 
-// await waits a moment for the first configuration of a process that starts.
-func (s *Server) await(r *http.Request) *fleetconfig.Config {
-	ctx, cancel := context.WithTimeout(r.Context(), startWait(s.callerTime(r)))
+// awaitConfig waits for the first configuration of a process that is starting.
+func (s *Server) awaitConfig(r *http.Request) *fleetconfig.Config {
+	ctx, cancel := context.WithTimeout(r.Context(), startWait(s.callerTimeout(r)))
 	defer cancel()
 	return s.cfg.AwaitConfig(ctx)
 }
 
-// callerTime returns how long a caller waits. What is wrong with its request is told
-// once there is a configuration.
-func (s *Server) callerTime(r *http.Request) time.Duration {
+// callerTimeout returns how long the caller waits. An invalid header is refused later, once there
+// is a configuration.
+func (s *Server) callerTimeout(r *http.Request) time.Duration {
 	d, err := s.cfg.Contract.CallerWait(r.Header)
 	if err != nil || d == 0 {
 		return s.cfg.Deadline
@@ -180,6 +181,6 @@
 	return d
 }
 
-// startWait returns how long the request of a caller that waits for d waits for the first
-// configuration, and for what else a node that starts lacks.
-func startWait(d time.Duration) time.Duration { return min(d/startPart, startMost) }
+// startWait returns how long a request, whose caller waits for d, waits for the first
+// configuration and for other state that a starting node lacks.
+func startWait(d time.Duration) time.Duration { return min(d/startWaitDivisor, maxStartWait) }
--- a/internal/entry/closed_test.go
+++ b/internal/entry/closed_test.go
@@ -13,10 +13,10 @@
 
 // Guards against requests that were granted before an evacuation and are sent after it.
 func TestGrantInAnEvacuatedDataHallIsNotSent(t *testing.T) {
-	evacuated, other := newSaid(t, "evacuated", well), newSaid(t, "other", well)
+	evacuated, other := newSignalTarget(t, "evacuated", serveOK), newSignalTarget(t, "other", serveOK)
 	evacuated.choice.DataHall, other.choice.DataHall = "a", "b"
 	c := &choices{
-		list: []*said{evacuated, other},
+		list: []*signalTarget{evacuated, other},
 	}
 	s := signalSite(t, &signal.Ledger{}, c)
 	c.before = func(n int) {
@@ -37,14 +37,14 @@
 		t.Errorf("%d requests reached the evacuated data hall", n)
 	}
 	if len(c.queries) != 2 || c.queries[1].Again {
-		t.Errorf("%d choices, the second one a repeat", len(c.queries))
+		t.Errorf("%d choices, or the second one is a retry", len(c.queries))
 	}
 }
 
-// Guards against a choice that doesn't know where a request may be served.
+// Guards against a query without the regions where a request may be served.
 func TestQueryHoldsTheRegionsOfRouteAndWorkspace(t *testing.T) {
 	c := &choices{
-		list:   []*said{newSaid(t, "target", well)},
+		list:   []*signalTarget{newSignalTarget(t, "target", serveOK)},
 		before: func(int) {},
 	}
 	s := newSite(t, func(cfg *entry.Config) { cfg.Choose = c.choose })
--- a/internal/entry/fail.go
+++ b/internal/entry/failure.go
@@ -13,23 +13,23 @@
 	"ploverjunction.example/ploverjunction/internal/outlier"
 )
 
-// failed notes an attempt that failed, or one for which there was no target.
-func (x *relay) failed(r result) {
+// recordFailure records an attempt that failed or got no target.
+func (x *relay) recordFailure(r result) {
 	var none *NoTargetError
 	if errors.As(r.err, &none) {
 		if r.try.hedge && none.reason != attempt.ReasonDeadline {
-			// The attempt before it goes on, and may be followed by another if it fails.
+			// The earlier attempt continues, and may be followed by another if it fails.
 			if none.reason == attempt.ReasonBudget {
 				x.launched--
 			}
 			return
 		}
-		x.blocked = none.reason
+		x.blockReason = none.reason
 		x.retryAfter = none.retryAfter
 		return
 	}
 	if unsent(r.err) {
-		x.notSent(r.try)
+		x.discountUnsent(r.try)
 		return
 	}
 	outcome := attempt.OutcomeUnknown
@@ -37,19 +37,20 @@
 	if errors.As(r.err, &fe) {
 		outcome = fe.Outcome()
 	}
-	x.count(r.try, outcome)
-	x.last = r.err
+	x.recordOnce(r.try, outcome)
+	x.lastErr = r.err
 }
 
-// unsent reports whether nothing was sent because the target wanted no request any more.
+// unsent reports whether nothing was sent because the target became unavailable after it was
+// chosen.
 func unsent(err error) bool {
 	var fe *forward.Error
 	return errors.As(err, &fe) && fe.Kind() == forward.KindBarred
 }
 
-// notSent forgets an attempt whose target wanted no request any more when it was to be sent:
-// the next one is no repeat, and the retry budget doesn't pay for it.
-func (x *relay) notSent(t *try) {
+// discountUnsent takes back an attempt whose target became unavailable before it was sent: the
+// next attempt is no retry and takes nothing from the retry budget.
+func (x *relay) discountUnsent(t *try) {
 	x.launched--
 	x.unsent++
 	x.mu.Lock()
@@ -59,15 +60,14 @@
 	}
 }
 
-// replaceable reports whether another target may give a repeatable request a better
-// answer than this one.
+// replaceable reports whether another target may give a repeatable request a better answer.
 func (x *relay) replaceable(a *forward.Answer) bool {
-	_, again := x.body.next()
-	return x.in.route.Repeatable() && passing(a.Status()) && again
+	_, sendable := x.body.reader()
+	return x.admission.route.Repeatable() && retryableStatus(a.Status()) && sendable
 }
 
-// passing reports whether a failure may not come from another target.
-func passing(status int) bool {
+// retryableStatus reports whether another target may answer without this failure.
+func retryableStatus(status int) bool {
 	switch status {
 	case http.StatusInternalServerError, http.StatusBadGateway, http.StatusServiceUnavailable, http.StatusGatewayTimeout:
 		return true
@@ -77,20 +77,20 @@
 }
 
 func (x *relay) giveUp(reason attempt.Reason) *Error {
-	if f := x.body.fault(x.life.Outcome()); f != nil {
+	if f := x.body.failure(x.tracker.Outcome()); f != nil {
 		return f
 	}
-	return gaveUp(x.life, reason, x.retryAfter, x.last)
+	return newFinalError(x.tracker, reason, x.retryAfter, x.lastErr)
 }
 
-// lost reports whether the request ends unserved with an attempt that failed now: its
-// caller has left, or its time is over.
-func (x *relay) lost() bool {
-	return !x.settled.Load() && (x.req.Context().Err() != nil || time.Until(x.life.Deadline()) <= 0)
+// expired reports whether the request ends unanswered with an attempt that fails now: its caller
+// is gone, or its deadline has passed.
+func (x *relay) expired() bool {
+	return !x.settled.Load() && (x.req.Context().Err() != nil || time.Until(x.tracker.Deadline()) <= 0)
 }
 
-// endOf says what an attempt showed of its target.
-func endOf(a *forward.Answer, err error) outlier.Result {
+// resultOf returns what an attempt showed of its target.
+func resultOf(a *forward.Answer, err error) outlier.Result {
 	if a != nil {
 		return outlier.Result{
 			Failed:   a.Status() >= http.StatusInternalServerError,
--- a/internal/entry/header.go
+++ b/internal/entry/header.go
@@ -10,8 +10,8 @@
 	"ploverjunction.example/ploverjunction/internal/contract"
 )
 
-// hopByHop are the fields that concern one connection only (RFC 9110, section
-// 7.6.1), besides those that Connection names.
+// hopByHop are the fields that apply to one connection only (RFC 9110, section 7.6.1), besides
+// those that Connection names.
 var hopByHop = []string{
 	"Connection",
 	"Keep-Alive",
@@ -44,15 +44,15 @@
 	return out
 }
 
-// identify writes the identity of a request whose caller shows a key into the header
-// that a target gets: the name of the workspace, "" for none, in place of whatever the
-// caller wrote there and of the key.
-func identify(h http.Header, header, workspace string, keyed bool) {
+// setWorkspace writes the name of the workspace into the header that a target gets, and removes
+// any value that the caller wrote there. "" writes none. If keyed, the caller's key is removed
+// too.
+func setWorkspace(h http.Header, header, workspace string, keyed bool) {
 	if keyed {
 		h.Del(contract.HeaderAuthorization)
 	}
 	for name := range h {
-		// Targets behind gateway interfaces can't tell "_" from "-".
+		// Targets behind CGI-like gateways cannot distinguish "_" from "-".
 		if strings.EqualFold(strings.ReplaceAll(name, "_", "-"), header) {
 			delete(h, name)
 		}
@@ -62,13 +62,13 @@
 	}
 }
 
-// towardsTarget returns the header that a target gets.
-func (s *Server) towardsTarget(r *http.Request, in *admitted) http.Header {
+// targetHeader returns the header that a target gets.
+func (s *Server) targetHeader(r *http.Request, in *admission) http.Header {
 	c := s.cfg.Contract
 	h := endToEnd(c, r.Header)
 	h.Del("Expect")
 	if s.cfg.Keyed {
-		identify(h, s.cfg.WorkspaceHeader, in.workspace, in.config.Workspaces() > 0)
+		setWorkspace(h, s.cfg.WorkspaceHeader, in.workspace, in.config.Workspaces() > 0)
 	}
 	if !c.Forwarded {
 		return h
--- a/internal/entry/log.go
+++ b/internal/entry/log.go
@@ -12,14 +12,13 @@
 	"ploverjunction.example/ploverjunction/internal/forward"
 )
 
-// Lines about one request carry its name in the field "request". A request that
-// went well at its first attempt has one line; each attempt that failed, or was not
-// the first one, has a line of its own.
+// Log lines about one request carry its ID in the field "request". A request that
+// succeeds at its first attempt has one line; each failed attempt and each retry has
+// a line of its own.
 
-// logTry writes the line about one attempt: who chose which target, how long it
-// took and what came.
+// logTry logs one attempt: the target, the node that chose it, the times and the result.
 func (x *relay) logTry(t *try, a *forward.Answer, err error) {
-	if err == nil && !t.again && !passing(a.Status()) {
+	if err == nil && !t.retry && !retryableStatus(a.Status()) {
 		return
 	}
 	l := x.server.log.WithFields(logrus.Fields{
@@ -27,9 +26,9 @@
 		"service":   x.service.Name(),
 		"target":    t.choice.Key,
 		"by":        t.choice.By,
-		"waited_ms": t.chosen.Sub(t.begun).Milliseconds(),
+		"waited_ms": t.chosen.Sub(t.started).Milliseconds(),
 		"took_ms":   time.Since(t.chosen).Milliseconds(),
-		"again":     t.again,
+		"again":     t.retry,
 		"doubt":     t.choice.Doubt,
 		"trial":     t.choice.Trial,
 	})
@@ -44,7 +43,7 @@
 	l.WithError(err).Warn("attempt failed")
 }
 
-// logNoTarget writes the line about an attempt that couldn't begin.
+// logNoTarget logs an attempt that got no target.
 func (x *relay) logNoTarget(err error, hedge bool) {
 	l := x.server.log.WithField("request", x.id).WithField("service", x.service.Name()).WithError(err)
 	var none *NoTargetError
@@ -52,39 +51,39 @@
 		l = l.WithField("retry_after_ms", none.retryAfter.Milliseconds())
 	}
 	if hedge {
-		l.Debug("no second target for a slow attempt")
+		l.Debug("no target for a hedged attempt")
 		return
 	}
 	l.Warn("no target for the attempt")
 }
 
-// logEnd writes the line about the final answer to a request.
+// logEnd logs the final answer to a request.
 func (x *relay) logEnd(status int, outcome attempt.Outcome, fail *Error) {
 	l := x.server.log.WithFields(logrus.Fields{
 		"request":  x.id,
-		"route":    x.in.route.Name(),
-		"revision": x.in.config.Position().Revision(),
+		"route":    x.admission.route.Name(),
+		"revision": x.admission.config.Position().Revision(),
 		"service":  x.service.Name(),
 		"status":   status,
 		"outcome":  outcome.String(),
 		"attempts": x.launched,
-		"took_ms":  time.Since(x.begun).Milliseconds(),
+		"took_ms":  time.Since(x.started).Milliseconds(),
 	})
-	if x.in.workspace != "" {
-		l = l.WithField("workspace", x.in.workspace)
+	if x.admission.workspace != "" {
+		l = l.WithField("workspace", x.admission.workspace)
 	}
-	if x.won != nil {
+	if x.winner != nil {
 		l = l.WithFields(logrus.Fields{
-			"target":    x.won.choice.Key,
-			"hall":      x.won.choice.DataHall,
-			"by":        x.won.choice.By,
-			"doubt":     x.won.choice.Doubt,
-			"trial":     x.won.choice.Trial,
-			"waited_ms": x.won.chosen.Sub(x.won.begun).Milliseconds(),
+			"target":    x.winner.choice.Key,
+			"hall":      x.winner.choice.DataHall,
+			"by":        x.winner.choice.By,
+			"doubt":     x.winner.choice.Doubt,
+			"trial":     x.winner.choice.Trial,
+			"waited_ms": x.winner.chosen.Sub(x.winner.started).Milliseconds(),
 		})
 	}
 	if fail != nil {
-		l = l.WithField("fingerprint", x.prints.Content().String()).WithField("caller", callerOf(x.req, x.in))
+		l = l.WithField("fingerprint", x.fingerprints.Content().String()).WithField("caller", callerOf(x.req, x.admission))
 		l.WithError(fail).Warn("request failed")
 		return
 	}
--- a/internal/entry/refuse.go
+++ b/internal/entry/refusal.go
@@ -22,8 +22,8 @@
 	Request string `json:"request"`
 }
 
-// refuse answers a request that got no attempt.
-func (s *Server) refuse(w http.ResponseWriter, id string, in *admitted, e *Error) {
+// refuse logs and answers a request that was refused before any attempt.
+func (s *Server) refuse(w http.ResponseWriter, id string, in *admission, e *Error) {
 	l := s.log.WithFields(logrus.Fields{
 		"request": id,
 		"status":  e.status,
@@ -41,22 +41,22 @@
 	if e.retryAfter > 0 {
 		l = l.WithField("retry_after_ms", e.retryAfter.Milliseconds())
 	}
-	var over *LimitError
-	if errors.As(e, &over) {
+	var limitErr *LimitError
+	if errors.As(e, &limitErr) {
 		l = l.WithFields(logrus.Fields{
-			"by":     over.By,
-			"limit":  over.Rate,
-			"kept":   math.Round(10*over.Kept) / 10,
-			"tokens": math.Round(10*over.Level) / 10,
-			"age_ms": over.Age.Milliseconds(),
+			"by":     limitErr.By,
+			"limit":  limitErr.Rate,
+			"kept":   math.Round(10*limitErr.Kept) / 10,
+			"tokens": math.Round(10*limitErr.Level) / 10,
+			"age_ms": limitErr.Age.Milliseconds(),
 		})
 	}
-	var held *QuarantineError
-	if errors.As(e, &held) {
+	var quarantined *QuarantineError
+	if errors.As(e, &quarantined) {
 		l = l.WithFields(logrus.Fields{
-			"fingerprint": held.standing.Fingerprint.String(),
-			"ends":        held.standing.Crashes,
-			"age_ms":      time.Since(held.standing.Last).Milliseconds(),
+			"fingerprint": quarantined.status.Fingerprint.String(),
+			"ends":        quarantined.status.Crashes,
+			"age_ms":      time.Since(quarantined.status.Last).Milliseconds(),
 		})
 	}
 	l.WithError(e).Warn("request refused")
@@ -77,15 +77,15 @@
 		Request: id,
 	})
 	if err != nil {
-		panic("entry: a refusal is always JSON: " + err.Error())
+		panic("entry: encode refusal: " + err.Error())
 	}
 	h.Set("Content-Length", strconv.Itoa(len(body)))
 	w.WriteHeader(e.status)
-	// A caller that is gone needs no answer.
+	// The caller may be gone.
 	_, _ = w.Write(body)
 }
 
-// setOutcome writes the request's name and outcome into the header of an answer.
+// setOutcome writes the request ID and outcome into the header of an answer.
 func (s *Server) setOutcome(h http.Header, id string, o attempt.Outcome) {
 	c := s.cfg.Contract
 	if c.Outcome != "" {
--- a/internal/entry/relay.go
+++ b/internal/entry/relay.go
@@ -21,56 +21,55 @@
 	"ploverjunction.example/ploverjunction/internal/task"
 )
 
-// relay is the way of one request from its admission to a target's answer. It
-// belongs to the goroutine of the request, but for try.run.
+// relay carries one request from its admission to a target's answer. It belongs to the goroutine
+// of the request, except in try.run.
 type relay struct {
-	server  *Server
-	id      string
-	req     *http.Request
-	in      *admitted
-	service *fleetconfig.Service
-	begun   time.Time
-	body    *body
-	life    *attempt.Tracker
-	// tried are the keys of the targets that were asked. It is written by the
-	// tries, under mu.
-	mu     sync.Mutex
-	tried  []string
-	header http.Header
-	last   error
-	// launched counts the tries that were begun, but for those that ended unsent.
+	server    *Server
+	id        string
+	req       *http.Request
+	admission *admission
+	service   *fleetconfig.Service
+	started   time.Time
+	body      *body
+	tracker   *attempt.Tracker
+	// tried are the keys of the targets that were tried. It is written by the attempts, under mu.
+	mu      sync.Mutex
+	tried   []string
+	header  http.Header
+	lastErr error
+	// launched counts the attempts that were started, except those that ended unsent.
 	launched int
 	unsent   int
-	// running are the tries whose end hasn't been read from results.
+	// running are the attempts whose result has not been read from results.
 	running []*try
 	results chan result
-	// granted tells of targets that tries got.
-	granted chan grant
-	// sent is when the attempt that may need a hedge was sent.
-	sent time.Time
-	// prints name what is asked for. suspect is set once a target is known to have ended under
-	// the request, held is for how long it is refused then.
-	prints  quarantine.Fingerprints
-	suspect atomic.Bool
-	held    atomic.Int64
-	// won is the try whose answer is delivered; settled is set once there is one.
-	won     *try
+	// grants receives the targets granted to attempts.
+	grants chan grant
+	// sentAt is when the attempt that may need a hedge was sent.
+	sentAt time.Time
+	// fingerprints identify the request's content. suspect is set once a target is known to have
+	// crashed under the request; quarantineWait is for how long it is then refused.
+	fingerprints   quarantine.Fingerprints
+	suspect        atomic.Bool
+	quarantineWait atomic.Int64
+	// winner is the attempt whose answer is delivered; settled is set once there is one.
+	winner  *try
 	settled atomic.Bool
-	// spare is an answer that is given only if no better one comes.
-	spare *result
-	// blocked says why no other try may begin, retryAfter when the caller may.
-	blocked    attempt.Reason
-	retryAfter time.Duration
+	// fallback is an answer that is delivered only if no better one arrives.
+	fallback *result
+	// blockReason is why no other attempt may start, retryAfter when the caller may retry.
+	blockReason attempt.Reason
+	retryAfter  time.Duration
 }
 
-// result is the end of a try: an answer or an error.
+// result is the end of an attempt: an answer or an error.
 type result struct {
 	try    *try
 	answer *forward.Answer
 	err    error
 }
 
-// discard gives up what a result holds.
+// discard releases the answer and the target of a result.
 func (r result) discard() {
 	if r.answer != nil {
 		r.answer.Close()
@@ -78,41 +77,41 @@
 	r.try.release()
 }
 
-// maxTries bounds the attempts of a request, whatever its policy says.
+// maxTries bounds the attempts of a request, regardless of its policy.
 const maxTries = 16
 
-// answer makes attempts until one answers or no other may follow. The pick of
-// the answer's target stays taken until release is called.
+// answer makes attempts until one answers or no other may follow. The answer's target stays in use
+// until release is called.
 func (x *relay) answer() (a *forward.Answer, release func(), fail *Error) {
 	x.server.cfg.First(x.service.Name())
-	x.trial()
+	x.sendTrial()
 	for {
 		reason := x.launch()
-		if reason != attempt.ReasonNone && x.spare == nil {
+		if reason != attempt.ReasonNone && x.fallback == nil {
 			return nil, nil, x.giveUp(reason)
 		}
-		r := x.spare
+		r := x.fallback
 		if reason == attempt.ReasonNone {
 			r = x.await()
 		}
 		if r == nil {
 			continue
 		}
-		x.abandon(r)
-		x.won = r.try
+		x.cancelOthers(r)
+		x.winner = r.try
 		return r.answer, r.try.release, nil
 	}
 }
 
-// launch begins an attempt, or gives the reason against it.
+// launch starts an attempt, or returns why it may not.
 func (x *relay) launch() attempt.Reason {
-	if x.blocked != attempt.ReasonNone {
-		return x.blocked
+	if x.blockReason != attempt.ReasonNone {
+		return x.blockReason
 	}
-	if reason := x.may(); reason != attempt.ReasonNone {
+	if reason := x.allowAttempt(); reason != attempt.ReasonNone {
 		return reason
 	}
-	reader, ok := x.body.next()
+	reader, ok := x.body.reader()
 	if !ok || x.launched+x.unsent >= maxTries {
 		return attempt.ReasonPolicy
 	}
@@ -121,11 +120,11 @@
 		relay:  x,
 		reader: reader,
 		cancel: cancel,
-		again:  x.launched > 0,
+		retry:  x.launched > 0,
 		hedge:  len(x.running) > 0,
 	}
-	if t.hedge && !x.sent.IsZero() {
-		t.age = time.Since(x.sent)
+	if t.hedge && !x.sentAt.IsZero() {
+		t.age = time.Since(x.sentAt)
 	}
 	x.launched++
 	x.running = append(x.running, t)
@@ -133,10 +132,9 @@
 	return attempt.ReasonNone
 }
 
-// await waits for the answer of one of the tries that are running. A repeatable
-// request that takes unusually long is sent to another target as well
-// (Dean and Barroso, "The tail at scale", CACM 2013). It gives nil when all
-// tries have failed.
+// await waits for the answer of one of the running attempts. A repeatable request that takes
+// unusually long is also sent to another target (Dean and Barroso, "The tail at scale", CACM
+// 2013). It returns nil when all attempts have failed.
 func (x *relay) await() *result {
 	hedge := time.NewTimer(x.hedgeAfter())
 	defer hedge.Stop()
@@ -147,14 +145,14 @@
 			if x.accept(r) {
 				return &r
 			}
-			if r.try.hedge && (spent(r.err) || unsent(r.err)) {
-				hedge.Reset(hedgeAgain)
+			if r.try.hedge && (budgetSpent(r.err) || unsent(r.err)) {
+				hedge.Reset(hedgeRetryDelay)
 			}
-		case g := <-x.granted:
+		case g := <-x.grants:
 			if len(x.running) > 1 {
 				continue
 			}
-			x.sent = g.at
+			x.sentAt = g.at
 			if g.hedgeAfter > 0 && x.hedgeable() {
 				hedge.Reset(time.Until(g.at.Add(g.hedgeAfter)))
 			}
@@ -165,44 +163,44 @@
 	return nil
 }
 
-// count notes in the request's life that an attempt may be followed by another.
-func (x *relay) count(t *try, o attempt.Outcome) {
+// recordOnce records the outcome of an attempt that may be followed by another, unless it is
+// recorded already.
+func (x *relay) recordOnce(t *try, o attempt.Outcome) {
 	if !t.counted {
 		t.counted = true
-		x.life.Record(o)
+		x.tracker.Record(o)
 	}
 }
 
-// accept reports whether a result is the answer for the caller. Any other is noted
-// and given up, or kept as a spare.
+// accept reports whether a result is the answer for the caller. Any other is recorded and
+// discarded, or kept as the fallback.
 func (x *relay) accept(r result) bool {
 	if r.err != nil {
 		r.discard()
-		x.failed(r)
+		x.recordFailure(r)
 		return false
 	}
-	x.learnSize(r.answer)
+	x.recordSize(r.answer)
 	if !x.replaceable(r.answer) {
 		return true
 	}
-	x.count(r.try, attempt.OutcomeUnknown)
-	if x.spare != nil {
-		x.spare.discard()
+	x.recordOnce(r.try, attempt.OutcomeUnknown)
+	if x.fallback != nil {
+		x.fallback.discard()
 	}
-	x.spare = &r
+	x.fallback = &r
 	return false
 }
 
-// abandon ends the tries that lost to another one. Their ends are read by the
-// server.
-func (x *relay) abandon(won *result) {
+// cancelOthers cancels the remaining attempts. Their results are read by a task of the server.
+func (x *relay) cancelOthers(winner *result) {
 	x.settled.Store(true)
-	if x.spare != nil && x.spare != won {
-		x.spare.discard()
+	if x.fallback != nil && x.fallback != winner {
+		x.fallback.discard()
 	}
-	x.spare = nil
-	lost := len(x.running)
-	if lost == 0 {
+	x.fallback = nil
+	cancelled := len(x.running)
+	if cancelled == 0 {
 		return
 	}
 	for _, t := range x.running {
@@ -210,8 +208,8 @@
 	}
 	x.running = nil
 	ctx := context.WithoutCancel(x.req.Context())
-	x.server.own(task.Go(ctx, "lost tries", func(context.Context) error {
-		for range lost {
+	x.server.track(task.Go(ctx, "lost tries", func(context.Context) error {
+		for range cancelled {
 			r := <-x.results
 			r.discard()
 		}
@@ -219,37 +217,37 @@
 	}))
 }
 
-func (x *relay) may() attempt.Reason {
+func (x *relay) allowAttempt() attempt.Reason {
 	if x.req.Context().Err() != nil {
 		return attempt.ReasonCaller
 	}
-	if x.body.broken() != nil {
+	if x.body.readError() != nil {
 		return attempt.ReasonCaller
 	}
-	if held := x.held.Load(); held > 0 {
+	if held := x.quarantineWait.Load(); held > 0 {
 		x.retryAfter = time.Duration(held)
 		return attempt.ReasonQuarantine
 	}
-	return x.life.Allow(time.Now(),
+	return x.tracker.Allow(time.Now(),
 		func() bool {
-			if most := x.in.route.MaxAttempts(); most > 0 && x.life.PossibleRuns() >= most {
+			if maxAttempts := x.admission.route.MaxAttempts(); maxAttempts > 0 && x.tracker.PossibleRuns() >= maxAttempts {
 				return false
 			}
 			return x.service.Policy().Retry(policy.Attempt{
-				Attempt:    x.life.Attempts(),
-				Outcome:    x.life.Outcome().String(),
-				Repeatable: x.in.route.Repeatable(),
+				Attempt:    x.tracker.Attempts(),
+				Outcome:    x.tracker.Outcome().String(),
+				Repeatable: x.admission.route.Repeatable(),
 				Method:     x.req.Method,
-				Route:      x.in.route.Name(),
-				Class:      x.in.route.Class(),
+				Route:      x.admission.route.Name(),
+				Class:      x.admission.route.Class(),
 			})
 		},
 		func() bool { return x.server.cfg.Retry(x.service.Name()) },
 	)
 }
 
-func (x *relay) begin(target string) *outlier.Attempt {
-	return x.server.cfg.Collector.Begin(time.Now(), x.service.Name(), x.in.route.Class(), target)
+func (x *relay) startAttempt(target string) *outlier.Attempt {
+	return x.server.cfg.Collector.Begin(time.Now(), x.service.Name(), x.admission.route.Class(), target)
 }
 
 func (x *relay) request(c Choice, reader io.Reader) *forward.Request {
@@ -257,14 +255,14 @@
 		ID:         x.id,
 		Target:     c.Address,
 		Expect:     c.ID,
-		Repeatable: x.in.route.Repeatable(),
+		Repeatable: x.admission.route.Repeatable(),
 		Method:     x.req.Method,
 		Host:       x.req.Host,
 		URI:        x.req.URL.RequestURI(),
 		Header:     x.header.Clone(),
 		Body:       reader,
 		Length:     x.body.length,
-		Deadline:   x.life.Deadline(),
+		Deadline:   x.tracker.Deadline(),
 		Observe:    func(n signal.Signal, err error) { x.observe(c, n, err) },
 		Barred: func(now time.Time) bool {
 			return x.server.cfg.Config().Evacuated(c.DataHall) ||
--- a/internal/entry/resume.go
+++ b/internal/entry/resume.go
@@ -12,13 +12,13 @@
 	"ploverjunction.example/ploverjunction/internal/forward"
 )
 
-// resumable reports whether the rest of an answer can be had from another target:
-// the route is repeatable and the target offers ranges and a strong validator
-// (RFC 9110, sections 8.8.1 and 14.2).
+// resumable reports whether the rest of an answer can be requested from another target: the route
+// is repeatable and the target offers ranges and a strong validator (RFC 9110, sections 8.8.1 and
+// 14.2).
 func (x *relay) resumable(a *forward.Answer) bool {
 	h := a.Header()
 	etag := h.Get("Etag")
-	return x.in.route.Repeatable() &&
+	return x.admission.route.Repeatable() &&
 		x.req.Method == http.MethodGet &&
 		x.req.Header.Get("Range") == "" &&
 		a.Status() == http.StatusOK &&
@@ -27,18 +27,18 @@
 		strings.HasPrefix(etag, `"`)
 }
 
-// resume asks for the bytes of a from offset on. It gives nil if no target
-// continues the very same representation.
+// resume requests the bytes of the answer from offset on. It returns nil if no target continues
+// the same representation.
 func (x *relay) resume(etag string, offset, total int64) (*forward.Answer, func()) {
-	x.life.SetDeadline(time.Now().Add(x.in.wait))
+	x.tracker.SetDeadline(time.Now().Add(x.admission.timeout))
 	x.header.Set("Range", fmt.Sprintf("bytes=%d-", offset))
 	x.header.Set("If-Range", etag)
-	r := x.another()
+	r := x.attemptOnce()
 	if r == nil {
 		return nil, nil
 	}
-	x.abandon(r)
-	x.won = r.try
+	x.cancelOthers(r)
+	x.winner = r.try
 	a, release := r.answer, r.try.release
 	want := fmt.Sprintf("bytes %d-%d/%d", offset, total-1, total)
 	same := a.Status() == http.StatusPartialContent &&
@@ -52,8 +52,9 @@
 	return a, release
 }
 
-// another makes one more attempt that is sent. It gives nil if none may be made or it failed.
-func (x *relay) another() *result {
+// attemptOnce makes attempts until one is sent. It returns nil if none may be made or the sent one
+// failed.
+func (x *relay) attemptOnce() *result {
 	for unsent := -1; unsent < x.unsent; {
 		unsent = x.unsent
 		if x.launch() != attempt.ReasonNone {
@@ -66,10 +67,10 @@
 	return nil
 }
 
-// key returns the key of the target at an address, by the choice that led there.
+// key returns the key of the target at an address, if it is the winner's; else the address.
 func (x *relay) key(address string) string {
-	if x.won != nil && x.won.choice.Address == address {
-		return x.won.choice.Key
+	if x.winner != nil && x.winner.choice.Address == address {
+		return x.winner.choice.Key
 	}
 	return address
 }
--- a/internal/entry/signal_test.go
+++ b/internal/entry/signal_test.go
@@ -20,15 +20,15 @@
 	"ploverjunction.example/ploverjunction/internal/signal"
 )
 
-// said is a target whose requests are counted, and how it answers.
-type said struct {
+// signalTarget is a test target that counts its requests.
+type signalTarget struct {
 	choice  entry.Choice
 	arrived atomic.Int64
 }
 
-func newSaid(t *testing.T, key string, serve http.HandlerFunc) *said {
+func newSignalTarget(t *testing.T, key string, serve http.HandlerFunc) *signalTarget {
 	t.Helper()
-	s := &said{}
+	s := &signalTarget{}
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		s.arrived.Add(1)
 		serve(w, r)
@@ -48,11 +48,11 @@
 	return s
 }
 
-// choices gives targets in turn, and the last one again and again.
+// choices returns its targets in order, and then the last one repeatedly.
 type choices struct {
 	mu   sync.Mutex
-	list []*said
-	// before is called before each choice is given, with its number.
+	list []*signalTarget
+	// before is called before each choice, with its number.
 	before  func(n int)
 	queries []*entry.Query
 }
@@ -66,8 +66,8 @@
 	return c.list[min(n, len(c.list)-1)].choice, nil
 }
 
-// signalSite returns a site that keeps signals in a ledger and takes its targets from choices.
-func signalSite(t *testing.T, ledger *signal.Ledger, c *choices) *site {
+// signalSite returns a site that records signals in a ledger and chooses targets from c.
+func signalSite(t *testing.T, ledger *signal.Ledger, c *choices) *testSite {
 	t.Helper()
 	return newSite(t, func(cfg *entry.Config) {
 		cfg.Signals = ledger
@@ -75,9 +75,9 @@
 	})
 }
 
-func well(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "answer") }
+func serveOK(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "answer") }
 
-func leaves(l *signal.Ledger, s *said) {
+func observeDraining(l *signal.Ledger, s *signalTarget) {
 	l.Observe(time.Now(), s.choice.Incarnation, signal.Signal{
 		Draining: true,
 	})
@@ -87,16 +87,16 @@
 	"Authorization": {"Bearer " + keyBrokers},
 }
 
-// A target may say that it leaves between the choice and the first byte. Nothing is sent then, and
-// the next target gets the request as if it were the first: no repeat is paid for.
-func TestGrantUnderWayIsNotSent(t *testing.T) {
+// A target may signal draining between the choice and the first byte. Nothing is sent then, and the
+// next target gets the request as a first attempt, at no cost to the retry budget.
+func TestDrainingTargetGetsNoGrantedRequest(t *testing.T) {
 	ledger := &signal.Ledger{}
-	left, other := newSaid(t, "left", well), newSaid(t, "other", well)
+	draining, other := newSignalTarget(t, "left", serveOK), newSignalTarget(t, "other", serveOK)
 	c := &choices{
-		list: []*said{left, other},
+		list: []*signalTarget{draining, other},
 		before: func(n int) {
 			if n == 0 {
-				leaves(ledger, left)
+				observeDraining(ledger, draining)
 			}
 		},
 	}
@@ -104,54 +104,54 @@
 	if status := s.get(t, http.DefaultClient, "/quotes/1", brokers); status != http.StatusOK {
 		t.Errorf("status %d", status)
 	}
-	if n := left.arrived.Load(); n != 0 {
-		t.Errorf("%d requests reached the target that leaves", n)
+	if n := draining.arrived.Load(); n != 0 {
+		t.Errorf("%d requests reached the draining target", n)
 	}
 	if len(c.queries) != 2 || c.queries[1].Again || len(c.queries[1].Tried) != 0 {
-		t.Errorf("%d choices, the second one a repeat", len(c.queries))
+		t.Errorf("%d choices, or the second one is a retry", len(c.queries))
 	}
 }
 
-// A target that all choices name in vain costs the request no more than its tries.
-func TestTargetThatIsChosenInVain(t *testing.T) {
+// A request whose choices are all unavailable ends after maxTries attempts.
+func TestRequestEndsIfAllChoicesAreDraining(t *testing.T) {
 	ledger := &signal.Ledger{}
-	left := newSaid(t, "left", well)
-	leaves(ledger, left)
+	draining := newSignalTarget(t, "left", serveOK)
+	observeDraining(ledger, draining)
 	c := &choices{
-		list:   []*said{left},
+		list:   []*signalTarget{draining},
 		before: func(int) {},
 	}
 	s := signalSite(t, ledger, c)
 	if status := s.get(t, http.DefaultClient, "/quotes/1", brokers); status != http.StatusServiceUnavailable {
 		t.Errorf("status %d", status)
 	}
-	if n := left.arrived.Load(); n != 0 {
-		t.Errorf("%d requests reached the target that leaves", n)
+	if n := draining.arrived.Load(); n != 0 {
+		t.Errorf("%d requests reached the draining target", n)
 	}
 }
 
-// The second attempt beside a slow one goes past a target that leaves.
-func TestHedgeIsNotSent(t *testing.T) {
+// A hedge skips a draining target.
+func TestHedgeIsNotSentToDrainingTarget(t *testing.T) {
 	ledger := &signal.Ledger{}
-	slow := newSaid(t, "slow", func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() })
-	left, other := newSaid(t, "left", well), newSaid(t, "other", well)
+	slow := newSignalTarget(t, "slow", func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() })
+	draining, other := newSignalTarget(t, "left", serveOK), newSignalTarget(t, "other", serveOK)
 	slow.choice.HedgeAfter = time.Millisecond
-	leaves(ledger, left)
+	observeDraining(ledger, draining)
 	c := &choices{
-		list:   []*said{slow, left, other},
+		list:   []*signalTarget{slow, draining, other},
 		before: func(int) {},
 	}
 	s := signalSite(t, ledger, c)
 	if status := s.get(t, http.DefaultClient, "/quotes/1", brokers); status != http.StatusOK {
 		t.Errorf("status %d", status)
 	}
-	if n := left.arrived.Load(); n != 0 {
-		t.Errorf("%d requests reached the target that leaves", n)
+	if n := draining.arrived.Load(); n != 0 {
+		t.Errorf("%d requests reached the draining target", n)
 	}
 }
 
-// A download whose target breaks off goes on at a target that stays.
-func TestResumedDownloadIsNotSent(t *testing.T) {
+// A download whose target breaks the connection is not resumed at a draining target.
+func TestResumedDownloadIsNotSentToDrainingTarget(t *testing.T) {
 	const size = 200 << 10
 	content := bytes.Repeat([]byte("document"), size/8)
 	serve := func(w http.ResponseWriter, r *http.Request) {
@@ -159,19 +159,19 @@
 		http.ServeContent(w, r, "", time.Time{}, bytes.NewReader(content))
 	}
 	ledger := &signal.Ledger{}
-	cut := newSaid(t, "cut", func(w http.ResponseWriter, _ *http.Request) {
+	cut := newSignalTarget(t, "cut", func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Etag", `"v1"`)
 		w.Header().Set("Accept-Ranges", "bytes")
 		w.Header().Set("Content-Length", strconv.Itoa(size))
 		_, _ = w.Write(content[:size/2])
 		panic(http.ErrAbortHandler)
 	})
-	left, other := newSaid(t, "left", serve), newSaid(t, "other", serve)
+	draining, other := newSignalTarget(t, "left", serve), newSignalTarget(t, "other", serve)
 	c := &choices{
-		list: []*said{cut, left, other},
+		list: []*signalTarget{cut, draining, other},
 		before: func(n int) {
 			if n == 1 {
-				leaves(ledger, left)
+				observeDraining(ledger, draining)
 			}
 		},
 	}
@@ -190,41 +190,41 @@
 	if err != nil || !bytes.Equal(got, content) {
 		t.Errorf("%d bytes, error %v", len(got), err)
 	}
-	if n := left.arrived.Load(); n != 0 || other.arrived.Load() != 1 {
-		t.Errorf("%d requests reached the target that leaves, %d the other", n, other.arrived.Load())
+	if n := draining.arrived.Load(); n != 0 || other.arrived.Load() != 1 {
+		t.Errorf("%d requests reached the draining target, %d the other", n, other.arrived.Load())
 	}
 }
 
-// A copy for a target on trial isn't sent to one that leaves.
-func TestTrialIsNotSent(t *testing.T) {
+// A trial request is not sent to a draining target.
+func TestTrialRequestIsNotSentToDrainingTarget(t *testing.T) {
 	ledger := &signal.Ledger{}
-	left, other := newSaid(t, "left", well), newSaid(t, "other", well)
-	leaves(ledger, left)
+	draining, other := newSignalTarget(t, "left", serveOK), newSignalTarget(t, "other", serveOK)
+	observeDraining(ledger, draining)
 	done := make(chan outlier.Result, 1)
-	left.choice.Done = func(end outlier.Result, _ time.Duration) { done <- end }
+	draining.choice.Done = func(end outlier.Result, _ time.Duration) { done <- end }
 	c := &choices{
-		list:   []*said{other},
+		list:   []*signalTarget{other},
 		before: func(int) {},
 	}
 	s := newSite(t, func(cfg *entry.Config) {
 		cfg.Signals = ledger
 		cfg.Choose = c.choose
-		cfg.Trial = func(*fleetconfig.Service) (entry.Choice, bool) { return left.choice, true }
+		cfg.Trial = func(*fleetconfig.Service) (entry.Choice, bool) { return draining.choice, true }
 	})
 	if status := s.get(t, http.DefaultClient, "/quotes/1", brokers); status != http.StatusOK {
 		t.Errorf("status %d", status)
 	}
 	if end := <-done; !end.Ignored {
-		t.Errorf("the copy that wasn't sent counts: %+v", end)
+		t.Errorf("the trial request was not sent but counts: %+v", end)
 	}
-	if n := left.arrived.Load(); n != 0 {
-		t.Errorf("%d copies reached the target that leaves", n)
+	if n := draining.arrived.Load(); n != 0 {
+		t.Errorf("%d copies reached the draining target", n)
 	}
 }
 
-// Whatever comes of an attempt, what its answer says of the target is heard: also of a failure,
-// a refusal and an answer to another request, but not where another process answers.
-func TestAnyAnswerIsHeard(t *testing.T) {
+// The signal in any answer is recorded, also in a failure, a refusal and an answer to another
+// request, but not where another process answers.
+func TestAnyAnswerSignalIsRecorded(t *testing.T) {
 	tests := []struct {
 		name   string
 		status int
@@ -242,7 +242,7 @@
 			want:   true,
 		},
 		{
-			name:   "turned away",
+			name:   "load shed",
 			status: http.StatusServiceUnavailable,
 			header: map[string]string{
 				"Plover-Outcome": "not-run",
@@ -258,7 +258,7 @@
 			want: true,
 		},
 		{
-			name:   "of another process",
+			name:   "answer of another process",
 			status: http.StatusMisdirectedRequest,
 			header: map[string]string{
 				"Plover-Outcome": "not-run",
@@ -268,7 +268,7 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			ledger := &signal.Ledger{}
-			target := newSaid(t, "t", func(w http.ResponseWriter, _ *http.Request) {
+			target := newSignalTarget(t, "t", func(w http.ResponseWriter, _ *http.Request) {
 				w.Header().Set("Plover-State", "leaving")
 				for name, value := range tt.header {
 					w.Header().Set(name, value)
@@ -276,13 +276,13 @@
 				w.WriteHeader(tt.status)
 			})
 			c := &choices{
-				list:   []*said{target},
+				list:   []*signalTarget{target},
 				before: func(int) {},
 			}
 			s := signalSite(t, ledger, c)
 			s.get(t, http.DefaultClient, "/quotes/1", brokers)
 			if got := ledger.Status(time.Now(), target.choice.Incarnation).Draining; got != tt.want {
-				t.Errorf("leaving %v, want %v", got, tt.want)
+				t.Errorf("draining %v, want %v", got, tt.want)
 			}
 		})
 	}
--- a/internal/entry/size.go
+++ b/internal/entry/size.go
@@ -10,18 +10,17 @@
 
 // Parameters of the expected size of answers.
 const (
-	// sizeStep is the part by which one answer moves the expectation.
-	sizeStep = 0.1
-	// bulkGuess and smallGuess are the sizes in bytes that are expected of routes
-	// before their first answer.
-	bulkGuess  = 64 << 10
-	smallGuess = 1 << 10
-	// maxSizes bounds the routes with an expectation of their own.
+	// sizeWeight is the weight of a new answer in the exponential moving average.
+	sizeWeight = 0.1
+	// initialBulkSize and initialSmallSize are the sizes in bytes expected of a route before its
+	// first answer.
+	initialBulkSize  = 64 << 10
+	initialSmallSize = 1 << 10
+	// maxSizes bounds the number of routes with an average of their own.
 	maxSizes = 16384
 )
 
-// sizes holds the expected size of the answers of each route. It may be used
-// concurrently.
+// sizes holds the expected answer size of each route. It may be used concurrently.
 type sizes struct {
 	mu      sync.Mutex
 	byRoute map[string]float64
@@ -33,11 +32,11 @@
 	}
 }
 
-func guess(r *fleetconfig.Route) float64 {
+func initialSize(r *fleetconfig.Route) float64 {
 	if r.Bulk() {
-		return bulkGuess
+		return initialBulkSize
 	}
-	return smallGuess
+	return initialSmallSize
 }
 
 func (s *sizes) add(r *fleetconfig.Route, size int64) {
@@ -48,9 +47,9 @@
 		if len(s.byRoute) >= maxSizes {
 			return
 		}
-		old = guess(r)
+		old = initialSize(r)
 	}
-	s.byRoute[r.Name()] = old + sizeStep*(float64(size)-old)
+	s.byRoute[r.Name()] = old + sizeWeight*(float64(size)-old)
 }
 
 // expected returns the expected size in KiB, at least 1.
@@ -59,7 +58,7 @@
 	defer s.mu.Unlock()
 	size, ok := s.byRoute[r.Name()]
 	if !ok {
-		size = guess(r)
+		size = initialSize(r)
 	}
 	return int(size)>>10 + 1
 }
--- a/internal/entry/trial.go
+++ b/internal/entry/trial.go
@@ -13,14 +13,13 @@
 	"ploverjunction.example/ploverjunction/internal/task"
 )
 
-// maxTrials bounds the trial copies in flight on a node.
+// maxTrials bounds the trial requests in flight on a node.
 const maxTrials = 8
 
-// trial sends a copy of a repeatable request to a target on trial, if there is
-// one. Nobody waits for its answer: an ejected target proves itself without any
-// caller paying for it.
-func (x *relay) trial() {
-	if !x.in.route.Repeatable() || x.body.stream != nil || x.suspect.Load() || x.server.trials.Load() >= maxTrials {
+// sendTrial sends a copy of a repeatable request to a target on trial, if there is one. No caller
+// waits for its answer, so an ejected target can show recovery at no caller's cost.
+func (x *relay) sendTrial() {
+	if !x.admission.route.Repeatable() || x.body.stream != nil || x.suspect.Load() || x.server.trials.Load() >= maxTrials {
 		return
 	}
 	choice, ok := x.server.cfg.Trial(x.service)
@@ -28,44 +27,44 @@
 		return
 	}
 	x.server.trials.Add(1)
-	x.life.RecordCopy()
-	reader, _ := x.body.next()
+	x.tracker.RecordCopy()
+	reader, _ := x.body.reader()
 	r := x.request(choice, reader)
 	r.ID = newRequestID()
-	// The copy lives on when the caller has its answer; its own deadline ends it.
+	// The copy continues after the caller has its answer; its own deadline ends it.
 	ctx := context.WithoutCancel(x.req.Context())
-	x.server.own(task.Go(ctx, "trial", func(ctx context.Context) error {
+	x.server.track(task.Go(ctx, "trial", func(ctx context.Context) error {
 		defer x.server.trials.Add(-1)
-		return x.tryOut(ctx, choice, r)
+		return x.runTrial(ctx, choice, r)
 	}))
 }
 
-// tryOut makes the attempt of a trial and reads its answer to the end.
-func (x *relay) tryOut(ctx context.Context, choice Choice, r *forward.Request) error {
-	flight := x.begin(choice.Key)
-	begun := time.Now()
+// runTrial sends a trial request and reads its answer to the end.
+func (x *relay) runTrial(ctx context.Context, choice Choice, r *forward.Request) error {
+	flight := x.startAttempt(choice.Key)
+	started := time.Now()
 	a, err := x.server.client.Do(ctx, r)
-	end := endOf(a, err)
+	end := resultOf(a, err)
 	flight.End(time.Now(), end)
-	defer func() { choice.Done(end, time.Since(begun)) }()
+	defer func() { choice.Done(end, time.Since(started)) }()
 	if err != nil {
-		x.look(&try{
+		x.startCrashCheck(&try{
 			choice: choice,
-			chosen: begun,
+			chosen: started,
 		}, err)
 		return err
 	}
 	defer a.Close()
 	if _, err := io.Copy(io.Discard, a); err != nil {
-		x.broke(choice.Key)
+		x.recordBrokenBody(choice.Key)
 		return fmt.Errorf("entry: trial: %w", err)
 	}
 	return nil
 }
 
-// broke notes an answer whose body broke off.
-func (x *relay) broke(target string) {
-	x.begin(target).End(time.Now(), outlier.Result{
+// recordBrokenBody records an answer whose body broke.
+func (x *relay) recordBrokenBody(target string) {
+	x.startAttempt(target).End(time.Now(), outlier.Result{
 		Failed: true,
 	})
 }
--- a/internal/entry/try.go
+++ b/internal/entry/try.go
@@ -14,31 +14,30 @@
 	"ploverjunction.example/ploverjunction/internal/outlier"
 )
 
-// try is one attempt under way.
+// try is one attempt in progress.
 type try struct {
 	relay  *relay
 	reader io.Reader
 	cancel context.CancelFunc
-	again  bool
+	retry  bool
 	hedge  bool
-	// age is how long the attempt beside a hedge had waited when that was asked for.
+	// age is how long the attempt beside a hedge had waited when the hedge was launched.
 	age    time.Duration
 	choice Choice
-	// begun is when a target was asked for, chosen when there was one.
-	begun  time.Time
-	chosen time.Time
-	end    outlier.Result
-	// released is set once the choice was given back.
+	// started is when a target was requested, chosen when it was granted.
+	started time.Time
+	chosen  time.Time
+	end     outlier.Result
+	// released is set once the choice was released.
 	released atomic.Bool
-	// counted is set once the attempt has been counted in the request's life.
+	// counted is set once the attempt was recorded by the tracker.
 	counted bool
 }
 
-// run chooses a target, makes the attempt and reports its end to the relay, which
-// reads it.
+// run chooses a target, makes the attempt and sends its result to the relay.
 func (t *try) run(ctx context.Context) {
 	x := t.relay
-	t.begun = time.Now()
+	t.started = time.Now()
 	choice, err := x.choose(ctx, t)
 	if err != nil {
 		x.results <- result{
@@ -49,18 +48,18 @@
 	}
 	t.choice = choice
 	t.chosen = time.Now()
-	x.granted <- grant{
+	x.grants <- grant{
 		at:         t.chosen,
 		hedgeAfter: choice.HedgeAfter,
 	}
-	flight := x.begin(choice.Key)
+	flight := x.startAttempt(choice.Key)
 	a, err := x.server.client.Do(ctx, x.request(choice, t.reader))
-	t.end = endOf(a, err)
-	t.end.Ignored = t.end.Ignored || x.body.broken() != nil
-	t.end.RequestFailed = err != nil && x.lost()
+	t.end = resultOf(a, err)
+	t.end.Ignored = t.end.Ignored || x.body.readError() != nil
+	t.end.RequestFailed = err != nil && x.expired()
 	flight.End(time.Now(), t.end)
 	x.logTry(t, a, err)
-	x.settle(t, err)
+	x.checkCrash(t, err)
 	if err != nil || a.Whole() {
 		t.release()
 	}
@@ -71,28 +70,28 @@
 	}
 }
 
-// release gives the choice back; more than one call does no harm.
+// release releases the choice. It may be called more than once.
 func (t *try) release() {
 	if t.choice.Done != nil && t.released.CompareAndSwap(false, true) {
 		t.choice.Done(t.end, time.Since(t.chosen))
 	}
 }
 
-// choose takes a target for an attempt and notes that it was tried.
+// choose chooses a target for an attempt and records it as tried.
 func (x *relay) choose(ctx context.Context, t *try) (Choice, error) {
-	r := x.in.route
+	r := x.admission.route
 	q := &Query{
 		Service:    x.service,
 		Repeatable: r.Repeatable(),
 		Kilobytes:  x.server.sizes.expected(r) + int(x.body.length>>10),
-		Priority:   x.in.rank,
+		Priority:   x.admission.rank,
 		Route:      r.Name(),
-		Aim:        x.aim(),
-		Deadline:   x.life.Deadline(),
-		Again:      t.again,
+		Aim:        x.softDeadline(),
+		Deadline:   x.tracker.Deadline(),
+		Again:      t.retry,
 		Hedge:      t.hedge,
 		Age:        t.age,
-		Regions:    x.in.regions(),
+		Regions:    x.admission.regions(),
 	}
 	x.mu.Lock()
 	q.Tried = slices.Clone(x.tried)
@@ -108,29 +107,29 @@
 	return c, nil
 }
 
-// aim returns until when an answer is worth most.
-func (x *relay) aim() time.Time {
-	if d := x.in.route.TargetLatency(); d > 0 {
-		return x.begun.Add(d)
+// softDeadline returns the soft deadline, after which an answer is worth less.
+func (x *relay) softDeadline() time.Time {
+	if d := x.admission.route.TargetLatency(); d > 0 {
+		return x.started.Add(d)
 	}
-	return x.life.Deadline()
+	return x.tracker.Deadline()
 }
 
-// learnSize notes how large the answers of a route are.
-func (x *relay) learnSize(a *forward.Answer) {
+// recordSize records the size of an answer of the route.
+func (x *relay) recordSize(a *forward.Answer) {
 	if a.Length() >= 0 {
-		x.server.sizes.add(x.in.route, a.Length())
+		x.server.sizes.add(x.admission.route, a.Length())
 	}
 }
 
-// NoTargetError says why no target could be chosen for an attempt.
+// NoTargetError reports why no target could be chosen for an attempt.
 type NoTargetError struct {
 	reason     attempt.Reason
 	retryAfter time.Duration
 }
 
-// NewNoTargetError returns the error for a reason; retryAfter is when the caller
-// may come back, 0 if that isn't known.
+// NewNoTargetError returns the error for a reason; retryAfter is when the caller may retry, 0 if
+// unknown.
 func NewNoTargetError(reason attempt.Reason, retryAfter time.Duration) *NoTargetError {
 	return &NoTargetError{
 		reason:     reason,
--- a/internal/entry/workspace_test.go
+++ b/internal/entry/workspace_test.go
@@ -31,7 +31,7 @@
 const (
 	keyBrokers = "ta828m82thhkmgjqnirt"
 	keyClinics = "h5mgjy5rcpihhacrudde"
-	// header names the workspace towards targets.
+	// header names the workspace to targets.
 	header = "Plover-Workspace"
 )
 
@@ -40,7 +40,7 @@
 	return d[:]
 }
 
-// document is a service with an ordinary and a public route and two workspaces.
+// document returns a service with an ordinary and a public route, and two workspaces.
 func document() *wire.Document {
 	return &wire.Document{
 		Services: []*wire.Service{
@@ -86,35 +86,35 @@
 	return c
 }
 
-// site is a server in front of one target that keeps the requests it gets.
-type site struct {
+// testSite is a server in front of one target that records its requests.
+type testSite struct {
 	server  *entry.Server
 	url     string
 	config  atomic.Pointer[fleetconfig.Config]
 	current atomic.Bool
 	trusted atomic.Bool
-	// await answers for AwaitCurrent.
+	// await implements AwaitCurrent.
 	await func(ctx context.Context) bool
 	// trial is set where a target is on trial.
 	trial atomic.Bool
-	// arrived holds a value for each request that reached the target.
+	// arrived receives a value for each request that reached the target.
 	arrived chan struct{}
 
 	mu      sync.Mutex
 	seen    []*http.Request
 	queries []*entry.Query
 	log     bytes.Buffer
-	// tokens are those that requests took and did not give back, full is set where there
-	// are none left; none is set where no target can be chosen.
-	tokens map[string]int
-	full   bool
-	none   bool
+	// tokens counts the tokens taken and not returned, by workspace. limitReached is set
+	// where none are left, noTarget where no target can be chosen.
+	tokens       map[string]int
+	limitReached bool
+	noTarget     bool
 }
 
-func (s *site) limit(_ context.Context, w *fleetconfig.Workspace, _ time.Duration) *entry.LimitError {
+func (s *testSite) limit(_ context.Context, w *fleetconfig.Workspace, _ time.Duration) *entry.LimitError {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.full {
+	if s.limitReached {
 		return &entry.LimitError{
 			Wait: 1500 * time.Millisecond,
 			By:   "allocator",
@@ -124,21 +124,21 @@
 	return nil
 }
 
-func (s *site) giveBack(w *fleetconfig.Workspace) {
+func (s *testSite) giveBack(w *fleetconfig.Workspace) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.tokens[w.ID()]--
 }
 
-func (s *site) took(r *http.Request) {
+func (s *testSite) recordRequest(r *http.Request) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.seen = append(s.seen, r.Clone(context.Background()))
 	s.arrived <- struct{}{}
 }
 
-// last returns the newest request that reached the target, and how many did.
-func (s *site) last() (*http.Request, int) {
+// last returns the most recent request that reached the target, and their number.
+func (s *testSite) last() (*http.Request, int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if len(s.seen) == 0 {
@@ -147,23 +147,23 @@
 	return s.seen[len(s.seen)-1], len(s.seen)
 }
 
-// Write takes what the server logs.
-func (s *site) Write(p []byte) (int, error) {
+// Write records the server's log.
+func (s *testSite) Write(p []byte) (int, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.log.Write(p)
 }
 
-func (s *site) logged() string {
+func (s *testSite) logged() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.log.String()
 }
 
-// newSite starts the server; change may alter its configuration.
-func newSite(t *testing.T, change ...func(cfg *entry.Config)) *site {
+// newSite starts the server; each change may modify its configuration.
+func newSite(t *testing.T, change ...func(cfg *entry.Config)) *testSite {
 	t.Helper()
-	s := &site{
+	s := &testSite{
 		await:   func(context.Context) bool { return false },
 		arrived: make(chan struct{}, 100),
 		tokens:  map[string]int{},
@@ -172,7 +172,7 @@
 	s.trusted.Store(true)
 	s.config.Store(build(t, document()))
 	target := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		s.took(r)
+		s.recordRequest(r)
 		_, _ = io.WriteString(w, "answer")
 	}))
 	t.Cleanup(target.Close)
@@ -204,7 +204,7 @@
 			s.mu.Lock()
 			defer s.mu.Unlock()
 			s.queries = append(s.queries, q)
-			if s.none {
+			if s.noTarget {
 				return entry.Choice{}, entry.NewNoTargetError(attempt.ReasonTargets, time.Second)
 			}
 			return choice, nil
@@ -240,8 +240,8 @@
 	return s
 }
 
-// get sends a request with some lines of its header and returns the status.
-func (s *site) get(t *testing.T, client *http.Client, path string, lines http.Header) int {
+// get sends a request with the given header lines and returns the status.
+func (s *testSite) get(t *testing.T, client *http.Client, path string, lines http.Header) int {
 	t.Helper()
 	r, err := http.NewRequest(http.MethodGet, s.url+path, nil)
 	if err != nil {
@@ -267,7 +267,7 @@
 		path   string
 		lines  http.Header
 		status int
-		// workspace is what the target is told, where the request reaches it.
+		// workspace is what the target receives if the request reaches it.
 		workspace string
 	}{
 		{
@@ -309,7 +309,7 @@
 			workspace: "brokers",
 		},
 		{
-			name: "the caller names another workspace, in odd spellings too",
+			name: "the caller names another workspace, also with underscores",
 			path: "/quotes/1",
 			lines: http.Header{
 				"Authorization":    {"bearer  " + keyClinics},
@@ -354,7 +354,7 @@
 			status: http.StatusUnauthorized,
 		},
 		{
-			name:   "no route goes before no key",
+			name:   "no route takes precedence over no key",
 			path:   "/nowhere",
 			status: http.StatusNotFound,
 		},
@@ -372,20 +372,20 @@
 				}
 				return
 			}
-			told := r.Header.Values(header)
-			if c.workspace == "" && len(told) > 0 || c.workspace != "" && (len(told) != 1 || told[0] != c.workspace) {
-				t.Errorf("the target was told %q, want %q", told, c.workspace)
+			received := r.Header.Values(header)
+			if c.workspace == "" && len(received) > 0 || c.workspace != "" && (len(received) != 1 || received[0] != c.workspace) {
+				t.Errorf("the target received workspace %q, want %q", received, c.workspace)
 			}
 			for name, values := range r.Header {
 				if strings.Contains(name, "_") || strings.Contains(strings.Join(values, " "), keyBrokers) || name == "Authorization" {
-					t.Errorf("the target got %s: %q", name, values)
+					t.Errorf("the target received %s: %q", name, values)
 				}
 			}
 		})
 	}
 }
 
-// A key is in no line of the log, whatever becomes of its request.
+// Keys are never logged, for accepted and refused requests alike.
 func TestKeysAreNotLogged(t *testing.T) {
 	s := newSite(t)
 	for _, key := range []string{keyBrokers, "unknown-" + keyClinics} {
@@ -395,16 +395,15 @@
 	}
 	out := s.logged()
 	if strings.Contains(out, keyBrokers) || strings.Contains(out, keyClinics) {
-		t.Errorf("a key is in the log:\n%s", out)
+		t.Errorf("the log contains a key:\n%s", out)
 	}
 	if !strings.Contains(out, "workspace=brokers") || !strings.Contains(out, string(entry.CodeKey)) {
-		t.Errorf("the log doesn't tell the workspace, or why a request was refused:\n%s", out)
+		t.Errorf("the log lacks the workspace or the code of a refusal:\n%s", out)
 	}
 }
 
-// Without workspaces nobody needs a key, and what callers send under the header of keys
-// is the targets' own.
-func TestNoWorkspaces(t *testing.T) {
+// Without workspaces no key is needed, and the Authorization header is passed on to targets.
+func TestNoWorkspacesNeedNoKey(t *testing.T) {
 	s := newSite(t)
 	d := document()
 	d.Workspaces = nil
@@ -419,8 +418,8 @@
 	}
 }
 
-// A copy for a target on trial tells the workspace and no key either.
-func TestTrialCopies(t *testing.T) {
+// A trial request carries the workspace and not the key.
+func TestTrialRequestCarriesWorkspaceWithoutKey(t *testing.T) {
 	s := newSite(t)
 	s.trial.Store(true)
 	s.get(t, &http.Client{}, "/quotes/1", http.Header{
@@ -440,11 +439,11 @@
 	}
 }
 
-// The rank of a workspace goes before that of a route; callers without a key come with
-// the last ones.
-func TestRanks(t *testing.T) {
+// The priority of a workspace takes precedence over that of a route; callers without a key rank
+// with the least urgent workspace.
+func TestRankOrder(t *testing.T) {
 	s := newSite(t)
-	ask := func(path, key string) int {
+	priority := func(path, key string) int {
 		lines := http.Header{}
 		if key != "" {
 			lines.Set("Authorization", "Bearer "+key)
@@ -455,23 +454,23 @@
 		return s.queries[len(s.queries)-1].Priority
 	}
 	order := []int{
-		ask("/open/1", keyClinics),
-		ask("/quotes/1", keyClinics),
-		ask("/open/1", keyBrokers),
-		ask("/quotes/1", keyBrokers),
+		priority("/open/1", keyClinics),
+		priority("/quotes/1", keyClinics),
+		priority("/open/1", keyBrokers),
+		priority("/quotes/1", keyBrokers),
 	}
 	for i := 1; i < len(order); i++ {
 		if order[i] <= order[i-1] {
 			t.Errorf("ranks %v", order)
 		}
 	}
-	if anonymous := ask("/open/1", ""); anonymous != order[2] {
+	if anonymous := priority("/open/1", ""); anonymous != order[2] {
 		t.Errorf("rank without a key %d, among %v", anonymous, order)
 	}
 }
 
-// A key that was taken away is refused on a connection that was open before.
-func TestKeyTakenAway(t *testing.T) {
+// A revoked key is refused also on a connection that was opened before.
+func TestRevokedKeyIsRefusedOnOpenConnection(t *testing.T) {
 	s := newSite(t)
 	client := &http.Client{}
 	lines := http.Header{
@@ -484,12 +483,12 @@
 	d.Workspaces[0].Keys = nil
 	s.config.Store(build(t, d))
 	if got := s.get(t, client, "/quotes/1", lines); got != http.StatusUnauthorized {
-		t.Errorf("status %d after the key was taken away", got)
+		t.Errorf("status %d after the key was revoked", got)
 	}
 }
 
-// Who can't know the newest configuration doesn't say that a key is wrong.
-func TestUnsureOfTheNewestConfiguration(t *testing.T) {
+// A node that may lack the newest configuration does not refuse a key as unknown.
+func TestUnknownKeyWithoutNewestConfiguration(t *testing.T) {
 	lines := http.Header{
 		"Authorization": {"Bearer new"},
 	}
@@ -500,25 +499,25 @@
 	}
 	cases := []struct {
 		name   string
-		await  func(t *testing.T, s *site) bool
+		await  func(t *testing.T, s *testSite) bool
 		status int
 	}{
 		{
-			name:   "no news",
-			await:  func(*testing.T, *site) bool { return false },
+			name:   "node stays outdated",
+			await:  func(*testing.T, *testSite) bool { return false },
 			status: http.StatusServiceUnavailable,
 		},
 		{
-			name: "the news has the key",
-			await: func(t *testing.T, s *site) bool {
+			name: "newer configuration has the key",
+			await: func(t *testing.T, s *testSite) bool {
 				s.config.Store(newer(t))
 				return true
 			},
 			status: http.StatusOK,
 		},
 		{
-			name:   "there is no news",
-			await:  func(*testing.T, *site) bool { return true },
+			name:   "configuration is the newest",
+			await:  func(*testing.T, *testSite) bool { return true },
 			status: http.StatusUnauthorized,
 		},
 	}
@@ -528,7 +527,7 @@
 			s.current.Store(false)
 			s.await = func(ctx context.Context) bool {
 				if _, ok := ctx.Deadline(); !ok {
-					t.Error("a request waits for news without end")
+					t.Error("a request waits for a configuration without a deadline")
 				}
 				return c.await(t, s)
 			}
@@ -538,15 +537,15 @@
 			if got := s.get(t, &http.Client{}, "/quotes/1", http.Header{
 				"Authorization": {"Bearer " + keyBrokers},
 			}); got != http.StatusOK {
-				t.Errorf("status %d for a key that is known", got)
+				t.Errorf("status %d for a known key", got)
 			}
 		})
 	}
 }
 
-// Where the settings ask for it, a node that lost the platform serves no key, however
-// well it knows it, and still what needs none.
-func TestStrict(t *testing.T) {
+// With the strict setting, a node that lost the platform refuses all keys, also known ones, and
+// still serves public routes.
+func TestStrictNodeWithoutPlatformRefusesKeys(t *testing.T) {
 	s := newSite(t)
 	s.trusted.Store(false)
 	if got := s.get(t, &http.Client{}, "/quotes/1", http.Header{
@@ -559,15 +558,15 @@
 	}
 }
 
-// A request takes a token, and one that has not run gives it back. Refusals before the
-// limit take none.
+// A request takes a token and returns it if it was not run. Requests refused before the limit is
+// checked take none.
 func TestLimit(t *testing.T) {
 	brokers := http.Header{
 		"Authorization": {"Bearer " + keyBrokers},
 	}
 	cases := []struct {
 		name    string
-		prepare func(s *site)
+		prepare func(s *testSite)
 		path    string
 		lines   http.Header
 		status  int
@@ -575,36 +574,36 @@
 	}{
 		{
 			name:    "answered",
-			prepare: func(*site) {},
+			prepare: func(*testSite) {},
 			path:    "/quotes/1",
 			lines:   brokers,
 			status:  http.StatusOK,
 			tokens:  1,
 		},
 		{
-			name:    "beyond the limit",
-			prepare: func(s *site) { s.full = true },
+			name:    "limit exceeded",
+			prepare: func(s *testSite) { s.limitReached = true },
 			path:    "/quotes/1",
 			lines:   brokers,
 			status:  http.StatusTooManyRequests,
 		},
 		{
 			name:    "not run",
-			prepare: func(s *site) { s.none = true },
+			prepare: func(s *testSite) { s.noTarget = true },
 			path:    "/quotes/1",
 			lines:   brokers,
 			status:  http.StatusServiceUnavailable,
 		},
 		{
 			name:    "no route",
-			prepare: func(*site) {},
+			prepare: func(*testSite) {},
 			path:    "/nowhere",
 			lines:   brokers,
 			status:  http.StatusNotFound,
 		},
 		{
 			name:    "public, without a key",
-			prepare: func(s *site) { s.full = true },
+			prepare: func(s *testSite) { s.limitReached = true },
 			path:    "/open/1",
 			status:  http.StatusOK,
 		},
--- a/internal/forward/answer.go
+++ b/internal/forward/answer.go
@@ -14,15 +14,14 @@
 	"ploverjunction.example/ploverjunction/internal/contract"
 )
 
-// Answer is the answer of a target. Its headers are known; its body is held
-// whole if it is small, else it is read as it comes. It isn't safe for
-// concurrent use.
+// Answer is the answer of a target. A small body is held whole in memory; a larger one is
+// streamed. It is not safe for concurrent use.
 type Answer struct {
 	target   string
 	response *http.Response
 	held     []byte
 	whole    bool
-	leaving  bool
+	draining bool
 	watch    *watchdog
 	stall    time.Duration
 	cancel   context.CancelFunc
@@ -32,7 +31,7 @@
 // Status returns the status code.
 func (a *Answer) Status() int { return a.response.StatusCode }
 
-// Header returns the header, with its hop-by-hop fields. It must not be changed.
+// Header returns the header, including hop-by-hop fields. It must not be changed.
 func (a *Answer) Header() http.Header { return a.response.Header }
 
 // Length returns the length of the body in bytes, or -1 if it is not known yet.
@@ -49,43 +48,42 @@
 // Whole reports whether the body was read to its verified end.
 func (a *Answer) Whole() bool { return a.whole }
 
-// Leaving reports whether the target said that it is leaving.
-func (a *Answer) Leaving() bool { return a.leaving }
+// Leaving reports whether the target signalled that it is draining.
+func (a *Answer) Leaving() bool { return a.draining }
 
-// Close ends the answer. If the body was not read to its end the connection is
-// closed and never reused.
+// Close releases the answer. If the body was not read to its end, the connection is closed and
+// never reused.
 func (a *Answer) Close() {
 	a.watch.stop()
 	a.cancel()
 	_ = a.response.Body.Close()
 }
 
-func (a *Answer) fail(kind Kind, cause error) *Error {
+func (a *Answer) newError(kind Kind, cause error) *Error {
 	return &Error{
-		kind:    kind,
-		target:  a.target,
-		outcome: attempt.OutcomeUnknown,
-		leaving: a.leaving,
-		cause:   cause,
+		kind:     kind,
+		target:   a.target,
+		outcome:  attempt.OutcomeUnknown,
+		draining: a.draining,
+		cause:    cause,
 	}
 }
 
-// check looks at the headers of the answer. A body without length whose end is
-// the end of its connection is whole if the connection ends without an error
-// (RFC 9112, section 8).
+// check checks the header of the answer. A body without length, which ends with its connection, is
+// complete if the connection ends without an error (RFC 9112, section 8).
 func (a *Answer) check(id string) error {
 	h := a.response.Header
 	echo := h.Get(a.contract.RequestID)
 	if echo != "" && echo != id || a.contract.CallersID && echo != id && a.success() {
-		return a.fail(KindForeign, nil)
+		return a.newError(KindForeign, nil)
 	}
 	switch a.contract.Refused(a.Status(), h) {
 	case contract.RefusalShed:
-		e := a.fail(KindShed, nil)
+		e := a.newError(KindShed, nil)
 		e.outcome = attempt.OutcomeNotRun
 		return e
 	case contract.RefusalOtherTarget:
-		e := a.fail(KindOther, nil)
+		e := a.newError(KindOther, nil)
 		e.outcome = attempt.OutcomeNotRun
 		return e
 	default:
@@ -97,8 +95,8 @@
 	return a.Status() >= http.StatusOK && a.Status() < http.StatusMultipleChoices
 }
 
-// fill reads the body up to hold bytes. An answer that fits is whole after it.
-func (a *Answer) fill(hold int64) error {
+// readHeld reads up to hold bytes of the body into memory. An answer that fits is complete then.
+func (a *Answer) readHeld(hold int64) error {
 	if a.response.ContentLength > hold {
 		return nil
 	}
@@ -108,23 +106,23 @@
 	}
 	n, err := b.ReadFrom(io.LimitReader(a.response.Body, hold+1))
 	if err != nil {
-		return a.broken(err)
+		return a.bodyError(err)
 	}
 	a.held = b.Bytes()
 	a.whole = n <= hold
 	return nil
 }
 
-func (a *Answer) broken(err error) *Error {
+func (a *Answer) bodyError(err error) *Error {
 	kind := KindReset
 	if a.watch.fired() {
 		kind = KindStall
 	}
-	return a.fail(kind, err)
+	return a.newError(kind, err)
 }
 
-// Read reads the body. It returns io.EOF only after the verified end; a broken,
-// short or stalled body gives an *Error.
+// Read reads the body. It returns io.EOF only after the verified end, and an *Error for a broken,
+// short or stalled body.
 func (a *Answer) Read(p []byte) (int, error) {
 	if len(a.held) > 0 {
 		n := copy(p, a.held)
@@ -138,7 +136,7 @@
 	n, err := a.response.Body.Read(p)
 	a.watch.stop()
 	if err != nil && !errors.Is(err, io.EOF) {
-		return n, a.broken(err)
+		return n, a.bodyError(err)
 	}
 	return n, err
 }
--- a/internal/forward/client_test.go
+++ b/internal/forward/client_test.go
@@ -59,7 +59,7 @@
 	}
 }
 
-func failed(t *testing.T, err error) *forward.Error {
+func asError(t *testing.T, err error) *forward.Error {
 	t.Helper()
 	var fe *forward.Error
 	if !errors.As(err, &fe) {
@@ -68,8 +68,8 @@
 	return fe
 }
 
-// A process that was frozen between the choice of a target and the write wakes
-// with a connection and an old decision: nothing may be written then.
+// Guards against writes by a process that was frozen between the choice of a target and
+// the write, and resumes with an outdated decision.
 func TestNothingIsWrittenAfterTheDeadline(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var wrote atomic.Int64
@@ -79,13 +79,12 @@
 				n, _ := io.Copy(io.Discard, far)
 				wrote.Add(n)
 			})(ctx, network, address)
-			// The context doesn't end a dial here, as it doesn't in a frozen
-			// process.
+			// The dial ignores the context, as in a frozen process.
 			time.Sleep(2 * time.Second)
 			return conn, err
 		})
 		_, err := c.Do(t.Context(), request(time.Now().Add(time.Second)))
-		if fe := failed(t, err); fe.Outcome() != attempt.OutcomeNotRun {
+		if fe := asError(t, err); fe.Outcome() != attempt.OutcomeNotRun {
 			t.Errorf("outcome %v, want not run: %v", fe.Outcome(), err)
 		}
 		time.Sleep(time.Minute)
@@ -97,7 +96,7 @@
 	})
 }
 
-func TestAnswersAreJudged(t *testing.T) {
+func TestOnlyCompleteOwnAnswersAreAccepted(t *testing.T) {
 	const head = "HTTP/1.1 200 OK\r\nPlover-Request-Id: the-id\r\n"
 	cases := []struct {
 		name    string
@@ -212,7 +211,7 @@
 			c.SetDial(pipe(reply(tc.text)))
 			a, err := c.Do(t.Context(), request(time.Now().Add(time.Minute)))
 			if tc.kind != "" {
-				if fe := failed(t, err); fe.Kind() != tc.kind || fe.Outcome() != tc.outcome {
+				if fe := asError(t, err); fe.Kind() != tc.kind || fe.Outcome() != tc.outcome {
 					t.Fatalf("kind %q outcome %v, want %q %v: %v", fe.Kind(), fe.Outcome(), tc.kind, tc.outcome, err)
 				}
 				return
@@ -229,18 +228,18 @@
 	}
 }
 
-func TestSilenceEndsAtTheDeadline(t *testing.T) {
+func TestSilentTargetTimesOutAtTheDeadline(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := forward.NewClient(contract.Plover(), 1<<10, time.Second, netip.Addr{})
 		defer c.Close()
 		c.SetDial(pipe(func(far net.Conn) { _, _ = io.Copy(io.Discard, far) }))
-		begun := time.Now()
-		_, err := c.Do(t.Context(), request(begun.Add(3*time.Second)))
-		fe := failed(t, err)
+		started := time.Now()
+		_, err := c.Do(t.Context(), request(started.Add(3*time.Second)))
+		fe := asError(t, err)
 		if fe.Kind() != forward.KindTimeout || fe.Outcome() != attempt.OutcomeUnknown {
 			t.Errorf("kind %q outcome %v", fe.Kind(), fe.Outcome())
 		}
-		if took := time.Since(begun); took != 3*time.Second {
+		if took := time.Since(started); took != 3*time.Second {
 			t.Errorf("took %v", took)
 		}
 	})
@@ -260,48 +259,48 @@
 			t.Fatal(err)
 		}
 		defer a.Close()
-		begun := time.Now()
+		started := time.Now()
 		body, err := io.ReadAll(a)
-		if fe := failed(t, err); fe.Kind() != forward.KindStall || string(body) != "body" {
+		if fe := asError(t, err); fe.Kind() != forward.KindStall || string(body) != "body" {
 			t.Errorf("kind %q after %q", fe.Kind(), body)
 		}
-		if took := time.Since(begun); took != 4*time.Second {
+		if took := time.Since(started); took != 4*time.Second {
 			t.Errorf("took %v", took)
 		}
 	})
 }
 
-// resetConn is a connection that answers what is written to it and is then reset.
+// resetConn is a connection that sends an answer once written to, and is then reset.
 type resetConn struct {
 	net.Conn
-	answer *strings.Reader
-	asked  chan struct{}
-	once   sync.Once
+	answer  *strings.Reader
+	written chan struct{}
+	once    sync.Once
 }
 
 func (c *resetConn) Write(p []byte) (int, error) {
-	c.once.Do(func() { close(c.asked) })
+	c.once.Do(func() { close(c.written) })
 	return len(p), nil
 }
 
 func (c *resetConn) Read(p []byte) (int, error) {
-	<-c.asked
+	<-c.written
 	if c.answer.Len() == 0 {
 		return 0, syscall.ECONNRESET
 	}
 	return c.answer.Read(p)
 }
 
-// The end of a connection ends a body without length, but only a clean one.
+// A body without length ends with its connection, unless the connection is reset.
 func TestBodyWithoutLengthThatIsResetIsNotWhole(t *testing.T) {
 	c := forward.NewClient(contract.Plover(), 1<<10, time.Second, netip.Addr{})
 	defer c.Close()
 	c.SetDial(func(context.Context, string, string) (net.Conn, error) {
 		near, _ := net.Pipe()
 		return &resetConn{
-			Conn:   near,
-			answer: strings.NewReader("HTTP/1.1 200 OK\r\n\r\nbo"),
-			asked:  make(chan struct{}),
+			Conn:    near,
+			answer:  strings.NewReader("HTTP/1.1 200 OK\r\n\r\nbo"),
+			written: make(chan struct{}),
 		}, nil
 	})
 	_, err := c.Do(t.Context(), &forward.Request{
--- a/internal/forward/guard_test.go
+++ b/internal/forward/guard_test.go
@@ -12,8 +12,8 @@
 	"ploverjunction.example/ploverjunction/internal/forward"
 )
 
-// barredAfter returns a function that bars a target from a time on, none for 0.
-func barredAfter(d time.Duration) func(time.Time) bool {
+// unavailableAfter returns a function that reports a target unavailable after d, nil for 0.
+func unavailableAfter(d time.Duration) func(time.Time) bool {
 	if d == 0 {
 		return nil
 	}
@@ -24,11 +24,11 @@
 func TestGuardWritesOnlyForAValidClaim(t *testing.T) {
 	cases := []struct {
 		name string
-		// barred is after how long the target wants nothing any more, 0 for never.
-		barred time.Duration
-		steps  func(c net.Conn, seal func() bool)
-		want   string
-		wrote  bool
+		// unavailableAfter is when the target becomes unavailable, 0 for never.
+		unavailableAfter time.Duration
+		steps            func(c net.Conn, seal func() bool)
+		want             string
+		wrote            bool
 	}{
 		{
 			name:  "in time",
@@ -37,7 +37,7 @@
 			wrote: true,
 		},
 		{
-			name: "woken late",
+			name: "resumed after the deadline",
 			steps: func(c net.Conn, _ func() bool) {
 				time.Sleep(time.Second)
 				_, _ = io.WriteString(c, "a")
@@ -46,7 +46,7 @@
 			wrote: false,
 		},
 		{
-			name: "goes on after the limit once begun",
+			name: "continues after the deadline once started",
 			steps: func(c net.Conn, _ func() bool) {
 				_, _ = io.WriteString(c, "a")
 				time.Sleep(time.Second)
@@ -56,8 +56,8 @@
 			wrote: true,
 		},
 		{
-			name:   "barred since it was chosen",
-			barred: 10 * time.Millisecond,
+			name:             "unavailable since it was chosen",
+			unavailableAfter: 10 * time.Millisecond,
 			steps: func(c net.Conn, _ func() bool) {
 				time.Sleep(20 * time.Millisecond)
 				_, _ = io.WriteString(c, "a")
@@ -66,8 +66,8 @@
 			wrote: false,
 		},
 		{
-			name:   "barred once it has begun",
-			barred: 10 * time.Millisecond,
+			name:             "unavailable after the first write",
+			unavailableAfter: 10 * time.Millisecond,
 			steps: func(c net.Conn, _ func() bool) {
 				_, _ = io.WriteString(c, "a")
 				time.Sleep(20 * time.Millisecond)
@@ -77,7 +77,7 @@
 			wrote: true,
 		},
 		{
-			name: "given up before the write",
+			name: "sealed before the write",
 			steps: func(c net.Conn, seal func() bool) {
 				seal()
 				_, _ = io.WriteString(c, "a")
@@ -86,7 +86,7 @@
 			wrote: false,
 		},
 		{
-			name: "given up within the request",
+			name: "sealed during the request",
 			steps: func(c net.Conn, seal func() bool) {
 				_, _ = io.WriteString(c, "a")
 				seal()
@@ -105,14 +105,14 @@
 					b, _ := io.ReadAll(far)
 					got <- string(b)
 				}()
-				c, seal := forward.NewGuard(near, time.Now().Add(time.Second), barredAfter(tc.barred))
+				c, seal := forward.NewGuard(near, time.Now().Add(time.Second), unavailableAfter(tc.unavailableAfter))
 				tc.steps(c, seal)
 				if wrote := seal(); wrote != tc.wrote {
-					t.Errorf("seal says written %t, want %t", wrote, tc.wrote)
+					t.Errorf("seal reports written %t, want %t", wrote, tc.wrote)
 				}
 				_ = near.Close()
 				if b := <-got; b != tc.want {
-					t.Errorf("the target got %q, want %q", b, tc.want)
+					t.Errorf("the target received %q, want %q", b, tc.want)
 				}
 			})
 		})
--- a/internal/forward/watchdog.go
+++ b/internal/forward/watchdog.go
@@ -8,25 +8,25 @@
 	"time"
 )
 
-// watchdog cancels an attempt when nothing happens for too long.
+// watchdog cancels an attempt that makes no progress in time.
 type watchdog struct {
-	timer  *time.Timer
-	expiry atomic.Bool
+	timer   *time.Timer
+	expired atomic.Bool
 }
 
 func newWatchdog(after time.Duration, cancel context.CancelFunc) *watchdog {
 	w := &watchdog{}
 	w.timer = time.AfterFunc(after, func() {
-		w.expiry.Store(true)
+		w.expired.Store(true)
 		cancel()
 	})
 	return w
 }
 
-// reset gives the attempt another stretch of time.
+// reset restarts the timer.
 func (w *watchdog) reset(after time.Duration) { w.timer.Reset(after) }
 
 func (w *watchdog) stop() { w.timer.Stop() }
 
-// fired reports whether the time ran out.
-func (w *watchdog) fired() bool { return w.expiry.Load() }
+// fired reports whether the timer expired.
+func (w *watchdog) fired() bool { return w.expired.Load() }
