--- a/internal/soak/caller.go
+++ b/internal/soak/caller.go
@@ -17,20 +17,20 @@
 	"ploverjunction.example/ploverjunction/internal/standin/target"
 )
 
-// Times and shares of callers.
+// Parameters of callers.
 const (
-	// callTime bounds a call: longer than the deadline of each route, so that a
-	// node which gives no answer is seen.
+	// callTime bounds a call. It exceeds every route's deadline, so that a node that
+	// does not answer is detected.
 	callTime = 10 * time.Second
-	// writeShare is the share of calls that can't be repeated.
+	// writeShare is the share of calls that are not repeatable.
 	writeShare = 0.5
-	// callPause is the greatest pause between two calls of one caller.
+	// callPause is the maximum pause between two calls of one caller.
 	callPause = 30 * time.Millisecond
-	// lookInterval is how often each node is asked for the published routes.
+	// lookInterval is the interval at which each node is polled for the newest route.
 	lookInterval = 100 * time.Millisecond
 )
 
-// record is one call with what is needed to judge how it ended.
+// record is one call with its result and the process that received it.
 type record struct {
 	history.Call
 	node  int
@@ -38,11 +38,10 @@
 	begun time.Duration
 	ended time.Duration
 	err   error
-	// refused is set if no connection could be opened, so that nothing was sent.
+	// refused reports whether the connection was refused, so that nothing was sent.
 	refused bool
 }
 
-// reply is an answer.
 type reply struct {
 	status  int
 	outcome string
@@ -50,7 +49,7 @@
 	err     error
 }
 
-// call sends one request; key names it, and shown is the key of its workspace, "" for none.
+// call sends the request identified by key; shown is the API key, "" for none.
 func call(ctx context.Context, c *http.Client, method, url, key, shown string) reply {
 	ctx, cancel := context.WithTimeout(ctx, callTime)
 	defer cancel()
@@ -80,10 +79,9 @@
 	}
 }
 
-// newClient returns a client that keeps its connections open and uses them until
-// the process at their other end is gone. Go's client itself sends a GET again when
-// a kept connection turns out to be closed, never a POST: what can't be repeated is
-// sent once.
+// newClient returns a client that reuses connections. net/http retries a GET by
+// itself when a reused connection turns out to be closed, but never a POST, so
+// requests that are not repeatable are sent once.
 func newClient() *http.Client {
 	return &http.Client{
 		Transport: &http.Transport{
@@ -109,8 +107,8 @@
 	return out
 }
 
-// one makes one call to a node and records it. It isn't bound to the end of the
-// run: each call gets its answer.
+// one makes one call to a node and records it. The end of the load does not cancel
+// it, so that every call gets its answer.
 func (f *fleet) one(c *http.Client, n *node, method, key string) record {
 	l := n.life.Load()
 	path := "/quotes/1"
@@ -134,9 +132,8 @@
 	}
 }
 
-// look asks a node again and again for the newest published route. A process that
-// has served it once must not lose it, and one that nothing harmed must have it
-// soon.
+// look polls a node for the newest published route. A process that has served it
+// must not lose it, and an undisturbed one must serve it within forceTime.
 func (f *fleet) look(ctx context.Context, n *node) {
 	c := newClient()
 	defer c.CloseIdleConnections()
@@ -156,20 +153,20 @@
 	case r.status == http.StatusOK:
 		l.known.Store(max(l.known.Load(), int64(newest)))
 	case r.status != http.StatusNotFound:
-		// A refusal says nothing of the routes in force.
+		// Other errors do not show which routes are in force.
 	case l.known.Load() >= int64(newest):
-		f.broken("node %d: route mark-%d was in force and is gone", n.index, newest)
+		f.broken("node %d: route mark-%d was in force and has been lost", n.index, newest)
 	case time.Since(published) > forceTime && f.calmSince(n, begun-forceTime) && !l.stopped.Load():
 		f.broken("node %d: route mark-%d isn't in force %v after its publication", n.index, newest, time.Since(published).Round(time.Millisecond))
 	}
 }
 
-// forceTime is within which what is published is in force on nodes that nothing
-// harms: the project's promise.
+// forceTime is the time within which undisturbed nodes must apply a published
+// value, as the project promises.
 const forceTime = 5 * time.Second
 
-// calmSince reports whether nothing that acts on a node or on the platform has
-// happened since a moment.
+// calmSince reports whether no step is under way and none has acted on the node or
+// the platform since at.
 func (f *fleet) calmSince(n *node, at time.Duration) bool {
 	return f.active.Load() == 0 && time.Duration(n.touched.Load()) < at && time.Duration(f.platformTouched.Load()) < at
 }
--- a/internal/soak/doc.go
+++ b/internal/soak/doc.go
@@ -1,12 +1,12 @@
 // SPDX-License-Identifier: Apache-2.0
 
 // Package soak runs a fleet of real processes under a random series of faults and
-// checks its promises from what callers and targets see. A seed gives the whole
-// series; what the processes do with it differs between runs.
+// checks its guarantees against what callers and targets observe. A seed determines
+// the whole series; how the processes respond differs between runs.
 //
-// Faults come from outside the processes: signals that stop, pause, kill and
-// restart them, and loopback proxies that delay, reset, silence or cut one way the
-// connections to the platform, to targets and, where nodes choose alone, between
-// nodes. Datagrams between nodes pass no proxy, and no clock is changed: the
-// processes have no seam for it.
+// Faults are injected from outside the processes: signals stop, pause, kill and
+// restart them, and loopback proxies delay, reset or cut, in one or both directions,
+// the connections to the platform, to targets and, in the independent mode, between
+// nodes. Datagrams between nodes pass no proxy and no clock is changed, as the
+// processes have no hooks for either.
 package soak
--- a/internal/soak/export_test.go
+++ b/internal/soak/export_test.go
@@ -8,18 +8,18 @@
 	"ploverjunction.example/ploverjunction/internal/history"
 )
 
-// Observed is a call for a test of the checks.
+// Observed is a call and its runs, as input for a test of the checks.
 type Observed struct {
 	Outcome   string
 	Err       error
 	Post      bool
 	Stopped   bool
 	Disturbed bool
-	// Runs is how often targets ran it.
+	// Runs is the number of times targets ran the call.
 	Runs int
 }
 
-// Judge returns what the checks say of one call.
+// Judge returns the violations that the checks find in one call.
 func Judge(o Observed) []string {
 	f := &fleet{
 		begun: time.Now(),
--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -9,8 +9,8 @@
 	"ploverjunction.example/ploverjunction/internal/standin/platform"
 )
 
-// slowDelay is how long a slow link holds each piece back: longer than any wait of
-// the joint choice.
+// slowDelay is the delay that a slow link adds to each chunk. It exceeds every wait
+// of the joint mode.
 const slowDelay = 150 * time.Millisecond
 
 var (
@@ -19,7 +19,7 @@
 	none = faultproxy.Fault{}
 )
 
-// step applies one step and takes it back after its time.
+// step applies one step and reverts it after its duration.
 func (f *fleet) step(s Step) error {
 	switch s.Kind {
 	case KindStop:
@@ -56,7 +56,7 @@
 	return nil
 }
 
-// link harms a proxy's connections for the time of a step.
+// link applies a fault to a proxy's connections for the duration of a step.
 func (f *fleet) link(p *faultproxy.Proxy, s Step) {
 	switch s.Kind {
 	case KindPeersCut, KindPlatformCut, KindTargetCut:
@@ -86,7 +86,7 @@
 	f.platform.SetMode(platform.ModeGood)
 }
 
-// leave says that a target leaves; at least half of them stay.
+// leave publishes a target as draining, unless fewer than half of all would remain.
 func (f *fleet) leave(index int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/soak/fleet.go
+++ b/internal/soak/fleet.go
@@ -18,13 +18,13 @@
 	"ploverjunction.example/ploverjunction/internal/standin/target"
 )
 
-// Times of a fleet.
+// Timeouts of a fleet and the normal mode of its targets.
 const (
-	// stopTime bounds a planned stop: the drain wait and the longest request.
+	// stopTime bounds a planned stop: the drain wait plus the longest request.
 	stopTime = 15 * time.Second
-	// backTime is within which all nodes must serve again after the last fault.
+	// backTime is the time within which all nodes must serve after the last fault.
 	backTime = 20 * time.Second
-	// targetSlots and targetWork say how targets work when nothing is wrong.
+	// targetSlots and targetWork are the slots and the latency of a healthy target.
 	targetSlots = 8
 	targetWork  = 10 * time.Millisecond
 )
@@ -35,17 +35,17 @@
 	server  *httptest.Server
 	proxy   *faultproxy.Proxy
 	leaving atomic.Bool
-	// born is when the target's life under its ID began, in milliseconds since 1970, births
-	// when its lives but the first one began, under the fleet's mu.
+	// born is the start of the target's incarnation in Unix milliseconds; births holds the
+	// starts of all incarnations but the first, guarded by the fleet's mu.
 	born   atomic.Int64
 	births []time.Duration
-	// says is set where its answers say that it leaves.
+	// says reports whether its answers signal that it is draining.
 	says atomic.Bool
-	// limits counts the steps under way in which it names its limit.
+	// limits counts the active steps in which it signals its limit.
 	limits atomic.Int64
 }
 
-// fleet is everything that takes part in one run.
+// fleet holds the platform, targets and nodes of one run.
 type fleet struct {
 	plan       Plan
 	daemon     string
@@ -56,29 +56,30 @@
 	toPlatform *faultproxy.Proxy
 	nodes      []*node
 	targets    []*backend
-	// routes counts the published routes, published is when the last one was.
+	// mu guards the fields up to taken. routes counts the published routes; published is
+	// the time of the last one.
 	mu        sync.Mutex
 	routes    int
 	published time.Time
 	faults    []string
-	// keys counts the keys of the workspace of most callers; taken is when the one before
-	// the newest was taken away.
+	// keys counts the keys issued to the workspace of most callers; taken is when the one
+	// before the newest was revoked.
 	keys  int
 	taken time.Time
-	// lives counts the processes that were started, ends the targets that ended under the
-	// request which ends them.
+	// lives counts the processes started, ends the crashes of targets under the harmful
+	// request.
 	lives atomic.Int64
 	ends  atomic.Int64
-	// active counts the steps under way.
+	// active counts the active steps.
 	active atomic.Int64
-	// platformTouched is as node.touched for steps that act on the platform.
+	// platformTouched is node.touched for steps that act on the platform.
 	platformTouched atomic.Int64
 }
 
 func hall(index int) string { return string(rune('a' + index%2)) }
 
-// peerAddress returns where a node hears its peers. Each run has a loopback network
-// of its own, so that runs beside each other don't meet.
+// peerAddress returns a node's address for peers. Each run uses its own loopback
+// network, so that concurrent runs do not reach each other.
 func (f *fleet) peerAddress(index int) string {
 	if !f.plan.Joint {
 		return f.nodes[index].front.Addr()
@@ -86,7 +87,7 @@
 	return fmt.Sprintf("127.%d.%d.%d:7960", 64+os.Getpid()%128, f.plan.Seed%250, index+1)
 }
 
-// newFleet starts the stand-ins and the processes of a plan.
+// newFleet starts the platform, targets and processes of a plan.
 func newFleet(daemon, dir string, plan Plan) (*fleet, error) {
 	f := &fleet{
 		plan:     plan,
@@ -152,7 +153,7 @@
 	return process.Start(f.daemon, dir, settings)
 }
 
-// close ends what this run started.
+// close stops the processes, proxies and servers of the run.
 func (f *fleet) close() {
 	for _, n := range f.nodes {
 		if l := n.life.Load(); l != nil {
@@ -185,8 +186,8 @@
 	f.platform.Publish("services", `{"services":[{"name":"quotes"}],"targets":[`+strings.Join(list, ",")+`]}`)
 }
 
-// publishRoute publishes the routes of the service and one more by which callers
-// see which publication a node has in force.
+// publishRoute publishes the service's routes and a new numbered route, by which
+// callers detect which revision a node has in force.
 func (f *fleet) publishRoute() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -202,27 +203,27 @@
 	f.platform.Publish("routes", `{"routes":[`+strings.Join(routes, ",")+`]}`)
 }
 
-// newest returns the number of the last published route and when that was.
+// newest returns the number of the last published route and its publication time.
 func (f *fleet) newest() (int, time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.routes, f.published
 }
 
-// broken notes a broken promise.
+// broken records a violation.
 func (f *fleet) broken(format string, args ...any) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.faults = append(f.faults, fmt.Sprintf("%6.2fs ", time.Since(f.begun).Seconds())+fmt.Sprintf(format, args...))
 }
 
-// NotReadyError is a fleet of which a node did not become ready.
+// NotReadyError reports a node that did not become ready.
 type NotReadyError struct {
 	index int
 	log   string
 }
 
-// Error names the node and shows the end of its log.
+// Error returns the node's index and the end of its log.
 func (e *NotReadyError) Error() string {
 	return fmt.Sprintf("soak: node %d is not ready:\n%s", e.index, e.log)
 }
@@ -252,7 +253,7 @@
 	return log[max(len(log)-most, 0):]
 }
 
-// checkLog looks for signs of a defect in the log of a process.
+// checkLog reports panics and data races in the log of a process.
 func (f *fleet) checkLog(n *node, l *life) {
 	log := l.proc.Log()
 	for _, sign := range []string{"DATA RACE", "panic:", "panicked"} {
--- a/internal/soak/limits.go
+++ b/internal/soak/limits.go
@@ -11,16 +11,18 @@
 )
 
 const (
-	// limitSteps is how many targets of a plan name limits, limitRate what they name.
+	// limitSteps is the number of steps in which targets signal limits, limitRate the limit
+	// in requests a second.
 	limitSteps = 2
 	limitRate  = 3
 	limitText  = "3"
-	// limitLeast and limitMost bound how long they do: several windows of the bound.
+	// limitLeast and limitMost bound the duration of such a step. Both exceed limitWindow.
 	limitLeast = 5 * time.Second
 	limitMost  = 9 * time.Second
-	// limitWindow, limitExcess and limitSlack are the bound on what a target with a limit gets
-	// from processes that it told, limitHeard how long after that they must keep to it, and
-	// limitSettled how long after the first one the fleet must.
+	// limitWindow, limitExcess and limitSlack bound what a target with a limit receives from
+	// processes that received the limit: at most limitExcess times the rate plus limitSlack
+	// requests a window. A process must comply limitHeard after it received the limit, the
+	// fleet limitSettled after the target first signaled it.
 	limitWindow  = 4 * time.Second
 	limitExcess  = 1.5
 	limitSlack   = 5
@@ -28,8 +30,8 @@
 	limitSettled = 2 * time.Second
 )
 
-// addLimits gives half of the plans targets that name limits. It draws from a source of its own,
-// so that the other steps of a seed stay what they are.
+// addLimits adds targets that signal limits to half of the plans. It uses a separate random
+// source, so that the other steps of a seed do not change.
 func (p *Plan) addLimits() {
 	rng := rand.New(rand.NewPCG(p.Seed, 0x11a))
 	p.Limiting = rng.IntN(2) == 0
@@ -46,7 +48,7 @@
 	}
 }
 
-// nameLimit has a target name a limit for the time of a step.
+// nameLimit makes a target signal a limit for the duration of a step.
 func (f *fleet) nameLimit(b *backend, s Step) {
 	b.limits.Add(1)
 	b.SetMode(b.usual())
@@ -55,17 +57,17 @@
 	b.SetMode(b.usual())
 }
 
-// limitWatch follows what reaches one target while it names its limit.
+// limitWatch tracks the requests that reach one target while it signals its limit.
 type limitWatch struct {
 	named time.Duration
-	// told is when each process passed on an answer with the limit.
+	// told is when each process relayed an answer with the limit.
 	told   map[*life]time.Duration
 	window []time.Duration
 	broken bool
 }
 
-// judgeLimited looks for a time in which a target got more than its limit allows from processes
-// that it told.
+// judgeLimited reports a window in which a target received more than its limit allows from
+// processes that had received the limit.
 func (f *fleet) judgeLimited(b *backend, calls map[string]*heard) {
 	w := limitWatch{}
 	for _, a := range b.Arrivals() {
@@ -94,7 +96,7 @@
 	allowed := limitExcess*limitRate*limitWindow.Seconds() + limitSlack
 	if at-w.named >= limitSettled && float64(len(w.window)) > allowed && !w.broken {
 		w.broken = true
-		f.broken("%s named a limit of %s a second and got %d requests in %v until %.2fs from processes that it told", b.Name(), a.Limit, len(w.window), limitWindow, at.Seconds())
+		f.broken("%s signaled a limit of %s a second and got %d requests in %v until %.2fs from processes that had received the limit", b.Name(), a.Limit, len(w.window), limitWindow, at.Seconds())
 	}
 	if _, ok := w.told[c.life]; !ok && c.arrivals == 1 && c.err == nil && c.Status == http.StatusOK {
 		w.told[c.life] = c.ended
--- a/internal/soak/node.go
+++ b/internal/soak/node.go
@@ -15,17 +15,17 @@
 	"ploverjunction.example/ploverjunction/internal/standin/process"
 )
 
-// life is one process of a node, from its start to its end.
+// life is one incarnation of a node: a process from its start to its exit.
 type life struct {
 	proc *process.Process
-	// stopped is set when it got SIGTERM, disturbed when it was killed or paused.
+	// stopped is set on SIGTERM, disturbed when the process is killed or paused.
 	stopped   atomic.Bool
 	disturbed atomic.Bool
-	// known is the newest published route that callers were served by this life.
+	// known is the number of the newest route that this process has served.
 	known atomic.Int64
 }
 
-// node is one place of the fleet, with one process after another.
+// node is one member of the fleet, whose process is replaced on restarts.
 type node struct {
 	fleet *fleet
 	index int
@@ -34,8 +34,8 @@
 	mu     sync.Mutex
 	life   atomic.Pointer[life]
 	starts int
-	// touched is when the last step that acts on the node ended, in nanoseconds
-	// since the begin of the fleet.
+	// touched is when the last step that acted on the node ended, in nanoseconds
+	// since the start of the fleet.
 	touched atomic.Int64
 }
 
@@ -79,7 +79,7 @@
 `, hall(n.index), peers, n.fleet.toPlatform.Addr(), choice, identity)
 }
 
-// start starts a process; n.mu is held.
+// start starts a process. Once steps run, the caller must hold n.mu.
 func (n *node) start() error {
 	n.starts++
 	dir := filepath.Join(n.fleet.dir, fmt.Sprintf("node-%d-%d", n.index, n.starts))
@@ -94,7 +94,7 @@
 	return nil
 }
 
-// stop ends the process as planned work does and starts a new one.
+// stop terminates the process gracefully and starts a new one.
 func (n *node) stop() error {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -111,7 +111,7 @@
 	return n.next(l)
 }
 
-// kill ends the process at once and starts a new one.
+// kill kills the process and starts a new one.
 func (n *node) kill() error {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -121,14 +121,14 @@
 	return n.next(l)
 }
 
-// next starts the process after one that has ended.
+// next starts the successor of a process that has exited.
 func (n *node) next(l *life) error {
 	n.fleet.checkLog(n, l)
 	n.touch()
 	return n.start()
 }
 
-// pause lets the process stand still for a time.
+// pause suspends the process for d.
 func (n *node) pause(d time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/soak/restores.go
+++ b/internal/soak/restores.go
@@ -10,16 +10,16 @@
 )
 
 const (
-	// restoreSteps is how many restores a plan with restores has: they may overlap.
+	// restoreSteps is the number of restores in a plan that has any. They may overlap.
 	restoreSteps = 3
-	// restoreAway is how long the platform is away before it comes back from a copy, and
-	// rewriteTime after how long operators publish again what was lost.
+	// restoreAway is how long the platform is down before it is restored from a copy, and
+	// rewriteTime how long after that operators publish the lost values again.
 	restoreAway = 300 * time.Millisecond
 	rewriteTime = 700 * time.Millisecond
 )
 
-// addRestores gives half of the plans restores of the platform. It draws from a source of its own, so
-// that the other steps of a seed stay what they are.
+// addRestores adds restores of the platform to half of the plans. It uses a separate random
+// source, so that the other steps of a seed do not change.
 func (p *Plan) addRestores() {
 	rng := rand.New(rand.NewPCG(p.Seed, 0xc0b1))
 	p.Restoring = rng.IntN(2) == 0
@@ -35,7 +35,7 @@
 	}
 }
 
-// restore has the platform lose what is published during a step.
+// restore makes the platform lose the values published during a step.
 func (f *fleet) restore(s Step) {
 	copied := f.platform.Copy()
 	time.Sleep(s.For)
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -14,32 +14,32 @@
 	"ploverjunction.example/ploverjunction/internal/history"
 )
 
-// Counts of the end of a run.
+// Parameters of a run and its final checks.
 const (
-	// callers is how many callers there are for each node.
+	// callers is the number of callers per node.
 	callers = 2
-	// proofs is how many calls each node must answer once all faults are over.
+	// proofs is the number of calls that each node must answer after the last fault.
 	proofs = 10
-	// leaveTime is within which a target that leaves gets no new work: the
-	// project's promise.
+	// leaveTime is the time after which a draining target must get no new requests,
+	// as the project promises.
 	leaveTime = 3 * time.Second
-	// clockSlack is how far the clocks behind deadlines and runs may differ: all
-	// processes use one clock here.
+	// clockSlack is the tolerance between the clocks of deadlines and of runs. It is
+	// small because all processes share one clock.
 	clockSlack = 50 * time.Millisecond
 )
 
-// Report is what a run showed.
+// Report is the result of a run.
 type Report struct {
 	Plan   Plan
 	Calls  int
 	Runs   int
 	Counts map[string]int
-	// Broken are the broken promises.
+	// Broken lists the violations.
 	Broken []string
 }
 
-// Run plays a plan with processes of a program, whose files go into a folder. The
-// error is one of the run itself, not of the fleet.
+// Run executes a plan with processes of the program daemon, whose files are written
+// to dir. The error is a failure of the run itself; violations are in the report.
 func Run(daemon, dir string, plan Plan) (Report, error) {
 	f, err := newFleet(daemon, dir, plan)
 	defer f.close()
@@ -61,7 +61,7 @@
 	return report, err
 }
 
-// load starts the callers; their records come when the context has ended.
+// load starts the callers. It sends their records after the context has ended.
 func (f *fleet) load(ctx context.Context) <-chan []record {
 	out := make(chan []record, 1)
 	var mu sync.Mutex
@@ -93,7 +93,7 @@
 	return out
 }
 
-// play makes all steps, each at its time, and waits for their ends.
+// play executes all steps, each at its time, and waits for them.
 func (f *fleet) play() error {
 	ends := make(chan error, len(f.plan.Steps))
 	for _, s := range f.plan.Steps {
@@ -111,10 +111,10 @@
 	return errors.Join(errs...)
 }
 
-// settle waits until the fleet serves again and has all that was published.
+// settle waits until all nodes are ready and have the newest route, then for leaveTime.
 func (f *fleet) settle() {
 	if err := f.awaitReady(backTime); err != nil {
-		f.broken("not back %v after the last fault: %v", backTime, err)
+		f.broken("not recovered %v after the last fault: %v", backTime, err)
 	}
 	end := time.Now().Add(backTime)
 	newest, _ := f.newest()
@@ -130,8 +130,8 @@
 	time.Sleep(leaveTime)
 }
 
-// prove calls each node once nothing is wrong any more, and looks whether targets
-// that left get work.
+// prove checks, after the last fault, that each node answers and that draining
+// targets get no requests.
 func (f *fleet) prove() {
 	before := map[int]int64{}
 	for i, b := range f.targets {
@@ -145,7 +145,7 @@
 		for i := range proofs {
 			r := f.one(c, n, http.MethodGet, fmt.Sprintf("proof-%d-%d", n.index, i))
 			if r.Status != http.StatusOK {
-				f.broken("node %d: status %d, %v, when all faults are over", n.index, r.Status, r.err)
+				f.broken("node %d: status %d, %v, after the last fault", n.index, r.Status, r.err)
 				break
 			}
 		}
@@ -153,12 +153,12 @@
 	}
 	for i, count := range before {
 		if now := f.targets[i].Requests(); now > count {
-			f.broken("target %d left and got %d requests since", i, now-count)
+			f.broken("target %d is draining and got %d more requests", i, now-count)
 		}
 	}
 }
 
-// judge checks all calls against all runs.
+// judge checks all calls against the runs at the targets.
 func (f *fleet) judge(records []record) Report {
 	report := Report{
 		Plan:   f.plan,
@@ -193,7 +193,7 @@
 	return report
 }
 
-// judgeCall checks one call; h holds it and its runs.
+// judgeCall checks one call; h holds the call and its runs.
 func (f *fleet) judgeCall(r *record, h history.History) {
 	f.judgeEnd(r, len(h.Runs))
 	for _, v := range history.Check(h, clockSlack) {
@@ -201,7 +201,7 @@
 	}
 }
 
-// describe tells where and when runs began.
+// describe formats the target and start of each run.
 func (f *fleet) describe(runs []history.Run) []string {
 	var out []string
 	for _, r := range runs {
@@ -210,9 +210,9 @@
 	return out
 }
 
-// judgeEnd looks at calls without an answer: only the death or pause of the
-// process explains them, or a connection that was closed before the request was
-// read.
+// judgeEnd checks calls without an answer. They are allowed only if the process was
+// killed or paused, or if a stopping process closed the connection before it read
+// the request.
 func (f *fleet) judgeEnd(r *record, runs int) {
 	if r.err == nil || r.refused || r.life.disturbed.Load() {
 		return
--- a/internal/soak/schedule.go
+++ b/internal/soak/schedule.go
@@ -8,32 +8,32 @@
 	"time"
 )
 
-// Kind is what a step does.
+// Kind is the kind of a step.
 type Kind string
 
-// Kinds of steps. Those of a node, a target or a proxy act on the one with the
+// Kinds of steps. Steps on a node, a target or a proxy act on the one with the
 // step's index.
 const (
-	// KindStop sends SIGTERM and starts a new process after the old one's end;
-	// KindKill does the same with SIGKILL, KindPause stops and continues it.
+	// KindStop sends SIGTERM and starts a new process after the old one has exited.
+	// KindKill does the same with SIGKILL. KindPause stops and continues the process.
 	KindStop  Kind = "stop"
 	KindKill  Kind = "kill"
 	KindPause Kind = "pause"
-	// KindPeersCut and KindPeersDeaf act before a node's port for peers.
+	// KindPeersCut and KindPeersDeaf act on connections to a node's port for peers.
 	KindPeersCut  Kind = "peers cut"
 	KindPeersDeaf Kind = "peers deaf"
-	// The next ones act between all nodes and the platform, or on it.
+	// The following kinds act on the platform or on the links of all nodes to it.
 	KindPlatformCut   Kind = "platform cut"
 	KindPlatformDeaf  Kind = "platform deaf"
 	KindPlatformSlow  Kind = "platform slow"
 	KindPlatformReset Kind = "platform reset"
 	KindPlatformDown  Kind = "platform down"
-	// KindPlatformRestore has the platform come back from a copy made at the step's begin.
+	// KindPlatformRestore restores the platform from a copy made when the step begins.
 	KindPlatformRestore Kind = "platform restored"
-	// KindPublish publishes one more route, KindLeave says that a target leaves.
+	// KindPublish publishes one more route, KindLeave publishes a target as draining.
 	KindPublish Kind = "publish"
 	KindLeave   Kind = "leave"
-	// The next ones act between all nodes and a target, or on it.
+	// The following kinds act on a target or on the links of all nodes to it.
 	KindTargetCut    Kind = "target cut"
 	KindTargetDeaf   Kind = "target deaf"
 	KindTargetSlow   Kind = "target slow"
@@ -44,19 +44,20 @@
 	KindTargetAborts Kind = "target aborts"
 	KindTargetShort  Kind = "target cuts bodies"
 	KindTargetSwaps  Kind = "target swaps ids"
-	// The next ones are of keyed plans. KindKeys takes a key away and gives out another one,
-	// KindReborn says that a target has begun a new life under its ID.
+	// The following kinds occur in keyed plans. KindKeys revokes a key and issues another one,
+	// KindReborn publishes a new incarnation of a target under the same ID.
 	KindKeys   Kind = "keys change"
 	KindReborn Kind = "target starts again"
-	// The next ones are of plans in which targets say something of themselves in their
-	// answers. KindSaysLeaving lasts until the end, though the target is published as staying.
+	// The following kinds occur in plans in which targets send signals in their answers.
+	// KindSaysLeaving lasts until the end of the run or the target's next incarnation; the
+	// target is not published as draining.
 	KindSaysLeaving Kind = "target says it leaves"
 	KindWantsRest   Kind = "target wants rest"
-	// KindNamesLimit has a target name a limit for the whole fleet.
+	// KindNamesLimit makes a target signal a limit for the whole fleet.
 	KindNamesLimit Kind = "target names a limit"
 )
 
-// kinds are all kinds, those that act on processes more than once: they are drawn
+// kinds are the kinds to draw from in every plan. Those listed more than once are drawn
 // more often.
 var kinds = []Kind{
 	KindStop, KindStop, KindStop, KindKill, KindKill, KindPause, KindPause,
@@ -67,7 +68,7 @@
 	KindTargetErrors, KindTargetSheds, KindTargetAborts, KindTargetShort, KindTargetSwaps,
 }
 
-// Step is one fault or change.
+// Step is one fault or change, with its start, duration, kind and subject.
 type Step struct {
 	At    time.Duration
 	For   time.Duration
@@ -75,40 +76,40 @@
 	Index int
 }
 
-// Plan is a series of steps for a fleet.
+// Plan is the composition of a fleet and its series of steps.
 type Plan struct {
 	Seed  uint64
 	Joint bool
-	// Keyed is set where callers show keys of their workspaces.
+	// Keyed reports whether callers authenticate with keys of their workspaces.
 	Keyed bool
-	// Harmful is set where a request comes again and again that ends each target.
+	// Harmful reports whether a request that crashes every target is sent repeatedly.
 	Harmful bool
-	// Saying is set where targets say in their answers that they leave or want rest.
+	// Saying reports whether targets signal in their answers that they drain or back off.
 	Saying bool
-	// Limiting is set where targets name limits.
+	// Limiting reports whether targets signal limits.
 	Limiting bool
-	// Restoring is set where the platform is restored from copies.
+	// Restoring reports whether the platform is restored from copies.
 	Restoring bool
 	Nodes     int
 	Targets   int
 	Steps     []Step
 }
 
-// Times and sizes of plans.
+// Durations and sizes of plans.
 const (
-	// faultTime is the time in which steps begin: two rolling restarts of a small
-	// fleet fit into it.
+	// faultTime is the period in which steps begin, long enough for two rolling restarts
+	// of a small fleet.
 	faultTime = 8 * time.Second
-	// stepLeast and stepMost bound how long a fault lasts: both shorter and longer
-	// than the second in which nodes find each other dead.
+	// stepLeast and stepMost bound the duration of a fault, below and above the second
+	// in which nodes declare each other dead.
 	stepLeast = 200 * time.Millisecond
 	stepMost  = 2500 * time.Millisecond
-	// stepsLeast and stepsMost bound the steps of each node of the fleet.
+	// stepsLeast and stepsMost bound the number of steps per node.
 	stepsLeast = 3
 	stepsMost  = 6
 )
 
-// NewPlan draws the plan of a seed for a number of nodes.
+// NewPlan returns the plan that a seed determines for a number of nodes.
 func NewPlan(seed uint64, nodes int) Plan {
 	rng := rand.New(rand.NewPCG(seed, 0x50a4))
 	p := Plan{
@@ -136,17 +137,17 @@
 	p.addSaying()
 	p.addLimits()
 	p.addRestores()
-	// From a source of its own, so that the other steps of a seed stay what they are.
+	// A separate random source keeps the other steps of a seed unchanged.
 	p.Harmful = rand.New(rand.NewPCG(seed, 0x4a21)).IntN(2) == 0
 	slices.SortStableFunc(p.Steps, func(a, b Step) int { return int(a.At - b.At) })
 	return p
 }
 
-// keyedSteps is how many steps a keyed plan has besides the others.
+// keyedSteps is the number of additional steps of a keyed plan.
 const keyedSteps = 6
 
-// addKeyed makes half of the plans keyed ones. It draws from a source of its own, so that
-// the other steps of a seed stay what they are.
+// addKeyed makes half of the plans keyed. It uses a separate random source, so that the
+// other steps of a seed do not change.
 func (p *Plan) addKeyed() {
 	rng := rand.New(rand.NewPCG(p.Seed, 0x6e79))
 	p.Keyed = rng.IntN(2) == 0
--- a/internal/soak/says.go
+++ b/internal/soak/signals.go
@@ -11,15 +11,14 @@
 )
 
 const (
-	// sayingSteps is how many steps a plan has besides the others in which targets say
-	// something.
+	// sayingSteps is the number of additional steps in which targets send signals.
 	sayingSteps = 6
-	// restAsked is the rest that targets ask for: longer than most faults last.
+	// restAsked is the backoff that targets request. It outlasts most faults.
 	restAsked = 2 * time.Second
 )
 
-// addSaying gives half of the plans targets that say something. It draws from a source of its
-// own, so that the other steps of a seed stay what they are.
+// addSaying adds targets that send signals to half of the plans. It uses a separate random
+// source, so that the other steps of a seed do not change.
 func (p *Plan) addSaying() {
 	rng := rand.New(rand.NewPCG(p.Seed, 0x5a7))
 	p.Saying = rng.IntN(2) == 0
@@ -40,7 +39,7 @@
 	}
 }
 
-// usual returns how a target works when nothing is wrong.
+// usual returns the mode of a target without faults, including its current signals.
 func (b *backend) usual() target.Mode {
 	m := healthy()
 	m.Leaving = b.says.Load()
@@ -50,7 +49,7 @@
 	return m
 }
 
-// sayLeaving has a target say that it leaves though it is published as staying.
+// sayLeaving makes a target signal that it is draining although it is not published so.
 func (f *fleet) sayLeaving(index int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -62,7 +61,7 @@
 	b.SetMode(b.usual())
 }
 
-// staying counts the targets that don't leave. f.mu is held.
+// staying counts the targets that are not draining. The caller must hold f.mu.
 func (f *fleet) staying() int {
 	n := 0
 	for _, b := range f.targets {
@@ -73,14 +72,14 @@
 	return n
 }
 
-// heard is a call with the requests of it that reached targets.
+// heard is a call and the number of its requests that reached targets.
 type heard struct {
 	*record
 	arrivals int
 }
 
-// judgeSaying checks that no process sent a request to a target once it had passed on what that
-// said.
+// judgeSaying checks that processes comply with the signals that they have relayed from
+// targets.
 func (f *fleet) judgeSaying(records []record) {
 	calls := map[string]*heard{}
 	for i := range records {
@@ -102,7 +101,7 @@
 	}
 }
 
-// judgeLeft looks for requests to a target that had said that it leaves.
+// judgeLeft reports requests to a target by a process that had relayed its draining signal.
 func (f *fleet) judgeLeft(b *backend, calls map[string]*heard) {
 	told := map[*life]time.Duration{}
 	for _, a := range b.Arrivals() {
@@ -121,15 +120,16 @@
 		when, known := told[c.life]
 		switch {
 		case known && c.begun > when:
-			f.broken("%s said that it leaves; node %d passed that on at %.2fs and sent it %s at %.2fs", b.Name(), c.node, when.Seconds(), a.Key, at.Seconds())
+			f.broken("%s signaled that it is draining; node %d relayed that at %.2fs and sent it %s at %.2fs", b.Name(), c.node, when.Seconds(), a.Key, at.Seconds())
 		case !known && a.Leaving && c.arrivals == 1 && c.err == nil && c.Status == http.StatusOK:
 			told[c.life] = c.ended
 		}
 	}
 }
 
-// judgeRested looks for requests to a target in the rest that it had asked for. That a process
-// knows of it shows where a request which can't be repeated went on, or was told not to have run.
+// judgeRested reports requests to a target during the backoff that it requested. A process has
+// provably received the backoff if the request was not repeatable and yet was answered by another
+// target or reported as not run.
 func (f *fleet) judgeRested(b *backend, calls map[string]*heard) {
 	all := b.Arrivals()
 	for i, asked := range all {
@@ -146,12 +146,12 @@
 			if f.bornBefore(b, at) > asked.At.Sub(f.begun) {
 				break
 			}
-			f.broken("%s asked node %d for %v of rest at %.2fs and got %s from it at %.2fs", b.Name(), c.node, asked.Rest, asked.At.Sub(f.begun).Seconds(), a.Key, at.Seconds())
+			f.broken("%s requested of node %d a backoff of %v at %.2fs and got %s from it at %.2fs", b.Name(), c.node, asked.Rest, asked.At.Sub(f.begun).Seconds(), a.Key, at.Seconds())
 		}
 	}
 }
 
-// bornBefore returns when the target's last life before a moment began, 0 for the first one.
+// bornBefore returns the start of the target's last incarnation before at, 0 for the first one.
 func (f *fleet) bornBefore(b *backend, at time.Duration) time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -17,14 +17,14 @@
 )
 
 var (
-	seeds    = flag.Uint64("seeds", 2, "how many seeds to play beside the regression seeds")
+	seeds    = flag.Uint64("seeds", 2, "how many seeds to run in addition to the regression seeds")
 	first    = flag.Uint64("first", 1, "the first of these seeds")
 	nodes    = flag.Int("nodes", 4, "nodes of each fleet")
-	parallel = flag.Int("beside", 2, "fleets beside each other")
+	parallel = flag.Int("beside", 2, "fleets to run concurrently")
 )
 
-// TestSoak plays the regression seeds, each of which once broke a promise, and the
-// seeds that the flags name.
+// TestSoak runs the regression seeds, each of which once caused a violation, and the
+// seeds selected by the flags.
 func TestSoak(t *testing.T) {
 	daemon, err := process.Build(t.TempDir(), "ploverd")
 	if err != nil {
@@ -46,10 +46,10 @@
 	all.Wait()
 }
 
-// Guards against nodes that begin with the whole limit of a workspace, where each has an equal part.
+// Guards against nodes that start with the whole limit of a workspace instead of an equal share.
 func TestSoakWorkspaceOverItsLimit(t *testing.T) { playOne(t, 30014) }
 
-// Guards against requests to a target that drains from its start on, which a node heard before it knew the incarnation.
+// Guards against requests to a target that drains from its start, when a node received the signal before the incarnation.
 func TestSoakDrainingBeforeItsIncarnationIsKnown(t *testing.T) { playOne(t, 30022) }
 
 func playOne(t *testing.T, seed uint64) {
@@ -78,7 +78,7 @@
 	}
 }
 
-// regression reads the seeds that ever failed.
+// regression returns the seeds that have failed before.
 func regression(t *testing.T) []uint64 {
 	t.Helper()
 	file, err := os.Open("testdata/seeds.tsv")
@@ -101,7 +101,7 @@
 	return out
 }
 
-// The same seed gives the same series, and seeds differ.
+// Guards against plans that depend on more than their seed, so that a failure can't be reproduced.
 func TestPlanIsGivenByItsSeed(t *testing.T) {
 	a, b, c := soak.NewPlan(7, 4), soak.NewPlan(7, 4), soak.NewPlan(8, 4)
 	if len(a.Steps) != len(b.Steps) {
@@ -113,11 +113,11 @@
 		}
 	}
 	if len(a.Steps) == len(c.Steps) && a.Steps[0] == c.Steps[0] {
-		t.Error("two seeds give the same series")
+		t.Error("two seeds give the same steps")
 	}
 }
 
-// The checks see what they are there for, and nothing else.
+// Guards against checks that miss a violation or report a correct call.
 func TestChecksSeeBrokenPromises(t *testing.T) {
 	lost := errors.New("connection closed")
 	cases := []struct {
@@ -166,7 +166,7 @@
 			broken: true,
 		},
 		{
-			name: "closed unread by a planned stop",
+			name: "closed before it was read by a planned stop",
 			call: soak.Observed{
 				Err:     lost,
 				Stopped: true,
@@ -181,7 +181,7 @@
 			},
 		},
 		{
-			name: "no answer from a sound process",
+			name: "no answer from an undisturbed process",
 			call: soak.Observed{
 				Err: lost,
 			},
--- a/internal/soak/workspaces.go
+++ b/internal/soak/workspaces.go
@@ -15,19 +15,19 @@
 	"ploverjunction.example/ploverjunction/internal/fleetconfig"
 )
 
-// The workspace with a limit, and what of it may run in a window: the defaults of
-// [workspaces].
+// The workspace with a limit and the number of its requests that may run in a window,
+// with the defaults of [workspaces].
 const (
 	hotKey    = "hot-key"
 	hotRate   = 20
 	hotPrefix = "hot-"
 	hotWindow = 5 * time.Second
 	hotMost   = (hotRate*5+hotRate)*5/4 + 20
-	// hotPause is the pause between two calls of the caller that sends more than that.
+	// hotPause is the pause between two calls of the caller that exceeds the limit.
 	hotPause = 8 * time.Millisecond
 )
 
-// key returns the key that most callers show, "" where plans have none.
+// key returns the API key that most callers use, "" in plans without keys.
 func (f *fleet) key() string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -44,7 +44,7 @@
 	return base64.StdEncoding.EncodeToString(d[:])
 }
 
-// changeKeys takes the newest key away and gives out another one.
+// changeKeys revokes the newest key and issues another one.
 func (f *fleet) changeKeys() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -54,7 +54,7 @@
 		digest(keyName(f.keys)), hotRate, hotRate, digest(hotKey)))
 }
 
-// reborn publishes another life of a target, whose connections are gone.
+// reborn resets a target's connections and publishes a new incarnation of it.
 func (f *fleet) reborn(index int) {
 	b := f.targets[index]
 	f.mu.Lock()
@@ -67,20 +67,20 @@
 	f.publishTargets()
 }
 
-// hot sends more than its workspace's limit until the context ends.
+// hot sends more requests than its workspace's limit allows until the context ends.
 func (f *fleet) hot(ctx context.Context) {
 	c := newClient()
 	defer c.CloseIdleConnections()
 	rng := rand.New(rand.NewPCG(f.plan.Seed, 0x407))
 	for i := 0; ctx.Err() == nil; i++ {
 		l := f.nodes[rng.IntN(len(f.nodes))].life.Load()
-		// What came of it shows at the targets.
+		// The result is checked at the targets.
 		_ = call(ctx, c, http.MethodPost, "http://"+l.proc.Entry()+"/quotes/1", fmt.Sprint(hotPrefix, i), hotKey)
 		time.Sleep(hotPause)
 	}
 }
 
-// takenAway shows keys that were taken away: nodes that nothing harms refuse them.
+// takenAway sends revoked keys and checks that undisturbed nodes refuse them.
 func (f *fleet) takenAway(ctx context.Context) {
 	c := newClient()
 	defer c.CloseIdleConnections()
@@ -95,13 +95,13 @@
 		same := old == f.keys-1
 		f.mu.Unlock()
 		if old > 0 && same && r.status == http.StatusOK && begun-taken.Sub(f.begun) > forceTime && f.calmSince(n, begun-forceTime) {
-			f.broken("node %d: served a key %v after it was taken away", n.index, time.Since(taken).Round(time.Millisecond))
+			f.broken("node %d: accepted a key %v after it was revoked", n.index, time.Since(taken).Round(time.Millisecond))
 		}
 		time.Sleep(lookInterval)
 	}
 }
 
-// judgeWorkspaces checks what targets were told, and the limit.
+// judgeWorkspaces checks the workspace that targets received and the limit of the hot one.
 func (f *fleet) judgeWorkspaces() {
 	var hot []time.Time
 	for _, b := range f.targets {
@@ -115,7 +115,7 @@
 				hot = append(hot, r.At)
 			}
 			if r.Authorized || r.Workspace != want {
-				f.broken("%s: %s was told workspace %q, with a key: %t", b.Name(), r.Key, r.Workspace, r.Authorized)
+				f.broken("%s: %s arrived with workspace %q, with a key: %t", b.Name(), r.Key, r.Workspace, r.Authorized)
 			}
 		}
 	}
@@ -126,7 +126,7 @@
 			first++
 		}
 		if i-first+1 > hotMost {
-			f.broken("%d requests of the limited workspace ran in %v, at most %d may", i-first+1, hotWindow, hotMost)
+			f.broken("%d requests of the limited workspace ran in %v, at most %d are allowed", i-first+1, hotWindow, hotMost)
 			return
 		}
 	}
