--- a/internal/soak/caller.go
+++ b/internal/soak/caller.go
@@ -19,9 +19,9 @@
 
 // Parameters of callers.
 const (
-	// callTime bounds a call. It exceeds every route's deadline, so that a node that
+	// callTimeout bounds a call. It exceeds every route's deadline, so that a node that
 	// does not answer is detected.
-	callTime = 10 * time.Second
+	callTimeout = 10 * time.Second
 	// writeShare is the share of calls that are not repeatable.
 	writeShare = 0.5
 	// callPause is the maximum pause between two calls of one caller.
@@ -51,7 +51,7 @@
 
 // call sends the request identified by key; shown is the API key, "" for none.
 func call(ctx context.Context, c *http.Client, method, url, key, shown string) reply {
-	ctx, cancel := context.WithTimeout(ctx, callTime)
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, method, url, strings.NewReader(""))
 	if err != nil {
