--- a/internal/soak/caller.go
+++ b/internal/soak/caller.go
@@ -26,8 +26,8 @@
 	writeShare = 0.5
 	// callPause is the maximum pause between two calls of one caller.
 	callPause = 30 * time.Millisecond
-	// lookInterval is the interval at which each node is polled for the newest route.
-	lookInterval = 100 * time.Millisecond
+	// pollInterval is the interval at which each node is polled for the newest route.
+	pollInterval = 100 * time.Millisecond
 )
 
 // record is one call with its result and the process that received it.
@@ -139,7 +139,7 @@
 	defer c.CloseIdleConnections()
 	for i := 0; ctx.Err() == nil; i++ {
 		f.lookOnce(ctx, c, n, i)
-		time.Sleep(lookInterval)
+		time.Sleep(pollInterval)
 	}
 }
 
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -124,7 +124,7 @@
 				f.broken("node %d: route mark-%d isn't in force %v after the last fault", n.index, newest, backTime)
 				break
 			}
-			time.Sleep(lookInterval)
+			time.Sleep(pollInterval)
 		}
 	}
 	time.Sleep(leaveTime)
--- a/internal/soak/workspaces.go
+++ b/internal/soak/workspaces.go
@@ -97,7 +97,7 @@
 		if old > 0 && same && r.status == http.StatusOK && begun-taken.Sub(f.begun) > forceTime && f.calmSince(n, begun-forceTime) {
 			f.broken("node %d: accepted a key %v after it was revoked", n.index, time.Since(taken).Round(time.Millisecond))
 		}
-		time.Sleep(lookInterval)
+		time.Sleep(pollInterval)
 	}
 }
 
