--- a/internal/soak/caller.go
+++ b/internal/soak/caller.go
@@ -156,14 +156,14 @@
 		// Other errors do not show which routes are in force.
 	case l.known.Load() >= int64(newest):
 		f.broken("node %d: route mark-%d was in force and has been lost", n.index, newest)
-	case time.Since(published) > forceTime && f.calmSince(n, begun-forceTime) && !l.stopped.Load():
+	case time.Since(published) > propagationTime && f.calmSince(n, begun-propagationTime) && !l.stopped.Load():
 		f.broken("node %d: route mark-%d isn't in force %v after its publication", n.index, newest, time.Since(published).Round(time.Millisecond))
 	}
 }
 
-// forceTime is the time within which undisturbed nodes must apply a published
+// propagationTime is the time within which undisturbed nodes must apply a published
 // value, as the project promises.
-const forceTime = 5 * time.Second
+const propagationTime = 5 * time.Second
 
 // calmSince reports whether no step is under way and none has acted on the node or
 // the platform since at.
