--- a/internal/soak/caller.go
+++ b/internal/soak/caller.go
@@ -132,9 +132,9 @@
 	}
 }
 
-// look polls a node for the newest published route. A process that has served it
+// pollRoutes polls a node for the newest published route. A process that has served it
 // must not lose it, and an undisturbed one must serve it within forceTime.
-func (f *fleet) look(ctx context.Context, n *node) {
+func (f *fleet) pollRoutes(ctx context.Context, n *node) {
 	c := newClient()
 	defer c.CloseIdleConnections()
 	for i := 0; ctx.Err() == nil; i++ {
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -77,7 +77,7 @@
 		})
 	}
 	for _, n := range f.nodes {
-		group.Go(func() { f.look(ctx, n) })
+		group.Go(func() { f.pollRoutes(ctx, n) })
 	}
 	if f.plan.Keyed {
 		group.Go(func() { f.hot(ctx) })
