--- a/internal/soak/caller.go
+++ b/internal/soak/caller.go
@@ -138,12 +138,12 @@
 	c := newClient()
 	defer c.CloseIdleConnections()
 	for i := 0; ctx.Err() == nil; i++ {
-		f.lookOnce(ctx, c, n, i)
+		f.pollRoutesOnce(ctx, c, n, i)
 		time.Sleep(pollInterval)
 	}
 }
 
-func (f *fleet) lookOnce(ctx context.Context, c *http.Client, n *node, i int) {
+func (f *fleet) pollRoutesOnce(ctx context.Context, c *http.Client, n *node, i int) {
 	l := n.life.Load()
 	newest, published := f.newest()
 	begun := time.Since(f.begun)
