--- a/internal/soak/caller.go
+++ b/internal/soak/caller.go
@@ -101,15 +101,15 @@
 		if rng.Float64() < writeShare {
 			method = http.MethodPost
 		}
-		out = append(out, f.one(c, n, method, fmt.Sprintf("%s-%d", name, i)))
+		out = append(out, f.makeCall(c, n, method, fmt.Sprintf("%s-%d", name, i)))
 		time.Sleep(time.Duration(rng.Int64N(int64(callPause))))
 	}
 	return out
 }
 
-// one makes one call to a node and records it. The end of the load does not cancel
+// makeCall makes one call to a node and records it. The end of the load does not cancel
 // it, so that every call gets its answer.
-func (f *fleet) one(c *http.Client, n *node, method, key string) record {
+func (f *fleet) makeCall(c *http.Client, n *node, method, key string) record {
 	l := n.life.Load()
 	path := "/quotes/1"
 	begun := time.Since(f.begun)
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -143,7 +143,7 @@
 	defer c.CloseIdleConnections()
 	for _, n := range f.nodes {
 		for i := range proofs {
-			r := f.one(c, n, http.MethodGet, fmt.Sprintf("proof-%d-%d", n.index, i))
+			r := f.makeCall(c, n, http.MethodGet, fmt.Sprintf("proof-%d-%d", n.index, i))
 			if r.Status != http.StatusOK {
 				f.broken("node %d: status %d, %v, after the last fault", n.index, r.Status, r.err)
 				break
