--- a/internal/soak/caller.go
+++ b/internal/soak/caller.go
@@ -156,7 +156,7 @@
 		// Other errors do not show which routes are in force.
 	case l.known.Load() >= int64(newest):
 		f.broken("node %d: route mark-%d was in force and has been lost", n.index, newest)
-	case time.Since(published) > propagationTime && f.calmSince(n, begun-propagationTime) && !l.stopped.Load():
+	case time.Since(published) > propagationTime && f.undisturbedSince(n, begun-propagationTime) && !l.stopped.Load():
 		f.broken("node %d: route mark-%d isn't in force %v after its publication", n.index, newest, time.Since(published).Round(time.Millisecond))
 	}
 }
@@ -165,8 +165,8 @@
 // value, as the project promises.
 const propagationTime = 5 * time.Second
 
-// calmSince reports whether no step is under way and none has acted on the node or
+// undisturbedSince reports whether no step is under way and none has acted on the node or
 // the platform since at.
-func (f *fleet) calmSince(n *node, at time.Duration) bool {
+func (f *fleet) undisturbedSince(n *node, at time.Duration) bool {
 	return f.active.Load() == 0 && time.Duration(n.touched.Load()) < at && time.Duration(f.platformTouched.Load()) < at
 }
--- a/internal/soak/workspaces.go
+++ b/internal/soak/workspaces.go
@@ -94,7 +94,7 @@
 		f.mu.Lock()
 		same := old == f.keys-1
 		f.mu.Unlock()
-		if old > 0 && same && r.status == http.StatusOK && begun-taken.Sub(f.begun) > propagationTime && f.calmSince(n, begun-propagationTime) {
+		if old > 0 && same && r.status == http.StatusOK && begun-taken.Sub(f.begun) > propagationTime && f.undisturbedSince(n, begun-propagationTime) {
 			f.broken("node %d: accepted a key %v after it was revoked", n.index, time.Since(taken).Round(time.Millisecond))
 		}
 		time.Sleep(pollInterval)
