--- a/internal/soak/caller.go
+++ b/internal/soak/caller.go
@@ -151,10 +151,10 @@
 	switch {
 	case r.err != nil:
 	case r.status == http.StatusOK:
-		l.known.Store(max(l.known.Load(), int64(newest)))
+		l.newestRoute.Store(max(l.newestRoute.Load(), int64(newest)))
 	case r.status != http.StatusNotFound:
 		// Other errors do not show which routes are in force.
-	case l.known.Load() >= int64(newest):
+	case l.newestRoute.Load() >= int64(newest):
 		f.broken("node %d: route mark-%d was in force and has been lost", n.index, newest)
 	case time.Since(published) > propagationTime && f.undisturbedSince(n, begun-propagationTime) && !l.stopped.Load():
 		f.broken("node %d: route mark-%d isn't in force %v after its publication", n.index, newest, time.Since(published).Round(time.Millisecond))
--- a/internal/soak/node.go
+++ b/internal/soak/node.go
@@ -21,8 +21,8 @@
 	// stopped is set on SIGTERM, disturbed when the process is killed or paused.
 	stopped   atomic.Bool
 	disturbed atomic.Bool
-	// known is the number of the newest route that this process has served.
-	known atomic.Int64
+	// newestRoute is the number of the newest route that this process has served.
+	newestRoute atomic.Int64
 }
 
 // node is one member of the fleet, whose process is replaced on restarts.
