--- a/internal/soak/crash.go
+++ b/internal/soak/crash.go
@@ -54,7 +54,7 @@
 	if !f.plan.Harmful {
 		return
 	}
-	lives := f.lives.Load()
+	lives := f.processes.Load()
 	most := endsKnown + lives
 	if !f.plan.Joint {
 		most = endsKnown * lives
--- a/internal/soak/fleet.go
+++ b/internal/soak/fleet.go
@@ -66,10 +66,10 @@
 	// before the newest was revoked.
 	keys  int
 	taken time.Time
-	// lives counts the processes started, ends the crashes of targets under the harmful
+	// processes counts the processes started, ends the crashes of targets under the harmful
 	// request.
-	lives atomic.Int64
-	ends  atomic.Int64
+	processes atomic.Int64
+	ends      atomic.Int64
 	// active counts the active steps.
 	active atomic.Int64
 	// platformTouched is node.touched for steps that act on the platform.
@@ -149,7 +149,7 @@
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return nil, err
 	}
-	f.lives.Add(1)
+	f.processes.Add(1)
 	return process.Start(f.daemon, dir, settings)
 }
 
