--- a/internal/soak/caller.go
+++ b/internal/soak/caller.go
@@ -110,7 +110,7 @@
 // makeCall makes one call to a node and records it. The end of the load does not cancel
 // it, so that every call gets its answer.
 func (f *fleet) makeCall(c *http.Client, n *node, method, key string) record {
-	l := n.life.Load()
+	l := n.current.Load()
 	path := "/quotes/1"
 	begun := time.Since(f.begun)
 	r := call(context.Background(), c, method, "http://"+l.proc.Entry()+path, key, f.key())
@@ -144,7 +144,7 @@
 }
 
 func (f *fleet) pollRoutesOnce(ctx context.Context, c *http.Client, n *node, i int) {
-	l := n.life.Load()
+	l := n.current.Load()
 	newest, published := f.newest()
 	begun := time.Since(f.begun)
 	r := call(ctx, c, http.MethodGet, fmt.Sprintf("http://%s/mark-%d", l.proc.Entry(), newest), fmt.Sprintf("look-%d-%d", n.index, i), f.key())
--- a/internal/soak/crash.go
+++ b/internal/soak/crash.go
@@ -40,7 +40,7 @@
 	defer c.CloseIdleConnections()
 	rng := rand.New(rand.NewPCG(f.plan.Seed, 0x4a2))
 	for i := 0; ctx.Err() == nil; i++ {
-		l := f.nodes[rng.IntN(len(f.nodes))].life.Load()
+		l := f.nodes[rng.IntN(len(f.nodes))].current.Load()
 		// The result is checked at the targets.
 		_ = call(ctx, c, http.MethodGet, "http://"+l.proc.Entry()+harmPath, fmt.Sprint(harmPrefix, i), f.key())
 		time.Sleep(harmPause)
--- a/internal/soak/fleet.go
+++ b/internal/soak/fleet.go
@@ -156,7 +156,7 @@
 // close stops the processes, proxies and servers of the run.
 func (f *fleet) close() {
 	for _, n := range f.nodes {
-		if l := n.life.Load(); l != nil {
+		if l := n.current.Load(); l != nil {
 			l.proc.Kill()
 		}
 		n.front.Close()
@@ -233,11 +233,11 @@
 	end := time.Now().Add(limit)
 	var errs []error
 	for _, n := range f.nodes {
-		for !n.life.Load().proc.Ready() {
+		for !n.current.Load().proc.Ready() {
 			if time.Now().After(end) {
 				errs = append(errs, &NotReadyError{
 					index: n.index,
-					log:   tail(n.life.Load().proc.Log()),
+					log:   tail(n.current.Load().proc.Log()),
 				})
 				break
 			}
--- a/internal/soak/node.go
+++ b/internal/soak/node.go
@@ -31,9 +31,9 @@
 	index int
 	front *faultproxy.Proxy
 	// mu is held while a step acts on the process.
-	mu     sync.Mutex
-	life   atomic.Pointer[life]
-	starts int
+	mu      sync.Mutex
+	current atomic.Pointer[life]
+	starts  int
 	// touched is when the last step that acted on the node ended, in nanoseconds
 	// since the start of the fleet.
 	touched atomic.Int64
@@ -88,7 +88,7 @@
 		return fmt.Errorf("soak: node %d: %w", n.index, err)
 	}
 	n.front.SetUpstream(p.Peers())
-	n.life.Store(&life{
+	n.current.Store(&life{
 		proc: p,
 	})
 	return nil
@@ -98,7 +98,7 @@
 func (n *node) stop() error {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	l := n.life.Load()
+	l := n.current.Load()
 	l.stopped.Store(true)
 	l.proc.Signal(syscall.SIGTERM)
 	select {
@@ -115,7 +115,7 @@
 func (n *node) kill() error {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	l := n.life.Load()
+	l := n.current.Load()
 	l.disturbed.Store(true)
 	l.proc.Kill()
 	return n.next(l)
@@ -132,7 +132,7 @@
 func (n *node) pause(d time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	l := n.life.Load()
+	l := n.current.Load()
 	l.disturbed.Store(true)
 	l.proc.Signal(syscall.SIGSTOP)
 	time.Sleep(d)
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -119,7 +119,7 @@
 	end := time.Now().Add(backTime)
 	newest, _ := f.newest()
 	for _, n := range f.nodes {
-		for n.life.Load().newestRoute.Load() < int64(newest) {
+		for n.current.Load().newestRoute.Load() < int64(newest) {
 			if time.Now().After(end) {
 				f.broken("node %d: route mark-%d isn't in force %v after the last fault", n.index, newest, backTime)
 				break
@@ -149,7 +149,7 @@
 				break
 			}
 		}
-		f.checkLog(n, n.life.Load())
+		f.checkLog(n, n.current.Load())
 	}
 	for i, count := range before {
 		if now := f.targets[i].Requests(); now > count {
--- a/internal/soak/workspaces.go
+++ b/internal/soak/workspaces.go
@@ -73,7 +73,7 @@
 	defer c.CloseIdleConnections()
 	rng := rand.New(rand.NewPCG(f.plan.Seed, 0x407))
 	for i := 0; ctx.Err() == nil; i++ {
-		l := f.nodes[rng.IntN(len(f.nodes))].life.Load()
+		l := f.nodes[rng.IntN(len(f.nodes))].current.Load()
 		// The result is checked at the targets.
 		_ = call(ctx, c, http.MethodPost, "http://"+l.proc.Entry()+"/quotes/1", fmt.Sprint(hotPrefix, i), hotKey)
 		time.Sleep(hotPause)
@@ -90,7 +90,7 @@
 		old, taken := f.keys-1, f.taken
 		f.mu.Unlock()
 		begun := time.Since(f.begun)
-		r := call(ctx, c, http.MethodGet, "http://"+n.life.Load().proc.Entry()+"/quotes/1", fmt.Sprint("old-", i), keyName(old))
+		r := call(ctx, c, http.MethodGet, "http://"+n.current.Load().proc.Entry()+"/quotes/1", fmt.Sprint("old-", i), keyName(old))
 		f.mu.Lock()
 		same := old == f.keys-1
 		f.mu.Unlock()
