--- a/internal/soak/caller.go
+++ b/internal/soak/caller.go
@@ -33,11 +33,11 @@
 // record is one call with its result and the process that received it.
 type record struct {
 	history.Call
-	node  int
-	life  *life
-	begun time.Duration
-	ended time.Duration
-	err   error
+	node    int
+	process *life
+	begun   time.Duration
+	ended   time.Duration
+	err     error
 	// refused reports whether the connection was refused, so that nothing was sent.
 	refused bool
 }
@@ -124,7 +124,7 @@
 			Right:      r.status != http.StatusOK || r.body == string(target.Echo(method, path, key, nil)),
 		},
 		node:    n.index,
-		life:    l,
+		process: l,
 		begun:   begun,
 		ended:   time.Since(f.begun),
 		err:     r.err,
--- a/internal/soak/export_test.go
+++ b/internal/soak/export_test.go
@@ -35,8 +35,8 @@
 			Whole:      o.Err == nil,
 			Right:      true,
 		},
-		life: l,
-		err:  o.Err,
+		process: l,
+		err:     o.Err,
 	}
 	h := history.History{
 		Calls: []history.Call{
--- a/internal/soak/limits.go
+++ b/internal/soak/limits.go
@@ -87,7 +87,7 @@
 }
 
 func (w *limitWatch) arrived(f *fleet, b *backend, a target.Arrival, at time.Duration, c *heard) {
-	if when, ok := w.told[c.life]; ok && at-when >= limitHeard {
+	if when, ok := w.told[c.process]; ok && at-when >= limitHeard {
 		w.window = append(w.window, at)
 		for at-w.window[0] >= limitWindow {
 			w.window = w.window[1:]
@@ -98,7 +98,7 @@
 		w.broken = true
 		f.broken("%s signaled a limit of %s a second and got %d requests in %v until %.2fs from processes that had received the limit", b.Name(), a.Limit, len(w.window), limitWindow, at.Seconds())
 	}
-	if _, ok := w.told[c.life]; !ok && c.arrivals == 1 && c.err == nil && c.Status == http.StatusOK {
-		w.told[c.life] = c.ended
+	if _, ok := w.told[c.process]; !ok && c.arrivals == 1 && c.err == nil && c.Status == http.StatusOK {
+		w.told[c.process] = c.ended
 	}
 }
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -214,10 +214,10 @@
 // killed or paused, or if a stopping process closed the connection before it read
 // the request.
 func (f *fleet) judgeEnd(r *record, runs int) {
-	if r.err == nil || r.refused || r.life.disturbed.Load() {
+	if r.err == nil || r.refused || r.process.disturbed.Load() {
 		return
 	}
-	if runs > 0 || !r.life.stopped.Load() {
+	if runs > 0 || !r.process.stopped.Load() {
 		f.broken("node %d: no answer to %s, sent at %.2fs, ran %d times: %v", r.node, r.Key, r.begun.Seconds(), runs, r.err)
 	}
 }
--- a/internal/soak/signals.go
+++ b/internal/soak/signals.go
@@ -117,12 +117,12 @@
 				}
 			}
 		}
-		when, known := told[c.life]
+		when, known := told[c.process]
 		switch {
 		case known && c.begun > when:
 			f.broken("%s signaled that it is draining; node %d relayed that at %.2fs and sent it %s at %.2fs", b.Name(), c.node, when.Seconds(), a.Key, at.Seconds())
 		case !known && a.Leaving && c.arrivals == 1 && c.err == nil && c.Status == http.StatusOK:
-			told[c.life] = c.ended
+			told[c.process] = c.ended
 		}
 	}
 }
@@ -140,7 +140,7 @@
 		for _, a := range all[i+1:] {
 			o := calls[a.Key]
 			at := a.At.Sub(f.begun)
-			if o == nil || o.life != c.life || o.begun < c.ended || a.At.Sub(asked.At) >= asked.Rest {
+			if o == nil || o.process != c.process || o.begun < c.ended || a.At.Sub(asked.At) >= asked.Rest {
 				continue
 			}
 			if f.bornBefore(b, at) > asked.At.Sub(f.begun) {
