--- a/internal/soak/caller.go
+++ b/internal/soak/caller.go
@@ -34,7 +34,7 @@
 type record struct {
 	history.Call
 	node    int
-	process *life
+	process *incarnation
 	begun   time.Duration
 	ended   time.Duration
 	err     error
--- a/internal/soak/export_test.go
+++ b/internal/soak/export_test.go
@@ -24,7 +24,7 @@
 	f := &fleet{
 		begun: time.Now(),
 	}
-	l := &life{}
+	l := &incarnation{}
 	l.stopped.Store(o.Stopped)
 	l.disturbed.Store(o.Disturbed)
 	r := record{
--- a/internal/soak/fleet.go
+++ b/internal/soak/fleet.go
@@ -254,7 +254,7 @@
 }
 
 // checkLog reports panics and data races in the log of a process.
-func (f *fleet) checkLog(n *node, l *life) {
+func (f *fleet) checkLog(n *node, l *incarnation) {
 	log := l.proc.Log()
 	for _, sign := range []string{"DATA RACE", "panic:", "panicked"} {
 		if strings.Contains(log, sign) {
--- a/internal/soak/limits.go
+++ b/internal/soak/limits.go
@@ -61,7 +61,7 @@
 type limitWatch struct {
 	named time.Duration
 	// told is when each process relayed an answer with the limit.
-	told   map[*life]time.Duration
+	told   map[*incarnation]time.Duration
 	window []time.Duration
 	broken bool
 }
@@ -75,7 +75,7 @@
 		if a.Limit == "" || f.bornBefore(b, at) > w.named {
 			w = limitWatch{
 				named: at,
-				told:  map[*life]time.Duration{},
+				told:  map[*incarnation]time.Duration{},
 			}
 		}
 		c := calls[a.Key]
--- a/internal/soak/node.go
+++ b/internal/soak/node.go
@@ -15,8 +15,8 @@
 	"ploverjunction.example/ploverjunction/internal/standin/process"
 )
 
-// life is one incarnation of a node: a process from its start to its exit.
-type life struct {
+// incarnation is one incarnation of a node: a process from its start to its exit.
+type incarnation struct {
 	proc *process.Process
 	// stopped is set on SIGTERM, disturbed when the process is killed or paused.
 	stopped   atomic.Bool
@@ -32,7 +32,7 @@
 	front *faultproxy.Proxy
 	// mu is held while a step acts on the process.
 	mu      sync.Mutex
-	current atomic.Pointer[life]
+	current atomic.Pointer[incarnation]
 	starts  int
 	// touched is when the last step that acted on the node ended, in nanoseconds
 	// since the start of the fleet.
@@ -88,7 +88,7 @@
 		return fmt.Errorf("soak: node %d: %w", n.index, err)
 	}
 	n.front.SetUpstream(p.Peers())
-	n.current.Store(&life{
+	n.current.Store(&incarnation{
 		proc: p,
 	})
 	return nil
@@ -122,7 +122,7 @@
 }
 
 // next starts the successor of a process that has exited.
-func (n *node) next(l *life) error {
+func (n *node) next(l *incarnation) error {
 	n.fleet.checkLog(n, l)
 	n.touch()
 	return n.start()
--- a/internal/soak/signals.go
+++ b/internal/soak/signals.go
@@ -103,7 +103,7 @@
 
 // judgeLeft reports requests to a target by a process that had relayed its draining signal.
 func (f *fleet) judgeLeft(b *backend, calls map[string]*heard) {
-	told := map[*life]time.Duration{}
+	told := map[*incarnation]time.Duration{}
 	for _, a := range b.Arrivals() {
 		at := a.At.Sub(f.begun)
 		c := calls[a.Key]
