--- a/internal/soak/crash.go
+++ b/internal/soak/crash.go
@@ -24,7 +24,7 @@
 // canEnd makes a target crash on a request that asks for it.
 func (f *fleet) canEnd(b *backend) {
 	b.SetEnd(func() {
-		f.ends.Add(1)
+		f.crashes.Add(1)
 		b.proxy.Down()
 		time.AfterFunc(harmBack, func() {
 			if err := b.proxy.Up(); err != nil {
@@ -59,7 +59,7 @@
 	if !f.plan.Joint {
 		most = endsKnown * lives
 	}
-	if ends := f.ends.Load(); ends > most {
+	if ends := f.crashes.Load(); ends > most {
 		f.broken("one request crashed %d targets, at most %d are allowed with %d processes", ends, most, lives)
 	}
 }
--- a/internal/soak/fleet.go
+++ b/internal/soak/fleet.go
@@ -69,7 +69,7 @@
 	// processes counts the processes started, ends the crashes of targets under the harmful
 	// request.
 	processes atomic.Int64
-	ends      atomic.Int64
+	crashes   atomic.Int64
 	// active counts the active steps.
 	active atomic.Int64
 	// platformTouched is node.touched for steps that act on the platform.
