--- a/internal/soak/crash.go
+++ b/internal/soak/crash.go
@@ -21,8 +21,8 @@
 	endsKnown = 3
 )
 
-// canEnd makes a target crash on a request that asks for it.
-func (f *fleet) canEnd(b *backend) {
+// crashOnRequest makes a target crash on a request that asks for it.
+func (f *fleet) crashOnRequest(b *backend) {
 	b.SetEnd(func() {
 		f.crashes.Add(1)
 		b.proxy.Down()
--- a/internal/soak/fleet.go
+++ b/internal/soak/fleet.go
@@ -108,7 +108,7 @@
 		b.SetMode(healthy())
 		b.born.Store(f.begun.UnixMilli())
 		if plan.Harmful {
-			f.canEnd(b)
+			f.crashOnRequest(b)
 		}
 		b.server = httptest.NewServer(b.Handler())
 		if b.proxy, err = faultproxy.New(address(b.server)); err != nil {
