--- a/internal/soak/crash.go
+++ b/internal/soak/crash.go
@@ -34,8 +34,8 @@
 	})
 }
 
-// harm sends the harmful request to random nodes until the context ends.
-func (f *fleet) harm(ctx context.Context) {
+// sendHarmful sends the harmful request to random nodes until the context ends.
+func (f *fleet) sendHarmful(ctx context.Context) {
 	c := newClient()
 	defer c.CloseIdleConnections()
 	rng := rand.New(rand.NewPCG(f.plan.Seed, 0x4a2))
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -84,7 +84,7 @@
 		group.Go(func() { f.takenAway(ctx) })
 	}
 	if f.plan.Harmful {
-		group.Go(func() { f.harm(ctx) })
+		group.Go(func() { f.sendHarmful(ctx) })
 	}
 	go func() {
 		group.Wait()
