--- a/internal/soak/crash.go
+++ b/internal/soak/crash.go
@@ -47,10 +47,10 @@
 	}
 }
 
-// judgeHarm checks the number of crashes. In the joint mode nodes share them and refuse the
+// checkCrashes checks the number of crashes. In the joint mode nodes share them and refuse the
 // request after three in all, but each process may forward it once more just after its start;
 // in the independent mode each process learns from three of its own.
-func (f *fleet) judgeHarm() {
+func (f *fleet) checkCrashes() {
 	if !f.plan.Harmful {
 		return
 	}
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -167,7 +167,7 @@
 	}
 	runs := map[string][]history.Run{}
 	f.judgeWorkspaces()
-	f.judgeHarm()
+	f.checkCrashes()
 	f.judgeSaying(records)
 	for _, b := range f.targets {
 		for _, r := range b.Runs() {
