--- a/internal/soak/crash.go
+++ b/internal/soak/crash.go
@@ -15,8 +15,8 @@
 	harmPath   = "/quotes/harm?ends"
 	// harmPause is the pause between two harmful requests, harmBack the time that a target
 	// takes to restart after a crash.
-	harmPause = 100 * time.Millisecond
-	harmBack  = 700 * time.Millisecond
+	harmPause    = 100 * time.Millisecond
+	restartDelay = 700 * time.Millisecond
 	// endsKnown is the number of crashes from which nodes refuse the request.
 	endsKnown = 3
 )
@@ -26,7 +26,7 @@
 	b.SetEnd(func() {
 		f.crashes.Add(1)
 		b.proxy.Down()
-		time.AfterFunc(harmBack, func() {
+		time.AfterFunc(restartDelay, func() {
 			if err := b.proxy.Up(); err != nil {
 				f.broken("%s cannot restart: %v", b.Name(), err)
 			}
