--- a/internal/soak/crash.go
+++ b/internal/soak/crash.go
@@ -17,8 +17,8 @@
 	// takes to restart after a crash.
 	harmPause    = 100 * time.Millisecond
 	restartDelay = 700 * time.Millisecond
-	// endsKnown is the number of crashes from which nodes refuse the request.
-	endsKnown = 3
+	// crashesToRefuse is the number of crashes from which nodes refuse the request.
+	crashesToRefuse = 3
 )
 
 // crashOnRequest makes a target crash on a request that asks for it.
@@ -55,9 +55,9 @@
 		return
 	}
 	lives := f.processes.Load()
-	most := endsKnown + lives
+	most := crashesToRefuse + lives
 	if !f.plan.Joint {
-		most = endsKnown * lives
+		most = crashesToRefuse * lives
 	}
 	if ends := f.crashes.Load(); ends > most {
 		f.broken("one request crashed %d targets, at most %d are allowed with %d processes", ends, most, lives)
