--- a/internal/soak/fleet.go
+++ b/internal/soak/fleet.go
@@ -22,8 +22,8 @@
 const (
 	// stopTime bounds a planned stop: the drain wait plus the longest request.
 	stopTime = 15 * time.Second
-	// backTime is the time within which all nodes must serve after the last fault.
-	backTime = 20 * time.Second
+	// recoveryTime is the time within which all nodes must serve after the last fault.
+	recoveryTime = 20 * time.Second
 	// targetSlots and targetWork are the slots and the latency of a healthy target.
 	targetSlots = 8
 	targetWork  = 10 * time.Millisecond
@@ -134,7 +134,7 @@
 			return f, err
 		}
 	}
-	return f, f.awaitReady(backTime)
+	return f, f.awaitReady(recoveryTime)
 }
 
 func address(s *httptest.Server) string { return strings.TrimPrefix(s.URL, "http://") }
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -113,15 +113,15 @@
 
 // settle waits until all nodes are ready and have the newest route, then for leaveTime.
 func (f *fleet) settle() {
-	if err := f.awaitReady(backTime); err != nil {
-		f.broken("not recovered %v after the last fault: %v", backTime, err)
+	if err := f.awaitReady(recoveryTime); err != nil {
+		f.broken("not recovered %v after the last fault: %v", recoveryTime, err)
 	}
-	end := time.Now().Add(backTime)
+	end := time.Now().Add(recoveryTime)
 	newest, _ := f.newest()
 	for _, n := range f.nodes {
 		for n.current.Load().newestRoute.Load() < int64(newest) {
 			if time.Now().After(end) {
-				f.broken("node %d: route mark-%d isn't in force %v after the last fault", n.index, newest, backTime)
+				f.broken("node %d: route mark-%d isn't in force %v after the last fault", n.index, newest, recoveryTime)
 				break
 			}
 			time.Sleep(pollInterval)
