--- a/internal/soak/fleet.go
+++ b/internal/soak/fleet.go
@@ -20,8 +20,8 @@
 
 // Timeouts of a fleet and the normal mode of its targets.
 const (
-	// stopTime bounds a planned stop: the drain wait plus the longest request.
-	stopTime = 15 * time.Second
+	// stopTimeout bounds a planned stop: the drain wait plus the longest request.
+	stopTimeout = 15 * time.Second
 	// recoveryTime is the time within which all nodes must serve after the last fault.
 	recoveryTime = 20 * time.Second
 	// targetSlots and targetWork are the slots and the latency of a healthy target.
--- a/internal/soak/node.go
+++ b/internal/soak/node.go
@@ -103,8 +103,8 @@
 	l.proc.Signal(syscall.SIGTERM)
 	select {
 	case <-l.proc.Exited():
-	case <-time.After(stopTime):
-		n.fleet.broken("node %d: a planned stop took longer than %v", n.index, stopTime)
+	case <-time.After(stopTimeout):
+		n.fleet.broken("node %d: a planned stop took longer than %v", n.index, stopTimeout)
 		l.disturbed.Store(true)
 		l.proc.Kill()
 	}
