--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -20,9 +20,9 @@
 	callers = 2
 	// proofs is the number of calls that each node must answer after the last fault.
 	proofs = 10
-	// leaveTime is the time after which a draining target must get no new requests,
+	// drainTime is the time after which a draining target must get no new requests,
 	// as the project promises.
-	leaveTime = 3 * time.Second
+	drainTime = 3 * time.Second
 	// clockSlack is the tolerance between the clocks of deadlines and of runs. It is
 	// small because all processes share one clock.
 	clockSlack = 50 * time.Millisecond
@@ -127,7 +127,7 @@
 			time.Sleep(pollInterval)
 		}
 	}
-	time.Sleep(leaveTime)
+	time.Sleep(drainTime)
 }
 
 // prove checks, after the last fault, that each node answers and that draining
