--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -18,8 +18,8 @@
 const (
 	// callers is the number of callers per node.
 	callers = 2
-	// proofs is the number of calls that each node must answer after the last fault.
-	proofs = 10
+	// recoveryCalls is the number of calls that each node must answer after the last fault.
+	recoveryCalls = 10
 	// drainTime is the time after which a draining target must get no new requests,
 	// as the project promises.
 	drainTime = 3 * time.Second
@@ -142,7 +142,7 @@
 	c := newClient()
 	defer c.CloseIdleConnections()
 	for _, n := range f.nodes {
-		for i := range proofs {
+		for i := range recoveryCalls {
 			r := f.makeCall(c, n, http.MethodGet, fmt.Sprintf("proof-%d-%d", n.index, i))
 			if r.Status != http.StatusOK {
 				f.broken("node %d: status %d, %v, after the last fault", n.index, r.Status, r.err)
