--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -56,7 +56,7 @@
 	f.settle()
 	cancel()
 	report := f.judge(<-records)
-	f.prove()
+	f.checkRecovery()
 	report.Broken = f.faults
 	return report, err
 }
@@ -130,9 +130,9 @@
 	time.Sleep(drainTime)
 }
 
-// prove checks, after the last fault, that each node answers and that draining
+// checkRecovery checks, after the last fault, that each node answers and that draining
 // targets get no requests.
-func (f *fleet) prove() {
+func (f *fleet) checkRecovery() {
 	before := map[int]int64{}
 	for i, b := range f.targets {
 		if b.leaving.Load() {
