--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -52,7 +52,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	records := f.load(ctx)
-	err = f.play()
+	err = f.runSteps()
 	f.settle()
 	cancel()
 	report := f.judge(<-records)
@@ -93,8 +93,8 @@
 	return out
 }
 
-// play executes all steps, each at its time, and waits for them.
-func (f *fleet) play() error {
+// runSteps executes all steps, each at its time, and waits for them.
+func (f *fleet) runSteps() error {
 	ends := make(chan error, len(f.plan.Steps))
 	for _, s := range f.plan.Steps {
 		go func() {
