--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -55,7 +55,7 @@
 	err = f.runSteps()
 	f.settle()
 	cancel()
-	report := f.judge(<-records)
+	report := f.check(<-records)
 	f.checkRecovery()
 	report.Broken = f.faults
 	return report, err
@@ -158,8 +158,8 @@
 	}
 }
 
-// judge checks all calls against the runs at the targets.
-func (f *fleet) judge(records []record) Report {
+// check checks all calls against the runs at the targets.
+func (f *fleet) check(records []record) Report {
 	report := Report{
 		Plan:   f.plan,
 		Calls:  len(records),
