--- a/internal/soak/export_test.go
+++ b/internal/soak/export_test.go
@@ -48,6 +48,6 @@
 			Key: "k",
 		})
 	}
-	f.judgeCall(&r, h)
+	f.checkCall(&r, h)
 	return f.faults
 }
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -183,7 +183,7 @@
 	for i := range records {
 		r := &records[i]
 		report.Counts[r.Outcome]++
-		f.judgeCall(r, history.History{
+		f.checkCall(r, history.History{
 			Calls: []history.Call{
 				r.Call,
 			},
@@ -193,8 +193,8 @@
 	return report
 }
 
-// judgeCall checks one call; h holds the call and its runs.
-func (f *fleet) judgeCall(r *record, h history.History) {
+// checkCall checks one call; h holds the call and its runs.
+func (f *fleet) checkCall(r *record, h history.History) {
 	f.judgeEnd(r, len(h.Runs))
 	for _, v := range history.Check(h, clockSlack) {
 		f.broken("%s; node %d, sent at %.2fs, repeatable %t, status %d, runs %v", v, r.node, r.begun.Seconds(), r.Repeatable, r.Status, f.describe(h.Runs))
