--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -195,7 +195,7 @@
 
 // checkCall checks one call; h holds the call and its runs.
 func (f *fleet) checkCall(r *record, h history.History) {
-	f.judgeEnd(r, len(h.Runs))
+	f.checkUnanswered(r, len(h.Runs))
 	for _, v := range history.Check(h, clockSlack) {
 		f.broken("%s; node %d, sent at %.2fs, repeatable %t, status %d, runs %v", v, r.node, r.begun.Seconds(), r.Repeatable, r.Status, f.describe(h.Runs))
 	}
@@ -210,10 +210,10 @@
 	return out
 }
 
-// judgeEnd checks calls without an answer. They are allowed only if the process was
+// checkUnanswered checks calls without an answer. They are allowed only if the process was
 // killed or paused, or if a stopping process closed the connection before it read
 // the request.
-func (f *fleet) judgeEnd(r *record, runs int) {
+func (f *fleet) checkUnanswered(r *record, runs int) {
 	if r.err == nil || r.refused || r.process.disturbed.Load() {
 		return
 	}
