--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -168,7 +168,7 @@
 	runs := map[string][]history.Run{}
 	f.judgeWorkspaces()
 	f.checkCrashes()
-	f.judgeSaying(records)
+	f.checkSignals(records)
 	for _, b := range f.targets {
 		for _, r := range b.Runs() {
 			report.Runs++
--- a/internal/soak/signals.go
+++ b/internal/soak/signals.go
@@ -78,9 +78,9 @@
 	arrivals int
 }
 
-// judgeSaying checks that processes comply with the signals that they have relayed from
+// checkSignals checks that processes comply with the signals that they have relayed from
 // targets.
-func (f *fleet) judgeSaying(records []record) {
+func (f *fleet) checkSignals(records []record) {
 	calls := map[string]*heard{}
 	for i := range records {
 		calls[records[i].Key] = &heard{
