--- a/internal/soak/signals.go
+++ b/internal/soak/signals.go
@@ -95,14 +95,14 @@
 		}
 	}
 	for _, b := range f.targets {
-		f.judgeLeft(b, calls)
+		f.checkDraining(b, calls)
 		f.judgeRested(b, calls)
 		f.judgeLimited(b, calls)
 	}
 }
 
-// judgeLeft reports requests to a target by a process that had relayed its draining signal.
-func (f *fleet) judgeLeft(b *backend, calls map[string]*heard) {
+// checkDraining reports requests to a target by a process that had relayed its draining signal.
+func (f *fleet) checkDraining(b *backend, calls map[string]*heard) {
 	told := map[*incarnation]time.Duration{}
 	for _, a := range b.Arrivals() {
 		at := a.At.Sub(f.begun)
