--- a/internal/soak/signals.go
+++ b/internal/soak/signals.go
@@ -96,7 +96,7 @@
 	}
 	for _, b := range f.targets {
 		f.checkDraining(b, calls)
-		f.judgeRested(b, calls)
+		f.checkBackoff(b, calls)
 		f.judgeLimited(b, calls)
 	}
 }
@@ -127,10 +127,10 @@
 	}
 }
 
-// judgeRested reports requests to a target during the backoff that it requested. A process has
+// checkBackoff reports requests to a target during the backoff that it requested. A process has
 // provably received the backoff if the request was not repeatable and yet was answered by another
 // target or reported as not run.
-func (f *fleet) judgeRested(b *backend, calls map[string]*heard) {
+func (f *fleet) checkBackoff(b *backend, calls map[string]*heard) {
 	all := b.Arrivals()
 	for i, asked := range all {
 		c := calls[asked.Key]
