--- a/internal/soak/limits.go
+++ b/internal/soak/limits.go
@@ -66,9 +66,9 @@
 	broken bool
 }
 
-// judgeLimited reports a window in which a target received more than its limit allows from
+// checkLimit reports a window in which a target received more than its limit allows from
 // processes that had received the limit.
-func (f *fleet) judgeLimited(b *backend, calls map[string]*heard) {
+func (f *fleet) checkLimit(b *backend, calls map[string]*heard) {
 	w := limitWatch{}
 	for _, a := range b.Arrivals() {
 		at := a.At.Sub(f.begun)
--- a/internal/soak/signals.go
+++ b/internal/soak/signals.go
@@ -97,7 +97,7 @@
 	for _, b := range f.targets {
 		f.checkDraining(b, calls)
 		f.checkBackoff(b, calls)
-		f.judgeLimited(b, calls)
+		f.checkLimit(b, calls)
 	}
 }
 
