--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -166,7 +166,7 @@
 		Counts: map[string]int{},
 	}
 	runs := map[string][]history.Run{}
-	f.judgeWorkspaces()
+	f.checkWorkspaces()
 	f.checkCrashes()
 	f.checkSignals(records)
 	for _, b := range f.targets {
--- a/internal/soak/workspaces.go
+++ b/internal/soak/workspaces.go
@@ -101,8 +101,8 @@
 	}
 }
 
-// judgeWorkspaces checks the workspace that targets received and the limit of the hot one.
-func (f *fleet) judgeWorkspaces() {
+// checkWorkspaces checks the workspace that targets received and the limit of the hot one.
+func (f *fleet) checkWorkspaces() {
 	var hot []time.Time
 	for _, b := range f.targets {
 		for _, r := range b.Runs() {
