--- a/internal/soak/caller.go
+++ b/internal/soak/caller.go
@@ -155,9 +155,9 @@
 	case r.status != http.StatusNotFound:
 		// Other errors do not show which routes are in force.
 	case l.newestRoute.Load() >= int64(newest):
-		f.broken("node %d: route mark-%d was in force and has been lost", n.index, newest)
+		f.violation("node %d: route mark-%d was in force and has been lost", n.index, newest)
 	case time.Since(published) > propagationTime && f.undisturbedSince(n, begun-propagationTime) && !l.stopped.Load():
-		f.broken("node %d: route mark-%d isn't in force %v after its publication", n.index, newest, time.Since(published).Round(time.Millisecond))
+		f.violation("node %d: route mark-%d isn't in force %v after its publication", n.index, newest, time.Since(published).Round(time.Millisecond))
 	}
 }
 
--- a/internal/soak/crash.go
+++ b/internal/soak/crash.go
@@ -28,7 +28,7 @@
 		b.proxy.Down()
 		time.AfterFunc(restartDelay, func() {
 			if err := b.proxy.Up(); err != nil {
-				f.broken("%s cannot restart: %v", b.Name(), err)
+				f.violation("%s cannot restart: %v", b.Name(), err)
 			}
 		})
 	})
@@ -60,6 +60,6 @@
 		most = crashesToRefuse * lives
 	}
 	if ends := f.crashes.Load(); ends > most {
-		f.broken("one request crashed %d targets, at most %d are allowed with %d processes", ends, most, lives)
+		f.violation("one request crashed %d targets, at most %d are allowed with %d processes", ends, most, lives)
 	}
 }
--- a/internal/soak/fleet.go
+++ b/internal/soak/fleet.go
@@ -210,8 +210,8 @@
 	return f.routes, f.published
 }
 
-// broken records a violation.
-func (f *fleet) broken(format string, args ...any) {
+// violation records a violation.
+func (f *fleet) violation(format string, args ...any) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.faults = append(f.faults, fmt.Sprintf("%6.2fs ", time.Since(f.begun).Seconds())+fmt.Sprintf(format, args...))
@@ -258,7 +258,7 @@
 	log := l.proc.Log()
 	for _, sign := range []string{"DATA RACE", "panic:", "panicked"} {
 		if strings.Contains(log, sign) {
-			f.broken("node %d: %s in its log:\n%s", n.index, sign, tail(log))
+			f.violation("node %d: %s in its log:\n%s", n.index, sign, tail(log))
 		}
 	}
 }
--- a/internal/soak/limits.go
+++ b/internal/soak/limits.go
@@ -96,7 +96,7 @@
 	allowed := limitExcess*limitRate*limitWindow.Seconds() + limitSlack
 	if at-w.named >= limitSettled && float64(len(w.window)) > allowed && !w.broken {
 		w.broken = true
-		f.broken("%s signaled a limit of %s a second and got %d requests in %v until %.2fs from processes that had received the limit", b.Name(), a.Limit, len(w.window), limitWindow, at.Seconds())
+		f.violation("%s signaled a limit of %s a second and got %d requests in %v until %.2fs from processes that had received the limit", b.Name(), a.Limit, len(w.window), limitWindow, at.Seconds())
 	}
 	if _, ok := w.told[c.process]; !ok && c.arrivals == 1 && c.err == nil && c.Status == http.StatusOK {
 		w.told[c.process] = c.ended
--- a/internal/soak/node.go
+++ b/internal/soak/node.go
@@ -104,7 +104,7 @@
 	select {
 	case <-l.proc.Exited():
 	case <-time.After(stopTimeout):
-		n.fleet.broken("node %d: a planned stop took longer than %v", n.index, stopTimeout)
+		n.fleet.violation("node %d: a planned stop took longer than %v", n.index, stopTimeout)
 		l.disturbed.Store(true)
 		l.proc.Kill()
 	}
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -114,14 +114,14 @@
 // settle waits until all nodes are ready and have the newest route, then for leaveTime.
 func (f *fleet) settle() {
 	if err := f.awaitReady(recoveryTime); err != nil {
-		f.broken("not recovered %v after the last fault: %v", recoveryTime, err)
+		f.violation("not recovered %v after the last fault: %v", recoveryTime, err)
 	}
 	end := time.Now().Add(recoveryTime)
 	newest, _ := f.newest()
 	for _, n := range f.nodes {
 		for n.current.Load().newestRoute.Load() < int64(newest) {
 			if time.Now().After(end) {
-				f.broken("node %d: route mark-%d isn't in force %v after the last fault", n.index, newest, recoveryTime)
+				f.violation("node %d: route mark-%d isn't in force %v after the last fault", n.index, newest, recoveryTime)
 				break
 			}
 			time.Sleep(pollInterval)
@@ -145,7 +145,7 @@
 		for i := range recoveryCalls {
 			r := f.makeCall(c, n, http.MethodGet, fmt.Sprintf("proof-%d-%d", n.index, i))
 			if r.Status != http.StatusOK {
-				f.broken("node %d: status %d, %v, after the last fault", n.index, r.Status, r.err)
+				f.violation("node %d: status %d, %v, after the last fault", n.index, r.Status, r.err)
 				break
 			}
 		}
@@ -153,7 +153,7 @@
 	}
 	for i, count := range before {
 		if now := f.targets[i].Requests(); now > count {
-			f.broken("target %d is draining and got %d more requests", i, now-count)
+			f.violation("target %d is draining and got %d more requests", i, now-count)
 		}
 	}
 }
@@ -197,7 +197,7 @@
 func (f *fleet) checkCall(r *record, h history.History) {
 	f.checkUnanswered(r, len(h.Runs))
 	for _, v := range history.Check(h, clockSlack) {
-		f.broken("%s; node %d, sent at %.2fs, repeatable %t, status %d, runs %v", v, r.node, r.begun.Seconds(), r.Repeatable, r.Status, f.describe(h.Runs))
+		f.violation("%s; node %d, sent at %.2fs, repeatable %t, status %d, runs %v", v, r.node, r.begun.Seconds(), r.Repeatable, r.Status, f.describe(h.Runs))
 	}
 }
 
@@ -218,6 +218,6 @@
 		return
 	}
 	if runs > 0 || !r.process.stopped.Load() {
-		f.broken("node %d: no answer to %s, sent at %.2fs, ran %d times: %v", r.node, r.Key, r.begun.Seconds(), runs, r.err)
+		f.violation("node %d: no answer to %s, sent at %.2fs, ran %d times: %v", r.node, r.Key, r.begun.Seconds(), runs, r.err)
 	}
 }
--- a/internal/soak/signals.go
+++ b/internal/soak/signals.go
@@ -120,7 +120,7 @@
 		when, known := told[c.process]
 		switch {
 		case known && c.begun > when:
-			f.broken("%s signaled that it is draining; node %d relayed that at %.2fs and sent it %s at %.2fs", b.Name(), c.node, when.Seconds(), a.Key, at.Seconds())
+			f.violation("%s signaled that it is draining; node %d relayed that at %.2fs and sent it %s at %.2fs", b.Name(), c.node, when.Seconds(), a.Key, at.Seconds())
 		case !known && a.Leaving && c.arrivals == 1 && c.err == nil && c.Status == http.StatusOK:
 			told[c.process] = c.ended
 		}
@@ -146,7 +146,7 @@
 			if f.bornBefore(b, at) > asked.At.Sub(f.begun) {
 				break
 			}
-			f.broken("%s requested of node %d a backoff of %v at %.2fs and got %s from it at %.2fs", b.Name(), c.node, asked.Rest, asked.At.Sub(f.begun).Seconds(), a.Key, at.Seconds())
+			f.violation("%s requested of node %d a backoff of %v at %.2fs and got %s from it at %.2fs", b.Name(), c.node, asked.Rest, asked.At.Sub(f.begun).Seconds(), a.Key, at.Seconds())
 		}
 	}
 }
--- a/internal/soak/workspaces.go
+++ b/internal/soak/workspaces.go
@@ -95,7 +95,7 @@
 		same := old == f.keys-1
 		f.mu.Unlock()
 		if old > 0 && same && r.status == http.StatusOK && begun-taken.Sub(f.begun) > propagationTime && f.undisturbedSince(n, begun-propagationTime) {
-			f.broken("node %d: accepted a key %v after it was revoked", n.index, time.Since(taken).Round(time.Millisecond))
+			f.violation("node %d: accepted a key %v after it was revoked", n.index, time.Since(taken).Round(time.Millisecond))
 		}
 		time.Sleep(pollInterval)
 	}
@@ -115,7 +115,7 @@
 				hot = append(hot, r.At)
 			}
 			if r.Authorized || r.Workspace != want {
-				f.broken("%s: %s arrived with workspace %q, with a key: %t", b.Name(), r.Key, r.Workspace, r.Authorized)
+				f.violation("%s: %s arrived with workspace %q, with a key: %t", b.Name(), r.Key, r.Workspace, r.Authorized)
 			}
 		}
 	}
@@ -126,7 +126,7 @@
 			first++
 		}
 		if i-first+1 > hotMost {
-			f.broken("%d requests of the limited workspace ran in %v, at most %d are allowed", i-first+1, hotWindow, hotMost)
+			f.violation("%d requests of the limited workspace ran in %v, at most %d are allowed", i-first+1, hotWindow, hotMost)
 			return
 		}
 	}
