--- a/internal/soak/export_test.go
+++ b/internal/soak/export_test.go
@@ -49,5 +49,5 @@
 		})
 	}
 	f.checkCall(&r, h)
-	return f.faults
+	return f.violations
 }
--- a/internal/soak/fleet.go
+++ b/internal/soak/fleet.go
@@ -58,10 +58,10 @@
 	targets    []*backend
 	// mu guards the fields up to taken. routes counts the published routes; published is
 	// the time of the last one.
-	mu        sync.Mutex
-	routes    int
-	published time.Time
-	faults    []string
+	mu         sync.Mutex
+	routes     int
+	published  time.Time
+	violations []string
 	// keys counts the keys issued to the workspace of most callers; taken is when the one
 	// before the newest was revoked.
 	keys  int
@@ -214,7 +214,7 @@
 func (f *fleet) violation(format string, args ...any) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.faults = append(f.faults, fmt.Sprintf("%6.2fs ", time.Since(f.begun).Seconds())+fmt.Sprintf(format, args...))
+	f.violations = append(f.violations, fmt.Sprintf("%6.2fs ", time.Since(f.begun).Seconds())+fmt.Sprintf(format, args...))
 }
 
 // NotReadyError reports a node that did not become ready.
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -57,7 +57,7 @@
 	cancel()
 	report := f.check(<-records)
 	f.checkRecovery()
-	report.Broken = f.faults
+	report.Broken = f.violations
 	return report, err
 }
 
