--- a/internal/soak/limits.go
+++ b/internal/soak/limits.go
@@ -68,7 +68,7 @@
 
 // checkLimit reports a window in which a target received more than its limit allows from
 // processes that had received the limit.
-func (f *fleet) checkLimit(b *backend, calls map[string]*heard) {
+func (f *fleet) checkLimit(b *backend, calls map[string]*trackedCall) {
 	w := limitWatch{}
 	for _, a := range b.Arrivals() {
 		at := a.At.Sub(f.begun)
@@ -86,7 +86,7 @@
 	}
 }
 
-func (w *limitWatch) arrived(f *fleet, b *backend, a target.Arrival, at time.Duration, c *heard) {
+func (w *limitWatch) arrived(f *fleet, b *backend, a target.Arrival, at time.Duration, c *trackedCall) {
 	if when, ok := w.told[c.process]; ok && at-when >= limitHeard {
 		w.window = append(w.window, at)
 		for at-w.window[0] >= limitWindow {
--- a/internal/soak/signals.go
+++ b/internal/soak/signals.go
@@ -72,8 +72,8 @@
 	return n
 }
 
-// heard is a call and the number of its requests that reached targets.
-type heard struct {
+// trackedCall is a call and the number of its requests that reached targets.
+type trackedCall struct {
 	*record
 	arrivals int
 }
@@ -81,9 +81,9 @@
 // checkSignals checks that processes comply with the signals that they have relayed from
 // targets.
 func (f *fleet) checkSignals(records []record) {
-	calls := map[string]*heard{}
+	calls := map[string]*trackedCall{}
 	for i := range records {
-		calls[records[i].Key] = &heard{
+		calls[records[i].Key] = &trackedCall{
 			record: &records[i],
 		}
 	}
@@ -102,7 +102,7 @@
 }
 
 // checkDraining reports requests to a target by a process that had relayed its draining signal.
-func (f *fleet) checkDraining(b *backend, calls map[string]*heard) {
+func (f *fleet) checkDraining(b *backend, calls map[string]*trackedCall) {
 	told := map[*incarnation]time.Duration{}
 	for _, a := range b.Arrivals() {
 		at := a.At.Sub(f.begun)
@@ -130,7 +130,7 @@
 // checkBackoff reports requests to a target during the backoff that it requested. A process has
 // provably received the backoff if the request was not repeatable and yet was answered by another
 // target or reported as not run.
-func (f *fleet) checkBackoff(b *backend, calls map[string]*heard) {
+func (f *fleet) checkBackoff(b *backend, calls map[string]*trackedCall) {
 	all := b.Arrivals()
 	for i, asked := range all {
 		c := calls[asked.Key]
