--- a/internal/soak/limits.go
+++ b/internal/soak/limits.go
@@ -59,7 +59,7 @@
 
 // limitWatch tracks the requests that reach one target while it signals its limit.
 type limitWatch struct {
-	named time.Duration
+	signaled time.Duration
 	// told is when each process relayed an answer with the limit.
 	told   map[*incarnation]time.Duration
 	window []time.Duration
@@ -72,10 +72,10 @@
 	w := limitWatch{}
 	for _, a := range b.Arrivals() {
 		at := a.At.Sub(f.begun)
-		if a.Limit == "" || f.bornBefore(b, at) > w.named {
+		if a.Limit == "" || f.bornBefore(b, at) > w.signaled {
 			w = limitWatch{
-				named: at,
-				told:  map[*incarnation]time.Duration{},
+				signaled: at,
+				told:     map[*incarnation]time.Duration{},
 			}
 		}
 		c := calls[a.Key]
@@ -94,7 +94,7 @@
 		}
 	}
 	allowed := limitExcess*limitRate*limitWindow.Seconds() + limitSlack
-	if at-w.named >= limitSettled && float64(len(w.window)) > allowed && !w.broken {
+	if at-w.signaled >= limitSettled && float64(len(w.window)) > allowed && !w.broken {
 		w.broken = true
 		f.violation("%s signaled a limit of %s a second and got %d requests in %v until %.2fs from processes that had received the limit", b.Name(), a.Limit, len(w.window), limitWindow, at.Seconds())
 	}
