--- a/internal/soak/limits.go
+++ b/internal/soak/limits.go
@@ -60,10 +60,10 @@
 // limitWatch tracks the requests that reach one target while it signals its limit.
 type limitWatch struct {
 	signaled time.Duration
-	// told is when each process relayed an answer with the limit.
-	told   map[*incarnation]time.Duration
-	window []time.Duration
-	broken bool
+	// received is when each process relayed an answer with the limit.
+	received map[*incarnation]time.Duration
+	window   []time.Duration
+	broken   bool
 }
 
 // checkLimit reports a window in which a target received more than its limit allows from
@@ -75,7 +75,7 @@
 		if a.Limit == "" || f.bornBefore(b, at) > w.signaled {
 			w = limitWatch{
 				signaled: at,
-				told:     map[*incarnation]time.Duration{},
+				received: map[*incarnation]time.Duration{},
 			}
 		}
 		c := calls[a.Key]
@@ -87,7 +87,7 @@
 }
 
 func (w *limitWatch) arrived(f *fleet, b *backend, a target.Arrival, at time.Duration, c *trackedCall) {
-	if when, ok := w.told[c.process]; ok && at-when >= limitHeard {
+	if when, ok := w.received[c.process]; ok && at-when >= limitHeard {
 		w.window = append(w.window, at)
 		for at-w.window[0] >= limitWindow {
 			w.window = w.window[1:]
@@ -98,7 +98,7 @@
 		w.broken = true
 		f.violation("%s signaled a limit of %s a second and got %d requests in %v until %.2fs from processes that had received the limit", b.Name(), a.Limit, len(w.window), limitWindow, at.Seconds())
 	}
-	if _, ok := w.told[c.process]; !ok && c.arrivals == 1 && c.err == nil && c.Status == http.StatusOK {
-		w.told[c.process] = c.ended
+	if _, ok := w.received[c.process]; !ok && c.arrivals == 1 && c.err == nil && c.Status == http.StatusOK {
+		w.received[c.process] = c.ended
 	}
 }
