--- a/internal/soak/limits.go
+++ b/internal/soak/limits.go
@@ -63,7 +63,7 @@
 	// received is when each process relayed an answer with the limit.
 	received map[*incarnation]time.Duration
 	window   []time.Duration
-	broken   bool
+	reported bool
 }
 
 // checkLimit reports a window in which a target received more than its limit allows from
@@ -94,8 +94,8 @@
 		}
 	}
 	allowed := limitExcess*limitRate*limitWindow.Seconds() + limitSlack
-	if at-w.signaled >= limitSettled && float64(len(w.window)) > allowed && !w.broken {
-		w.broken = true
+	if at-w.signaled >= limitSettled && float64(len(w.window)) > allowed && !w.reported {
+		w.reported = true
 		f.violation("%s signaled a limit of %s a second and got %d requests in %v until %.2fs from processes that had received the limit", b.Name(), a.Limit, len(w.window), limitWindow, at.Seconds())
 	}
 	if _, ok := w.received[c.process]; !ok && c.arrivals == 1 && c.err == nil && c.Status == http.StatusOK {
