--- a/internal/soak/limits.go
+++ b/internal/soak/limits.go
@@ -16,9 +16,9 @@
 	limitSteps = 2
 	limitRate  = 3
 	limitText  = "3"
-	// limitLeast and limitMost bound the duration of such a step. Both exceed limitWindow.
-	limitLeast = 5 * time.Second
-	limitMost  = 9 * time.Second
+	// limitMin and limitMost bound the duration of such a step. Both exceed limitWindow.
+	limitMin  = 5 * time.Second
+	limitMost = 9 * time.Second
 	// limitWindow, limitExcess and limitSlack bound what a target with a limit receives from
 	// processes that received the limit: at most limitExcess times the rate plus limitSlack
 	// requests a window. A process must comply limitHeard after it received the limit, the
@@ -41,7 +41,7 @@
 	for range limitSteps {
 		p.Steps = append(p.Steps, Step{
 			At:    time.Duration(rng.Int64N(int64(faultTime / 2))),
-			For:   limitLeast + time.Duration(rng.Int64N(int64(limitMost-limitLeast))),
+			For:   limitMin + time.Duration(rng.Int64N(int64(limitMost-limitMin))),
 			Kind:  KindNamesLimit,
 			Index: rng.IntN(p.Targets),
 		})
