--- a/internal/soak/limits.go
+++ b/internal/soak/limits.go
@@ -26,7 +26,7 @@
 	limitWindow  = 4 * time.Second
 	limitExcess  = 1.5
 	limitSlack   = 5
-	limitHeard   = 500 * time.Millisecond
+	limitGrace   = 500 * time.Millisecond
 	limitSettled = 2 * time.Second
 )
 
@@ -87,7 +87,7 @@
 }
 
 func (w *limitWatch) arrived(f *fleet, b *backend, a target.Arrival, at time.Duration, c *trackedCall) {
-	if when, ok := w.received[c.process]; ok && at-when >= limitHeard {
+	if when, ok := w.received[c.process]; ok && at-when >= limitGrace {
 		w.window = append(w.window, at)
 		for at-w.window[0] >= limitWindow {
 			w.window = w.window[1:]
