--- a/internal/soak/limits.go
+++ b/internal/soak/limits.go
@@ -23,11 +23,11 @@
 	// processes that received the limit: at most limitExcess times the rate plus limitSlack
 	// requests a window. A process must comply limitHeard after it received the limit, the
 	// fleet limitSettled after the target first signaled it.
-	limitWindow  = 4 * time.Second
-	limitExcess  = 1.5
-	limitSlack   = 5
-	limitGrace   = 500 * time.Millisecond
-	limitSettled = 2 * time.Second
+	limitWindow     = 4 * time.Second
+	limitExcess     = 1.5
+	limitSlack      = 5
+	limitGrace      = 500 * time.Millisecond
+	limitSettleTime = 2 * time.Second
 )
 
 // addLimits adds targets that signal limits to half of the plans. It uses a separate random
@@ -94,7 +94,7 @@
 		}
 	}
 	allowed := limitExcess*limitRate*limitWindow.Seconds() + limitSlack
-	if at-w.signaled >= limitSettled && float64(len(w.window)) > allowed && !w.reported {
+	if at-w.signaled >= limitSettleTime && float64(len(w.window)) > allowed && !w.reported {
 		w.reported = true
 		f.violation("%s signaled a limit of %s a second and got %d requests in %v until %.2fs from processes that had received the limit", b.Name(), a.Limit, len(w.window), limitWindow, at.Seconds())
 	}
