--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -49,7 +49,7 @@
 	case KindReborn:
 		f.reborn(s.Index)
 	case KindNamesLimit:
-		f.nameLimit(f.targets[s.Index], s)
+		f.signalLimit(f.targets[s.Index], s)
 	default:
 		f.targetStep(f.targets[s.Index], s)
 	}
--- a/internal/soak/limits.go
+++ b/internal/soak/limits.go
@@ -48,8 +48,8 @@
 	}
 }
 
-// nameLimit makes a target signal a limit for the duration of a step.
-func (f *fleet) nameLimit(b *backend, s Step) {
+// signalLimit makes a target signal a limit for the duration of a step.
+func (f *fleet) signalLimit(b *backend, s Step) {
 	b.limits.Add(1)
 	b.SetMode(b.usual())
 	time.Sleep(s.For)
