--- a/internal/soak/schedule.go
+++ b/internal/soak/schedule.go
@@ -134,7 +134,7 @@
 		p.Steps = append(p.Steps, s)
 	}
 	p.addKeyed()
-	p.addSaying()
+	p.addSignals()
 	p.addLimits()
 	p.addRestores()
 	// A separate random source keeps the other steps of a seed unchanged.
--- a/internal/soak/signals.go
+++ b/internal/soak/signals.go
@@ -17,9 +17,9 @@
 	restAsked = 2 * time.Second
 )
 
-// addSaying adds targets that send signals to half of the plans. It uses a separate random
+// addSignals adds targets that send signals to half of the plans. It uses a separate random
 // source, so that the other steps of a seed do not change.
-func (p *Plan) addSaying() {
+func (p *Plan) addSignals() {
 	rng := rand.New(rand.NewPCG(p.Seed, 0x5a7))
 	p.Saying = rng.IntN(2) == 0
 	if !p.Saying {
