--- a/internal/soak/signals.go
+++ b/internal/soak/signals.go
@@ -11,8 +11,8 @@
 )
 
 const (
-	// sayingSteps is the number of additional steps in which targets send signals.
-	sayingSteps = 6
+	// signalSteps is the number of additional steps in which targets send signals.
+	signalSteps = 6
 	// restAsked is the backoff that targets request. It outlasts most faults.
 	restAsked = 2 * time.Second
 )
@@ -25,7 +25,7 @@
 	if !p.Saying {
 		return
 	}
-	for i := range sayingSteps {
+	for i := range signalSteps {
 		kind := KindWantsRest
 		if i%3 == 0 {
 			kind = KindSaysLeaving
