--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -107,7 +107,7 @@
 		m.Shed = true
 	case KindWantsRest:
 		m.Shed = true
-		m.Rest = restAsked
+		m.Rest = backoffRequested
 	case KindTargetAborts:
 		m.ResetAfter = true
 	case KindTargetShort:
--- a/internal/soak/signals.go
+++ b/internal/soak/signals.go
@@ -13,8 +13,8 @@
 const (
 	// signalSteps is the number of additional steps in which targets send signals.
 	signalSteps = 6
-	// restAsked is the backoff that targets request. It outlasts most faults.
-	restAsked = 2 * time.Second
+	// backoffRequested is the backoff that targets request. It outlasts most faults.
+	backoffRequested = 2 * time.Second
 )
 
 // addSignals adds targets that send signals to half of the plans. It uses a separate random
