--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -45,7 +45,7 @@
 	case KindKeys:
 		f.changeKeys()
 	case KindSaysLeaving:
-		f.sayLeaving(s.Index)
+		f.signalDraining(s.Index)
 	case KindReborn:
 		f.reborn(s.Index)
 	case KindNamesLimit:
--- a/internal/soak/signals.go
+++ b/internal/soak/signals.go
@@ -49,8 +49,8 @@
 	return m
 }
 
-// sayLeaving makes a target signal that it is draining although it is not published so.
-func (f *fleet) sayLeaving(index int) {
+// signalDraining makes a target signal that it is draining although it is not published so.
+func (f *fleet) signalDraining(index int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.staying() <= len(f.targets)/2 {
