--- a/internal/soak/fleet.go
+++ b/internal/soak/fleet.go
@@ -39,8 +39,8 @@
 	// starts of all incarnations but the first, guarded by the fleet's mu.
 	born   atomic.Int64
 	births []time.Duration
-	// says reports whether its answers signal that it is draining.
-	says atomic.Bool
+	// signalsDraining reports whether its answers signal that it is draining.
+	signalsDraining atomic.Bool
 	// limits counts the active steps in which it signals its limit.
 	limits atomic.Int64
 }
--- a/internal/soak/signals.go
+++ b/internal/soak/signals.go
@@ -42,7 +42,7 @@
 // usual returns the mode of a target without faults, including its current signals.
 func (b *backend) usual() target.Mode {
 	m := healthy()
-	m.Leaving = b.says.Load()
+	m.Leaving = b.signalsDraining.Load()
 	if b.limits.Load() > 0 {
 		m.Limit = limitText
 	}
@@ -57,7 +57,7 @@
 		return
 	}
 	b := f.targets[index]
-	b.says.Store(true)
+	b.signalsDraining.Store(true)
 	b.SetMode(b.usual())
 }
 
@@ -65,7 +65,7 @@
 func (f *fleet) staying() int {
 	n := 0
 	for _, b := range f.targets {
-		if !b.leaving.Load() && !b.says.Load() {
+		if !b.leaving.Load() && !b.signalsDraining.Load() {
 			n++
 		}
 	}
--- a/internal/soak/workspaces.go
+++ b/internal/soak/workspaces.go
@@ -59,7 +59,7 @@
 	b := f.targets[index]
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	b.says.Store(false)
+	b.signalsDraining.Store(false)
 	b.SetMode(b.usual())
 	b.proxy.Reset()
 	b.born.Store(time.Now().UnixMilli())
