--- a/internal/soak/fleet.go
+++ b/internal/soak/fleet.go
@@ -32,9 +32,9 @@
 // backend is a target behind a proxy.
 type backend struct {
 	*target.Target
-	server  *httptest.Server
-	proxy   *faultproxy.Proxy
-	leaving atomic.Bool
+	server   *httptest.Server
+	proxy    *faultproxy.Proxy
+	draining atomic.Bool
 	// born is the start of the target's incarnation in Unix milliseconds; births holds the
 	// starts of all incarnations but the first, guarded by the fleet's mu.
 	born   atomic.Int64
@@ -181,7 +181,7 @@
 			life = fmt.Sprintf(`"id":"id-%d","born":"%d",`, i, b.born.Load())
 		}
 		list = append(list, fmt.Sprintf(`{"service":"quotes",%s"address":%q,"dataHall":%q,"slots":%d,"connections":200,"leaving":%t}`,
-			life, b.proxy.Addr(), hall(i), targetSlots, b.leaving.Load()))
+			life, b.proxy.Addr(), hall(i), targetSlots, b.draining.Load()))
 	}
 	f.platform.Publish("services", `{"services":[{"name":"quotes"}],"targets":[`+strings.Join(list, ",")+`]}`)
 }
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -135,7 +135,7 @@
 func (f *fleet) checkRecovery() {
 	before := map[int]int64{}
 	for i, b := range f.targets {
-		if b.leaving.Load() {
+		if b.draining.Load() {
 			before[i] = b.Requests()
 		}
 	}
--- a/internal/soak/signals.go
+++ b/internal/soak/signals.go
@@ -65,7 +65,7 @@
 func (f *fleet) staying() int {
 	n := 0
 	for _, b := range f.targets {
-		if !b.leaving.Load() && !b.signalsDraining.Load() {
+		if !b.draining.Load() && !b.signalsDraining.Load() {
 			n++
 		}
 	}
