--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -90,7 +90,7 @@
 func (f *fleet) leave(index int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.staying() <= len(f.targets)/2 || f.targets[index].draining.Swap(true) {
+	if f.notDraining() <= len(f.targets)/2 || f.targets[index].draining.Swap(true) {
 		return
 	}
 	f.publishTargets()
--- a/internal/soak/signals.go
+++ b/internal/soak/signals.go
@@ -53,7 +53,7 @@
 func (f *fleet) signalDraining(index int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.staying() <= len(f.targets)/2 {
+	if f.notDraining() <= len(f.targets)/2 {
 		return
 	}
 	b := f.targets[index]
@@ -61,8 +61,8 @@
 	b.SetMode(b.usual())
 }
 
-// staying counts the targets that are not draining. The caller must hold f.mu.
-func (f *fleet) staying() int {
+// notDraining counts the targets that are not draining. The caller must hold f.mu.
+func (f *fleet) notDraining() int {
 	n := 0
 	for _, b := range f.targets {
 		if !b.draining.Load() && !b.signalsDraining.Load() {
