--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -41,7 +41,7 @@
 	case KindPublish:
 		f.publishRoute()
 	case KindLeave:
-		f.leave(s.Index)
+		f.drain(s.Index)
 	case KindKeys:
 		f.changeKeys()
 	case KindSaysLeaving:
@@ -86,8 +86,8 @@
 	f.platform.SetMode(platform.ModeGood)
 }
 
-// leave publishes a target as draining, unless fewer than half of all would remain.
-func (f *fleet) leave(index int) {
+// drain publishes a target as draining, unless fewer than half of all would remain.
+func (f *fleet) drain(index int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.notDraining() <= len(f.targets)/2 || f.targets[index].draining.Swap(true) {
