--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -97,7 +97,7 @@
 }
 
 func (f *fleet) targetStep(b *backend, s Step) {
-	m := b.usual()
+	m := b.mode()
 	switch s.Kind {
 	case KindTargetStall:
 		m.Stall = true
@@ -120,5 +120,5 @@
 	}
 	b.SetMode(m)
 	time.Sleep(s.For)
-	b.SetMode(b.usual())
+	b.SetMode(b.mode())
 }
--- a/internal/soak/limits.go
+++ b/internal/soak/limits.go
@@ -51,10 +51,10 @@
 // signalLimit makes a target signal a limit for the duration of a step.
 func (f *fleet) signalLimit(b *backend, s Step) {
 	b.limits.Add(1)
-	b.SetMode(b.usual())
+	b.SetMode(b.mode())
 	time.Sleep(s.For)
 	b.limits.Add(-1)
-	b.SetMode(b.usual())
+	b.SetMode(b.mode())
 }
 
 // limitWatch tracks the requests that reach one target while it signals its limit.
--- a/internal/soak/signals.go
+++ b/internal/soak/signals.go
@@ -39,8 +39,8 @@
 	}
 }
 
-// usual returns the mode of a target without faults, including its current signals.
-func (b *backend) usual() target.Mode {
+// mode returns the mode of a target without faults, including its current signals.
+func (b *backend) mode() target.Mode {
 	m := healthy()
 	m.Leaving = b.signalsDraining.Load()
 	if b.limits.Load() > 0 {
@@ -58,7 +58,7 @@
 	}
 	b := f.targets[index]
 	b.signalsDraining.Store(true)
-	b.SetMode(b.usual())
+	b.SetMode(b.mode())
 }
 
 // notDraining counts the targets that are not draining. The caller must hold f.mu.
--- a/internal/soak/workspaces.go
+++ b/internal/soak/workspaces.go
@@ -60,7 +60,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	b.signalsDraining.Store(false)
-	b.SetMode(b.usual())
+	b.SetMode(b.mode())
 	b.proxy.Reset()
 	b.born.Store(time.Now().UnixMilli())
 	b.births = append(b.births, time.Since(f.begun))
