--- a/internal/soak/schedule.go
+++ b/internal/soak/schedule.go
@@ -102,8 +102,8 @@
 	faultTime = 8 * time.Second
 	// stepMin and stepMost bound the duration of a fault, below and above the second
 	// in which nodes declare each other dead.
-	stepMin  = 200 * time.Millisecond
-	stepMost = 2500 * time.Millisecond
+	stepMin = 200 * time.Millisecond
+	stepMax = 2500 * time.Millisecond
 	// stepsLeast and stepsMost bound the number of steps per node.
 	stepsLeast = 3
 	stepsMost  = 6
@@ -122,7 +122,7 @@
 	for range steps {
 		s := Step{
 			At:   time.Duration(rng.Int64N(int64(faultTime))),
-			For:  stepMin + time.Duration(rng.Int64N(int64(stepMost-stepMin))),
+			For:  stepMin + time.Duration(rng.Int64N(int64(stepMax-stepMin))),
 			Kind: kinds[rng.IntN(len(kinds))],
 		}
 		switch s.Kind {
