--- a/internal/soak/schedule.go
+++ b/internal/soak/schedule.go
@@ -105,8 +105,8 @@
 	stepMin = 200 * time.Millisecond
 	stepMax = 2500 * time.Millisecond
 	// stepsMin and stepsMost bound the number of steps per node.
-	stepsMin  = 3
-	stepsMost = 6
+	stepsMin = 3
+	stepsMax = 6
 )
 
 // NewPlan returns the plan that a seed determines for a number of nodes.
@@ -118,7 +118,7 @@
 		Nodes:   nodes,
 		Targets: 6,
 	}
-	steps := nodes * (stepsMin + rng.IntN(stepsMost-stepsMin+1))
+	steps := nodes * (stepsMin + rng.IntN(stepsMax-stepsMin+1))
 	for range steps {
 		s := Step{
 			At:   time.Duration(rng.Int64N(int64(faultTime))),
