--- a/internal/soak/node.go
+++ b/internal/soak/node.go
@@ -34,9 +34,9 @@
 	mu      sync.Mutex
 	current atomic.Pointer[incarnation]
 	starts  int
-	// touched is when the last step that acted on the node ended, in nanoseconds
+	// lastDisturbed is when the last step that acted on the node ended, in nanoseconds
 	// since the start of the fleet.
-	touched atomic.Int64
+	lastDisturbed atomic.Int64
 }
 
 func (n *node) settings() string {
@@ -140,4 +140,4 @@
 	n.touch()
 }
 
-func (n *node) touch() { n.touched.Store(int64(time.Since(n.fleet.begun))) }
+func (n *node) touch() { n.lastDisturbed.Store(int64(time.Since(n.fleet.begun))) }
