--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -31,7 +31,7 @@
 	case KindPeersCut, KindPeersDeaf:
 		f.link(f.nodes[s.Index].front, s)
 		for _, n := range f.nodes {
-			n.touch()
+			n.disturb()
 		}
 	case KindPlatformCut, KindPlatformDeaf, KindPlatformSlow, KindPlatformReset, KindPlatformDown:
 		f.platformStep(s)
--- a/internal/soak/node.go
+++ b/internal/soak/node.go
@@ -124,7 +124,7 @@
 // next starts the successor of a process that has exited.
 func (n *node) next(l *incarnation) error {
 	n.fleet.checkLog(n, l)
-	n.touch()
+	n.disturb()
 	return n.start()
 }
 
@@ -137,7 +137,7 @@
 	l.proc.Signal(syscall.SIGSTOP)
 	time.Sleep(d)
 	l.proc.Signal(syscall.SIGCONT)
-	n.touch()
+	n.disturb()
 }
 
-func (n *node) touch() { n.lastDisturbed.Store(int64(time.Since(n.fleet.begun))) }
+func (n *node) disturb() { n.lastDisturbed.Store(int64(time.Since(n.fleet.begun))) }
