--- a/internal/soak/caller.go
+++ b/internal/soak/caller.go
@@ -168,5 +168,5 @@
 // undisturbedSince reports whether no step is under way and none has acted on the node or
 // the platform since at.
 func (f *fleet) undisturbedSince(n *node, at time.Duration) bool {
-	return f.active.Load() == 0 && time.Duration(n.lastDisturbed.Load()) < at && time.Duration(f.platformTouched.Load()) < at
+	return f.active.Load() == 0 && time.Duration(n.lastDisturbed.Load()) < at && time.Duration(f.platformDisturbed.Load()) < at
 }
--- a/internal/soak/fleet.go
+++ b/internal/soak/fleet.go
@@ -72,8 +72,8 @@
 	crashes   atomic.Int64
 	// active counts the active steps.
 	active atomic.Int64
-	// platformTouched is node.touched for steps that act on the platform.
-	platformTouched atomic.Int64
+	// platformDisturbed is node.touched for steps that act on the platform.
+	platformDisturbed atomic.Int64
 }
 
 func hall(index int) string { return string(rune('a' + index%2)) }
