--- a/internal/soak/node.go
+++ b/internal/soak/node.go
@@ -108,7 +108,7 @@
 		l.disturbed.Store(true)
 		l.proc.Kill()
 	}
-	return n.next(l)
+	return n.replace(l)
 }
 
 // kill kills the process and starts a new one.
@@ -118,11 +118,11 @@
 	l := n.current.Load()
 	l.disturbed.Store(true)
 	l.proc.Kill()
-	return n.next(l)
+	return n.replace(l)
 }
 
-// next starts the successor of a process that has exited.
-func (n *node) next(l *incarnation) error {
+// replace starts the successor of a process that has exited.
+func (n *node) replace(l *incarnation) error {
 	n.fleet.checkLog(n, l)
 	n.disturb()
 	return n.start()
