--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -29,7 +29,7 @@
 	case KindPause:
 		f.nodes[s.Index].pause(s.For)
 	case KindPeersCut, KindPeersDeaf:
-		f.link(f.nodes[s.Index].front, s)
+		f.link(f.nodes[s.Index].peerProxy, s)
 		for _, n := range f.nodes {
 			n.disturb()
 		}
--- a/internal/soak/fleet.go
+++ b/internal/soak/fleet.go
@@ -82,7 +82,7 @@
 // network, so that concurrent runs do not reach each other.
 func (f *fleet) peerAddress(index int) string {
 	if !f.plan.Joint {
-		return f.nodes[index].front.Addr()
+		return f.nodes[index].peerProxy.Addr()
 	}
 	return fmt.Sprintf("127.%d.%d.%d:7960", 64+os.Getpid()%128, f.plan.Seed%250, index+1)
 }
@@ -126,7 +126,7 @@
 			fleet: f,
 			index: i,
 		}
-		if n.front, err = faultproxy.New("127.0.0.1:1"); err != nil {
+		if n.peerProxy, err = faultproxy.New("127.0.0.1:1"); err != nil {
 			return f, err
 		}
 		f.nodes = append(f.nodes, n)
@@ -159,7 +159,7 @@
 		if l := n.current.Load(); l != nil {
 			l.proc.Kill()
 		}
-		n.front.Close()
+		n.peerProxy.Close()
 	}
 	f.platform.SetMode(platform.ModeDown)
 	for _, b := range f.targets {
--- a/internal/soak/node.go
+++ b/internal/soak/node.go
@@ -27,9 +27,9 @@
 
 // node is one member of the fleet, whose process is replaced on restarts.
 type node struct {
-	fleet *fleet
-	index int
-	front *faultproxy.Proxy
+	fleet     *fleet
+	index     int
+	peerProxy *faultproxy.Proxy
 	// mu is held while a step acts on the process.
 	mu      sync.Mutex
 	current atomic.Pointer[incarnation]
@@ -47,7 +47,7 @@
 	peers := "listen = " + n.fleet.peerAddress(n.index)
 	choice := "joint"
 	if !n.fleet.plan.Joint {
-		peers = "listen = 127.0.0.1:0\nadvertise = " + n.front.Addr()
+		peers = "listen = 127.0.0.1:0\nadvertise = " + n.peerProxy.Addr()
 		choice = "alone"
 	}
 	if len(seeds) > 0 {
@@ -87,7 +87,7 @@
 	if err != nil {
 		return fmt.Errorf("soak: node %d: %w", n.index, err)
 	}
-	n.front.SetUpstream(p.Peers())
+	n.peerProxy.SetUpstream(p.Peers())
 	n.current.Store(&incarnation{
 		proc: p,
 	})
