--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -78,7 +78,7 @@
 
 func (f *fleet) platformStep(s Step) {
 	if s.Kind != KindPlatformDown {
-		f.link(f.toPlatform, s)
+		f.link(f.platformProxy, s)
 		return
 	}
 	f.platform.SetMode(platform.ModeDown)
--- a/internal/soak/fleet.go
+++ b/internal/soak/fleet.go
@@ -47,15 +47,15 @@
 
 // fleet holds the platform, targets and nodes of one run.
 type fleet struct {
-	plan       Plan
-	daemon     string
-	dir        string
-	begun      time.Time
-	platform   *platform.Platform
-	server     *httptest.Server
-	toPlatform *faultproxy.Proxy
-	nodes      []*node
-	targets    []*backend
+	plan          Plan
+	daemon        string
+	dir           string
+	begun         time.Time
+	platform      *platform.Platform
+	server        *httptest.Server
+	platformProxy *faultproxy.Proxy
+	nodes         []*node
+	targets       []*backend
 	// mu guards the fields up to taken. routes counts the published routes; published is
 	// the time of the last one.
 	mu         sync.Mutex
@@ -98,7 +98,7 @@
 	}
 	f.server = httptest.NewServer(f.platform.Handler())
 	var err error
-	if f.toPlatform, err = faultproxy.New(address(f.server)); err != nil {
+	if f.platformProxy, err = faultproxy.New(address(f.server)); err != nil {
 		return f, err
 	}
 	for i := range plan.Targets {
@@ -167,7 +167,7 @@
 		b.proxy.Close()
 		b.server.Close()
 	}
-	f.toPlatform.Close()
+	f.platformProxy.Close()
 	f.server.CloseClientConnections()
 	f.server.Close()
 }
--- a/internal/soak/node.go
+++ b/internal/soak/node.go
@@ -76,7 +76,7 @@
 choice = %s
 [workspaces]
 identity = %s
-`, hall(n.index), peers, n.fleet.toPlatform.Addr(), choice, identity)
+`, hall(n.index), peers, n.fleet.platformProxy.Addr(), choice, identity)
 }
 
 // start starts a process. Once steps run, the caller must hold n.mu.
