--- a/internal/soak/caller.go
+++ b/internal/soak/caller.go
@@ -112,7 +112,7 @@
 func (f *fleet) makeCall(c *http.Client, n *node, method, key string) record {
 	l := n.current.Load()
 	path := "/quotes/1"
-	begun := time.Since(f.begun)
+	begun := time.Since(f.started)
 	r := call(context.Background(), c, method, "http://"+l.proc.Entry()+path, key, f.key())
 	return record{
 		Call: history.Call{
@@ -126,7 +126,7 @@
 		node:    n.index,
 		process: l,
 		begun:   begun,
-		ended:   time.Since(f.begun),
+		ended:   time.Since(f.started),
 		err:     r.err,
 		refused: errors.Is(r.err, syscall.ECONNREFUSED),
 	}
@@ -146,7 +146,7 @@
 func (f *fleet) pollRoutesOnce(ctx context.Context, c *http.Client, n *node, i int) {
 	l := n.current.Load()
 	newest, published := f.newest()
-	begun := time.Since(f.begun)
+	begun := time.Since(f.started)
 	r := call(ctx, c, http.MethodGet, fmt.Sprintf("http://%s/mark-%d", l.proc.Entry(), newest), fmt.Sprintf("look-%d-%d", n.index, i), f.key())
 	switch {
 	case r.err != nil:
--- a/internal/soak/export_test.go
+++ b/internal/soak/export_test.go
@@ -22,7 +22,7 @@
 // Judge returns the violations that the checks find in one call.
 func Judge(o Observed) []string {
 	f := &fleet{
-		begun: time.Now(),
+		started: time.Now(),
 	}
 	l := &incarnation{}
 	l.stopped.Store(o.Stopped)
--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -35,7 +35,7 @@
 		}
 	case KindPlatformCut, KindPlatformDeaf, KindPlatformSlow, KindPlatformReset, KindPlatformDown:
 		f.platformStep(s)
-		f.platformDisturbed.Store(int64(time.Since(f.begun)))
+		f.platformDisturbed.Store(int64(time.Since(f.started)))
 	case KindPlatformRestore:
 		f.restore(s)
 	case KindPublish:
--- a/internal/soak/fleet.go
+++ b/internal/soak/fleet.go
@@ -50,7 +50,7 @@
 	plan          Plan
 	daemon        string
 	dir           string
-	begun         time.Time
+	started       time.Time
 	platform      *platform.Platform
 	server        *httptest.Server
 	platformProxy *faultproxy.Proxy
@@ -93,7 +93,7 @@
 		plan:     plan,
 		daemon:   daemon,
 		dir:      dir,
-		begun:    time.Now(),
+		started:  time.Now(),
 		platform: platform.New(),
 	}
 	f.server = httptest.NewServer(f.platform.Handler())
@@ -106,7 +106,7 @@
 			Target: target.New(fmt.Sprintf("target-%d", i), targetSlots),
 		}
 		b.SetMode(healthy())
-		b.born.Store(f.begun.UnixMilli())
+		b.born.Store(f.started.UnixMilli())
 		if plan.Harmful {
 			f.crashOnRequest(b)
 		}
@@ -214,7 +214,7 @@
 func (f *fleet) violation(format string, args ...any) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.violations = append(f.violations, fmt.Sprintf("%6.2fs ", time.Since(f.begun).Seconds())+fmt.Sprintf(format, args...))
+	f.violations = append(f.violations, fmt.Sprintf("%6.2fs ", time.Since(f.started).Seconds())+fmt.Sprintf(format, args...))
 }
 
 // NotReadyError reports a node that did not become ready.
--- a/internal/soak/limits.go
+++ b/internal/soak/limits.go
@@ -71,7 +71,7 @@
 func (f *fleet) checkLimit(b *backend, calls map[string]*trackedCall) {
 	w := limitWatch{}
 	for _, a := range b.Arrivals() {
-		at := a.At.Sub(f.begun)
+		at := a.At.Sub(f.started)
 		if a.Limit == "" || f.bornBefore(b, at) > w.signaled {
 			w = limitWatch{
 				signaled: at,
--- a/internal/soak/node.go
+++ b/internal/soak/node.go
@@ -140,4 +140,4 @@
 	n.disturb()
 }
 
-func (n *node) disturb() { n.lastDisturbed.Store(int64(time.Since(n.fleet.begun))) }
+func (n *node) disturb() { n.lastDisturbed.Store(int64(time.Since(n.fleet.started))) }
--- a/internal/soak/restores.go
+++ b/internal/soak/restores.go
@@ -47,5 +47,5 @@
 	for _, v := range lost {
 		f.platform.PublishAgain(v)
 	}
-	f.platformDisturbed.Store(int64(time.Since(f.begun)))
+	f.platformDisturbed.Store(int64(time.Since(f.started)))
 }
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -48,7 +48,7 @@
 			Plan: plan,
 		}, err
 	}
-	f.begun = time.Now()
+	f.started = time.Now()
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	records := f.load(ctx)
@@ -98,7 +98,7 @@
 	ends := make(chan error, len(f.plan.Steps))
 	for _, s := range f.plan.Steps {
 		go func() {
-			time.Sleep(s.At - time.Since(f.begun))
+			time.Sleep(s.At - time.Since(f.started))
 			f.active.Add(1)
 			defer f.active.Add(-1)
 			ends <- f.step(s)
@@ -205,7 +205,7 @@
 func (f *fleet) describe(runs []history.Run) []string {
 	var out []string
 	for _, r := range runs {
-		out = append(out, fmt.Sprintf("%s at %.2fs", r.Target, r.At.Sub(f.begun).Seconds()))
+		out = append(out, fmt.Sprintf("%s at %.2fs", r.Target, r.At.Sub(f.started).Seconds()))
 	}
 	return out
 }
--- a/internal/soak/signals.go
+++ b/internal/soak/signals.go
@@ -105,7 +105,7 @@
 func (f *fleet) checkDraining(b *backend, calls map[string]*trackedCall) {
 	told := map[*incarnation]time.Duration{}
 	for _, a := range b.Arrivals() {
-		at := a.At.Sub(f.begun)
+		at := a.At.Sub(f.started)
 		c := calls[a.Key]
 		if c == nil {
 			continue
@@ -139,14 +139,14 @@
 		}
 		for _, a := range all[i+1:] {
 			o := calls[a.Key]
-			at := a.At.Sub(f.begun)
+			at := a.At.Sub(f.started)
 			if o == nil || o.process != c.process || o.begun < c.ended || a.At.Sub(asked.At) >= asked.Rest {
 				continue
 			}
-			if f.bornBefore(b, at) > asked.At.Sub(f.begun) {
+			if f.bornBefore(b, at) > asked.At.Sub(f.started) {
 				break
 			}
-			f.violation("%s requested of node %d a backoff of %v at %.2fs and got %s from it at %.2fs", b.Name(), c.node, asked.Rest, asked.At.Sub(f.begun).Seconds(), a.Key, at.Seconds())
+			f.violation("%s requested of node %d a backoff of %v at %.2fs and got %s from it at %.2fs", b.Name(), c.node, asked.Rest, asked.At.Sub(f.started).Seconds(), a.Key, at.Seconds())
 		}
 	}
 }
