--- a/internal/soak/caller.go
+++ b/internal/soak/caller.go
@@ -35,7 +35,7 @@
 	history.Call
 	node    int
 	process *incarnation
-	begun   time.Duration
+	started time.Duration
 	ended   time.Duration
 	err     error
 	// refused reports whether the connection was refused, so that nothing was sent.
@@ -125,7 +125,7 @@
 		},
 		node:    n.index,
 		process: l,
-		begun:   begun,
+		started: begun,
 		ended:   time.Since(f.started),
 		err:     r.err,
 		refused: errors.Is(r.err, syscall.ECONNREFUSED),
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -197,7 +197,7 @@
 func (f *fleet) checkCall(r *record, h history.History) {
 	f.checkUnanswered(r, len(h.Runs))
 	for _, v := range history.Check(h, clockSlack) {
-		f.violation("%s; node %d, sent at %.2fs, repeatable %t, status %d, runs %v", v, r.node, r.begun.Seconds(), r.Repeatable, r.Status, f.describe(h.Runs))
+		f.violation("%s; node %d, sent at %.2fs, repeatable %t, status %d, runs %v", v, r.node, r.started.Seconds(), r.Repeatable, r.Status, f.describe(h.Runs))
 	}
 }
 
@@ -218,6 +218,6 @@
 		return
 	}
 	if runs > 0 || !r.process.stopped.Load() {
-		f.violation("node %d: no answer to %s, sent at %.2fs, ran %d times: %v", r.node, r.Key, r.begun.Seconds(), runs, r.err)
+		f.violation("node %d: no answer to %s, sent at %.2fs, ran %d times: %v", r.node, r.Key, r.started.Seconds(), runs, r.err)
 	}
 }
--- a/internal/soak/signals.go
+++ b/internal/soak/signals.go
@@ -119,7 +119,7 @@
 		}
 		when, known := told[c.process]
 		switch {
-		case known && c.begun > when:
+		case known && c.started > when:
 			f.violation("%s signaled that it is draining; node %d relayed that at %.2fs and sent it %s at %.2fs", b.Name(), c.node, when.Seconds(), a.Key, at.Seconds())
 		case !known && a.Leaving && c.arrivals == 1 && c.err == nil && c.Status == http.StatusOK:
 			told[c.process] = c.ended
@@ -140,7 +140,7 @@
 		for _, a := range all[i+1:] {
 			o := calls[a.Key]
 			at := a.At.Sub(f.started)
-			if o == nil || o.process != c.process || o.begun < c.ended || a.At.Sub(asked.At) >= asked.Rest {
+			if o == nil || o.process != c.process || o.started < c.ended || a.At.Sub(asked.At) >= asked.Rest {
 				continue
 			}
 			if f.bornBefore(b, at) > asked.At.Sub(f.started) {
