--- a/internal/soak/fleet.go
+++ b/internal/soak/fleet.go
@@ -64,8 +64,8 @@
 	violations []string
 	// keys counts the keys issued to the workspace of most callers; taken is when the one
 	// before the newest was revoked.
-	keys  int
-	taken time.Time
+	keys    int
+	revoked time.Time
 	// processes counts the processes started, ends the crashes of targets under the harmful
 	// request.
 	processes atomic.Int64
--- a/internal/soak/workspaces.go
+++ b/internal/soak/workspaces.go
@@ -49,7 +49,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.keys++
-	f.taken = time.Now()
+	f.revoked = time.Now()
 	f.platform.Publish("workspaces", fmt.Sprintf(`{"workspaces":[{"id":"usual","keys":[%q]},{"id":"hot","rate":%d,"burst":%d,"keys":[%q]}]}`,
 		digest(keyName(f.keys)), hotRate, hotRate, digest(hotKey)))
 }
@@ -87,7 +87,7 @@
 	for i := 0; ctx.Err() == nil; i++ {
 		n := f.nodes[i%len(f.nodes)]
 		f.mu.Lock()
-		old, taken := f.keys-1, f.taken
+		old, taken := f.keys-1, f.revoked
 		f.mu.Unlock()
 		begun := time.Since(f.started)
 		r := call(ctx, c, http.MethodGet, "http://"+n.current.Load().proc.Entry()+"/quotes/1", fmt.Sprint("old-", i), keyName(old))
