--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -81,7 +81,7 @@
 	}
 	if f.plan.Keyed {
 		group.Go(func() { f.hot(ctx) })
-		group.Go(func() { f.takenAway(ctx) })
+		group.Go(func() { f.sendRevokedKeys(ctx) })
 	}
 	if f.plan.Harmful {
 		group.Go(func() { f.sendHarmful(ctx) })
--- a/internal/soak/workspaces.go
+++ b/internal/soak/workspaces.go
@@ -80,8 +80,8 @@
 	}
 }
 
-// takenAway sends revoked keys and checks that undisturbed nodes refuse them.
-func (f *fleet) takenAway(ctx context.Context) {
+// sendRevokedKeys sends revoked keys and checks that undisturbed nodes refuse them.
+func (f *fleet) sendRevokedKeys(ctx context.Context) {
 	c := newClient()
 	defer c.CloseIdleConnections()
 	for i := 0; ctx.Err() == nil; i++ {
