--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -43,7 +43,7 @@
 	case KindLeave:
 		f.drain(s.Index)
 	case KindKeys:
-		f.changeKeys()
+		f.rotateKeys()
 	case KindSaysLeaving:
 		f.signalDraining(s.Index)
 	case KindReborn:
--- a/internal/soak/fleet.go
+++ b/internal/soak/fleet.go
@@ -119,7 +119,7 @@
 	f.publishTargets()
 	f.publishRoute()
 	if plan.Keyed {
-		f.changeKeys()
+		f.rotateKeys()
 	}
 	for i := range plan.Nodes {
 		n := &node{
--- a/internal/soak/workspaces.go
+++ b/internal/soak/workspaces.go
@@ -44,8 +44,8 @@
 	return base64.StdEncoding.EncodeToString(d[:])
 }
 
-// changeKeys revokes the newest key and issues another one.
-func (f *fleet) changeKeys() {
+// rotateKeys revokes the newest key and issues another one.
+func (f *fleet) rotateKeys() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.keys++
