--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -47,7 +47,7 @@
 	case KindSaysLeaving:
 		f.signalDraining(s.Index)
 	case KindReborn:
-		f.reborn(s.Index)
+		f.restartTarget(s.Index)
 	case KindNamesLimit:
 		f.signalLimit(f.targets[s.Index], s)
 	default:
--- a/internal/soak/workspaces.go
+++ b/internal/soak/workspaces.go
@@ -54,8 +54,8 @@
 		digest(keyName(f.keys)), hotRate, hotRate, digest(hotKey)))
 }
 
-// reborn resets a target's connections and publishes a new incarnation of it.
-func (f *fleet) reborn(index int) {
+// restartTarget resets a target's connections and publishes a new incarnation of it.
+func (f *fleet) restartTarget(index int) {
 	b := f.targets[index]
 	f.mu.Lock()
 	defer f.mu.Unlock()
