--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -80,7 +80,7 @@
 		group.Go(func() { f.pollRoutes(ctx, n) })
 	}
 	if f.plan.Keyed {
-		group.Go(func() { f.hot(ctx) })
+		group.Go(func() { f.sendOverLimit(ctx) })
 		group.Go(func() { f.sendRevokedKeys(ctx) })
 	}
 	if f.plan.Harmful {
--- a/internal/soak/workspaces.go
+++ b/internal/soak/workspaces.go
@@ -67,8 +67,8 @@
 	f.publishTargets()
 }
 
-// hot sends more requests than its workspace's limit allows until the context ends.
-func (f *fleet) hot(ctx context.Context) {
+// sendOverLimit sends more requests than its workspace's limit allows until the context ends.
+func (f *fleet) sendOverLimit(ctx context.Context) {
 	c := newClient()
 	defer c.CloseIdleConnections()
 	rng := rand.New(rand.NewPCG(f.plan.Seed, 0x407))
