--- a/internal/soak/workspaces.go
+++ b/internal/soak/workspaces.go
@@ -18,11 +18,11 @@
 // The workspace with a limit and the number of its requests that may run in a window,
 // with the defaults of [workspaces].
 const (
-	hotKey    = "hot-key"
-	hotRate   = 20
-	hotPrefix = "hot-"
-	hotWindow = 5 * time.Second
-	hotMost   = (hotRate*5+hotRate)*5/4 + 20
+	hotKey     = "hot-key"
+	hotRate    = 20
+	hotPrefix  = "hot-"
+	hotWindow  = 5 * time.Second
+	hotMaxRuns = (hotRate*5+hotRate)*5/4 + 20
 	// hotPause is the pause between two calls of the caller that exceeds the limit.
 	hotPause = 8 * time.Millisecond
 )
@@ -125,8 +125,8 @@
 		for at.Sub(hot[first]) >= hotWindow {
 			first++
 		}
-		if i-first+1 > hotMost {
-			f.violation("%d requests of the limited workspace ran in %v, at most %d are allowed", i-first+1, hotWindow, hotMost)
+		if i-first+1 > hotMaxRuns {
+			f.violation("%d requests of the limited workspace ran in %v, at most %d are allowed", i-first+1, hotWindow, hotMaxRuns)
 			return
 		}
 	}
