--- a/internal/soak/limits.go
+++ b/internal/soak/limits.go
@@ -72,7 +72,7 @@
 	w := limitWatch{}
 	for _, a := range b.Arrivals() {
 		at := a.At.Sub(f.started)
-		if a.Limit == "" || f.bornBefore(b, at) > w.signaled {
+		if a.Limit == "" || f.incarnationBefore(b, at) > w.signaled {
 			w = limitWatch{
 				signaled: at,
 				received: map[*incarnation]time.Duration{},
--- a/internal/soak/signals.go
+++ b/internal/soak/signals.go
@@ -110,7 +110,7 @@
 		if c == nil {
 			continue
 		}
-		if begun := f.bornBefore(b, at); begun > 0 {
+		if begun := f.incarnationBefore(b, at); begun > 0 {
 			for l, when := range told {
 				if when < begun {
 					delete(told, l)
@@ -143,7 +143,7 @@
 			if o == nil || o.process != c.process || o.started < c.ended || a.At.Sub(asked.At) >= asked.Rest {
 				continue
 			}
-			if f.bornBefore(b, at) > asked.At.Sub(f.started) {
+			if f.incarnationBefore(b, at) > asked.At.Sub(f.started) {
 				break
 			}
 			f.violation("%s requested of node %d a backoff of %v at %.2fs and got %s from it at %.2fs", b.Name(), c.node, asked.Rest, asked.At.Sub(f.started).Seconds(), a.Key, at.Seconds())
@@ -151,8 +151,8 @@
 	}
 }
 
-// bornBefore returns the start of the target's last incarnation before at, 0 for the first one.
-func (f *fleet) bornBefore(b *backend, at time.Duration) time.Duration {
+// incarnationBefore returns the start of the target's last incarnation before at, 0 for the first one.
+func (f *fleet) incarnationBefore(b *backend, at time.Duration) time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	last := time.Duration(0)
