--- a/internal/soak/restores.go
+++ b/internal/soak/restores.go
@@ -12,10 +12,10 @@
 const (
 	// restoreSteps is the number of restores in a plan that has any. They may overlap.
 	restoreSteps = 3
-	// restoreAway is how long the platform is down before it is restored from a copy, and
+	// restoreDowntime is how long the platform is down before it is restored from a copy, and
 	// rewriteTime how long after that operators publish the lost values again.
-	restoreAway = 300 * time.Millisecond
-	rewriteTime = 700 * time.Millisecond
+	restoreDowntime = 300 * time.Millisecond
+	rewriteTime     = 700 * time.Millisecond
 )
 
 // addRestores adds restores of the platform to half of the plans. It uses a separate random
@@ -40,7 +40,7 @@
 	copied := f.platform.Copy()
 	time.Sleep(s.For)
 	f.platform.SetMode(platform.ModeDown)
-	time.Sleep(restoreAway)
+	time.Sleep(restoreDowntime)
 	lost := f.platform.Restore(copied)
 	f.platform.SetMode(platform.ModeGood)
 	time.Sleep(rewriteTime)
