--- a/internal/soak/restores.go
+++ b/internal/soak/restores.go
@@ -15,7 +15,7 @@
 	// restoreDowntime is how long the platform is down before it is restored from a copy, and
 	// rewriteTime how long after that operators publish the lost values again.
 	restoreDowntime = 300 * time.Millisecond
-	rewriteTime     = 700 * time.Millisecond
+	republishDelay  = 700 * time.Millisecond
 )
 
 // addRestores adds restores of the platform to half of the plans. It uses a separate random
@@ -43,7 +43,7 @@
 	time.Sleep(restoreDowntime)
 	lost := f.platform.Restore(copied)
 	f.platform.SetMode(platform.ModeGood)
-	time.Sleep(rewriteTime)
+	time.Sleep(republishDelay)
 	for _, v := range lost {
 		f.platform.PublishAgain(v)
 	}
