--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -30,7 +30,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	list := regression(t)
+	list := regressionSeeds(t)
 	for i := range *seeds {
 		list = append(list, *first+i)
 	}
@@ -78,8 +78,8 @@
 	}
 }
 
-// regression returns the seeds that have failed before.
-func regression(t *testing.T) []uint64 {
+// regressionSeeds returns the seeds that have failed before.
+func regressionSeeds(t *testing.T) []uint64 {
 	t.Helper()
 	file, err := os.Open("testdata/seeds.tsv")
 	if err != nil {
