--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -47,12 +47,12 @@
 }
 
 // Guards against nodes that start with the whole limit of a workspace instead of an equal share.
-func TestSoakWorkspaceOverItsLimit(t *testing.T) { playOne(t, 30014) }
+func TestSoakWorkspaceOverItsLimit(t *testing.T) { runSeed(t, 30014) }
 
 // Guards against requests to a target that drains from its start, when a node received the signal before the incarnation.
-func TestSoakDrainingBeforeItsIncarnationIsKnown(t *testing.T) { playOne(t, 30022) }
+func TestSoakDrainingBeforeItsIncarnationIsKnown(t *testing.T) { runSeed(t, 30022) }
 
-func playOne(t *testing.T, seed uint64) {
+func runSeed(t *testing.T, seed uint64) {
 	t.Helper()
 	daemon, err := process.Build(t.TempDir(), "ploverd")
 	if err != nil {
