--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -40,7 +40,7 @@
 		free <- struct{}{}
 		all.Go(func() {
 			defer func() { <-free }()
-			play(t, daemon, seed)
+			runPlan(t, daemon, seed)
 		})
 	}
 	all.Wait()
@@ -58,10 +58,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	play(t, daemon, seed)
+	runPlan(t, daemon, seed)
 }
 
-func play(t *testing.T, daemon string, seed uint64) {
+func runPlan(t *testing.T, daemon string, seed uint64) {
 	plan := soak.NewPlan(seed, *nodes)
 	report, err := soak.Run(daemon, t.TempDir(), plan)
 	if err != nil {
