--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -17,10 +17,10 @@
 )
 
 var (
-	seeds    = flag.Uint64("seeds", 2, "how many seeds to run in addition to the regression seeds")
-	first    = flag.Uint64("first", 1, "the first of these seeds")
-	nodes    = flag.Int("nodes", 4, "nodes of each fleet")
-	parallel = flag.Int("beside", 2, "fleets to run concurrently")
+	seeds      = flag.Uint64("seeds", 2, "how many seeds to run in addition to the regression seeds")
+	first      = flag.Uint64("first", 1, "the first of these seeds")
+	nodes      = flag.Int("nodes", 4, "nodes of each fleet")
+	concurrent = flag.Int("beside", 2, "fleets to run concurrently")
 )
 
 // TestSoak runs the regression seeds, each of which once caused a violation, and the
@@ -34,7 +34,7 @@
 	for i := range *seeds {
 		list = append(list, *first+i)
 	}
-	free := make(chan struct{}, *parallel)
+	free := make(chan struct{}, *concurrent)
 	var all sync.WaitGroup
 	for _, seed := range list {
 		free <- struct{}{}
