--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -102,7 +102,7 @@
 }
 
 // Guards against plans that depend on more than their seed, so that a failure can't be reproduced.
-func TestPlanIsGivenByItsSeed(t *testing.T) {
+func TestPlanIsDeterminedBySeed(t *testing.T) {
 	a, b, c := soak.NewPlan(7, 4), soak.NewPlan(7, 4), soak.NewPlan(8, 4)
 	if len(a.Steps) != len(b.Steps) {
 		t.Fatalf("%d and %d steps", len(a.Steps), len(b.Steps))
