--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -118,7 +118,7 @@
 }
 
 // Guards against checks that miss a violation or report a correct call.
-func TestChecksSeeBrokenPromises(t *testing.T) {
+func TestChecksDetectViolations(t *testing.T) {
 	lost := errors.New("connection closed")
 	cases := []struct {
 		name   string
