--- a/internal/integration/config_test.go
+++ b/internal/integration/config_test.go
@@ -18,7 +18,7 @@
 	"ploverjunction.example/ploverjunction/internal/standin/platform"
 )
 
-// unreachable is an address at which no platform answers.
+// unreachable is an address at which no platform listens.
 const unreachable = "127.0.0.1:1"
 
 func (n *node) revision(key string) uint64 {
@@ -133,8 +133,8 @@
 			})
 		})
 	}
-	// A process that starts anew learns from a peer what is in force before the
-	// refused value.
+	// A restarted process receives the value in force, not the refused one, from
+	// a peer.
 	fresh := s.node("a", withPlatform(unreachable))
 	eventually(t, "a new node ready", fresh.ready)
 	if got := fresh.revision("routes"); got != good {
@@ -142,7 +142,7 @@
 	}
 }
 
-// fleet starts nodes in three data halls.
+// fleet returns a site with nodes in three data halls.
 func (s *site) fleet(count int) {
 	s.t.Helper()
 	for i := range count {
@@ -160,7 +160,7 @@
 	s.platform.Publish("instances", fmt.Sprintf(`{"instances":[%s]}`, strings.Join(list, ",")))
 }
 
-// spreadTime returns after how long each node had a revision of the routes.
+// spreadTime returns how long each node took to apply a revision of the routes.
 func (s *site) spreadTime(rev uint64, nodes []*node) []time.Duration {
 	begun := time.Now()
 	took := make([]time.Duration, len(nodes))
@@ -183,7 +183,8 @@
 
 const inForceWithin = 5 * time.Second
 
-// TestConfigurationIsInForceEverywhere publishes to 40 processes under faults.
+// Guards against values that some of 40 nodes apply late or never while links, nodes
+// or the platform fail.
 func TestConfigurationIsInForceEverywhere(t *testing.T) {
 	if testing.Short() {
 		t.Skip("40 processes")
@@ -297,7 +298,7 @@
 	})
 }
 
-// checkSpread fails the test if a revision isn't in force on all nodes in time.
+// checkSpread fails the test if a revision is not in force on all nodes in time.
 func (s *site) checkSpread(t *testing.T, rev uint64, nodes []*node) {
 	t.Helper()
 	took := s.spreadTime(rev, nodes)
@@ -307,8 +308,8 @@
 	}
 }
 
-// TestRevisionsNeverFall restarts nodes while the platform's replica is stale and
-// watches what every node has in force.
+// Guards against nodes that return to an older revision when they restart while the
+// platform's replica is stale.
 func TestRevisionsNeverFall(t *testing.T) {
 	s := newSite(t)
 	s.target("quotes", "a", 3)
@@ -343,7 +344,7 @@
 	}
 }
 
-// TestPlatformCallsGrowSlowerThanTheFleet counts the calls of a quiet fleet.
+// Guards against a load on the platform that grows in proportion to the fleet.
 func TestPlatformCallsGrowSlowerThanTheFleet(t *testing.T) {
 	s := newSite(t)
 	s.target("quotes", "a", 3)
@@ -378,8 +379,8 @@
 	}
 }
 
-// TestStartingNodeComparesBeforeItServes gives a starting node a platform that is
-// quick and behind, and peers that are slow and ahead.
+// Guards against a starting node that serves by an outdated configuration, because the
+// stale platform answers before the peers that have newer values.
 func TestStartingNodeComparesBeforeItServes(t *testing.T) {
 	s := newSite(t)
 	s.target("quotes", "a", 3)
--- a/internal/integration/doc.go
+++ b/internal/integration/doc.go
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package integration proves the promises of the fleet with real processes
-// behind a fault-injecting proxy. It holds only tests.
+// Package integration tests the guarantees of the fleet with real processes behind
+// fault-injecting proxies. It contains only tests.
 package integration
--- a/internal/integration/ends_test.go
+++ b/internal/integration/ends_test.go
@@ -15,19 +15,16 @@
 	"ploverjunction.example/ploverjunction/internal/standin/target"
 )
 
-// Users saw a service lose twenty targets in sixteen seconds, with two in three of its
-// requests unserved, though none of its targets had a fault: one request ended each
-// target that began to run it. First it ended two targets within a tenth of a second, for a
-// try that breaks is sent to a second target; each end took with it what else the target
-// was working on. Then its caller came again, to other nodes, and each sent it on as if it
-// were new; targets that had just come back were ended again. The cause: evidence was kept
-// of targets only, and nothing of requests.
-//
-// What proved it: requests that were on two targets at their ends were seen on nodes of
-// three data halls, each time with another name.
+// These tests guard against one request that crashes every target that runs it. In an
+// incident a service without faulty targets lost twenty of them in 16 s and failed two
+// thirds of its requests: a broken attempt is retried on a second target, so that two
+// crashed within 0.1 s, each with its other requests in flight; the caller then retried
+// through other nodes, which had evidence about targets only, not about requests. It was
+// confirmed by requests on two targets at their crashes, in three data halls, each time
+// under another name.
 
-// endsSite starts nodes in two data halls before targets that end when a request asks for it
-// and come back after a time.
+// endsSite returns a site with nodes in two data halls and targets that crash on a request
+// that asks for it and restart after back.
 func endsSite(t *testing.T, targets int, back time.Duration) (*site, *atomic.Int64) {
 	t.Helper()
 	s := newSite(t)
@@ -56,7 +53,7 @@
 	return s, ends
 }
 
-// crash ends the target's process; it is back after a time.
+// crash makes the target unreachable until it restarts after back.
 func (b *backend) crash(t *testing.T, back time.Duration) {
 	b.proxy.Down()
 	time.AfterFunc(back, func() {
@@ -66,8 +63,8 @@
 	})
 }
 
-// send sends requests to one node after another for a time, by the paths that path gives for
-// their numbers. It returns how many were sent and how many were not served.
+// send sends requests to the nodes in turn, the i-th with path(i), for the time during. It
+// returns the numbers of requests sent and not served.
 func (s *site) send(method string, path func(i int) string, gap, during time.Duration) (sent, failed int) {
 	next := time.NewTicker(gap)
 	defer next.Stop()
@@ -92,11 +89,11 @@
 	return sent, failed
 }
 
-// A request that ends each target which begins to run it, and comes again at all nodes, ends
-// a handful of them; who asks for anything else is served.
+// Guards against a request that crashes every target and is sent again to all nodes. It may
+// crash only a few, and other requests are served.
 func TestRequestThatEndsTargets(t *testing.T) {
 	const (
-		// mostEnds is three ends until it is known and three more tries.
+		// mostEnds allows three crashes until the request is quarantined and three more attempts.
 		mostEnds = 6
 		during   = 6 * time.Second
 	)
@@ -126,7 +123,7 @@
 			if got := ends.Load(); got > mostEnds {
 				t.Errorf("%d targets ended under one request, want at most %d", got, mostEnds)
 			}
-			// What is in flight with it at an end is lost.
+			// Other requests in flight on a target are lost when it crashes.
 			if most := sent / 20; failed > most {
 				t.Errorf("%d of %d other requests were not served, want at most %d", failed, sent, most)
 			}
@@ -134,7 +131,8 @@
 	}
 }
 
-// The caller of such a request hears at once that it has not run, and when it may come again.
+// Guards against a late or vague refusal of such a request. The caller immediately gets the
+// outcome not-run and the time after which to retry.
 func TestRefusalOfARequestThatEndsTargets(t *testing.T) {
 	s, ends := endsSite(t, 8, time.Second)
 	s.send(http.MethodGet, func(int) string { return "/quotes/7?ends" }, 50*time.Millisecond, 2*time.Second)
@@ -160,8 +158,8 @@
 	}
 }
 
-// Targets that end for other reasons have nobody refused: not those who ask for what many
-// ask for, and not those who come again with what has failed.
+// Guards against refusing innocent requests when targets crash for other reasons, although
+// many callers send the same request or retry a failed one.
 func TestEndsOfTargetsRefuseNobody(t *testing.T) {
 	s, _ := endsSite(t, 8, time.Second)
 	const during = 5 * time.Second
@@ -186,8 +184,8 @@
 	}
 }
 
-// A connection that breaks is no end: while targets lose answers and live, the same request is
-// sent on each time, and is answered once they don't.
+// Guards against counting a broken connection as a crash. While live targets lose their answers
+// the same request is forwarded each time, and it is answered once they recover.
 func TestBrokenConnectionsRefuseNobody(t *testing.T) {
 	s, ends := endsSite(t, 4, time.Second)
 	for _, b := range s.targets {
--- a/internal/integration/freeze_test.go
+++ b/internal/integration/freeze_test.go
@@ -14,8 +14,8 @@
 	"ploverjunction.example/ploverjunction/internal/standin/target"
 )
 
-// A node that was frozen while a value was published wakes with an old
-// configuration and must not keep it.
+// Guards against a node that keeps an outdated configuration after it was frozen while a
+// value was published.
 func TestFrozenNodeCatchesUp(t *testing.T) {
 	s := newSite(t)
 	s.target("quotes", "a", 3)
@@ -31,8 +31,8 @@
 	s.checkSpread(t, rev, []*node{frozen})
 }
 
-// Several operators publish the same keys at once: the platform orders them, and
-// every node ends with the last of each.
+// Guards against nodes that diverge when several operators publish the same keys
+// concurrently. The platform orders the values, and every node applies the last of each.
 func TestOperatorsPublishAtOnce(t *testing.T) {
 	s := newSite(t)
 	s.target("quotes", "a", 3)
@@ -65,8 +65,8 @@
 	}
 }
 
-// The observer of a data hall is frozen when a target begins to stall: the
-// others find another one, and the late word of the frozen one harms nobody.
+// Guards against a frozen observer when a target begins to stall. The other nodes replace
+// it, and its late reports after it resumes have no effect.
 func TestFrozenObserverIsReplaced(t *testing.T) {
 	s := pool(t, 6, "")
 	observer := s.observerOf("quotes", "a")
@@ -107,7 +107,7 @@
 	}
 }
 
-// observerOf returns the node that ranks first as the observer of a service in a
+// observerOf returns the node with the highest rank as observer of a service in a
 // data hall.
 func (s *site) observerOf(service, hall string) *node {
 	var list []membership.Node
@@ -122,8 +122,8 @@
 	return byAddress[first.Address()]
 }
 
-// An answer that comes after its request was given up must not reach the next
-// request on the same connection.
+// Guards against delivering the late answer to an abandoned request to the next request
+// on the same connection.
 func TestLateAnswerReachesNobody(t *testing.T) {
 	s, b, n := oneTarget(t)
 	for i := range 20 {
@@ -147,8 +147,8 @@
 	}
 }
 
-// TestAddedLatencyGuard compares medians of the same run, through a node and
-// directly; the target works 10 ms, so that only a gross regression shows.
+// Guards against a gross regression of added latency. It compares the medians of one run,
+// through a node and directly, with a target that takes 10 ms.
 func TestAddedLatencyGuard(t *testing.T) {
 	_, b, n := oneTarget(t)
 	b.SetMode(target.Mode{
--- a/internal/integration/harness_test.go
+++ b/internal/integration/harness_test.go
@@ -23,10 +23,10 @@
 	"ploverjunction.example/ploverjunction/internal/standin/target"
 )
 
-// patience bounds every wait for something that must happen.
+// patience bounds each wait for an expected condition.
 const patience = 30 * time.Second
 
-// daemon and tool are the paths of the programs under test.
+// daemon and tool are the paths of ploverd and ploverctl.
 var daemon, tool string
 
 func TestMain(m *testing.M) {
@@ -50,7 +50,7 @@
 	return m.Run()
 }
 
-// site is a platform, targets and nodes of one test.
+// site holds the platform, targets and nodes of one test.
 type site struct {
 	t        *testing.T
 	platform *platform.Platform
@@ -114,7 +114,7 @@
 	return b
 }
 
-// publishTargets publishes all targets, each service with the given fields.
+// publishTargets publishes all targets and their services, with additional fields by service.
 func (s *site) publishTargets(fields map[string]string) {
 	var services, targets []string
 	seen := map[string]bool{}
@@ -144,27 +144,27 @@
 	hall   string
 	front  *faultproxy.Proxy
 	toPlat string
-	// keys are the settings of the keys for peers.
+	// keys holds the settings of the certificate and key for peers.
 	keys string
-	// outgoing is the IP number that connections to targets come from.
+	// outgoing is the source IP address of connections to targets.
 	outgoing string
 	extra    string
 	seeds    []string
-	// peersAt is the address for peers where no proxy stands before it, else "".
+	// peersAt is the address for peers if no proxy is used, else "".
 	peersAt string
 	// proc is the running process, entry its address for callers.
 	proc  atomic.Pointer[process.Process]
 	entry string
 }
 
-// option changes a node before it starts.
+// option configures a node before it starts.
 type option func(*node)
 
 func withExtra(ini string) option { return func(n *node) { n.extra = ini } }
 
 func withPlatform(address string) option { return func(n *node) { n.toPlat = address } }
 
-// node starts a process. The nodes before it are its seeds.
+// node starts a node, with the nodes started before it as seeds.
 func (s *site) node(hall string, opts ...option) *node {
 	s.t.Helper()
 	n := &node{
@@ -189,11 +189,11 @@
 	return n
 }
 
-// withPeersAt gives the node an address for peers of its own, for datagrams pass
-// no proxy.
+// withPeersAt sets the node's address for peers without a proxy, because datagrams
+// do not pass through one.
 func withPeersAt(address string) option { return func(n *node) { n.peersAt = address } }
 
-// peerSettings returns the addresses for peers.
+// peerSettings returns the settings of the addresses for peers.
 func (n *node) peerSettings() string {
 	if n.peersAt != "" {
 		return "listen = " + n.peersAt
@@ -241,8 +241,8 @@
 
 func (n *node) signal(s syscall.Signal) { n.proc.Load().Signal(s) }
 
-// kill ends the process. Whatever a test is about, no process may have panicked,
-// nor raced where the programs are built with the race detector.
+// kill kills the process. In every test it also checks the log for panics and, if
+// the programs are built with the race detector, for data races.
 func (n *node) kill() {
 	p := n.proc.Load()
 	p.Kill()
@@ -253,7 +253,7 @@
 	}
 }
 
-// restart replaces the process; it keeps its address for peers.
+// restart replaces the process, which keeps its address for peers.
 func (n *node) restart() {
 	n.t.Helper()
 	n.kill()
@@ -265,7 +265,7 @@
 
 func (n *node) ready() bool { return n.proc.Load().Ready() }
 
-// eventually waits until cond holds.
+// eventually waits until cond holds and fails the test after patience.
 func eventually(t *testing.T, what string, cond func() bool) {
 	t.Helper()
 	end := time.Now().Add(patience)
@@ -286,15 +286,15 @@
 	}
 }
 
-// reply is an answer that was read to its end.
+// reply is an answer read to its end.
 type reply struct {
 	status  int
 	outcome string
 	header  http.Header
 	body    []byte
-	// closes is set if the node closes the connection after the answer.
+	// closes reports whether the node closes the connection after the answer.
 	closes bool
-	// err is set if there was no answer or it broke off.
+	// err is set if there was no answer or it was truncated.
 	err  error
 	took time.Duration
 }
@@ -310,7 +310,7 @@
 
 var callers = newCaller()
 
-// do sends a request with a key to a node.
+// do sends the request identified by key to a node.
 func (n *node) do(method, path, key string, body string, header ...string) reply {
 	return send(callers, method, "http://"+n.entry+path, key, body, header...)
 }
@@ -347,7 +347,7 @@
 	}
 }
 
-// runsOf counts how often targets ran a key.
+// runsOf returns the number of times targets ran the request identified by key.
 func (s *site) runsOf(key string) int {
 	count := 0
 	for _, b := range s.targets {
--- a/internal/integration/joint_test.go
+++ b/internal/integration/joint_test.go
@@ -13,7 +13,7 @@
 	"ploverjunction.example/ploverjunction/internal/standin/target"
 )
 
-// jointSite starts nodes that choose targets jointly, in two data halls.
+// jointSite returns a site with nodes in the joint mode, in two data halls.
 func jointSite(t *testing.T, nodes int) *site {
 	t.Helper()
 	s := newSite(t)
@@ -48,8 +48,8 @@
 	return live
 }
 
-// Whichever node holds the role to choose targets, its sudden death costs the other
-// nodes no request, and nothing runs twice.
+// Guards against requests that fail on other nodes or run twice when a node is killed
+// that holds the role of dispatcher.
 func TestDeathOfTheDispatcherCostsOthersNothing(t *testing.T) {
 	s := jointSite(t, 4)
 	var number, failed atomic.Int64
@@ -88,8 +88,8 @@
 	}
 }
 
-// One failure that one node saw keeps what can't be repeated away from the target on
-// all nodes.
+// Guards against nodes that each have to observe a failing target themselves. After one
+// failure on one node all nodes avoid the target for requests that are not repeatable.
 func TestOneFailureIsKnownToAllNodes(t *testing.T) {
 	s := jointSite(t, 3)
 	bad := s.targets[0]
@@ -104,14 +104,14 @@
 			failures++
 		}
 	}
-	// Alone each of the nodes would have to meet the target itself, again and again.
+	// In the independent mode each node would repeatedly have to observe the failure itself.
 	if failures > 4 {
 		t.Errorf("%d of 120 requests failed", failures)
 	}
 }
 
-// A target that suddenly says nothing costs no repeatable request: a second target is
-// asked for until one is granted, and the silence keeps others away.
+// Guards against repeatable requests that fail on a target that suddenly stops answering.
+// The node requests a second target until one is granted, and the stall diverts others.
 func TestSilentTargetIsOvertaken(t *testing.T) {
 	s := jointSite(t, 3)
 	get := func(i int) reply {
@@ -123,7 +123,7 @@
 			t.Fatalf("before: status %d, err %v", r.status, r.err)
 		}
 	}
-	// The target with the most requests is the one that is preferred.
+	// The target with the most requests is the preferred one.
 	busiest := slices.MaxFunc(s.targets, func(a, b *backend) int { return int(a.Requests() - b.Requests()) })
 	busiest.SetMode(target.Mode{
 		Stall: true,
--- a/internal/integration/keys_test.go
+++ b/internal/integration/keys_test.go
@@ -37,7 +37,7 @@
 		rate, int(rate), list, base64.StdEncoding.EncodeToString(clinics[:])))
 }
 
-// keyedSite starts nodes whose callers show keys, in front of three targets.
+// keyedSite returns a site with three targets and nodes that identify workspaces by key.
 func keyedSite(t *testing.T, nodes int, rate float64) *site {
 	t.Helper()
 	s := newSite(t)
@@ -64,8 +64,8 @@
 	return n.do(http.MethodGet, "/quotes/1", "keyed", "", "Authorization", "Bearer "+key)
 }
 
-// No key gets out of the node to which a caller shows it: not to targets, logs,
-// status or metrics. The targets are told the workspace.
+// Guards against keys of callers that leak to targets, logs, status or metrics. Targets
+// receive the workspace instead.
 func TestNoKeyGetsOut(t *testing.T) {
 	s := keyedSite(t, 2, 0)
 	for _, n := range s.nodes {
@@ -120,8 +120,8 @@
 	return string(b)
 }
 
-// A key that is taken away is refused on all nodes, and one that is given out is taken,
-// within seconds.
+// Guards against nodes that accept a revoked key, or refuse a new one, for longer than
+// seconds.
 func TestKeysFollowTheConfiguration(t *testing.T) {
 	s := keyedSite(t, 3, 0)
 	s.publishWorkspaces(0, "another-key-of-theirs")
@@ -131,8 +131,8 @@
 	}
 }
 
-// A workspace whose callers are all on one node of three has its whole limit there, and
-// not more.
+// Guards against a limit split by nodes instead of demand. A workspace whose callers all use
+// one node of three gets its whole limit there, and not more.
 func TestLimitFollowsTheCallers(t *testing.T) {
 	const rate = 40
 	s := keyedSite(t, 3, rate)
--- a/internal/integration/limit_test.go
+++ b/internal/integration/limit_test.go
@@ -12,27 +12,28 @@
 	"ploverjunction.example/ploverjunction/internal/standin/target"
 )
 
-// Bounds of a target's limit: what it may get in any window, from the nodes that it told.
+// Bounds on the requests that a target with a limit may get in any window from nodes that
+// received the limit.
 const (
 	limitWindow = 4 * time.Second
 	limitExcess = 1.5
 	limitSlack  = 5
-	// limitKnown is how long after an answer with the limit its node must keep to it,
-	// limitSettled how long after the first one the fleet must.
+	// A node must comply limitKnown after an answer with the limit, the fleet limitSettled
+	// after the first such answer.
 	limitKnown   = 500 * time.Millisecond
 	limitSettled = 2 * time.Second
-	// calmExcess and calmSlack are the same from all nodes while nothing goes wrong.
+	// calmExcess and calmSlack are the bounds for all nodes together without faults.
 	calmExcess = 1.1
 	calmSlack  = 2
-	// calmFrom is how long after all nodes know each other that holds: a dispatcher that has
-	// just joined uses a part of limits.
+	// calmFrom is the time from complete membership until these bounds apply, as a dispatcher
+	// that has just joined uses only a share of each limit.
 	calmFrom = 6 * time.Second
 )
 
-// limited is a target's limit of some requests a second as the test sees it.
+// limited is the limit of a target in requests a second.
 type limited struct {
 	rate float64
-	// named is when the target named it first.
+	// named is when the target first signaled the limit.
 	named time.Time
 }
 
@@ -40,7 +41,7 @@
 	return int(excess*l.rate*limitWindow.Seconds() + slack)
 }
 
-// most returns the greatest number of arrivals in one window among those that count.
+// most returns the maximum number of arrivals in one window for which counts is true.
 func most(all []target.Arrival, counts func(target.Arrival) bool) int {
 	var window []time.Time
 	out := 0
@@ -57,8 +58,8 @@
 	return out
 }
 
-// fromTold returns the most that a target got in one window from nodes that had passed on its
-// limit for a while.
+// fromTold returns the maximum number of requests in one window from nodes that had received
+// the limit at least limitKnown before.
 func (l limited) fromTold(b *backend, nodes []int) int {
 	told := map[string]time.Time{}
 	for _, i := range nodes {
@@ -75,12 +76,11 @@
 	})
 }
 
-// Users saw a target that had named a limit of 1.6 requests a second for the whole fleet get 30 of
-// them in 4 s, each of them from a node that had passed on such an answer. The cause: no node read
-// the header, and the one dispatcher that grants the target to all nodes chose by slots alone.
-//
-// What proved it: the target got as much after its answer as before it, all of it granted by one
-// dispatcher within 14 ms, and nothing but the estimate that it fails changed what it got.
+// Guards against targets that get more requests than the limit they signal for the whole fleet.
+// In an incident a target with a limit of 1.6 requests a second got 30 in 4 s from nodes that had
+// relayed the limit: no node read the header, and the one dispatcher that grants the target chose
+// by slots only. Its load was the same before and after the answer, all granted by that dispatcher
+// within 14 ms, and changed only with its estimated failure probability.
 func TestTargetsGetNoMoreThanTheirLimit(t *testing.T) {
 	const rate = 2.5
 	for _, tt := range troubles {
@@ -127,8 +127,8 @@
 	}
 }
 
-// checkCalm expects of nodes that nothing happens to that they keep to the limit together, whether
-// they were told or not, and that they use it.
+// checkCalm checks that undisturbed nodes together comply with the limit, whether or not they
+// received it, and that they make use of it.
 func checkCalm(t *testing.T, b *backend, l limited) {
 	t.Helper()
 	after := func(a target.Arrival) bool { return a.At.Sub(l.named) >= limitSettled }
@@ -146,13 +146,10 @@
 	}
 }
 
-// Where all targets of a service named limits far below what came, callers beyond them were held
-// until their time was over: whoever chooses estimated the wait from slots, of which there were
-// plenty. Now the surplus is refused at once with a time, what the limits allow is served, and
-// callers of another service pay nothing.
-//
-// What proved it: with the limits kept and the wait taken from slots, 1,619 requests of one play of
-// the dispatcher were refused after 0.97 s in the mean.
+// Guards against holding requests beyond the limits of all targets of a service until their
+// deadline, because the dispatcher estimated the wait from free slots: 1,619 requests of one
+// simulation of the dispatcher were refused after 0.97 s on average. The excess must be refused
+// immediately with a Retry-After, the rest served, and another service not affected.
 func TestServiceWhoseTargetsAreAllLimited(t *testing.T) {
 	const rate = 2
 	s := quotesBeside(t, 64, `"deadline":"1s","targetLatency":"0.5s"`)
--- a/internal/integration/load_test.go
+++ b/internal/integration/load_test.go
@@ -28,8 +28,8 @@
 	"ploverjunction.example/ploverjunction/internal/standin/target"
 )
 
-// A full outage of a service adds at most a tenth to its load, beyond the small
-// reserve of each node.
+// Guards against retry storms. In a full outage of a service, retries add at most a
+// tenth to its load, beyond the small reserve of each node.
 func TestRetryStorm(t *testing.T) {
 	s := pool(t, 2, `,"policy":{"retry":"attempt < 10","floor":"capacity"}`)
 	for _, b := range s.targets {
@@ -59,8 +59,8 @@
 	}
 }
 
-// A workspace over its limit is refused on all nodes together, early, and others
-// don't notice.
+// Guards against a workspace that exceeds its limit across nodes or affects others. Its
+// excess is refused early, and other workspaces are served.
 func TestHotWorkspace(t *testing.T) {
 	s := pool(t, 2, "")
 	s.platform.Publish("workspaces", `{"workspaces":[{"id":"hot","rate":20,"burst":20},{"id":"quiet","rate":100,"burst":100}]}`)
@@ -105,7 +105,7 @@
 	}
 }
 
-// When the platform comes back after an outage the nodes don't all call at once.
+// Guards against nodes that all call the platform at once when it returns from an outage.
 func TestPlatformReturnIsNotStormed(t *testing.T) {
 	s := newSite(t)
 	s.target("quotes", "a", 3)
@@ -113,7 +113,7 @@
 	s.platform.Publish("routes", routesDoc(0))
 	s.fleet(12)
 	s.platform.SetMode(platform.ModeDown)
-	// Serving goes on without the platform.
+	// Nodes serve without the platform.
 	for _, n := range s.nodes {
 		if r := n.do(http.MethodGet, "/quotes/1", "k", ""); r.status != http.StatusOK {
 			t.Fatalf("status %d without the platform", r.status)
@@ -132,7 +132,7 @@
 	}
 }
 
-// After a cut of all links to a target ends, its connections stay bounded.
+// Guards against unbounded connections to a target after its links are restored.
 func TestReconnectIsBounded(t *testing.T) {
 	s := pool(t, 2, `,"policy":{"floor":"capacity"}`)
 	l := startLoad(s.nodes, 16, 5*time.Millisecond)
@@ -157,7 +157,7 @@
 	}
 }
 
-// Random bytes on any port end in a closed connection and hurt nobody.
+// Guards against random bytes that crash or block a node. Every port closes the connection.
 func TestRandomBytesOnEveryPort(t *testing.T) {
 	s := pool(t, 2, "")
 	n := s.nodes[0]
@@ -188,7 +188,7 @@
 	}
 }
 
-// authority signs the certificates of one fleet.
+// authority is the certificate authority of one fleet.
 type authority struct {
 	t    *testing.T
 	dir  string
@@ -206,7 +206,7 @@
 	return a
 }
 
-// sign writes NAME.pem and NAME.key; without a parent it signs itself.
+// sign writes NAME.pem and NAME.key; without a parent the certificate is self-signed.
 func (a *authority) sign(name string, parent *x509.Certificate, parentKey *ecdsa.PrivateKey) (*ecdsa.PrivateKey, *x509.Certificate) {
 	a.t.Helper()
 	key, err := ecdsa.GenerateKey(elliptic.P256(), crand.Reader)
@@ -257,8 +257,8 @@
 	}
 }
 
-// node returns the settings of a node with keys of this authority. They go into
-// the section of the peers.
+// node returns the settings of a node with a certificate of this authority, for the
+// peers section.
 func (a *authority) node(name string) option {
 	a.sign(name, a.cert, a.key)
 	return func(n *node) {
--- a/internal/integration/once_test.go
+++ b/internal/integration/once_test.go
@@ -18,7 +18,7 @@
 	"ploverjunction.example/ploverjunction/internal/standin/target"
 )
 
-// oneTarget is a site with one target, so that its faults meet every request.
+// oneTarget returns a site with one target, so that its faults affect every request.
 func oneTarget(t *testing.T) (*site, *backend, *node) {
 	s := newSite(t)
 	b := s.target("quotes", "a", 30)
@@ -105,7 +105,8 @@
 	}
 }
 
-// A body without length is whole when its connection ends without an error.
+// Guards against refusing a body without a length, which is complete when its connection
+// ends without an error.
 func TestAnswerWithoutLengthIsDelivered(t *testing.T) {
 	s, b, n := oneTarget(t)
 	b.SetMode(target.Mode{
@@ -121,8 +122,8 @@
 	}
 }
 
-// A target that closes a reused connection after it ran the request is what
-// makes net/http send a request with an Idempotency-Key again by itself.
+// Guards against the silent retry of net/http: it resends a request with an
+// Idempotency-Key when the target closes a reused connection after it ran the request.
 func TestReusedConnectionIsNotRetriedSilently(t *testing.T) {
 	s, b, n := oneTarget(t)
 	for i := range 50 {
@@ -199,7 +200,7 @@
 	}
 }
 
-// caller sends non-repeatable requests one after another and records them.
+// caller sends requests that are not repeatable one after another and records them.
 func caller(n *node, name string, count int) []history.Call {
 	client := newCaller()
 	defer client.CloseIdleConnections()
@@ -233,8 +234,8 @@
 	return out
 }
 
-// TestStormKeepsPromises runs callers through two nodes while targets reset,
-// shed, stall and lie, links are cut one way and a node freezes and wakes late.
+// Guards against wrong outcomes and double runs while targets reset, shed, stall and
+// swap IDs, links are cut one way and one of two nodes freezes and resumes late.
 func TestStormKeepsPromises(t *testing.T) {
 	s := newSite(t)
 	for range 4 {
@@ -280,8 +281,8 @@
 	}
 }
 
-// everyOutcome makes one call of each outcome, so that the check has seen them
-// all whatever the storm brought.
+// everyOutcome makes one call of each outcome, so that the check covers all of them
+// whatever the storm causes.
 func everyOutcome(s *site, n *node) []history.Call {
 	var calls []history.Call
 	for i, m := range []target.Mode{{}, {
@@ -299,7 +300,7 @@
 	return calls
 }
 
-// storm injects one fault after another until stop is closed; then all is well.
+// storm injects one fault after another until stop is closed, then clears them.
 func storm(s *site, frozen *node, stop <-chan struct{}) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	modes := []target.Mode{
--- a/internal/integration/outlier_test.go
+++ b/internal/integration/outlier_test.go
@@ -15,7 +15,7 @@
 	"ploverjunction.example/ploverjunction/internal/standin/target"
 )
 
-// load sends repeatable requests through nodes until stop is called. It counts
+// load sends repeatable requests through nodes until stop is called and counts
 // failures.
 type load struct {
 	mu     sync.Mutex
@@ -77,7 +77,7 @@
 	return operator.TargetStatus{}
 }
 
-// pool makes a site with six targets and nodes in two data halls.
+// pool returns a site with six targets and nodes in two data halls.
 func pool(t *testing.T, nodes int, policy string) *site {
 	s := newSite(t)
 	for range 6 {
@@ -98,7 +98,7 @@
 func TestStalledTargetLosesWorkEverywhereAndReturns(t *testing.T) {
 	s := pool(t, 6, "")
 	bad := s.targets[2]
-	// Only four of the six nodes have callers: the others learn by verdict.
+	// Only four of the six nodes have callers; the others depend on ejection decisions.
 	l := startLoad(s.nodes[:4], 16, 10*time.Millisecond)
 	eventually(t, "work on the target", func() bool { return len(bad.Runs()) > 50 })
 	begun := time.Now()
@@ -147,8 +147,8 @@
 	s := pool(t, 2, `,"policy":{"floor":"0.5 * capacity"}`)
 	l := startLoad(s.nodes, 8, 10*time.Millisecond)
 	defer l.stop()
-	// The targets fail one after another, so that each stands out from its pool.
-	// Without the floor four of six would go.
+	// The targets fail one after another, so that each is an outlier in its pool.
+	// Without the floor four of six would be ejected.
 	for _, b := range s.targets[:4] {
 		b.SetMode(target.Mode{
 			ErrorShare: 1,
@@ -167,8 +167,8 @@
 	}
 }
 
-// checkFloor fails the test if fewer slots serve than the floor says. It returns
-// how many sick targets the floor keeps.
+// checkFloor fails the test if fewer slots are in service than the floor requires. It
+// returns the number of sick targets that the floor keeps in service.
 func (s *site) checkFloor(n *node) int {
 	s.t.Helper()
 	st := n.status()
@@ -182,12 +182,12 @@
 	return svc.Kept
 }
 
-// A cut between one node, or one data hall, and one target is a matter of that
-// node or data hall: the others keep the target.
+// Guards against a cut between one node, or one data hall, and a target that ejects the
+// target on other nodes.
 func TestCutOfOnePartEjectsNothingElsewhere(t *testing.T) {
 	cases := []struct {
 		name string
-		// cut are the nodes that can't be heard by the target, or don't hear it.
+		// cut lists the nodes whose link to the target is cut in one direction.
 		cut      []int
 		forward  faultproxy.Fault
 		backward faultproxy.Fault
--- a/internal/integration/path_test.go
+++ b/internal/integration/path_test.go
@@ -188,7 +188,7 @@
 	}
 }
 
-// Honest chunked requests pass, also on a connection that was used before.
+// Guards against refusing valid chunked requests, also on a reused connection.
 func TestChunkedRequestsPass(t *testing.T) {
 	_, _, n := oneTarget(t)
 	client := newCaller()
@@ -198,7 +198,7 @@
 		if r := send(client, http.MethodGet, url, "before", ""); r.status != http.StatusOK {
 			t.Fatalf("status %d", r.status)
 		}
-		// A reader of unknown length makes net/http send chunks.
+		// net/http sends a body of unknown length in chunks.
 		body := io.MultiReader(strings.NewReader("some"), strings.NewReader("thing"))
 		req, err := http.NewRequest(http.MethodPost, url, body)
 		if err != nil {
--- a/internal/integration/restore_test.go
+++ b/internal/integration/restore_test.go
@@ -10,7 +10,7 @@
 	"testing"
 )
 
-// markDoc returns routes by which a caller sees which of them is in force.
+// markDoc returns routes by which a caller detects the revision in force.
 func markDoc(version int) string {
 	return fmt.Sprintf(`{"routes":[{"name":"v%[1]d","pathPrefix":"/v%[1]d","methods":["GET"],"service":"quotes","repeatable":true}]}`, version)
 }
@@ -19,7 +19,7 @@
 	return n.do(http.MethodGet, fmt.Sprintf("/v%d/1", version), "k", "").status == http.StatusOK
 }
 
-// Guards against real processes that go back, or don't follow, when the platform is restored from a copy.
+// Guards against processes that return to old values, or do not apply new ones, after the platform is restored from a copy.
 func TestRestoredPlatform(t *testing.T) {
 	s := newSite(t)
 	s.target("quotes", "a", 3)
@@ -46,7 +46,7 @@
 			t.Errorf("ahead of the platform: %v", ahead)
 		}
 	}
-	// A node that begins hears its peers before it serves by the copy.
+	// A starting node compares with its peers before it serves by the copy.
 	s.nodes[0].restart()
 	eventually(t, "the restarted node ready", s.nodes[0].ready)
 	if !s.nodes[0].serves(4) {
--- a/internal/integration/signal_test.go
+++ b/internal/integration/signal_test.go
@@ -16,8 +16,8 @@
 	"ploverjunction.example/ploverjunction/internal/standin/target"
 )
 
-// noticeSite starts four nodes before three targets of the same data hall, of which the first
-// will say something.
+// noticeSite returns a site with four nodes and three targets in one data hall. The first
+// target is the one that sends signals.
 func noticeSite(t *testing.T, tt *trouble) *site {
 	t.Helper()
 	s := newSite(t)
@@ -41,15 +41,15 @@
 	return s
 }
 
-// noticeWork is how long a request takes, noticeGap the time between two of one node: all
-// four keep two thirds of the slots busy, so that each target gets work.
+// noticeWork is the latency of a request, noticeGap the interval between two of one node. The
+// four nodes keep two thirds of the slots busy, so that each target gets requests.
 const (
 	noticeWork = 60 * time.Millisecond
 	noticeGap  = 40 * time.Millisecond
 )
 
-// load sends requests to some nodes, each at its own pace, until the function that it returns
-// is called. Keys begin with the number of the node.
+// load sends requests to some nodes, each at its own rate, until the returned function is
+// called. Keys begin with the index of the node.
 func (s *site) load(nodes ...int) (stop func()) {
 	end := make(chan struct{})
 	var all sync.WaitGroup
@@ -75,7 +75,7 @@
 	}
 }
 
-// from returns what reached a target from a node.
+// from returns the requests that reached a target from a node.
 func (b *backend) from(node int) []target.Arrival {
 	var out []target.Arrival
 	for _, a := range b.Arrivals() {
@@ -86,17 +86,17 @@
 	return out
 }
 
-// trouble is what happens to the nodes besides, and which of them send requests on.
+// trouble is an additional fault of the nodes; left lists the nodes that still forward requests.
 type trouble struct {
 	name string
-	// net is the part of the nodes' addresses that is the test's own.
+	// net is the third octet of the nodes' addresses, unique to the test.
 	net    int
 	choice string
 	strike func(s *site)
 	left   []int
 }
 
-// stopped returns the nodes that send no requests on once it happens.
+// stopped returns the nodes that forward no requests after the fault.
 func (tt *trouble) stopped() []int {
 	var out []int
 	for i := range 4 {
@@ -145,16 +145,14 @@
 	},
 }
 
-// Users saw requests reach a target for 13 s after it had begun to say in its answers that it
-// leaves, each granted in 3 ms by a dispatcher for which it was one of the best; nodes that
-// had passed on such an answer sent more 5 s later. The platform took no writes in that time,
-// so that the target's entry called it ready. The cause: the word was read nowhere on the way
-// of a joint choice, neither where the answer came nor where targets are chosen.
-//
-// What proved it: lines of the answers said that the target leaves, and nothing after them
-// differed.
+// Guards against requests to a target that signals in its answers that it is draining. In an
+// incident it got requests for 13 s, granted in 3 ms by a dispatcher that ranked it among the
+// best; nodes that had relayed the signal sent more 5 s later. The platform accepted no writes
+// then, so that the target's entry was still ready, and in the joint mode neither the node that
+// got the answer nor the dispatcher read the signal. Log lines of the answers showed the signal
+// and no change after it.
 func TestLeavingTargetsGetNothingMore(t *testing.T) {
-	// within is the users' time for a leaving target to get nothing new.
+	// within is the users' bound for a draining target to get no new requests.
 	const within = 2 * time.Second
 	for _, tt := range troubles {
 		t.Run(tt.name, func(t *testing.T) {
@@ -182,7 +180,7 @@
 	}
 }
 
-// heardLeaving reports whether the target told a node that it leaves.
+// heardLeaving reports whether the target signaled to a node that it is draining.
 func heardLeaving(b *backend, node int) bool {
 	for _, a := range b.from(node) {
 		if a.Leaving {
@@ -192,13 +190,13 @@
 	return false
 }
 
-// quiet reports whether nothing has reached the target for a while.
+// quiet reports whether no request has reached the target for a second.
 func quiet(b *backend) bool {
 	all := b.Arrivals()
 	return len(all) > 0 && time.Since(all[len(all)-1].At) > time.Second
 }
 
-// checkLeft expects nothing from a node later than within after it was told.
+// checkLeft checks that a node sends no request later than within after the draining signal.
 func checkLeft(t *testing.T, b *backend, node int, within time.Duration) {
 	t.Helper()
 	var told time.Time
@@ -216,12 +214,11 @@
 	}
 }
 
-// Users saw a target turn a node away and ask it for three seconds of rest, and get four
-// requests from it in that time. The target had been well again for two seconds by then and had
-// answered other nodes, so that the dispatcher believed in it again; what it had asked of one
-// node was read nowhere.
-//
-// What proved it: lines of the refusals said for how long, and nothing after them differed.
+// Guards against requests to a target during the backoff that it requested of a node. In an
+// incident a target refused a node with a backoff of 3 s and got four requests from it in that
+// time: it had recovered for 2 s and answered other nodes, so that the dispatcher's estimate was
+// good again, and the backoff was read nowhere. Log lines of the refusals showed the backoff
+// and no change after it.
 func TestTargetsAreLeftAlone(t *testing.T) {
 	const rest = 4 * time.Second
 	for _, tt := range troubles {
@@ -251,7 +248,7 @@
 	}
 }
 
-// turnedAway reports whether the target asked one of the nodes for rest.
+// turnedAway reports whether the target requested a backoff of one of the nodes.
 func turnedAway(b *backend, nodes []int) bool {
 	for _, i := range nodes {
 		for _, a := range b.from(i) {
@@ -263,8 +260,8 @@
 	return false
 }
 
-// checkRest expects at most two requests from a node between half a second after the target
-// asked it for rest and the end of that.
+// checkRest checks that a node sends at most two requests between half a second after the
+// target requested a backoff and its end.
 func checkRest(t *testing.T, b *backend, node int) {
 	t.Helper()
 	const (
@@ -286,10 +283,10 @@
 	}
 }
 
-// Callers of a service all of whose targets had asked for rest waited for nothing: each request
-// was sent on, turned away and sent on again, and then they were told to come back in a quarter
-// of a second. Now they hear at once when it can be served, and callers of another service pay
-// nothing for it.
+// Guards against useless attempts for a service whose targets are all backing off: each request
+// was forwarded, refused and retried, and then its caller got a Retry-After of a quarter of a
+// second. The caller must immediately get the time at which the request can be served, and
+// another service must not be affected.
 func TestServiceWhoseTargetsAllRest(t *testing.T) {
 	const rest = 4 * time.Second
 	s := quotesBeside(t, 54, `"deadline":"5s"`)
@@ -320,7 +317,7 @@
 		}
 		seconds, err := strconv.Atoi(r.header.Get("Retry-After"))
 		back := time.Now().Add(time.Duration(seconds) * time.Second)
-		// Whole seconds are rounded up, and not all callers are to come at once.
+		// The value is rounded up to seconds and jittered, to spread the callers.
 		if err != nil || back.Before(ends) || back.After(ends.Add(rest/2+time.Second)) {
 			t.Errorf("node %d: Retry-After %q, the rest ends in %v", i, r.header.Get("Retry-After"), time.Until(ends))
 		}
@@ -354,9 +351,9 @@
 	}
 }
 
-// quotesBeside starts two nodes before three targets of quotes and two of documents. times are the
-// fields of the quotes' route that give its times, net is the part of the nodes' addresses that is
-// the test's own.
+// quotesBeside returns a site with two nodes, three targets of quotes and two of documents. times
+// holds the timeout fields of the quotes' route, net the third octet of the nodes' addresses,
+// unique to the test.
 func quotesBeside(t *testing.T, net int, times string) *site {
 	t.Helper()
 	s := newSite(t)
--- a/internal/integration/smuggle_test.go
+++ b/internal/integration/smuggle_test.go
@@ -12,11 +12,11 @@
 	"time"
 )
 
-// smuggled is a request hidden in the body of another one.
+// smuggled is a request hidden in the body of another.
 const smuggled = "GET /quotes/smuggled HTTP/1.1\r\nHost: h\r\nTest-Key: smuggled\r\n\r\n"
 
 // raw sends bytes to a node and returns the statuses of all answers until the
-// node closes the connection or is silent.
+// node closes the connection or sends nothing more.
 func raw(t *testing.T, address, text string) []int {
 	t.Helper()
 	conn, err := net.Dial("tcp", address)
@@ -30,7 +30,7 @@
 	var out []int
 	r := bufio.NewReader(conn)
 	for {
-		// A node that keeps the connection open waits for the next request.
+		// A node that keeps the connection open is waiting for the next request.
 		_ = conn.SetReadDeadline(time.Now().Add(500 * time.Millisecond))
 		res, err := http.ReadResponse(r, nil)
 		if err != nil {
@@ -48,9 +48,9 @@
 	cases := []struct {
 		name string
 		text string
-		// want is the status of the only answer; 0 means that any one will do.
+		// want is the status of the only answer; 0 accepts any.
 		want int
-		// then is the status of a second answer; 0 means that there is none.
+		// then is the status of a second answer; 0 means none.
 		then int
 	}{
 		{
@@ -192,7 +192,7 @@
 	}
 }
 
-// Hop-by-hop fields end at the node, and nobody outside sets the fleet's own.
+// Guards against forwarding hop-by-hop fields, or the fleet's own fields set by a caller.
 func TestHeadersTowardsTargets(t *testing.T) {
 	_, b, n := oneTarget(t)
 	r := n.do(http.MethodGet, "/quotes/1", "headers", "",
--- a/internal/integration/stop_test.go
+++ b/internal/integration/stop_test.go
@@ -16,8 +16,8 @@
 	"ploverjunction.example/ploverjunction/internal/standin/target"
 )
 
-// balancer sends each request to a ready node, as the platform's does: it asks
-// each node for its readiness now and then and acts on what it last heard.
+// balancer sends each request to a ready node, as the platform's load balancer does: it
+// polls the readiness of each node and uses the last result.
 type balancer struct {
 	nodes []*node
 	ready []atomic.Bool
@@ -26,7 +26,7 @@
 	all   sync.WaitGroup
 }
 
-// balancerLag is the time between two looks of the balancer.
+// balancerLag is the polling interval of the balancer.
 const balancerLag = 200 * time.Millisecond
 
 func newBalancer(nodes []*node) *balancer {
@@ -93,7 +93,7 @@
 	eventually(t, "the download under way", func() bool { return s.runsOf("pack") == 1 })
 	n.signal(syscall.SIGTERM)
 	eventually(t, "not ready", func() bool { return !n.ready() })
-	// The balancer hasn't noticed yet: what it sends is still served.
+	// The balancer has not polled yet; its requests are still served.
 	r := n.do(http.MethodPost, "/quotes/1", "late", "x")
 	if r.err != nil || r.outcome != "done" {
 		t.Fatalf("a request within the drain wait: status %d err %v", r.status, r.err)
@@ -109,7 +109,7 @@
 	n.exits()
 }
 
-// exits waits for the end of the process, which must be a good one.
+// exits waits for the process to exit, which must be without error.
 func (n *node) exits() {
 	n.t.Helper()
 	p := n.proc.Load()
@@ -165,7 +165,7 @@
 		n.exits()
 		n.start()
 		eventually(t, "the new process ready", n.ready)
-		// The balancer must have seen it before the next one goes.
+		// The balancer must poll it before the next one is stopped.
 		i := slices.Index(s.nodes, n)
 		eventually(t, "the balancer sees it", func() bool { return b.ready[i].Load() })
 	}
@@ -194,7 +194,7 @@
 	l := startLoad(s.nodes[:2], 4, 5*time.Millisecond)
 	leaving := s.targets[0]
 	eventually(t, "work on the target", func() bool { return len(leaving.Runs()) > 20 })
-	// The platform's list still says live, and goes on doing so.
+	// The platform's list keeps the target as live.
 	leaving.SetMode(target.Mode{
 		Latency: 3 * time.Millisecond,
 		Leaving: true,
--- a/internal/integration/tool_test.go
+++ b/internal/integration/tool_test.go
@@ -148,7 +148,7 @@
 	n.exits()
 }
 
-// Faulty settings end the daemon before any port opens.
+// Guards against a daemon that opens ports although its settings are invalid.
 func TestDaemonChecksItsSettings(t *testing.T) {
 	for _, args := range [][]string{{"--check"}, {}} {
 		cmd := exec.Command(daemon, append(args, file(t, "bad.ini", "[entry]\nlisten = 127.0.0.1:0\nspeed = 9\n"))...)
@@ -162,8 +162,8 @@
 	}
 }
 
-// A directory serves a small site; a change of a file is in force without a
-// restart, and a bad one is refused.
+// Guards against a directory source that needs a restart to apply a changed file, or
+// that applies an invalid one.
 func TestDirectorySource(t *testing.T) {
 	s := newSite(t)
 	b := s.target("quotes", "a", 3)
@@ -211,8 +211,8 @@
 	eventually(t, "the end of the route", func() bool { return status() == http.StatusNotFound })
 }
 
-// The story of a request is told from the logs of several nodes, in the order of
-// time, whatever stands between and before the lines.
+// Guards against a trace that misses or misorders lines of a request in the logs of
+// several nodes, whatever text is between or before them.
 func TestTraceTellsTheStoryOfARequest(t *testing.T) {
 	one := file(t, "one.log", `{"level":"info","msg":"dispatch: desk","time":"2026-01-01T00:00:00.100Z"}
 {"level":"warning","msg":"entry: request failed","request":"r1","status":502,"time":"2026-01-01T00:00:00.300Z"}
@@ -236,8 +236,8 @@
 	}
 }
 
-// The account counts how requests ended, by route, and why those were lost that were
-// not served; requests without a final line are left out.
+// Guards against an account with wrong counts of outcomes by route or of reasons for
+// failed requests. Requests without a final line are not counted.
 func TestAccountSaysWhyRequestsWereLost(t *testing.T) {
 	log := file(t, "node.log", `{"msg":"entry: request answered","request":"a","service":"quotes","route":"r","status":200,"time":"1"}
 {"msg":"entry: request answered","request":"b","service":"quotes","route":"r","status":200,"time":"1"}
@@ -278,7 +278,8 @@
 	}
 }
 
-// Each request has one line with its final answer, and each failed attempt another.
+// Guards against missing or duplicate log lines: one for each request's final answer
+// and one for each failed attempt.
 func TestEveryRequestHasItsLine(t *testing.T) {
 	s, b, n := oneTarget(t)
 	good := n.do(http.MethodPost, "/quotes/1", "good", "")
--- a/internal/integration/whole_test.go
+++ b/internal/integration/whole_test.go
@@ -59,7 +59,7 @@
 	}
 }
 
-// A download may take longer than the deadline, which is about the first byte.
+// Guards against ending a download at the deadline, which applies to the first byte only.
 func TestDocumentIsResumedAfterTheDeadline(t *testing.T) {
 	s := newSite(t)
 	bad := s.target("quotes", "a", 10)
@@ -106,7 +106,7 @@
 	}
 }
 
-// A small answer is held until it is whole: a broken one is never begun.
+// Guards against delivering part of a small answer, which is held until it is complete.
 func TestBrokenSmallAnswerIsTriedElsewhere(t *testing.T) {
 	s := newSite(t)
 	bad := s.target("quotes", "a", 10)
@@ -127,7 +127,7 @@
 		ResetBefore: true,
 	}} {
 		bad.SetMode(m)
-		// Each mode costs one retry of the budget.
+		// Each mode uses one retry of the budget.
 		for before := bad.Requests(); bad.Requests() == before; {
 			r := n.do(http.MethodGet, "/quotes/1", "small", "")
 			want := target.Echo(http.MethodGet, "/quotes/1", "small", nil)
