--- a/internal/soak/caller.go
+++ b/internal/soak/caller.go
@@ -133,7 +133,7 @@
 }
 
 // pollRoutes polls a node for the newest published route. A process that has served it
-// must not lose it, and an undisturbed one must serve it within forceTime.
+// must not lose it, and an undisturbed one must serve it within propagationTime.
 func (f *fleet) pollRoutes(ctx context.Context, n *node) {
 	c := newClient()
 	defer c.CloseIdleConnections()
--- a/internal/soak/crash.go
+++ b/internal/soak/crash.go
@@ -13,7 +13,7 @@
 const (
 	harmPrefix = "harm-"
 	harmPath   = "/quotes/harm?ends"
-	// harmPause is the pause between two harmful requests, harmBack the time that a target
+	// harmPause is the pause between two harmful requests, restartDelay the time that a target
 	// takes to restart after a crash.
 	harmPause    = 100 * time.Millisecond
 	restartDelay = 700 * time.Millisecond
--- a/internal/soak/fleet.go
+++ b/internal/soak/fleet.go
@@ -56,13 +56,13 @@
 	platformProxy *faultproxy.Proxy
 	nodes         []*node
 	targets       []*backend
-	// mu guards the fields up to taken. routes counts the published routes; published is
+	// mu guards the fields up to revoked. routes counts the published routes; published is
 	// the time of the last one.
 	mu         sync.Mutex
 	routes     int
 	published  time.Time
 	violations []string
-	// keys counts the keys issued to the workspace of most callers; taken is when the one
+	// keys counts the keys issued to the workspace of most callers; revoked is when the one
 	// before the newest was revoked.
 	keys    int
 	revoked time.Time
@@ -72,7 +72,7 @@
 	crashes   atomic.Int64
 	// active counts the active steps.
 	active atomic.Int64
-	// platformDisturbed is node.touched for steps that act on the platform.
+	// platformDisturbed is node.lastDisturbed for steps that act on the platform.
 	platformDisturbed atomic.Int64
 }
 
--- a/internal/soak/limits.go
+++ b/internal/soak/limits.go
@@ -16,13 +16,13 @@
 	limitSteps = 2
 	limitRate  = 3
 	limitText  = "3"
-	// limitMin and limitMost bound the duration of such a step. Both exceed limitWindow.
+	// limitMin and limitMax bound the duration of such a step. Both exceed limitWindow.
 	limitMin = 5 * time.Second
 	limitMax = 9 * time.Second
 	// limitWindow, limitExcess and limitSlack bound what a target with a limit receives from
 	// processes that received the limit: at most limitExcess times the rate plus limitSlack
-	// requests a window. A process must comply limitHeard after it received the limit, the
-	// fleet limitSettled after the target first signaled it.
+	// requests a window. A process must comply limitGrace after it received the limit, the
+	// fleet limitSettleTime after the target first signaled it.
 	limitWindow     = 4 * time.Second
 	limitExcess     = 1.5
 	limitSlack      = 5
--- a/internal/soak/restores.go
+++ b/internal/soak/restores.go
@@ -13,7 +13,7 @@
 	// restoreSteps is the number of restores in a plan that has any. They may overlap.
 	restoreSteps = 3
 	// restoreDowntime is how long the platform is down before it is restored from a copy, and
-	// rewriteTime how long after that operators publish the lost values again.
+	// republishDelay how long after that operators publish the lost values again.
 	restoreDowntime = 300 * time.Millisecond
 	republishDelay  = 700 * time.Millisecond
 )
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -111,7 +111,7 @@
 	return errors.Join(errs...)
 }
 
-// settle waits until all nodes are ready and have the newest route, then for leaveTime.
+// settle waits until all nodes are ready and have the newest route, then for drainTime.
 func (f *fleet) settle() {
 	if err := f.awaitReady(recoveryTime); err != nil {
 		f.violation("not recovered %v after the last fault: %v", recoveryTime, err)
--- a/internal/soak/schedule.go
+++ b/internal/soak/schedule.go
@@ -100,11 +100,11 @@
 	// faultTime is the period in which steps begin, long enough for two rolling restarts
 	// of a small fleet.
 	faultTime = 8 * time.Second
-	// stepMin and stepMost bound the duration of a fault, below and above the second
+	// stepMin and stepMax bound the duration of a fault, below and above the second
 	// in which nodes declare each other dead.
 	stepMin = 200 * time.Millisecond
 	stepMax = 2500 * time.Millisecond
-	// stepsMin and stepsMost bound the number of steps per node.
+	// stepsMin and stepsMax bound the number of steps per node.
 	stepsMin = 3
 	stepsMax = 6
 )
