--- a/internal/soak/schedule.go
+++ b/internal/soak/schedule.go
@@ -100,10 +100,10 @@
 	// faultTime is the period in which steps begin, long enough for two rolling restarts
 	// of a small fleet.
 	faultTime = 8 * time.Second
-	// stepMin and stepMax bound the duration of a fault, below and above the second
+	// minStepTime and stepMax bound the duration of a fault, below and above the second
 	// in which nodes declare each other dead.
-	stepMin = 200 * time.Millisecond
-	stepMax = 2500 * time.Millisecond
+	minStepTime = 200 * time.Millisecond
+	stepMax     = 2500 * time.Millisecond
 	// stepsMin and stepsMax bound the number of steps per node.
 	stepsMin = 3
 	stepsMax = 6
@@ -122,7 +122,7 @@
 	for range steps {
 		s := Step{
 			At:   time.Duration(rng.Int64N(int64(faultTime))),
-			For:  stepMin + time.Duration(rng.Int64N(int64(stepMax-stepMin))),
+			For:  minStepTime + time.Duration(rng.Int64N(int64(stepMax-minStepTime))),
 			Kind: kinds[rng.IntN(len(kinds))],
 		}
 		switch s.Kind {
