--- a/internal/soak/restores.go
+++ b/internal/soak/restores.go
@@ -29,7 +29,7 @@
 	for range restoreSteps {
 		p.Steps = append(p.Steps, Step{
 			At:   time.Duration(rng.Int64N(int64(faultTime))),
-			For:  minStepTime + time.Duration(rng.Int64N(int64(stepMax-minStepTime))),
+			For:  minStepTime + time.Duration(rng.Int64N(int64(maxStepTime-minStepTime))),
 			Kind: KindPlatformRestore,
 		})
 	}
--- a/internal/soak/schedule.go
+++ b/internal/soak/schedule.go
@@ -103,7 +103,7 @@
 	// minStepTime and stepMax bound the duration of a fault, below and above the second
 	// in which nodes declare each other dead.
 	minStepTime = 200 * time.Millisecond
-	stepMax     = 2500 * time.Millisecond
+	maxStepTime = 2500 * time.Millisecond
 	// stepsMin and stepsMax bound the number of steps per node.
 	stepsMin = 3
 	stepsMax = 6
@@ -122,7 +122,7 @@
 	for range steps {
 		s := Step{
 			At:   time.Duration(rng.Int64N(int64(faultTime))),
-			For:  minStepTime + time.Duration(rng.Int64N(int64(stepMax-minStepTime))),
+			For:  minStepTime + time.Duration(rng.Int64N(int64(maxStepTime-minStepTime))),
 			Kind: kinds[rng.IntN(len(kinds))],
 		}
 		switch s.Kind {
--- a/internal/soak/signals.go
+++ b/internal/soak/signals.go
@@ -32,7 +32,7 @@
 		}
 		p.Steps = append(p.Steps, Step{
 			At:    time.Duration(rng.Int64N(int64(faultTime))),
-			For:   minStepTime + time.Duration(rng.Int64N(int64(stepMax-minStepTime))),
+			For:   minStepTime + time.Duration(rng.Int64N(int64(maxStepTime-minStepTime))),
 			Kind:  kind,
 			Index: rng.IntN(p.Targets),
 		})
