--- a/internal/soak/schedule.go
+++ b/internal/soak/schedule.go
@@ -104,8 +104,8 @@
 	// in which nodes declare each other dead.
 	minStepTime = 200 * time.Millisecond
 	maxStepTime = 2500 * time.Millisecond
-	// stepsMin and stepsMax bound the number of steps per node.
-	stepsMin = 3
+	// minSteps and stepsMax bound the number of steps per node.
+	minSteps = 3
 	stepsMax = 6
 )
 
@@ -118,7 +118,7 @@
 		Nodes:   nodes,
 		Targets: 6,
 	}
-	steps := nodes * (stepsMin + rng.IntN(stepsMax-stepsMin+1))
+	steps := nodes * (minSteps + rng.IntN(stepsMax-minSteps+1))
 	for range steps {
 		s := Step{
 			At:   time.Duration(rng.Int64N(int64(faultTime))),
