--- a/internal/soak/schedule.go
+++ b/internal/soak/schedule.go
@@ -106,7 +106,7 @@
 	maxStepTime = 2500 * time.Millisecond
 	// minSteps and stepsMax bound the number of steps per node.
 	minSteps = 3
-	stepsMax = 6
+	maxSteps = 6
 )
 
 // NewPlan returns the plan that a seed determines for a number of nodes.
@@ -118,7 +118,7 @@
 		Nodes:   nodes,
 		Targets: 6,
 	}
-	steps := nodes * (minSteps + rng.IntN(stepsMax-minSteps+1))
+	steps := nodes * (minSteps + rng.IntN(maxSteps-minSteps+1))
 	for range steps {
 		s := Step{
 			At:   time.Duration(rng.Int64N(int64(faultTime))),
