--- a/internal/soak/limits.go
+++ b/internal/soak/limits.go
@@ -18,7 +18,7 @@
 	limitText  = "3"
 	// minLimitTime and limitMax bound the duration of such a step. Both exceed limitWindow.
 	minLimitTime = 5 * time.Second
-	limitMax     = 9 * time.Second
+	maxLimitTime = 9 * time.Second
 	// limitWindow, limitExcess and limitSlack bound what a target with a limit receives from
 	// processes that received the limit: at most limitExcess times the rate plus limitSlack
 	// requests a window. A process must comply limitGrace after it received the limit, the
@@ -41,7 +41,7 @@
 	for range limitSteps {
 		p.Steps = append(p.Steps, Step{
 			At:    time.Duration(rng.Int64N(int64(faultTime / 2))),
-			For:   minLimitTime + time.Duration(rng.Int64N(int64(limitMax-minLimitTime))),
+			For:   minLimitTime + time.Duration(rng.Int64N(int64(maxLimitTime-minLimitTime))),
 			Kind:  KindNamesLimit,
 			Index: rng.IntN(p.Targets),
 		})
