--- a/internal/integration/config_test.go
+++ b/internal/integration/config_test.go
@@ -310,7 +310,7 @@
 
 // Guards against nodes that return to an older revision when they restart while the
 // platform's replica is stale.
-func TestRevisionsNeverFall(t *testing.T) {
+func TestRevisionsNeverDecrease(t *testing.T) {
 	s := newSite(t)
 	s.target("quotes", "a", 3)
 	s.publishTargets(nil)
--- a/internal/integration/ends_test.go
+++ b/internal/integration/ends_test.go
@@ -91,7 +91,7 @@
 
 // Guards against a request that crashes every target and is sent again to all nodes. It may
 // crash only a few, and other requests are served.
-func TestRequestThatEndsTargets(t *testing.T) {
+func TestRequestThatCrashesTargets(t *testing.T) {
 	const (
 		// mostEnds allows three crashes until the request is quarantined and three more attempts.
 		mostEnds = 6
@@ -133,7 +133,7 @@
 
 // Guards against a late or vague refusal of such a request. The caller immediately gets the
 // outcome not-run and the time after which to retry.
-func TestRefusalOfARequestThatEndsTargets(t *testing.T) {
+func TestRefusalOfRequestThatCrashesTargets(t *testing.T) {
 	s, ends := endsSite(t, 8, time.Second)
 	s.send(http.MethodGet, func(int) string { return "/quotes/7?ends" }, 50*time.Millisecond, 2*time.Second)
 	before := ends.Load()
@@ -160,7 +160,7 @@
 
 // Guards against refusing innocent requests when targets crash for other reasons, although
 // many callers send the same request or retry a failed one.
-func TestEndsOfTargetsRefuseNobody(t *testing.T) {
+func TestTargetCrashesRefuseNoOtherRequests(t *testing.T) {
 	s, _ := endsSite(t, 8, time.Second)
 	const during = 5 * time.Second
 	var crashes sync.WaitGroup
@@ -186,7 +186,7 @@
 
 // Guards against counting a broken connection as a crash. While live targets lose their answers
 // the same request is forwarded each time, and it is answered once they recover.
-func TestBrokenConnectionsRefuseNobody(t *testing.T) {
+func TestBrokenConnectionsAreNotCrashes(t *testing.T) {
 	s, ends := endsSite(t, 4, time.Second)
 	for _, b := range s.targets {
 		b.SetMode(target.Mode{
--- a/internal/integration/freeze_test.go
+++ b/internal/integration/freeze_test.go
@@ -33,7 +33,7 @@
 
 // Guards against nodes that diverge when several operators publish the same keys
 // concurrently. The platform orders the values, and every node applies the last of each.
-func TestOperatorsPublishAtOnce(t *testing.T) {
+func TestConcurrentPublishing(t *testing.T) {
 	s := newSite(t)
 	s.target("quotes", "a", 3)
 	s.publishTargets(nil)
@@ -124,7 +124,7 @@
 
 // Guards against delivering the late answer to an abandoned request to the next request
 // on the same connection.
-func TestLateAnswerReachesNobody(t *testing.T) {
+func TestLateAnswerIsDiscarded(t *testing.T) {
 	s, b, n := oneTarget(t)
 	for i := range 20 {
 		b.SetMode(target.Mode{
--- a/internal/integration/joint_test.go
+++ b/internal/integration/joint_test.go
@@ -50,7 +50,7 @@
 
 // Guards against requests that fail on other nodes or run twice when a node is killed
 // that holds the role of dispatcher.
-func TestDeathOfTheDispatcherCostsOthersNothing(t *testing.T) {
+func TestDispatcherDeathFailsNoRequests(t *testing.T) {
 	s := jointSite(t, 4)
 	var number, failed atomic.Int64
 	for _, victim := range s.nodes {
@@ -90,7 +90,7 @@
 
 // Guards against nodes that each have to observe a failing target themselves. After one
 // failure on one node all nodes avoid the target for requests that are not repeatable.
-func TestOneFailureIsKnownToAllNodes(t *testing.T) {
+func TestFailureIsSharedWithAllNodes(t *testing.T) {
 	s := jointSite(t, 3)
 	bad := s.targets[0]
 	bad.SetMode(target.Mode{
@@ -112,7 +112,7 @@
 
 // Guards against repeatable requests that fail on a target that suddenly stops answering.
 // The node requests a second target until one is granted, and the stall diverts others.
-func TestSilentTargetIsOvertaken(t *testing.T) {
+func TestSilentTargetIsHedged(t *testing.T) {
 	s := jointSite(t, 3)
 	get := func(i int) reply {
 		n := s.nodes[i%len(s.nodes)]
--- a/internal/integration/keys_test.go
+++ b/internal/integration/keys_test.go
@@ -66,7 +66,7 @@
 
 // Guards against keys of callers that leak to targets, logs, status or metrics. Targets
 // receive the workspace instead.
-func TestNoKeyGetsOut(t *testing.T) {
+func TestKeysAreNotLeaked(t *testing.T) {
 	s := keyedSite(t, 2, 0)
 	for _, n := range s.nodes {
 		for range 20 {
@@ -133,7 +133,7 @@
 
 // Guards against a limit split by nodes instead of demand. A workspace whose callers all use
 // one node of three gets its whole limit there, and not more.
-func TestLimitFollowsTheCallers(t *testing.T) {
+func TestWorkspaceLimitFollowsDemand(t *testing.T) {
 	const rate = 40
 	s := keyedSite(t, 3, rate)
 	n := s.nodes[1]
--- a/internal/integration/limit_test.go
+++ b/internal/integration/limit_test.go
@@ -81,7 +81,7 @@
 // relayed the limit: no node read the header, and the one dispatcher that grants the target chose
 // by slots only. Its load was the same before and after the answer, all granted by that dispatcher
 // within 14 ms, and changed only with its estimated failure probability.
-func TestTargetsGetNoMoreThanTheirLimit(t *testing.T) {
+func TestTargetLimitIsNotExceeded(t *testing.T) {
 	const rate = 2.5
 	for _, tt := range troubles {
 		t.Run(tt.name, func(t *testing.T) {
@@ -150,7 +150,7 @@
 // deadline, because the dispatcher estimated the wait from free slots: 1,619 requests of one
 // simulation of the dispatcher were refused after 0.97 s on average. The excess must be refused
 // immediately with a Retry-After, the rest served, and another service not affected.
-func TestServiceWhoseTargetsAreAllLimited(t *testing.T) {
+func TestServiceWithAllTargetsLimited(t *testing.T) {
 	const rate = 2
 	s := quotesBeside(t, 64, `"deadline":"1s","targetLatency":"0.5s"`)
 	<-time.After(calmFrom)
--- a/internal/integration/load_test.go
+++ b/internal/integration/load_test.go
@@ -61,7 +61,7 @@
 
 // Guards against a workspace that exceeds its limit across nodes or affects others. Its
 // excess is refused early, and other workspaces are served.
-func TestHotWorkspace(t *testing.T) {
+func TestWorkspaceLimitAcrossNodes(t *testing.T) {
 	s := pool(t, 2, "")
 	s.platform.Publish("workspaces", `{"workspaces":[{"id":"hot","rate":20,"burst":20},{"id":"quiet","rate":100,"burst":100}]}`)
 	for _, n := range s.nodes {
@@ -266,7 +266,7 @@
 	}
 }
 
-func TestOnlyPeersOfTheAuthorityAreBelieved(t *testing.T) {
+func TestOnlyPeersOfTheAuthorityAreAccepted(t *testing.T) {
 	s := newSite(t)
 	s.target("quotes", "a", 3)
 	s.publishTargets(nil)
--- a/internal/integration/once_test.go
+++ b/internal/integration/once_test.go
@@ -29,7 +29,7 @@
 	return s, b, n
 }
 
-func TestUnprovedWriteIsNotRepeated(t *testing.T) {
+func TestUnconfirmedWriteIsNotRetried(t *testing.T) {
 	cases := []struct {
 		name   string
 		mode   target.Mode
@@ -157,7 +157,7 @@
 	}
 }
 
-func TestShedRequestIsTriedElsewhere(t *testing.T) {
+func TestShedRequestIsRetriedOnAnotherTarget(t *testing.T) {
 	s, b, n := oneTarget(t)
 	b.SetMode(target.Mode{
 		Shed: true,
--- a/internal/integration/outlier_test.go
+++ b/internal/integration/outlier_test.go
@@ -184,7 +184,7 @@
 
 // Guards against a cut between one node, or one data hall, and a target that ejects the
 // target on other nodes.
-func TestCutOfOnePartEjectsNothingElsewhere(t *testing.T) {
+func TestPartialCutEjectsNoTargetElsewhere(t *testing.T) {
 	cases := []struct {
 		name string
 		// cut lists the nodes whose link to the target is cut in one direction.
--- a/internal/integration/path_test.go
+++ b/internal/integration/path_test.go
@@ -11,7 +11,7 @@
 	"ploverjunction.example/ploverjunction/internal/standin/target"
 )
 
-func TestRequestAndAnswerPassWhole(t *testing.T) {
+func TestRequestAndAnswerAreUnchanged(t *testing.T) {
 	s := newSite(t)
 	for range 3 {
 		s.target("quotes", "a", 3)
--- a/internal/integration/signal_test.go
+++ b/internal/integration/signal_test.go
@@ -151,7 +151,7 @@
 // then, so that the target's entry was still ready, and in the joint mode neither the node that
 // got the answer nor the dispatcher read the signal. Log lines of the answers showed the signal
 // and no change after it.
-func TestLeavingTargetsGetNothingMore(t *testing.T) {
+func TestDrainingTargetsGetNoRequests(t *testing.T) {
 	// within is the users' bound for a draining target to get no new requests.
 	const within = 2 * time.Second
 	for _, tt := range troubles {
@@ -219,7 +219,7 @@
 // time: it had recovered for 2 s and answered other nodes, so that the dispatcher's estimate was
 // good again, and the backoff was read nowhere. Log lines of the refusals showed the backoff
 // and no change after it.
-func TestTargetsAreLeftAlone(t *testing.T) {
+func TestRequestedBackoffIsRespected(t *testing.T) {
 	const rest = 4 * time.Second
 	for _, tt := range troubles {
 		t.Run(tt.name, func(t *testing.T) {
@@ -287,7 +287,7 @@
 // was forwarded, refused and retried, and then its caller got a Retry-After of a quarter of a
 // second. The caller must immediately get the time at which the request can be served, and
 // another service must not be affected.
-func TestServiceWhoseTargetsAllRest(t *testing.T) {
+func TestServiceWithAllTargetsBackingOff(t *testing.T) {
 	const rest = 4 * time.Second
 	s := quotesBeside(t, 54, `"deadline":"5s"`)
 	quotes := s.targets[:3]
--- a/internal/integration/stop_test.go
+++ b/internal/integration/stop_test.go
@@ -77,7 +77,7 @@
 	return ""
 }
 
-func TestPlannedStopCutsNothing(t *testing.T) {
+func TestPlannedStopFailsNoRequests(t *testing.T) {
 	s := pool(t, 1, "")
 	for _, b := range s.targets {
 		b.SetMode(target.Mode{
@@ -177,7 +177,7 @@
 	}
 }
 
-func TestLeavingTargetGetsNoNewWork(t *testing.T) {
+func TestDrainingTargetGetsNoNewRequests(t *testing.T) {
 	s := newSite(t)
 	for range 4 {
 		s.target("quotes", "a", 30).SetMode(target.Mode{
--- a/internal/integration/tool_test.go
+++ b/internal/integration/tool_test.go
@@ -213,7 +213,7 @@
 
 // Guards against a trace that misses or misorders lines of a request in the logs of
 // several nodes, whatever text is between or before them.
-func TestTraceTellsTheStoryOfARequest(t *testing.T) {
+func TestTraceOfRequestAcrossNodes(t *testing.T) {
 	one := file(t, "one.log", `{"level":"info","msg":"dispatch: desk","time":"2026-01-01T00:00:00.100Z"}
 {"level":"warning","msg":"entry: request failed","request":"r1","status":502,"time":"2026-01-01T00:00:00.300Z"}
 {"level":"info","msg":"entry: request answered","request":"r12","time":"2026-01-01T00:00:00.300Z"}
@@ -238,7 +238,7 @@
 
 // Guards against an account with wrong counts of outcomes by route or of reasons for
 // failed requests. Requests without a final line are not counted.
-func TestAccountSaysWhyRequestsWereLost(t *testing.T) {
+func TestAccountOfFailedRequests(t *testing.T) {
 	log := file(t, "node.log", `{"msg":"entry: request answered","request":"a","service":"quotes","route":"r","status":200,"time":"1"}
 {"msg":"entry: request answered","request":"b","service":"quotes","route":"r","status":200,"time":"1"}
 {"msg":"entry: attempt answered","request":"c","status":500,"time":"3"}
@@ -280,7 +280,7 @@
 
 // Guards against missing or duplicate log lines: one for each request's final answer
 // and one for each failed attempt.
-func TestEveryRequestHasItsLine(t *testing.T) {
+func TestEveryRequestIsLogged(t *testing.T) {
 	s, b, n := oneTarget(t)
 	good := n.do(http.MethodPost, "/quotes/1", "good", "")
 	b.SetMode(target.Mode{
--- a/internal/integration/whole_test.go
+++ b/internal/integration/whole_test.go
@@ -107,7 +107,7 @@
 }
 
 // Guards against delivering part of a small answer, which is held until it is complete.
-func TestBrokenSmallAnswerIsTriedElsewhere(t *testing.T) {
+func TestBrokenSmallAnswerIsRetried(t *testing.T) {
 	s := newSite(t)
 	bad := s.target("quotes", "a", 10)
 	s.target("quotes", "a", 10)
--- a/internal/soak/limits.go
+++ b/internal/soak/limits.go
@@ -16,7 +16,7 @@
 	limitSteps = 2
 	limitRate  = 3
 	limitText  = "3"
-	// minLimitTime and limitMax bound the duration of such a step. Both exceed limitWindow.
+	// minLimitTime and maxLimitTime bound the duration of such a step. Both exceed limitWindow.
 	minLimitTime = 5 * time.Second
 	maxLimitTime = 9 * time.Second
 	// limitWindow, limitExcess and limitSlack bound what a target with a limit receives from
--- a/internal/soak/schedule.go
+++ b/internal/soak/schedule.go
@@ -100,11 +100,11 @@
 	// faultTime is the period in which steps begin, long enough for two rolling restarts
 	// of a small fleet.
 	faultTime = 8 * time.Second
-	// minStepTime and stepMax bound the duration of a fault, below and above the second
+	// minStepTime and maxStepTime bound the duration of a fault, below and above the second
 	// in which nodes declare each other dead.
 	minStepTime = 200 * time.Millisecond
 	maxStepTime = 2500 * time.Millisecond
-	// minSteps and stepsMax bound the number of steps per node.
+	// minSteps and maxSteps bound the number of steps per node.
 	minSteps = 3
 	maxSteps = 6
 )
