--- a/internal/integration/config_test.go
+++ b/internal/integration/config_test.go
@@ -225,7 +225,7 @@
 			},
 		},
 		{
-			name: "a third is not heard back",
+			name: "answers of a third are cut",
 			fault: func() {
 				for i := 0; i < len(s.nodes); i += 3 {
 					s.nodes[i].front.Backward(faultproxy.Fault{
@@ -359,7 +359,7 @@
 		s.listNodes()
 		s.allReady()
 		for _, n := range s.nodes {
-			eventually(t, "all members known", func() bool {
+			eventually(t, "all members in the status", func() bool {
 				st := n.status()
 				return st != nil && len(st.Members) == size
 			})
--- a/internal/integration/ends_test.go
+++ b/internal/integration/ends_test.go
@@ -58,7 +58,7 @@
 	b.proxy.Down()
 	time.AfterFunc(back, func() {
 		if err := b.proxy.Up(); err != nil {
-			t.Errorf("target at %s can't come back: %v", b.proxy.Addr(), err)
+			t.Errorf("target at %s cannot restart: %v", b.proxy.Addr(), err)
 		}
 	})
 }
@@ -102,11 +102,11 @@
 		method string
 	}{
 		{
-			name:   "one that may be repeated",
+			name:   "repeatable",
 			method: http.MethodGet,
 		},
 		{
-			name:   "one that may not",
+			name:   "not repeatable",
 			method: http.MethodPost,
 		},
 	}
@@ -119,9 +119,9 @@
 			harm.Go(func() { s.send(tt.method, harmful, 50*time.Millisecond, during) })
 			sent, failed := s.send(http.MethodGet, harmless, 20*time.Millisecond, during)
 			harm.Wait()
-			t.Logf("%d targets ended; of %d other requests %d were not served", ends.Load(), sent, failed)
+			t.Logf("%d targets crashed; of %d other requests %d were not served", ends.Load(), sent, failed)
 			if got := ends.Load(); got > mostEnds {
-				t.Errorf("%d targets ended under one request, want at most %d", got, mostEnds)
+				t.Errorf("one request crashed %d targets, want at most %d", got, mostEnds)
 			}
 			// Other requests in flight on a target are lost when it crashes.
 			if most := sent / 20; failed > most {
@@ -154,7 +154,7 @@
 		}
 	}
 	if got := ends.Load(); got != before {
-		t.Errorf("%d more targets ended", got-before)
+		t.Errorf("%d more targets crashed", got-before)
 	}
 }
 
@@ -180,7 +180,7 @@
 		refused += strings.Count(n.proc.Load().Log(), `"code":"targets-end"`)
 	}
 	if refused > 0 {
-		t.Errorf("%d requests were refused as if they ended targets", refused)
+		t.Errorf("%d requests were refused as if they crashed targets", refused)
 	}
 }
 
@@ -196,7 +196,7 @@
 	same := func(int) string { return "/quotes/5" }
 	sent, failed := s.send(http.MethodPost, same, 50*time.Millisecond, 2*time.Second)
 	if failed != sent {
-		t.Fatalf("%d of %d requests failed while no answer came through", failed, sent)
+		t.Fatalf("%d of %d requests failed while every answer was lost, want all", failed, sent)
 	}
 	for _, b := range s.targets {
 		b.SetMode(target.Mode{})
@@ -207,6 +207,6 @@
 		}
 	}
 	if ends.Load() > 0 {
-		t.Errorf("%d targets ended", ends.Load())
+		t.Errorf("%d targets crashed", ends.Load())
 	}
 }
--- a/internal/integration/freeze_test.go
+++ b/internal/integration/freeze_test.go
@@ -87,7 +87,7 @@
 	for _, n := range awake {
 		eventually(t, "ejection", func() bool { return n.phase(bad).Phase != "healthy" })
 	}
-	t.Logf("out of service on the nodes awake after %v", time.Since(begun))
+	t.Logf("ejected on the running nodes after %v", time.Since(begun))
 	bad.SetMode(target.Mode{
 		Latency: 5 * time.Millisecond,
 	})
@@ -164,6 +164,6 @@
 	d, th := median(direct), median(through)
 	t.Logf("median direct %v, through a node %v", d, th)
 	if th > d*3/2 {
-		t.Fatalf("a node makes %v of %v", th, d)
+		t.Fatalf("median %v through a node, %v directly", th, d)
 	}
 }
--- a/internal/integration/joint_test.go
+++ b/internal/integration/joint_test.go
@@ -135,6 +135,6 @@
 		}
 	}
 	if busiest.Requests() == before {
-		t.Fatal("no request met the silent target")
+		t.Fatal("no request was sent to the silent target")
 	}
 }
--- a/internal/integration/keys_test.go
+++ b/internal/integration/keys_test.go
@@ -55,7 +55,7 @@
 	s.allReady()
 	for _, n := range s.nodes {
 		eventually(t, "all members live", func() bool { return liveMembers(n) == nodes })
-		eventually(t, "the key is known", func() bool { return n.ask(keyBrokers).status == http.StatusOK })
+		eventually(t, "the key is accepted", func() bool { return n.ask(keyBrokers).status == http.StatusOK })
 	}
 	return s
 }
@@ -96,12 +96,12 @@
 		for where, text := range told {
 			for _, key := range []string{keyBrokers, keyClinics} {
 				if strings.Contains(text, key) {
-					t.Errorf("a key stands in the %s", where)
+					t.Errorf("the %s contains a key", where)
 				}
 			}
 		}
 		if !strings.Contains(told["log"], `"workspace":"brokers"`) || !strings.Contains(told["log"], `"code":"unknown-key"`) {
-			t.Error("the log tells neither workspaces nor why a key was refused")
+			t.Error("the log lacks the workspace or the reason of a refused key")
 		}
 	}
 }
@@ -126,7 +126,7 @@
 	s := keyedSite(t, 3, 0)
 	s.publishWorkspaces(0, "another-key-of-theirs")
 	for _, n := range s.nodes {
-		eventually(t, "the new key is taken", func() bool { return n.ask("another-key-of-theirs").status == http.StatusOK })
+		eventually(t, "the new key is accepted", func() bool { return n.ask("another-key-of-theirs").status == http.StatusOK })
 		eventually(t, "the old key is refused", func() bool { return n.ask(keyBrokers).status == http.StatusUnauthorized })
 	}
 }
@@ -161,7 +161,7 @@
 	load.Wait()
 	took := time.Since(begun).Seconds()
 	if float64(admitted) < 0.8*rate*took || float64(admitted) > 1.25*rate*(took+1)+20 || refused == 0 || other > 0 {
-		t.Errorf("in %.1f s %d admitted at a limit of %d a second, %d refused, %d of another kind", took, admitted, rate, refused, other)
+		t.Errorf("in %.1f s %d admitted at a limit of %d a second, %d refused, %d with another status", took, admitted, rate, refused, other)
 	}
 	if r := n.ask(keyClinics); r.status != http.StatusOK {
 		t.Errorf("another workspace: status %d", r.status)
--- a/internal/integration/limit_test.go
+++ b/internal/integration/limit_test.go
@@ -116,11 +116,11 @@
 			time.AfterFunc(2*limitWindow, stop)
 			<-time.After(2*limitWindow + time.Second)
 			if got, allowed := l.fromTold(b, tt.left), l.allowed(limitExcess, limitSlack); got > allowed {
-				t.Errorf("%d requests in %v from nodes that were told of a limit of %v a second, allowed %d", got, limitWindow, rate, allowed)
+				t.Errorf("%d requests in %v from nodes that had received a limit of %v a second, allowed %d", got, limitWindow, rate, allowed)
 			} else {
 				t.Logf("%d requests in %v, allowed %d", got, limitWindow, allowed)
 			}
-			if tt.name == "joint choice" {
+			if tt.name == "joint mode" {
 				checkCalm(t, b, l)
 			}
 		})
@@ -196,6 +196,6 @@
 		}
 	}
 	if refused < 50 {
-		t.Errorf("%d of 100 refused, where the limits allow a tenth of what comes", refused)
+		t.Errorf("%d of 100 refused, where the limits allow a tenth of the load", refused)
 	}
 }
--- a/internal/integration/load_test.go
+++ b/internal/integration/load_test.go
@@ -184,7 +184,7 @@
 		}
 	}
 	if !n.ready() || n.do(http.MethodGet, "/quotes/1", "k", "").status != http.StatusOK {
-		t.Fatal("the node suffers")
+		t.Fatal("the node no longer serves")
 	}
 }
 
@@ -284,9 +284,9 @@
 		eventually(t, "the new revision", func() bool { return n.revision("routes") == rev })
 	}
 	for i, n := range strangers {
-		eventually(t, "some tries", func() bool { return n.status().Control.Calls > 5 })
+		eventually(t, "more than five calls", func() bool { return n.status().Control.Calls > 5 })
 		if st := n.status(); st.Config.Revision != 0 || st.Ready {
-			t.Errorf("stranger %d has revision %d", i, st.Config.Revision)
+			t.Errorf("node %d of another authority has revision %d", i, st.Config.Revision)
 		}
 	}
 }
--- a/internal/integration/once_test.go
+++ b/internal/integration/once_test.go
@@ -277,7 +277,7 @@
 	}
 	t.Logf("%d calls, %d runs, outcomes %v", len(h.Calls), len(h.Runs), count)
 	if count["done"] == 0 || count["not-run"] == 0 || count["unknown"] == 0 {
-		t.Fatalf("the storm must show every outcome: %v", count)
+		t.Fatalf("not every outcome occurred: %v", count)
 	}
 }
 
--- a/internal/integration/outlier_test.go
+++ b/internal/integration/outlier_test.go
@@ -111,9 +111,9 @@
 			return p == "ejected" || p == "trial"
 		})
 	}
-	t.Logf("out of service on all nodes after %v", time.Since(begun))
+	t.Logf("ejected on all nodes after %v", time.Since(begun))
 	if took := time.Since(begun); took > 5*time.Second {
-		t.Errorf("out of service after %v", took)
+		t.Errorf("ejected after %v", took)
 	}
 	for _, b := range s.targets {
 		if b == bad {
@@ -154,7 +154,7 @@
 			ErrorShare: 1,
 		})
 		for _, n := range s.nodes {
-			eventually(t, "the target judged sick", func() bool {
+			eventually(t, "the target ejected", func() bool {
 				s.checkFloor(n)
 				return n.phase(b).Phase == "ejected"
 			})
@@ -177,7 +177,7 @@
 	}
 	svc := st.Services[0]
 	if svc.Serving < svc.Floor {
-		s.t.Fatalf("%v slots serve, the floor is %v", svc.Serving, svc.Floor)
+		s.t.Fatalf("%v slots in service, the floor is %v", svc.Serving, svc.Floor)
 	}
 	return svc.Kept
 }
@@ -193,7 +193,7 @@
 		backward faultproxy.Fault
 	}{
 		{
-			name: "one node is not heard",
+			name: "requests of one node are cut",
 			cut:  []int{0},
 			forward: faultproxy.Fault{
 				Cut: true,
@@ -201,7 +201,7 @@
 			backward: faultproxy.Fault{},
 		},
 		{
-			name:    "one node does not hear",
+			name:    "answers to one node are cut",
 			cut:     []int{0},
 			forward: faultproxy.Fault{},
 			backward: faultproxy.Fault{
@@ -209,7 +209,7 @@
 			},
 		},
 		{
-			name: "one data hall is not heard",
+			name: "requests of one data hall are cut",
 			cut:  []int{0, 2, 4},
 			forward: faultproxy.Fault{
 				Cut: true,
@@ -233,7 +233,7 @@
 			eventually(t, "more work on the target", func() bool { return len(bad.Runs()) > ran+1000 })
 			for i, n := range s.nodes {
 				if p := n.phase(bad).Phase; !slices.Contains(c.cut, i) && p != "healthy" {
-					t.Errorf("node %d, which hears the target, has it as %s", i, p)
+					t.Errorf("node %d, which is not cut from the target, has it as %s", i, p)
 				}
 			}
 			sent, failed := l.stop()
--- a/internal/integration/restore_test.go
+++ b/internal/integration/restore_test.go
@@ -40,7 +40,7 @@
 			return st != nil && st.Config.Era == 1
 		})
 		if !n.serves(4) {
-			t.Error("routes that were in force are lost by the restore")
+			t.Error("the restore lost routes that were in force")
 		}
 		if ahead := n.status().Config.Ahead; !slices.Equal(ahead, []string{"routes"}) {
 			t.Errorf("ahead of the platform: %v", ahead)
@@ -50,7 +50,7 @@
 	s.nodes[0].restart()
 	eventually(t, "the restarted node ready", s.nodes[0].ready)
 	if !s.nodes[0].serves(4) {
-		t.Error("a node that begins serves by the copy")
+		t.Error("a starting node serves by the copy")
 	}
 	s.platform.Publish("routes", markDoc(5))
 	for _, n := range s.nodes {
--- a/internal/integration/signal_test.go
+++ b/internal/integration/signal_test.go
@@ -109,14 +109,14 @@
 
 var troubles = []trouble{
 	{
-		name:   "joint choice",
+		name:   "joint mode",
 		net:    50,
 		choice: "joint",
 		strike: func(*site) {},
 		left:   []int{0, 1, 2, 3},
 	},
 	{
-		name:   "dispatchers that have just begun",
+		name:   "dispatchers that have just started",
 		net:    51,
 		choice: "joint",
 		strike: func(s *site) {
@@ -126,7 +126,7 @@
 		left: []int{2, 3},
 	},
 	{
-		name:   "a node that no other answers",
+		name:   "an isolated node",
 		net:    52,
 		choice: "joint",
 		strike: func(s *site) {
@@ -137,7 +137,7 @@
 		left: []int{3},
 	},
 	{
-		name:   "nodes that choose alone",
+		name:   "independent mode",
 		net:    53,
 		choice: "alone",
 		strike: func(*site) {},
@@ -167,7 +167,7 @@
 				Leaving: true,
 			})
 			for _, i := range tt.left {
-				eventually(t, "a word of leaving", func() bool { return heardLeaving(b, i) || tt.choice == "joint" && quiet(b) })
+				eventually(t, "the draining signal", func() bool { return heardLeaving(b, i) || tt.choice == "joint" && quiet(b) })
 			}
 			stopped()
 			tt.strike(s)
@@ -210,7 +210,7 @@
 		}
 	}
 	if late > 0 {
-		t.Errorf("node %d sent %d requests later than %v after it was told that the target leaves", node, late, within)
+		t.Errorf("node %d sent %d requests later than %v after the draining signal", node, late, within)
 	}
 }
 
@@ -233,7 +233,7 @@
 				Shed: true,
 				Rest: rest,
 			})
-			eventually(t, "a request turned away", func() bool { return turnedAway(b, tt.left) })
+			eventually(t, "a request refused with a backoff", func() bool { return turnedAway(b, tt.left) })
 			b.SetMode(target.Mode{
 				Latency: noticeWork,
 			})
@@ -277,7 +277,7 @@
 			}
 		}
 		if n > most {
-			t.Errorf("node %d sent %d requests in the %v of rest that it was asked for", node, n, asked.Rest)
+			t.Errorf("node %d sent %d requests during the requested backoff of %v", node, n, asked.Rest)
 			return
 		}
 	}
@@ -299,7 +299,7 @@
 	}
 	ask := func(i int) reply { return s.nodes[i].do(http.MethodGet, "/quotes/1", fmt.Sprintf("%d-q", i), "") }
 	for i := range s.nodes {
-		eventually(t, "all targets to turn the node away", func() bool {
+		eventually(t, "backoffs of all targets", func() bool {
 			ask(i)
 			return !slices.ContainsFunc(quotes, func(b *backend) bool { return !turnedAway(b, []int{i}) })
 		})
@@ -319,18 +319,18 @@
 		back := time.Now().Add(time.Duration(seconds) * time.Second)
 		// The value is rounded up to seconds and jittered, to spread the callers.
 		if err != nil || back.Before(ends) || back.After(ends.Add(rest/2+time.Second)) {
-			t.Errorf("node %d: Retry-After %q, the rest ends in %v", i, r.header.Get("Retry-After"), time.Until(ends))
+			t.Errorf("node %d: Retry-After %q, the backoff ends in %v", i, r.header.Get("Retry-After"), time.Until(ends))
 		}
 	}
 	for i, n := range s.nodes {
 		if got := n.status().Signals; len(got) != len(quotes) || got[0].Service != "quotes" || got[0].RestMS <= 0 {
-			t.Errorf("node %d shows %+v", i, got)
+			t.Errorf("node %d has signals %+v", i, got)
 		}
 		if _, out := ctl(t, "status", "--node", n.proc.Load().Operator()); strings.Count(out, "told this node that it wants nothing") != len(quotes) {
-			t.Errorf("node %d: ploverctl shows\n%s", i, out)
+			t.Errorf("node %d: ploverctl printed\n%s", i, out)
 		}
 		if !strings.Contains(n.proc.Load().Log(), "all targets rest") {
-			t.Errorf("node %d doesn't log why", i)
+			t.Errorf("node %d does not log the reason", i)
 		}
 	}
 	for i := range 40 {
@@ -344,7 +344,7 @@
 		b.SetMode(target.Mode{})
 	}
 	for i := range s.nodes {
-		eventually(t, "quotes after the rest", func() bool { return ask(i).status == http.StatusOK })
+		eventually(t, "quotes after the backoff", func() bool { return ask(i).status == http.StatusOK })
 		for _, b := range quotes {
 			checkRest(t, b, i)
 		}
--- a/internal/integration/smuggle_test.go
+++ b/internal/integration/smuggle_test.go
@@ -181,7 +181,7 @@
 			}
 			t.Logf("status %d", got[0])
 			if runs := s.runsOf("smuggled"); runs != 0 {
-				t.Fatalf("the hidden request ran %d times", runs)
+				t.Fatalf("the smuggled request ran %d times", runs)
 			}
 		})
 	}
--- a/internal/integration/stop_test.go
+++ b/internal/integration/stop_test.go
@@ -99,13 +99,13 @@
 		t.Fatalf("a request within the drain wait: status %d err %v", r.status, r.err)
 	}
 	if !r.closes {
-		t.Error("the connection of a leaving node is kept open")
+		t.Error("the connection of a stopping node is kept open")
 	}
 	d := <-download
 	if d.err != nil || !bytes.Equal(d.body, target.Document("/quotes/pack", size)) {
 		t.Fatalf("download: %d of %d bytes, err %v", len(d.body), size, d.err)
 	}
-	t.Logf("a download of %v was finished", d.took)
+	t.Logf("a download of %v was completed", d.took)
 	n.exits()
 }
 
@@ -167,7 +167,7 @@
 		eventually(t, "the new process ready", n.ready)
 		// The balancer must poll it before the next one is stopped.
 		i := slices.Index(s.nodes, n)
-		eventually(t, "the balancer sees it", func() bool { return b.ready[i].Load() })
+		eventually(t, "the balancer polls the node as ready", func() bool { return b.ready[i].Load() })
 	}
 	close(done)
 	all.Wait()
@@ -201,18 +201,18 @@
 	})
 	begun := time.Now()
 	for _, n := range s.nodes {
-		eventually(t, "leaving on all nodes", func() bool { return n.phase(leaving).Leaving })
+		eventually(t, "the draining signal on all nodes", func() bool { return n.phase(leaving).Leaving })
 	}
 	took := time.Since(begun)
-	t.Logf("known on all nodes after %v", took)
+	t.Logf("received by all nodes after %v", took)
 	if took > 3*time.Second {
-		t.Errorf("known after %v", took)
+		t.Errorf("received after %v", took)
 	}
 	quiet := len(leaving.Runs())
 	ran := len(s.targets[1].Runs())
 	eventually(t, "more work elsewhere", func() bool { return len(s.targets[1].Runs()) > ran+300 })
 	if now := len(leaving.Runs()); now != quiet {
-		t.Errorf("%d requests ran on a leaving target after all nodes knew", now-quiet)
+		t.Errorf("%d requests ran on a draining target after all nodes had received the signal", now-quiet)
 	}
 	if sent, failed := l.stop(); failed > 0 {
 		t.Errorf("%d of %d failed", failed, sent)
--- a/internal/integration/tool_test.go
+++ b/internal/integration/tool_test.go
@@ -136,7 +136,7 @@
 	_, out := ctl(t, "--output", "json", "status", "--node", ops)
 	var list []map[string]any
 	if err := json.Unmarshal([]byte(out), &list); err != nil || len(list) != 1 {
-		t.Fatalf("no JSON: %v\n%s", err, out)
+		t.Fatalf("invalid JSON: %v\n%s", err, out)
 	}
 	if exit, out := ctl(t, "drain", "--node", ops); exit != 0 {
 		t.Fatalf("drain: exit %d: %s", exit, out)
@@ -157,7 +157,7 @@
 			t.Errorf("exit %d: %s", cmd.ProcessState.ExitCode(), out)
 		}
 		if strings.Contains(string(out), "serving") {
-			t.Error("ports were opened")
+			t.Error("the daemon opened ports")
 		}
 	}
 }
@@ -208,7 +208,7 @@
 	if err := os.Remove(filepath.Join(dir, "routes.json")); err != nil {
 		t.Fatal(err)
 	}
-	eventually(t, "the end of the route", func() bool { return status() == http.StatusNotFound })
+	eventually(t, "the removal of the route", func() bool { return status() == http.StatusNotFound })
 }
 
 // Guards against a trace that misses or misorders lines of a request in the logs of
@@ -274,7 +274,7 @@
 		}
 	}
 	if _, out := ctl(t, "account", log); !strings.Contains(out, "40.00%") {
-		t.Errorf("no share in:\n%s", out)
+		t.Errorf("no share of requests in:\n%s", out)
 	}
 }
 
@@ -304,6 +304,6 @@
 		return count(goodID, "request answered") == 1 && count(badID, "request failed") == 1
 	})
 	if count(goodID, "") != 1 || count(badID, "attempt failed") != 1 {
-		t.Errorf("lines about the good request %d, about the failed attempt %d", count(goodID, ""), count(badID, "attempt failed"))
+		t.Errorf("%d lines for the good request, %d for the failed attempt", count(goodID, ""), count(badID, "attempt failed"))
 	}
 }
--- a/internal/integration/whole_test.go
+++ b/internal/integration/whole_test.go
@@ -53,7 +53,7 @@
 				}
 			}
 			if len(bad.Runs()) == 0 {
-				t.Fatal("the bad target was never asked: the test shows nothing")
+				t.Fatal("the bad target got no request, so the test is void")
 			}
 		})
 	}
@@ -100,7 +100,7 @@
 			bad.SetMode(m)
 			r := n.do(http.MethodGet, fmt.Sprintf("/quotes/pack?size=%d%s", documentSize, framing), "pack", "")
 			if r.err == nil {
-				t.Fatalf("mode %+v%s: %d of %d bytes came as a whole answer", m, framing, len(r.body), documentSize)
+				t.Fatalf("mode %+v%s: %d of %d bytes were delivered as a complete answer", m, framing, len(r.body), documentSize)
 			}
 		}
 	}
