--- a/internal/integration/signal_test.go
+++ b/internal/integration/signal_test.go
@@ -199,14 +199,14 @@
 // checkLeft checks that a node sends no request later than within after the draining signal.
 func checkLeft(t *testing.T, b *backend, node int, within time.Duration) {
 	t.Helper()
-	var told time.Time
+	var received time.Time
 	late := 0
 	for _, a := range b.from(node) {
 		switch {
-		case !told.IsZero() && a.At.Sub(told) > within:
+		case !received.IsZero() && a.At.Sub(received) > within:
 			late++
-		case a.Leaving && told.IsZero():
-			told = a.At.Add(noticeWork)
+		case a.Leaving && received.IsZero():
+			received = a.At.Add(noticeWork)
 		}
 	}
 	if late > 0 {
