--- a/internal/integration/signal_test.go
+++ b/internal/integration/signal_test.go
@@ -265,8 +265,8 @@
 func checkRest(t *testing.T, b *backend, node int) {
 	t.Helper()
 	const (
-		slack = 500 * time.Millisecond
-		most  = 2
+		slack       = 500 * time.Millisecond
+		maxRequests = 2
 	)
 	all := b.from(node)
 	for _, asked := range all {
@@ -276,7 +276,7 @@
 				n++
 			}
 		}
-		if n > most {
+		if n > maxRequests {
 			t.Errorf("node %d sent %d requests during the requested backoff of %v", node, n, asked.Rest)
 			return
 		}
