--- a/internal/integration/signal_test.go
+++ b/internal/integration/signal_test.go
@@ -297,10 +297,10 @@
 			Rest: rest,
 		})
 	}
-	ask := func(i int) reply { return s.nodes[i].do(http.MethodGet, "/quotes/1", fmt.Sprintf("%d-q", i), "") }
+	request := func(i int) reply { return s.nodes[i].do(http.MethodGet, "/quotes/1", fmt.Sprintf("%d-q", i), "") }
 	for i := range s.nodes {
 		eventually(t, "backoffs of all targets", func() bool {
-			ask(i)
+			request(i)
 			return !slices.ContainsFunc(quotes, func(b *backend) bool { return !turnedAway(b, []int{i}) })
 		})
 	}
@@ -311,7 +311,7 @@
 				ends = at
 			}
 		}
-		r := ask(i)
+		r := request(i)
 		if r.status != http.StatusServiceUnavailable || r.outcome != "not-run" || r.took > 200*time.Millisecond {
 			t.Errorf("node %d: status %d, outcome %q after %v", i, r.status, r.outcome, r.took)
 		}
@@ -338,13 +338,13 @@
 		if r := n.do(http.MethodPost, "/documents/1", fmt.Sprintf("document-%d", i), ""); r.status != http.StatusOK || r.took > time.Second {
 			t.Errorf("document %d: status %d after %v", i, r.status, r.took)
 		}
-		ask(i % 2)
+		request(i % 2)
 	}
 	for _, b := range quotes {
 		b.SetMode(target.Mode{})
 	}
 	for i := range s.nodes {
-		eventually(t, "quotes after the backoff", func() bool { return ask(i).status == http.StatusOK })
+		eventually(t, "quotes after the backoff", func() bool { return request(i).status == http.StatusOK })
 		for _, b := range quotes {
 			checkRest(t, b, i)
 		}
