--- a/internal/integration/limit_test.go
+++ b/internal/integration/limit_test.go
@@ -61,17 +61,17 @@
 // fromTold returns the maximum number of requests in one window from nodes that had received
 // the limit at least limitKnown before.
 func (l limited) fromTold(b *backend, nodes []int) int {
-	told := map[string]time.Time{}
+	received := map[string]time.Time{}
 	for _, i := range nodes {
 		for _, a := range b.from(i) {
 			if a.Limit != "" {
-				told[strconv.Itoa(i)] = a.At.Add(noticeWork)
+				received[strconv.Itoa(i)] = a.At.Add(noticeWork)
 				break
 			}
 		}
 	}
 	return most(b.Arrivals(), func(a target.Arrival) bool {
-		at, ok := told[a.Key[:1]]
+		at, ok := received[a.Key[:1]]
 		return ok && a.At.Sub(at) >= limitKnown && a.At.Sub(l.named) >= limitSettled
 	})
 }
