--- a/internal/integration/keys_test.go
+++ b/internal/integration/keys_test.go
@@ -88,19 +88,19 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		told := map[string]string{
+		outputs := map[string]string{
 			"log":     n.proc.Load().Log(),
 			"status":  string(st),
 			"metrics": n.metricsText(),
 		}
-		for where, text := range told {
+		for where, text := range outputs {
 			for _, key := range []string{keyBrokers, keyClinics} {
 				if strings.Contains(text, key) {
 					t.Errorf("the %s contains a key", where)
 				}
 			}
 		}
-		if !strings.Contains(told["log"], `"workspace":"brokers"`) || !strings.Contains(told["log"], `"code":"unknown-key"`) {
+		if !strings.Contains(outputs["log"], `"workspace":"brokers"`) || !strings.Contains(outputs["log"], `"code":"unknown-key"`) {
 			t.Error("the log lacks the workspace or the reason of a refused key")
 		}
 	}
