--- a/internal/integration/stop_test.go
+++ b/internal/integration/stop_test.go
@@ -192,26 +192,26 @@
 	s.listNodes()
 	s.allReady()
 	l := startLoad(s.nodes[:2], 4, 5*time.Millisecond)
-	leaving := s.targets[0]
-	eventually(t, "work on the target", func() bool { return len(leaving.Runs()) > 20 })
+	draining := s.targets[0]
+	eventually(t, "work on the target", func() bool { return len(draining.Runs()) > 20 })
 	// The platform's list keeps the target as live.
-	leaving.SetMode(target.Mode{
+	draining.SetMode(target.Mode{
 		Latency: 3 * time.Millisecond,
 		Leaving: true,
 	})
 	begun := time.Now()
 	for _, n := range s.nodes {
-		eventually(t, "the draining signal on all nodes", func() bool { return n.phase(leaving).Leaving })
+		eventually(t, "the draining signal on all nodes", func() bool { return n.phase(draining).Leaving })
 	}
 	took := time.Since(begun)
 	t.Logf("received by all nodes after %v", took)
 	if took > 3*time.Second {
 		t.Errorf("received after %v", took)
 	}
-	quiet := len(leaving.Runs())
+	quiet := len(draining.Runs())
 	ran := len(s.targets[1].Runs())
 	eventually(t, "more work elsewhere", func() bool { return len(s.targets[1].Runs()) > ran+300 })
-	if now := len(leaving.Runs()); now != quiet {
+	if now := len(draining.Runs()); now != quiet {
 		t.Errorf("%d requests ran on a draining target after all nodes had received the signal", now-quiet)
 	}
 	if sent, failed := l.stop(); failed > 0 {
