--- a/internal/integration/stop_test.go
+++ b/internal/integration/stop_test.go
@@ -208,11 +208,11 @@
 	if took > 3*time.Second {
 		t.Errorf("received after %v", took)
 	}
-	quiet := len(draining.Runs())
+	before := len(draining.Runs())
 	ran := len(s.targets[1].Runs())
 	eventually(t, "more work elsewhere", func() bool { return len(s.targets[1].Runs()) > ran+300 })
-	if now := len(draining.Runs()); now != quiet {
-		t.Errorf("%d requests ran on a draining target after all nodes had received the signal", now-quiet)
+	if now := len(draining.Runs()); now != before {
+		t.Errorf("%d requests ran on a draining target after all nodes had received the signal", now-before)
 	}
 	if sent, failed := l.stop(); failed > 0 {
 		t.Errorf("%d of %d failed", failed, sent)
