--- a/internal/integration/ends_test.go
+++ b/internal/integration/ends_test.go
@@ -93,9 +93,9 @@
 // crash only a few, and other requests are served.
 func TestRequestThatCrashesTargets(t *testing.T) {
 	const (
-		// mostEnds allows three crashes until the request is quarantined and three more attempts.
-		mostEnds = 6
-		during   = 6 * time.Second
+		// maxCrashes allows three crashes until the request is quarantined and three more attempts.
+		maxCrashes = 6
+		during     = 6 * time.Second
 	)
 	tests := []struct {
 		name   string
@@ -120,8 +120,8 @@
 			sent, failed := s.send(http.MethodGet, harmless, 20*time.Millisecond, during)
 			harm.Wait()
 			t.Logf("%d targets crashed; of %d other requests %d were not served", ends.Load(), sent, failed)
-			if got := ends.Load(); got > mostEnds {
-				t.Errorf("one request crashed %d targets, want at most %d", got, mostEnds)
+			if got := ends.Load(); got > maxCrashes {
+				t.Errorf("one request crashed %d targets, want at most %d", got, maxCrashes)
 			}
 			// Other requests in flight on a target are lost when it crashes.
 			if most := sent / 20; failed > most {
