--- a/internal/integration/load_test.go
+++ b/internal/integration/load_test.go
@@ -95,10 +95,10 @@
 	})
 	all.Wait()
 	took := time.Since(begun)
-	most := 20 + int64(20*took.Seconds()) + 2
+	maxServed := 20 + int64(20*took.Seconds()) + 2
 	t.Logf("%d served and %d refused in %v", ok.Load(), refused.Load(), took)
-	if ok.Load()+refused.Load() != 1200 || ok.Load() > most {
-		t.Errorf("%d served, at most %d allowed; %d refused", ok.Load(), most, refused.Load())
+	if ok.Load()+refused.Load() != 1200 || ok.Load() > maxServed {
+		t.Errorf("%d served, at most %d allowed; %d refused", ok.Load(), maxServed, refused.Load())
 	}
 	if quietFailed.Load() > 0 {
 		t.Errorf("%d requests of another workspace failed", quietFailed.Load())
