--- a/internal/integration/load_test.go
+++ b/internal/integration/load_test.go
@@ -144,16 +144,16 @@
 	ran := len(s.targets[1].Runs())
 	eventually(t, "work elsewhere", func() bool { return len(s.targets[1].Runs()) > ran+100 })
 	b.proxy.Forward(faultproxy.Fault{})
-	most := 0
+	maxConns := 0
 	ran = len(s.targets[1].Runs())
 	eventually(t, "more work", func() bool {
-		most = max(most, b.proxy.Conns())
+		maxConns = max(maxConns, b.proxy.Conns())
 		return len(s.targets[1].Runs()) > ran+300
 	})
 	sent, failed := l.stop()
-	t.Logf("at most %d connections; %d of %d failed", most, failed, sent)
-	if most > 200 {
-		t.Fatalf("%d connections to a target that accepts 200", most)
+	t.Logf("at most %d connections; %d of %d failed", maxConns, failed, sent)
+	if maxConns > 200 {
+		t.Fatalf("%d connections to a target that accepts 200", maxConns)
 	}
 }
 
