--- a/internal/integration/ends_test.go
+++ b/internal/integration/ends_test.go
@@ -124,8 +124,8 @@
 				t.Errorf("one request crashed %d targets, want at most %d", got, maxCrashes)
 			}
 			// Other requests in flight on a target are lost when it crashes.
-			if most := sent / 20; failed > most {
-				t.Errorf("%d of %d other requests were not served, want at most %d", failed, sent, most)
+			if maxFailed := sent / 20; failed > maxFailed {
+				t.Errorf("%d of %d other requests were not served, want at most %d", failed, sent, maxFailed)
 			}
 		})
 	}
