--- a/internal/integration/config_test.go
+++ b/internal/integration/config_test.go
@@ -162,14 +162,14 @@
 
 // spreadTime returns how long each node took to apply a revision of the routes.
 func (s *site) spreadTime(rev uint64, nodes []*node) []time.Duration {
-	begun := time.Now()
+	started := time.Now()
 	took := make([]time.Duration, len(nodes))
 	var all sync.WaitGroup
 	for i, n := range nodes {
 		all.Go(func() {
-			for took[i] == 0 && time.Since(begun) < patience {
+			for took[i] == 0 && time.Since(started) < patience {
 				if n.revision("routes") >= rev {
-					took[i] = time.Since(begun)
+					took[i] = time.Since(started)
 				} else {
 					time.Sleep(2 * time.Millisecond)
 				}
