--- a/internal/integration/ends_test.go
+++ b/internal/integration/ends_test.go
@@ -72,7 +72,7 @@
 		all    sync.WaitGroup
 		counts sync.Mutex
 	)
-	for begun := time.Now(); time.Since(begun) < during; sent++ {
+	for started := time.Now(); time.Since(started) < during; sent++ {
 		n := s.nodes[sent%len(s.nodes)]
 		at := path(sent)
 		all.Go(func() {
