--- a/internal/integration/freeze_test.go
+++ b/internal/integration/freeze_test.go
@@ -80,14 +80,14 @@
 	l := startLoad(awake[:4], 16, 10*time.Millisecond)
 	eventually(t, "work on the target", func() bool { return len(bad.Runs()) > 50 })
 	observer.signal(syscall.SIGSTOP)
-	begun := time.Now()
+	started := time.Now()
 	bad.SetMode(target.Mode{
 		Stall: true,
 	})
 	for _, n := range awake {
 		eventually(t, "ejection", func() bool { return n.phase(bad).Phase != "healthy" })
 	}
-	t.Logf("ejected on the running nodes after %v", time.Since(begun))
+	t.Logf("ejected on the running nodes after %v", time.Since(started))
 	bad.SetMode(target.Mode{
 		Latency: 5 * time.Millisecond,
 	})
