--- a/internal/integration/keys_test.go
+++ b/internal/integration/keys_test.go
@@ -140,10 +140,10 @@
 	var mu sync.Mutex
 	admitted, refused, other := 0, 0, 0
 	var load sync.WaitGroup
-	begun := time.Now()
+	started := time.Now()
 	for range 4 {
 		load.Go(func() {
-			for time.Since(begun) < 3*time.Second {
+			for time.Since(started) < 3*time.Second {
 				r := n.ask(keyBrokers)
 				mu.Lock()
 				switch {
@@ -159,7 +159,7 @@
 		})
 	}
 	load.Wait()
-	took := time.Since(begun).Seconds()
+	took := time.Since(started).Seconds()
 	if float64(admitted) < 0.8*rate*took || float64(admitted) > 1.25*rate*(took+1)+20 || refused == 0 || other > 0 {
 		t.Errorf("in %.1f s %d admitted at a limit of %d a second, %d refused, %d with another status", took, admitted, rate, refused, other)
 	}
