--- a/internal/integration/limit_test.go
+++ b/internal/integration/limit_test.go
@@ -161,11 +161,11 @@
 			Limit:   fmt.Sprint(rate),
 		})
 	}
-	begun := time.Now()
+	started := time.Now()
 	stop := s.load(0, 1)
 	time.AfterFunc(limitSettled+2*limitWindow, stop)
 	documents := 0
-	for time.Since(begun) < limitSettled+2*limitWindow {
+	for time.Since(started) < limitSettled+2*limitWindow {
 		n := s.nodes[documents%2]
 		documents++
 		if r := n.do(http.MethodPost, "/documents/1", fmt.Sprintf("document-%d", documents), ""); r.status != http.StatusOK || r.took > time.Second {
@@ -175,7 +175,7 @@
 	for _, b := range quotes {
 		l := limited{
 			rate:  rate,
-			named: begun,
+			named: started,
 		}
 		checkCalm(t, b, l)
 	}
