--- a/internal/integration/load_test.go
+++ b/internal/integration/load_test.go
@@ -72,7 +72,7 @@
 	}
 	var ok, refused, quietFailed atomic.Int64
 	var all sync.WaitGroup
-	begun := time.Now()
+	started := time.Now()
 	for w := range 8 {
 		all.Go(func() {
 			for range 150 {
@@ -94,7 +94,7 @@
 		}
 	})
 	all.Wait()
-	took := time.Since(begun)
+	took := time.Since(started)
 	maxServed := 20 + int64(20*took.Seconds()) + 2
 	t.Logf("%d served and %d refused in %v", ok.Load(), refused.Load(), took)
 	if ok.Load()+refused.Load() != 1200 || ok.Load() > maxServed {
