--- a/internal/integration/outlier_test.go
+++ b/internal/integration/outlier_test.go
@@ -101,7 +101,7 @@
 	// Only four of the six nodes have callers; the others depend on ejection decisions.
 	l := startLoad(s.nodes[:4], 16, 10*time.Millisecond)
 	eventually(t, "work on the target", func() bool { return len(bad.Runs()) > 50 })
-	begun := time.Now()
+	started := time.Now()
 	bad.SetMode(target.Mode{
 		Stall: true,
 	})
@@ -111,8 +111,8 @@
 			return p == "ejected" || p == "trial"
 		})
 	}
-	t.Logf("ejected on all nodes after %v", time.Since(begun))
-	if took := time.Since(begun); took > 5*time.Second {
+	t.Logf("ejected on all nodes after %v", time.Since(started))
+	if took := time.Since(started); took > 5*time.Second {
 		t.Errorf("ejected after %v", took)
 	}
 	for _, b := range s.targets {
