--- a/internal/integration/stop_test.go
+++ b/internal/integration/stop_test.go
@@ -199,11 +199,11 @@
 		Latency: 3 * time.Millisecond,
 		Leaving: true,
 	})
-	begun := time.Now()
+	started := time.Now()
 	for _, n := range s.nodes {
 		eventually(t, "the draining signal on all nodes", func() bool { return n.phase(draining).Leaving })
 	}
-	took := time.Since(begun)
+	took := time.Since(started)
 	t.Logf("received by all nodes after %v", took)
 	if took > 3*time.Second {
 		t.Errorf("received after %v", took)
