--- a/internal/integration/harness_test.go
+++ b/internal/integration/harness_test.go
@@ -316,7 +316,7 @@
 }
 
 func send(c *http.Client, method, url, key, body string, header ...string) reply {
-	begun := time.Now()
+	started := time.Now()
 	req, err := http.NewRequest(method, url, strings.NewReader(body))
 	if err != nil {
 		return reply{
@@ -331,7 +331,7 @@
 	if err != nil {
 		return reply{
 			err:  err,
-			took: time.Since(begun),
+			took: time.Since(started),
 		}
 	}
 	defer func() { _ = res.Body.Close() }()
@@ -343,7 +343,7 @@
 		closes:  res.Close,
 		body:    b,
 		err:     err,
-		took:    time.Since(begun),
+		took:    time.Since(started),
 	}
 }
 
