--- a/internal/soak/caller.go
+++ b/internal/soak/caller.go
@@ -112,7 +112,7 @@
 func (f *fleet) makeCall(c *http.Client, n *node, method, key string) record {
 	l := n.current.Load()
 	path := "/quotes/1"
-	begun := time.Since(f.started)
+	started := time.Since(f.started)
 	r := call(context.Background(), c, method, "http://"+l.proc.Entry()+path, key, f.key())
 	return record{
 		Call: history.Call{
@@ -125,7 +125,7 @@
 		},
 		node:    n.index,
 		process: l,
-		started: begun,
+		started: started,
 		ended:   time.Since(f.started),
 		err:     r.err,
 		refused: errors.Is(r.err, syscall.ECONNREFUSED),
