--- a/internal/soak/caller.go
+++ b/internal/soak/caller.go
@@ -146,7 +146,7 @@
 func (f *fleet) pollRoutesOnce(ctx context.Context, c *http.Client, n *node, i int) {
 	l := n.current.Load()
 	newest, published := f.newest()
-	begun := time.Since(f.started)
+	started := time.Since(f.started)
 	r := call(ctx, c, http.MethodGet, fmt.Sprintf("http://%s/mark-%d", l.proc.Entry(), newest), fmt.Sprintf("look-%d-%d", n.index, i), f.key())
 	switch {
 	case r.err != nil:
@@ -156,7 +156,7 @@
 		// Other errors do not show which routes are in force.
 	case l.newestRoute.Load() >= int64(newest):
 		f.violation("node %d: route mark-%d was in force and has been lost", n.index, newest)
-	case time.Since(published) > propagationTime && f.undisturbedSince(n, begun-propagationTime) && !l.stopped.Load():
+	case time.Since(published) > propagationTime && f.undisturbedSince(n, started-propagationTime) && !l.stopped.Load():
 		f.violation("node %d: route mark-%d isn't in force %v after its publication", n.index, newest, time.Since(published).Round(time.Millisecond))
 	}
 }
