--- a/internal/soak/workspaces.go
+++ b/internal/soak/workspaces.go
@@ -87,15 +87,15 @@
 	for i := 0; ctx.Err() == nil; i++ {
 		n := f.nodes[i%len(f.nodes)]
 		f.mu.Lock()
-		old, taken := f.keys-1, f.revoked
+		old, revoked := f.keys-1, f.revoked
 		f.mu.Unlock()
 		started := time.Since(f.started)
 		r := call(ctx, c, http.MethodGet, "http://"+n.current.Load().proc.Entry()+"/quotes/1", fmt.Sprint("old-", i), keyName(old))
 		f.mu.Lock()
 		same := old == f.keys-1
 		f.mu.Unlock()
-		if old > 0 && same && r.status == http.StatusOK && started-taken.Sub(f.started) > propagationTime && f.undisturbedSince(n, started-propagationTime) {
-			f.violation("node %d: accepted a key %v after it was revoked", n.index, time.Since(taken).Round(time.Millisecond))
+		if old > 0 && same && r.status == http.StatusOK && started-revoked.Sub(f.started) > propagationTime && f.undisturbedSince(n, started-propagationTime) {
+			f.violation("node %d: accepted a key %v after it was revoked", n.index, time.Since(revoked).Round(time.Millisecond))
 		}
 		time.Sleep(pollInterval)
 	}
