--- a/internal/soak/signals.go
+++ b/internal/soak/signals.go
@@ -103,7 +103,7 @@
 
 // checkDraining reports requests to a target by a process that had relayed its draining signal.
 func (f *fleet) checkDraining(b *backend, calls map[string]*trackedCall) {
-	told := map[*incarnation]time.Duration{}
+	received := map[*incarnation]time.Duration{}
 	for _, a := range b.Arrivals() {
 		at := a.At.Sub(f.started)
 		c := calls[a.Key]
@@ -111,18 +111,18 @@
 			continue
 		}
 		if begun := f.incarnationBefore(b, at); begun > 0 {
-			for l, when := range told {
+			for l, when := range received {
 				if when < begun {
-					delete(told, l)
+					delete(received, l)
 				}
 			}
 		}
-		when, known := told[c.process]
+		when, known := received[c.process]
 		switch {
 		case known && c.started > when:
 			f.violation("%s signaled that it is draining; node %d relayed that at %.2fs and sent it %s at %.2fs", b.Name(), c.node, when.Seconds(), a.Key, at.Seconds())
 		case !known && a.Leaving && c.arrivals == 1 && c.err == nil && c.Status == http.StatusOK:
-			told[c.process] = c.ended
+			received[c.process] = c.ended
 		}
 	}
 }
