--- a/internal/soak/signals.go
+++ b/internal/soak/signals.go
@@ -110,9 +110,9 @@
 		if c == nil {
 			continue
 		}
-		if begun := f.incarnationBefore(b, at); begun > 0 {
+		if started := f.incarnationBefore(b, at); started > 0 {
 			for l, when := range received {
-				if when < begun {
+				if when < started {
 					delete(received, l)
 				}
 			}
