--- a/internal/soak/crash.go
+++ b/internal/soak/crash.go
@@ -54,12 +54,12 @@
 	if !f.plan.Harmful {
 		return
 	}
-	lives := f.processes.Load()
-	most := crashesToRefuse + lives
+	processes := f.processes.Load()
+	most := crashesToRefuse + processes
 	if !f.plan.Joint {
-		most = crashesToRefuse * lives
+		most = crashesToRefuse * processes
 	}
 	if ends := f.crashes.Load(); ends > most {
-		f.violation("one request crashed %d targets, at most %d are allowed with %d processes", ends, most, lives)
+		f.violation("one request crashed %d targets, at most %d are allowed with %d processes", ends, most, processes)
 	}
 }
