--- a/internal/soak/crash.go
+++ b/internal/soak/crash.go
@@ -55,11 +55,11 @@
 		return
 	}
 	processes := f.processes.Load()
-	most := crashesToRefuse + processes
+	maxCrashes := crashesToRefuse + processes
 	if !f.plan.Joint {
-		most = crashesToRefuse * processes
+		maxCrashes = crashesToRefuse * processes
 	}
-	if ends := f.crashes.Load(); ends > most {
-		f.violation("one request crashed %d targets, at most %d are allowed with %d processes", ends, most, processes)
+	if ends := f.crashes.Load(); ends > maxCrashes {
+		f.violation("one request crashed %d targets, at most %d are allowed with %d processes", ends, maxCrashes, processes)
 	}
 }
