--- a/internal/soak/crash.go
+++ b/internal/soak/crash.go
@@ -59,7 +59,7 @@
 	if !f.plan.Joint {
 		maxCrashes = crashesToRefuse * processes
 	}
-	if ends := f.crashes.Load(); ends > maxCrashes {
-		f.violation("one request crashed %d targets, at most %d are allowed with %d processes", ends, maxCrashes, processes)
+	if crashes := f.crashes.Load(); crashes > maxCrashes {
+		f.violation("one request crashed %d targets, at most %d are allowed with %d processes", crashes, maxCrashes, processes)
 	}
 }
