--- a/internal/soak/fleet.go
+++ b/internal/soak/fleet.go
@@ -176,12 +176,12 @@
 func (f *fleet) publishTargets() {
 	var list []string
 	for i, b := range f.targets {
-		life := ""
+		identity := ""
 		if f.plan.Keyed {
-			life = fmt.Sprintf(`"id":"id-%d","born":"%d",`, i, b.born.Load())
+			identity = fmt.Sprintf(`"id":"id-%d","born":"%d",`, i, b.born.Load())
 		}
 		list = append(list, fmt.Sprintf(`{"service":"quotes",%s"address":%q,"dataHall":%q,"slots":%d,"connections":200,"leaving":%t}`,
-			life, b.proxy.Addr(), hall(i), targetSlots, b.draining.Load()))
+			identity, b.proxy.Addr(), hall(i), targetSlots, b.draining.Load()))
 	}
 	f.platform.Publish("services", `{"services":[{"name":"quotes"}],"targets":[`+strings.Join(list, ",")+`]}`)
 }
