--- a/internal/soak/fleet.go
+++ b/internal/soak/fleet.go
@@ -249,8 +249,8 @@
 
 // tail returns the end of a log.
 func tail(log string) string {
-	const most = 4000
-	return log[max(len(log)-most, 0):]
+	const maxLen = 4000
+	return log[max(len(log)-maxLen, 0):]
 }
 
 // checkLog reports panics and data races in the log of a process.
