--- a/internal/integration/config_test.go
+++ b/internal/integration/config_test.go
@@ -167,7 +167,7 @@
 	var all sync.WaitGroup
 	for i, n := range nodes {
 		all.Go(func() {
-			for took[i] == 0 && time.Since(started) < patience {
+			for took[i] == 0 && time.Since(started) < maxWait {
 				if n.revision("routes") >= rev {
 					took[i] = time.Since(started)
 				} else {
--- a/internal/integration/harness_test.go
+++ b/internal/integration/harness_test.go
@@ -23,8 +23,8 @@
 	"ploverjunction.example/ploverjunction/internal/standin/target"
 )
 
-// patience bounds each wait for an expected condition.
-const patience = 30 * time.Second
+// maxWait bounds each wait for an expected condition.
+const maxWait = 30 * time.Second
 
 // daemon and tool are the paths of ploverd and ploverctl.
 var daemon, tool string
@@ -268,12 +268,12 @@
 // eventually waits until cond holds and fails the test after patience.
 func eventually(t *testing.T, what string, cond func() bool) {
 	t.Helper()
-	end := time.Now().Add(patience)
+	end := time.Now().Add(maxWait)
 	look := time.NewTicker(10 * time.Millisecond)
 	defer look.Stop()
 	for !cond() {
 		if time.Now().After(end) {
-			t.Fatalf("not within %v: %s", patience, what)
+			t.Fatalf("not within %v: %s", maxWait, what)
 		}
 		<-look.C
 	}
@@ -304,7 +304,7 @@
 		Transport: &http.Transport{
 			MaxIdleConnsPerHost: 256,
 		},
-		Timeout: patience,
+		Timeout: maxWait,
 	}
 }
 
--- a/internal/integration/load_test.go
+++ b/internal/integration/load_test.go
@@ -176,7 +176,7 @@
 			}
 			_, _ = conn.Write(j)
 			_ = conn.(*net.TCPConn).CloseWrite()
-			_ = conn.SetReadDeadline(time.Now().Add(patience))
+			_ = conn.SetReadDeadline(time.Now().Add(maxWait))
 			if _, err := io.Copy(io.Discard, conn); err != nil && !strings.Contains(err.Error(), "reset") {
 				t.Errorf("the connection to %s was not closed: %v", address, err)
 			}
