--- a/internal/integration/limit_test.go
+++ b/internal/integration/limit_test.go
@@ -87,7 +87,7 @@
 		t.Run(tt.name, func(t *testing.T) {
 			t.Parallel()
 			tt.net += 10
-			s := noticeSite(t, &tt)
+			s := signalSite(t, &tt)
 			<-time.After(calmFrom)
 			b := s.targets[0]
 			stopped := s.load(tt.stopped()...)
--- a/internal/integration/signal_test.go
+++ b/internal/integration/signal_test.go
@@ -16,9 +16,9 @@
 	"ploverjunction.example/ploverjunction/internal/standin/target"
 )
 
-// noticeSite returns a site with four nodes and three targets in one data hall. The first
+// signalSite returns a site with four nodes and three targets in one data hall. The first
 // target is the one that sends signals.
-func noticeSite(t *testing.T, tt *trouble) *site {
+func signalSite(t *testing.T, tt *trouble) *site {
 	t.Helper()
 	s := newSite(t)
 	for range 3 {
@@ -157,7 +157,7 @@
 	for _, tt := range troubles {
 		t.Run(tt.name, func(t *testing.T) {
 			t.Parallel()
-			s := noticeSite(t, &tt)
+			s := signalSite(t, &tt)
 			b := s.targets[0]
 			stopped := s.load(tt.stopped()...)
 			stop := s.load(tt.left...)
@@ -224,7 +224,7 @@
 	for _, tt := range troubles {
 		t.Run(tt.name, func(t *testing.T) {
 			t.Parallel()
-			s := noticeSite(t, &tt)
+			s := signalSite(t, &tt)
 			b := s.targets[0]
 			stopped := s.load(tt.stopped()...)
 			stop := s.load(tt.left...)
