--- a/internal/integration/limit_test.go
+++ b/internal/integration/limit_test.go
@@ -65,7 +65,7 @@
 	for _, i := range nodes {
 		for _, a := range b.from(i) {
 			if a.Limit != "" {
-				received[strconv.Itoa(i)] = a.At.Add(noticeWork)
+				received[strconv.Itoa(i)] = a.At.Add(signalLatency)
 				break
 			}
 		}
@@ -94,7 +94,7 @@
 			stop := s.load(tt.left...)
 			eventually(t, "work at the target", func() bool { return len(b.Arrivals()) > 40 })
 			b.SetMode(target.Mode{
-				Latency: noticeWork,
+				Latency: signalLatency,
 				Limit:   fmt.Sprint(rate),
 			})
 			var l limited
@@ -157,7 +157,7 @@
 	quotes := s.targets[:3]
 	for _, b := range quotes {
 		b.SetMode(target.Mode{
-			Latency: noticeWork,
+			Latency: signalLatency,
 			Limit:   fmt.Sprint(rate),
 		})
 	}
--- a/internal/integration/signal_test.go
+++ b/internal/integration/signal_test.go
@@ -24,7 +24,7 @@
 	for range 3 {
 		b := s.target("quotes", "a", 3)
 		b.SetMode(target.Mode{
-			Latency: noticeWork,
+			Latency: signalLatency,
 		})
 	}
 	s.publishTargets(nil)
@@ -41,11 +41,11 @@
 	return s
 }
 
-// noticeWork is the latency of a request, noticeGap the interval between two of one node. The
+// signalLatency is the latency of a request, noticeGap the interval between two of one node. The
 // four nodes keep two thirds of the slots busy, so that each target gets requests.
 const (
-	noticeWork = 60 * time.Millisecond
-	noticeGap  = 40 * time.Millisecond
+	signalLatency = 60 * time.Millisecond
+	noticeGap     = 40 * time.Millisecond
 )
 
 // load sends requests to some nodes, each at its own rate, until the returned function is
@@ -163,7 +163,7 @@
 			stop := s.load(tt.left...)
 			eventually(t, "work at the target", func() bool { return len(b.Arrivals()) > 40 })
 			b.SetMode(target.Mode{
-				Latency: noticeWork,
+				Latency: signalLatency,
 				Leaving: true,
 			})
 			for _, i := range tt.left {
@@ -206,7 +206,7 @@
 		case !received.IsZero() && a.At.Sub(received) > within:
 			late++
 		case a.Leaving && received.IsZero():
-			received = a.At.Add(noticeWork)
+			received = a.At.Add(signalLatency)
 		}
 	}
 	if late > 0 {
@@ -235,7 +235,7 @@
 			})
 			eventually(t, "a request refused with a backoff", func() bool { return turnedAway(b, tt.left) })
 			b.SetMode(target.Mode{
-				Latency: noticeWork,
+				Latency: signalLatency,
 			})
 			stopped()
 			tt.strike(s)
