--- a/internal/integration/signal_test.go
+++ b/internal/integration/signal_test.go
@@ -44,8 +44,8 @@
 // signalLatency is the latency of a request, noticeGap the interval between two of one node. The
 // four nodes keep two thirds of the slots busy, so that each target gets requests.
 const (
-	signalLatency = 60 * time.Millisecond
-	noticeGap     = 40 * time.Millisecond
+	signalLatency  = 60 * time.Millisecond
+	signalInterval = 40 * time.Millisecond
 )
 
 // load sends requests to some nodes, each at its own rate, until the returned function is
@@ -55,7 +55,7 @@
 	var all sync.WaitGroup
 	for _, i := range nodes {
 		all.Go(func() {
-			next := time.NewTicker(noticeGap)
+			next := time.NewTicker(signalInterval)
 			defer next.Stop()
 			for number := 0; ; number++ {
 				select {
