--- a/internal/integration/limit_test.go
+++ b/internal/integration/limit_test.go
@@ -112,7 +112,7 @@
 			})
 			<-time.After(limitSettled / 2)
 			stopped()
-			tt.strike(s)
+			tt.inject(s)
 			time.AfterFunc(2*limitWindow, stop)
 			<-time.After(2*limitWindow + time.Second)
 			if got, allowed := l.fromTold(b, tt.left), l.allowed(limitExcess, limitSlack); got > allowed {
--- a/internal/integration/signal_test.go
+++ b/internal/integration/signal_test.go
@@ -92,7 +92,7 @@
 	// net is the third octet of the nodes' addresses, unique to the test.
 	net    int
 	choice string
-	strike func(s *site)
+	inject func(s *site)
 	left   []int
 }
 
@@ -112,14 +112,14 @@
 		name:   "joint mode",
 		net:    50,
 		choice: "joint",
-		strike: func(*site) {},
+		inject: func(*site) {},
 		left:   []int{0, 1, 2, 3},
 	},
 	{
 		name:   "dispatchers that have just started",
 		net:    51,
 		choice: "joint",
-		strike: func(s *site) {
+		inject: func(s *site) {
 			s.nodes[0].restart()
 			s.nodes[1].restart()
 		},
@@ -129,7 +129,7 @@
 		name:   "an isolated node",
 		net:    52,
 		choice: "joint",
-		strike: func(s *site) {
+		inject: func(s *site) {
 			for _, n := range s.nodes[:3] {
 				n.signal(syscall.SIGSTOP)
 			}
@@ -140,7 +140,7 @@
 		name:   "independent mode",
 		net:    53,
 		choice: "alone",
-		strike: func(*site) {},
+		inject: func(*site) {},
 		left:   []int{0, 1, 2, 3},
 	},
 }
@@ -170,7 +170,7 @@
 				eventually(t, "the draining signal", func() bool { return heardLeaving(b, i) || tt.choice == "joint" && quiet(b) })
 			}
 			stopped()
-			tt.strike(s)
+			tt.inject(s)
 			time.AfterFunc(2*within, stop)
 			<-time.After(2*within + within/2)
 			for _, i := range tt.left {
@@ -238,7 +238,7 @@
 				Latency: signalLatency,
 			})
 			stopped()
-			tt.strike(s)
+			tt.inject(s)
 			time.AfterFunc(rest+time.Second, stop)
 			<-time.After(rest + 2*time.Second)
 			for _, i := range tt.left {
