--- a/internal/integration/limit_test.go
+++ b/internal/integration/limit_test.go
@@ -91,7 +91,7 @@
 			<-time.After(calmFrom)
 			b := s.targets[0]
 			stopped := s.load(tt.stopped()...)
-			stop := s.load(tt.left...)
+			stop := s.load(tt.remaining...)
 			eventually(t, "work at the target", func() bool { return len(b.Arrivals()) > 40 })
 			b.SetMode(target.Mode{
 				Latency: signalLatency,
@@ -115,7 +115,7 @@
 			tt.inject(s)
 			time.AfterFunc(2*limitWindow, stop)
 			<-time.After(2*limitWindow + time.Second)
-			if got, allowed := l.fromTold(b, tt.left), l.allowed(limitExcess, limitSlack); got > allowed {
+			if got, allowed := l.fromTold(b, tt.remaining), l.allowed(limitExcess, limitSlack); got > allowed {
 				t.Errorf("%d requests in %v from nodes that had received a limit of %v a second, allowed %d", got, limitWindow, rate, allowed)
 			} else {
 				t.Logf("%d requests in %v, allowed %d", got, limitWindow, allowed)
--- a/internal/integration/signal_test.go
+++ b/internal/integration/signal_test.go
@@ -90,17 +90,17 @@
 type trouble struct {
 	name string
 	// net is the third octet of the nodes' addresses, unique to the test.
-	net    int
-	choice string
-	inject func(s *site)
-	left   []int
+	net       int
+	choice    string
+	inject    func(s *site)
+	remaining []int
 }
 
 // stopped returns the nodes that forward no requests after the fault.
 func (tt *trouble) stopped() []int {
 	var out []int
 	for i := range 4 {
-		if !slices.Contains(tt.left, i) {
+		if !slices.Contains(tt.remaining, i) {
 			out = append(out, i)
 		}
 	}
@@ -109,11 +109,11 @@
 
 var troubles = []trouble{
 	{
-		name:   "joint mode",
-		net:    50,
-		choice: "joint",
-		inject: func(*site) {},
-		left:   []int{0, 1, 2, 3},
+		name:      "joint mode",
+		net:       50,
+		choice:    "joint",
+		inject:    func(*site) {},
+		remaining: []int{0, 1, 2, 3},
 	},
 	{
 		name:   "dispatchers that have just started",
@@ -123,7 +123,7 @@
 			s.nodes[0].restart()
 			s.nodes[1].restart()
 		},
-		left: []int{2, 3},
+		remaining: []int{2, 3},
 	},
 	{
 		name:   "an isolated node",
@@ -134,14 +134,14 @@
 				n.signal(syscall.SIGSTOP)
 			}
 		},
-		left: []int{3},
+		remaining: []int{3},
 	},
 	{
-		name:   "independent mode",
-		net:    53,
-		choice: "alone",
-		inject: func(*site) {},
-		left:   []int{0, 1, 2, 3},
+		name:      "independent mode",
+		net:       53,
+		choice:    "alone",
+		inject:    func(*site) {},
+		remaining: []int{0, 1, 2, 3},
 	},
 }
 
@@ -160,20 +160,20 @@
 			s := signalSite(t, &tt)
 			b := s.targets[0]
 			stopped := s.load(tt.stopped()...)
-			stop := s.load(tt.left...)
+			stop := s.load(tt.remaining...)
 			eventually(t, "work at the target", func() bool { return len(b.Arrivals()) > 40 })
 			b.SetMode(target.Mode{
 				Latency: signalLatency,
 				Leaving: true,
 			})
-			for _, i := range tt.left {
+			for _, i := range tt.remaining {
 				eventually(t, "the draining signal", func() bool { return heardLeaving(b, i) || tt.choice == "joint" && quiet(b) })
 			}
 			stopped()
 			tt.inject(s)
 			time.AfterFunc(2*within, stop)
 			<-time.After(2*within + within/2)
-			for _, i := range tt.left {
+			for _, i := range tt.remaining {
 				checkLeft(t, b, i, within)
 			}
 		})
@@ -227,13 +227,13 @@
 			s := signalSite(t, &tt)
 			b := s.targets[0]
 			stopped := s.load(tt.stopped()...)
-			stop := s.load(tt.left...)
+			stop := s.load(tt.remaining...)
 			eventually(t, "work at the target", func() bool { return len(b.Arrivals()) > 40 })
 			b.SetMode(target.Mode{
 				Shed: true,
 				Rest: rest,
 			})
-			eventually(t, "a request refused with a backoff", func() bool { return turnedAway(b, tt.left) })
+			eventually(t, "a request refused with a backoff", func() bool { return turnedAway(b, tt.remaining) })
 			b.SetMode(target.Mode{
 				Latency: signalLatency,
 			})
@@ -241,7 +241,7 @@
 			tt.inject(s)
 			time.AfterFunc(rest+time.Second, stop)
 			<-time.After(rest + 2*time.Second)
-			for _, i := range tt.left {
+			for _, i := range tt.remaining {
 				checkRest(t, b, i)
 			}
 		})
