--- a/internal/integration/limit_test.go
+++ b/internal/integration/limit_test.go
@@ -83,7 +83,7 @@
 // within 14 ms, and changed only with its estimated failure probability.
 func TestTargetLimitIsNotExceeded(t *testing.T) {
 	const rate = 2.5
-	for _, tt := range troubles {
+	for _, tt := range nodeFaults {
 		t.Run(tt.name, func(t *testing.T) {
 			t.Parallel()
 			tt.net += 10
--- a/internal/integration/signal_test.go
+++ b/internal/integration/signal_test.go
@@ -107,7 +107,7 @@
 	return out
 }
 
-var troubles = []trouble{
+var nodeFaults = []trouble{
 	{
 		name:      "joint mode",
 		net:       50,
@@ -154,7 +154,7 @@
 func TestDrainingTargetsGetNoRequests(t *testing.T) {
 	// within is the users' bound for a draining target to get no new requests.
 	const within = 2 * time.Second
-	for _, tt := range troubles {
+	for _, tt := range nodeFaults {
 		t.Run(tt.name, func(t *testing.T) {
 			t.Parallel()
 			s := signalSite(t, &tt)
@@ -221,7 +221,7 @@
 // and no change after it.
 func TestRequestedBackoffIsRespected(t *testing.T) {
 	const rest = 4 * time.Second
-	for _, tt := range troubles {
+	for _, tt := range nodeFaults {
 		t.Run(tt.name, func(t *testing.T) {
 			t.Parallel()
 			s := signalSite(t, &tt)
