--- a/internal/integration/signal_test.go
+++ b/internal/integration/signal_test.go
@@ -18,7 +18,7 @@
 
 // signalSite returns a site with four nodes and three targets in one data hall. The first
 // target is the one that sends signals.
-func signalSite(t *testing.T, tt *trouble) *site {
+func signalSite(t *testing.T, tt *nodeFault) *site {
 	t.Helper()
 	s := newSite(t)
 	for range 3 {
@@ -86,8 +86,8 @@
 	return out
 }
 
-// trouble is an additional fault of the nodes; left lists the nodes that still forward requests.
-type trouble struct {
+// nodeFault is an additional fault of the nodes; left lists the nodes that still forward requests.
+type nodeFault struct {
 	name string
 	// net is the third octet of the nodes' addresses, unique to the test.
 	net       int
@@ -97,7 +97,7 @@
 }
 
 // stopped returns the nodes that forward no requests after the fault.
-func (tt *trouble) stopped() []int {
+func (tt *nodeFault) stopped() []int {
 	var out []int
 	for i := range 4 {
 		if !slices.Contains(tt.remaining, i) {
@@ -107,7 +107,7 @@
 	return out
 }
 
-var nodeFaults = []trouble{
+var nodeFaults = []nodeFault{
 	{
 		name:      "joint mode",
 		net:       50,
