--- a/internal/integration/signal_test.go
+++ b/internal/integration/signal_test.go
@@ -167,7 +167,7 @@
 				Leaving: true,
 			})
 			for _, i := range tt.remaining {
-				eventually(t, "the draining signal", func() bool { return heardLeaving(b, i) || tt.choice == "joint" && quiet(b) })
+				eventually(t, "the draining signal", func() bool { return signaledDraining(b, i) || tt.choice == "joint" && quiet(b) })
 			}
 			stopped()
 			tt.inject(s)
@@ -180,8 +180,8 @@
 	}
 }
 
-// heardLeaving reports whether the target signaled to a node that it is draining.
-func heardLeaving(b *backend, node int) bool {
+// signaledDraining reports whether the target signaled to a node that it is draining.
+func signaledDraining(b *backend, node int) bool {
 	for _, a := range b.from(node) {
 		if a.Leaving {
 			return true
