--- a/internal/integration/signal_test.go
+++ b/internal/integration/signal_test.go
@@ -233,7 +233,7 @@
 				Shed: true,
 				Rest: rest,
 			})
-			eventually(t, "a request refused with a backoff", func() bool { return turnedAway(b, tt.remaining) })
+			eventually(t, "a request refused with a backoff", func() bool { return requestedBackoff(b, tt.remaining) })
 			b.SetMode(target.Mode{
 				Latency: signalLatency,
 			})
@@ -248,8 +248,8 @@
 	}
 }
 
-// turnedAway reports whether the target requested a backoff of one of the nodes.
-func turnedAway(b *backend, nodes []int) bool {
+// requestedBackoff reports whether the target requested a backoff of one of the nodes.
+func requestedBackoff(b *backend, nodes []int) bool {
 	for _, i := range nodes {
 		for _, a := range b.from(i) {
 			if a.Rest > 0 {
@@ -301,7 +301,7 @@
 	for i := range s.nodes {
 		eventually(t, "backoffs of all targets", func() bool {
 			request(i)
-			return !slices.ContainsFunc(quotes, func(b *backend) bool { return !turnedAway(b, []int{i}) })
+			return !slices.ContainsFunc(quotes, func(b *backend) bool { return !requestedBackoff(b, []int{i}) })
 		})
 	}
 	for i := range s.nodes {
