--- a/internal/integration/signal_test.go
+++ b/internal/integration/signal_test.go
@@ -167,7 +167,7 @@
 				Leaving: true,
 			})
 			for _, i := range tt.remaining {
-				eventually(t, "the draining signal", func() bool { return signaledDraining(b, i) || tt.choice == "joint" && quiet(b) })
+				eventually(t, "the draining signal", func() bool { return signaledDraining(b, i) || tt.choice == "joint" && idle(b) })
 			}
 			stopped()
 			tt.inject(s)
@@ -190,8 +190,8 @@
 	return false
 }
 
-// quiet reports whether no request has reached the target for a second.
-func quiet(b *backend) bool {
+// idle reports whether no request has reached the target for a second.
+func idle(b *backend) bool {
 	all := b.Arrivals()
 	return len(all) > 0 && time.Since(all[len(all)-1].At) > time.Second
 }
