--- a/internal/integration/signal_test.go
+++ b/internal/integration/signal_test.go
@@ -174,7 +174,7 @@
 			time.AfterFunc(2*within, stop)
 			<-time.After(2*within + within/2)
 			for _, i := range tt.remaining {
-				checkLeft(t, b, i, within)
+				checkDraining(t, b, i, within)
 			}
 		})
 	}
@@ -196,8 +196,8 @@
 	return len(all) > 0 && time.Since(all[len(all)-1].At) > time.Second
 }
 
-// checkLeft checks that a node sends no request later than within after the draining signal.
-func checkLeft(t *testing.T, b *backend, node int, within time.Duration) {
+// checkDraining checks that a node sends no request later than within after the draining signal.
+func checkDraining(t *testing.T, b *backend, node int, within time.Duration) {
 	t.Helper()
 	var received time.Time
 	late := 0
