--- a/internal/integration/signal_test.go
+++ b/internal/integration/signal_test.go
@@ -242,7 +242,7 @@
 			time.AfterFunc(rest+time.Second, stop)
 			<-time.After(rest + 2*time.Second)
 			for _, i := range tt.remaining {
-				checkRest(t, b, i)
+				checkBackoff(t, b, i)
 			}
 		})
 	}
@@ -260,9 +260,9 @@
 	return false
 }
 
-// checkRest checks that a node sends at most two requests between half a second after the
+// checkBackoff checks that a node sends at most two requests between half a second after the
 // target requested a backoff and its end.
-func checkRest(t *testing.T, b *backend, node int) {
+func checkBackoff(t *testing.T, b *backend, node int) {
 	t.Helper()
 	const (
 		slack       = 500 * time.Millisecond
@@ -346,7 +346,7 @@
 	for i := range s.nodes {
 		eventually(t, "quotes after the backoff", func() bool { return request(i).status == http.StatusOK })
 		for _, b := range quotes {
-			checkRest(t, b, i)
+			checkBackoff(t, b, i)
 		}
 	}
 }
