--- a/internal/integration/limit_test.go
+++ b/internal/integration/limit_test.go
@@ -152,7 +152,7 @@
 // immediately with a Retry-After, the rest served, and another service not affected.
 func TestServiceWithAllTargetsLimited(t *testing.T) {
 	const rate = 2
-	s := quotesBeside(t, 64, `"deadline":"1s","targetLatency":"0.5s"`)
+	s := twoServiceSite(t, 64, `"deadline":"1s","targetLatency":"0.5s"`)
 	<-time.After(calmFrom)
 	quotes := s.targets[:3]
 	for _, b := range quotes {
--- a/internal/integration/signal_test.go
+++ b/internal/integration/signal_test.go
@@ -289,7 +289,7 @@
 // another service must not be affected.
 func TestServiceWithAllTargetsBackingOff(t *testing.T) {
 	const rest = 4 * time.Second
-	s := quotesBeside(t, 54, `"deadline":"5s"`)
+	s := twoServiceSite(t, 54, `"deadline":"5s"`)
 	quotes := s.targets[:3]
 	for _, b := range quotes {
 		b.SetMode(target.Mode{
@@ -351,10 +351,10 @@
 	}
 }
 
-// quotesBeside returns a site with two nodes, three targets of quotes and two of documents. times
+// twoServiceSite returns a site with two nodes, three targets of quotes and two of documents. times
 // holds the timeout fields of the quotes' route, net the third octet of the nodes' addresses,
 // unique to the test.
-func quotesBeside(t *testing.T, net int, times string) *site {
+func twoServiceSite(t *testing.T, net int, times string) *site {
 	t.Helper()
 	s := newSite(t)
 	for range 3 {
