--- a/internal/integration/limit_test.go
+++ b/internal/integration/limit_test.go
@@ -33,8 +33,8 @@
 // limited is the limit of a target in requests a second.
 type limited struct {
 	rate float64
-	// named is when the target first signaled the limit.
-	named time.Time
+	// signaled is when the target first signaled the limit.
+	signaled time.Time
 }
 
 func (l limited) allowed(excess, slack float64) int {
@@ -72,7 +72,7 @@
 	}
 	return most(b.Arrivals(), func(a target.Arrival) bool {
 		at, ok := received[a.Key[:1]]
-		return ok && a.At.Sub(at) >= limitKnown && a.At.Sub(l.named) >= limitSettled
+		return ok && a.At.Sub(at) >= limitKnown && a.At.Sub(l.signaled) >= limitSettled
 	})
 }
 
@@ -102,8 +102,8 @@
 				for _, a := range b.Arrivals() {
 					if a.Limit != "" {
 						l = limited{
-							rate:  rate,
-							named: a.At,
+							rate:     rate,
+							signaled: a.At,
 						}
 						return true
 					}
@@ -131,13 +131,13 @@
 // received it, and that they make use of it.
 func checkCalm(t *testing.T, b *backend, l limited) {
 	t.Helper()
-	after := func(a target.Arrival) bool { return a.At.Sub(l.named) >= limitSettled }
+	after := func(a target.Arrival) bool { return a.At.Sub(l.signaled) >= limitSettled }
 	if got, allowed := most(b.Arrivals(), after), l.allowed(calmExcess, calmSlack); got > allowed {
 		t.Errorf("%d requests in %v from all nodes, allowed %d", got, limitWindow, allowed)
 	}
 	n := 0
 	for _, a := range b.Arrivals() {
-		if after(a) && a.At.Sub(l.named) < limitSettled+limitWindow {
+		if after(a) && a.At.Sub(l.signaled) < limitSettled+limitWindow {
 			n++
 		}
 	}
@@ -174,8 +174,8 @@
 	}
 	for _, b := range quotes {
 		l := limited{
-			rate:  rate,
-			named: started,
+			rate:     rate,
+			signaled: started,
 		}
 		checkCalm(t, b, l)
 	}
