--- a/internal/integration/limit_test.go
+++ b/internal/integration/limit_test.go
@@ -58,9 +58,9 @@
 	return out
 }
 
-// fromTold returns the maximum number of requests in one window from nodes that had received
+// maxFromReceivers returns the maximum number of requests in one window from nodes that had received
 // the limit at least limitKnown before.
-func (l limited) fromTold(b *backend, nodes []int) int {
+func (l limited) maxFromReceivers(b *backend, nodes []int) int {
 	received := map[string]time.Time{}
 	for _, i := range nodes {
 		for _, a := range b.from(i) {
@@ -115,7 +115,7 @@
 			tt.inject(s)
 			time.AfterFunc(2*limitWindow, stop)
 			<-time.After(2*limitWindow + time.Second)
-			if got, allowed := l.fromTold(b, tt.remaining), l.allowed(limitExcess, limitSlack); got > allowed {
+			if got, allowed := l.maxFromReceivers(b, tt.remaining), l.allowed(limitExcess, limitSlack); got > allowed {
 				t.Errorf("%d requests in %v from nodes that had received a limit of %v a second, allowed %d", got, limitWindow, rate, allowed)
 			} else {
 				t.Logf("%d requests in %v, allowed %d", got, limitWindow, allowed)
