--- a/internal/integration/limit_test.go
+++ b/internal/integration/limit_test.go
@@ -30,14 +30,14 @@
 	calmFrom = 6 * time.Second
 )
 
-// limited is the limit of a target in requests a second.
-type limited struct {
+// targetLimit is the limit of a target in requests a second.
+type targetLimit struct {
 	rate float64
 	// signaled is when the target first signaled the limit.
 	signaled time.Time
 }
 
-func (l limited) allowed(excess, slack float64) int {
+func (l targetLimit) allowed(excess, slack float64) int {
 	return int(excess*l.rate*limitWindow.Seconds() + slack)
 }
 
@@ -60,7 +60,7 @@
 
 // maxFromReceivers returns the maximum number of requests in one window from nodes that had received
 // the limit at least limitKnown before.
-func (l limited) maxFromReceivers(b *backend, nodes []int) int {
+func (l targetLimit) maxFromReceivers(b *backend, nodes []int) int {
 	received := map[string]time.Time{}
 	for _, i := range nodes {
 		for _, a := range b.from(i) {
@@ -97,11 +97,11 @@
 				Latency: signalLatency,
 				Limit:   fmt.Sprint(rate),
 			})
-			var l limited
+			var l targetLimit
 			eventually(t, "an answer with the limit", func() bool {
 				for _, a := range b.Arrivals() {
 					if a.Limit != "" {
-						l = limited{
+						l = targetLimit{
 							rate:     rate,
 							signaled: a.At,
 						}
@@ -129,7 +129,7 @@
 
 // checkCalm checks that undisturbed nodes together comply with the limit, whether or not they
 // received it, and that they make use of it.
-func checkCalm(t *testing.T, b *backend, l limited) {
+func checkCalm(t *testing.T, b *backend, l targetLimit) {
 	t.Helper()
 	after := func(a target.Arrival) bool { return a.At.Sub(l.signaled) >= limitSettled }
 	if got, allowed := most(b.Arrivals(), after), l.allowed(calmExcess, calmSlack); got > allowed {
@@ -173,7 +173,7 @@
 		}
 	}
 	for _, b := range quotes {
-		l := limited{
+		l := targetLimit{
 			rate:     rate,
 			signaled: started,
 		}
