--- a/internal/integration/limit_test.go
+++ b/internal/integration/limit_test.go
@@ -41,8 +41,8 @@
 	return int(excess*l.rate*limitWindow.Seconds() + slack)
 }
 
-// most returns the maximum number of arrivals in one window for which counts is true.
-func most(all []target.Arrival, counts func(target.Arrival) bool) int {
+// maxInWindow returns the maximum number of arrivals in one window for which counts is true.
+func maxInWindow(all []target.Arrival, counts func(target.Arrival) bool) int {
 	var window []time.Time
 	out := 0
 	for _, a := range all {
@@ -70,7 +70,7 @@
 			}
 		}
 	}
-	return most(b.Arrivals(), func(a target.Arrival) bool {
+	return maxInWindow(b.Arrivals(), func(a target.Arrival) bool {
 		at, ok := received[a.Key[:1]]
 		return ok && a.At.Sub(at) >= limitKnown && a.At.Sub(l.signaled) >= limitSettled
 	})
@@ -132,7 +132,7 @@
 func checkCalm(t *testing.T, b *backend, l targetLimit) {
 	t.Helper()
 	after := func(a target.Arrival) bool { return a.At.Sub(l.signaled) >= limitSettled }
-	if got, allowed := most(b.Arrivals(), after), l.allowed(calmExcess, calmSlack); got > allowed {
+	if got, allowed := maxInWindow(b.Arrivals(), after), l.allowed(calmExcess, calmSlack); got > allowed {
 		t.Errorf("%d requests in %v from all nodes, allowed %d", got, limitWindow, allowed)
 	}
 	n := 0
