--- a/internal/integration/limit_test.go
+++ b/internal/integration/limit_test.go
@@ -20,7 +20,7 @@
 	limitSlack  = 5
 	// A node must comply limitKnown after an answer with the limit, the fleet limitSettled
 	// after the first such answer.
-	limitKnown   = 500 * time.Millisecond
+	limitGrace   = 500 * time.Millisecond
 	limitSettled = 2 * time.Second
 	// calmExcess and calmSlack are the bounds for all nodes together without faults.
 	calmExcess = 1.1
@@ -72,7 +72,7 @@
 	}
 	return maxInWindow(b.Arrivals(), func(a target.Arrival) bool {
 		at, ok := received[a.Key[:1]]
-		return ok && a.At.Sub(at) >= limitKnown && a.At.Sub(l.signaled) >= limitSettled
+		return ok && a.At.Sub(at) >= limitGrace && a.At.Sub(l.signaled) >= limitSettled
 	})
 }
 
