--- a/internal/integration/limit_test.go
+++ b/internal/integration/limit_test.go
@@ -20,8 +20,8 @@
 	limitSlack  = 5
 	// A node must comply limitKnown after an answer with the limit, the fleet limitSettled
 	// after the first such answer.
-	limitGrace   = 500 * time.Millisecond
-	limitSettled = 2 * time.Second
+	limitGrace      = 500 * time.Millisecond
+	limitSettleTime = 2 * time.Second
 	// calmExcess and calmSlack are the bounds for all nodes together without faults.
 	calmExcess = 1.1
 	calmSlack  = 2
@@ -72,7 +72,7 @@
 	}
 	return maxInWindow(b.Arrivals(), func(a target.Arrival) bool {
 		at, ok := received[a.Key[:1]]
-		return ok && a.At.Sub(at) >= limitGrace && a.At.Sub(l.signaled) >= limitSettled
+		return ok && a.At.Sub(at) >= limitGrace && a.At.Sub(l.signaled) >= limitSettleTime
 	})
 }
 
@@ -110,7 +110,7 @@
 				}
 				return false
 			})
-			<-time.After(limitSettled / 2)
+			<-time.After(limitSettleTime / 2)
 			stopped()
 			tt.inject(s)
 			time.AfterFunc(2*limitWindow, stop)
@@ -131,13 +131,13 @@
 // received it, and that they make use of it.
 func checkCalm(t *testing.T, b *backend, l targetLimit) {
 	t.Helper()
-	after := func(a target.Arrival) bool { return a.At.Sub(l.signaled) >= limitSettled }
+	after := func(a target.Arrival) bool { return a.At.Sub(l.signaled) >= limitSettleTime }
 	if got, allowed := maxInWindow(b.Arrivals(), after), l.allowed(calmExcess, calmSlack); got > allowed {
 		t.Errorf("%d requests in %v from all nodes, allowed %d", got, limitWindow, allowed)
 	}
 	n := 0
 	for _, a := range b.Arrivals() {
-		if after(a) && a.At.Sub(l.signaled) < limitSettled+limitWindow {
+		if after(a) && a.At.Sub(l.signaled) < limitSettleTime+limitWindow {
 			n++
 		}
 	}
@@ -163,9 +163,9 @@
 	}
 	started := time.Now()
 	stop := s.load(0, 1)
-	time.AfterFunc(limitSettled+2*limitWindow, stop)
+	time.AfterFunc(limitSettleTime+2*limitWindow, stop)
 	documents := 0
-	for time.Since(started) < limitSettled+2*limitWindow {
+	for time.Since(started) < limitSettleTime+2*limitWindow {
 		n := s.nodes[documents%2]
 		documents++
 		if r := n.do(http.MethodPost, "/documents/1", fmt.Sprintf("document-%d", documents), ""); r.status != http.StatusOK || r.took > time.Second {
