--- a/internal/integration/limit_test.go
+++ b/internal/integration/limit_test.go
@@ -24,7 +24,7 @@
 	limitSettleTime = 2 * time.Second
 	// undisturbedExcess and calmSlack are the bounds for all nodes together without faults.
 	undisturbedExcess = 1.1
-	calmSlack         = 2
+	undisturbedSlack  = 2
 	// calmFrom is the time from complete membership until these bounds apply, as a dispatcher
 	// that has just joined uses only a share of each limit.
 	calmFrom = 6 * time.Second
@@ -132,7 +132,7 @@
 func checkCalm(t *testing.T, b *backend, l targetLimit) {
 	t.Helper()
 	after := func(a target.Arrival) bool { return a.At.Sub(l.signaled) >= limitSettleTime }
-	if got, allowed := maxInWindow(b.Arrivals(), after), l.allowed(undisturbedExcess, calmSlack); got > allowed {
+	if got, allowed := maxInWindow(b.Arrivals(), after), l.allowed(undisturbedExcess, undisturbedSlack); got > allowed {
 		t.Errorf("%d requests in %v from all nodes, allowed %d", got, limitWindow, allowed)
 	}
 	n := 0
