--- a/internal/integration/limit_test.go
+++ b/internal/integration/limit_test.go
@@ -25,9 +25,9 @@
 	// undisturbedExcess and calmSlack are the bounds for all nodes together without faults.
 	undisturbedExcess = 1.1
 	undisturbedSlack  = 2
-	// calmFrom is the time from complete membership until these bounds apply, as a dispatcher
+	// undisturbedFrom is the time from complete membership until these bounds apply, as a dispatcher
 	// that has just joined uses only a share of each limit.
-	calmFrom = 6 * time.Second
+	undisturbedFrom = 6 * time.Second
 )
 
 // targetLimit is the limit of a target in requests a second.
@@ -88,7 +88,7 @@
 			t.Parallel()
 			tt.net += 10
 			s := signalSite(t, &tt)
-			<-time.After(calmFrom)
+			<-time.After(undisturbedFrom)
 			b := s.targets[0]
 			stopped := s.load(tt.stopped()...)
 			stop := s.load(tt.remaining...)
@@ -153,7 +153,7 @@
 func TestServiceWithAllTargetsLimited(t *testing.T) {
 	const rate = 2
 	s := twoServiceSite(t, 64, `"deadline":"1s","targetLatency":"0.5s"`)
-	<-time.After(calmFrom)
+	<-time.After(undisturbedFrom)
 	quotes := s.targets[:3]
 	for _, b := range quotes {
 		b.SetMode(target.Mode{
