--- a/internal/integration/limit_test.go
+++ b/internal/integration/limit_test.go
@@ -121,15 +121,15 @@
 				t.Logf("%d requests in %v, allowed %d", got, limitWindow, allowed)
 			}
 			if tt.name == "joint mode" {
-				checkCalm(t, b, l)
+				checkUndisturbed(t, b, l)
 			}
 		})
 	}
 }
 
-// checkCalm checks that undisturbed nodes together comply with the limit, whether or not they
+// checkUndisturbed checks that undisturbed nodes together comply with the limit, whether or not they
 // received it, and that they make use of it.
-func checkCalm(t *testing.T, b *backend, l targetLimit) {
+func checkUndisturbed(t *testing.T, b *backend, l targetLimit) {
 	t.Helper()
 	after := func(a target.Arrival) bool { return a.At.Sub(l.signaled) >= limitSettleTime }
 	if got, allowed := maxInWindow(b.Arrivals(), after), l.allowed(undisturbedExcess, undisturbedSlack); got > allowed {
@@ -177,7 +177,7 @@
 			rate:     rate,
 			signaled: started,
 		}
-		checkCalm(t, b, l)
+		checkUndisturbed(t, b, l)
 	}
 	stop = s.load(0, 1)
 	defer stop()
