--- a/internal/integration/ends_test.go
+++ b/internal/integration/ends_test.go
@@ -23,9 +23,9 @@
 // confirmed by requests on two targets at their crashes, in three data halls, each time
 // under another name.
 
-// endsSite returns a site with nodes in two data halls and targets that crash on a request
+// crashSite returns a site with nodes in two data halls and targets that crash on a request
 // that asks for it and restart after back.
-func endsSite(t *testing.T, targets int, back time.Duration) (*site, *atomic.Int64) {
+func crashSite(t *testing.T, targets int, back time.Duration) (*site, *atomic.Int64) {
 	t.Helper()
 	s := newSite(t)
 	ends := &atomic.Int64{}
@@ -112,7 +112,7 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			s, ends := endsSite(t, 8, time.Second)
+			s, ends := crashSite(t, 8, time.Second)
 			harmful := func(int) string { return "/quotes/7?ends" }
 			harmless := func(i int) string { return fmt.Sprintf("/quotes/%d", i) }
 			var harm sync.WaitGroup
@@ -134,7 +134,7 @@
 // Guards against a late or vague refusal of such a request. The caller immediately gets the
 // outcome not-run and the time after which to retry.
 func TestRefusalOfRequestThatCrashesTargets(t *testing.T) {
-	s, ends := endsSite(t, 8, time.Second)
+	s, ends := crashSite(t, 8, time.Second)
 	s.send(http.MethodGet, func(int) string { return "/quotes/7?ends" }, 50*time.Millisecond, 2*time.Second)
 	before := ends.Load()
 	for _, n := range s.nodes {
@@ -161,7 +161,7 @@
 // Guards against refusing innocent requests when targets crash for other reasons, although
 // many callers send the same request or retry a failed one.
 func TestTargetCrashesRefuseNoOtherRequests(t *testing.T) {
-	s, _ := endsSite(t, 8, time.Second)
+	s, _ := crashSite(t, 8, time.Second)
 	const during = 5 * time.Second
 	var crashes sync.WaitGroup
 	crashes.Go(func() {
@@ -187,7 +187,7 @@
 // Guards against counting a broken connection as a crash. While live targets lose their answers
 // the same request is forwarded each time, and it is answered once they recover.
 func TestBrokenConnectionsAreNotCrashes(t *testing.T) {
-	s, ends := endsSite(t, 4, time.Second)
+	s, ends := crashSite(t, 4, time.Second)
 	for _, b := range s.targets {
 		b.SetMode(target.Mode{
 			ResetAfter: true,
