--- a/internal/integration/stop_test.go
+++ b/internal/integration/stop_test.go
@@ -35,7 +35,7 @@
 		ready: make([]atomic.Bool, len(nodes)),
 		done:  make(chan struct{}),
 	}
-	b.look()
+	b.poll()
 	b.all.Go(func() {
 		tick := time.NewTicker(balancerLag)
 		defer tick.Stop()
@@ -44,14 +44,14 @@
 			case <-b.done:
 				return
 			case <-tick.C:
-				b.look()
+				b.poll()
 			}
 		}
 	})
 	return b
 }
 
-func (b *balancer) look() {
+func (b *balancer) poll() {
 	for i, n := range b.nodes {
 		res, err := http.Get("http://" + n.proc.Load().Operator() + "/readyz")
 		b.ready[i].Store(err == nil && res.StatusCode == http.StatusOK)
