--- a/internal/integration/stop_test.go
+++ b/internal/integration/stop_test.go
@@ -26,8 +26,8 @@
 	all   sync.WaitGroup
 }
 
-// balancerLag is the polling interval of the balancer.
-const balancerLag = 200 * time.Millisecond
+// balancerInterval is the polling interval of the balancer.
+const balancerInterval = 200 * time.Millisecond
 
 func newBalancer(nodes []*node) *balancer {
 	b := &balancer{
@@ -37,7 +37,7 @@
 	}
 	b.poll()
 	b.all.Go(func() {
-		tick := time.NewTicker(balancerLag)
+		tick := time.NewTicker(balancerInterval)
 		defer tick.Stop()
 		for {
 			select {
