--- a/internal/integration/stop_test.go
+++ b/internal/integration/stop_test.go
@@ -106,11 +106,11 @@
 		t.Fatalf("download: %d of %d bytes, err %v", len(d.body), size, d.err)
 	}
 	t.Logf("a download of %v was completed", d.took)
-	n.exits()
+	n.awaitExit()
 }
 
-// exits waits for the process to exit, which must be without error.
-func (n *node) exits() {
+// awaitExit waits for the process to exit, which must be without error.
+func (n *node) awaitExit() {
 	n.t.Helper()
 	p := n.proc.Load()
 	<-p.Exited()
@@ -162,7 +162,7 @@
 	}
 	for _, n := range s.nodes {
 		n.signal(syscall.SIGTERM)
-		n.exits()
+		n.awaitExit()
 		n.start()
 		eventually(t, "the new process ready", n.ready)
 		// The balancer must poll it before the next one is stopped.
--- a/internal/integration/tool_test.go
+++ b/internal/integration/tool_test.go
@@ -145,7 +145,7 @@
 		exit, _ := ctl(t, "status", "--node", ops)
 		return exit != 0
 	})
-	n.exits()
+	n.awaitExit()
 }
 
 // Guards against a daemon that opens ports although its settings are invalid.
