--- a/internal/integration/keys_test.go
+++ b/internal/integration/keys_test.go
@@ -55,12 +55,12 @@
 	s.allReady()
 	for _, n := range s.nodes {
 		eventually(t, "all members live", func() bool { return liveMembers(n) == nodes })
-		eventually(t, "the key is accepted", func() bool { return n.ask(keyBrokers).status == http.StatusOK })
+		eventually(t, "the key is accepted", func() bool { return n.requestWithKey(keyBrokers).status == http.StatusOK })
 	}
 	return s
 }
 
-func (n *node) ask(key string) reply {
+func (n *node) requestWithKey(key string) reply {
 	return n.do(http.MethodGet, "/quotes/1", "keyed", "", "Authorization", "Bearer "+key)
 }
 
@@ -70,10 +70,10 @@
 	s := keyedSite(t, 2, 0)
 	for _, n := range s.nodes {
 		for range 20 {
-			if r := n.ask(keyBrokers); r.status != http.StatusOK {
+			if r := n.requestWithKey(keyBrokers); r.status != http.StatusOK {
 				t.Fatalf("status %d", r.status)
 			}
-			if r := n.ask("wrong-" + keyClinics); r.status != http.StatusUnauthorized {
+			if r := n.requestWithKey("wrong-" + keyClinics); r.status != http.StatusUnauthorized {
 				t.Fatalf("status %d for an unknown key", r.status)
 			}
 		}
@@ -126,8 +126,8 @@
 	s := keyedSite(t, 3, 0)
 	s.publishWorkspaces(0, "another-key-of-theirs")
 	for _, n := range s.nodes {
-		eventually(t, "the new key is accepted", func() bool { return n.ask("another-key-of-theirs").status == http.StatusOK })
-		eventually(t, "the old key is refused", func() bool { return n.ask(keyBrokers).status == http.StatusUnauthorized })
+		eventually(t, "the new key is accepted", func() bool { return n.requestWithKey("another-key-of-theirs").status == http.StatusOK })
+		eventually(t, "the old key is refused", func() bool { return n.requestWithKey(keyBrokers).status == http.StatusUnauthorized })
 	}
 }
 
@@ -144,7 +144,7 @@
 	for range 4 {
 		load.Go(func() {
 			for time.Since(started) < 3*time.Second {
-				r := n.ask(keyBrokers)
+				r := n.requestWithKey(keyBrokers)
 				mu.Lock()
 				switch {
 				case r.status == http.StatusOK:
@@ -163,7 +163,7 @@
 	if float64(admitted) < 0.8*rate*took || float64(admitted) > 1.25*rate*(took+1)+20 || refused == 0 || other > 0 {
 		t.Errorf("in %.1f s %d admitted at a limit of %d a second, %d refused, %d with another status", took, admitted, rate, refused, other)
 	}
-	if r := n.ask(keyClinics); r.status != http.StatusOK {
+	if r := n.requestWithKey(keyClinics); r.status != http.StatusOK {
 		t.Errorf("another workspace: status %d", r.status)
 	}
 }
