--- a/internal/integration/freeze_test.go
+++ b/internal/integration/freeze_test.go
@@ -68,7 +68,7 @@
 // Guards against a frozen observer when a target begins to stall. The other nodes replace
 // it, and its late reports after it resumes have no effect.
 func TestFrozenObserverIsReplaced(t *testing.T) {
-	s := pool(t, 6, "")
+	s := ejectionSite(t, 6, "")
 	observer := s.observerOf("quotes", "a")
 	var awake []*node
 	for _, n := range s.nodes {
--- a/internal/integration/load_test.go
+++ b/internal/integration/load_test.go
@@ -31,7 +31,7 @@
 // Guards against retry storms. In a full outage of a service, retries add at most a
 // tenth to its load, beyond the small reserve of each node.
 func TestRetryStorm(t *testing.T) {
-	s := pool(t, 2, `,"policy":{"retry":"attempt < 10","floor":"capacity"}`)
+	s := ejectionSite(t, 2, `,"policy":{"retry":"attempt < 10","floor":"capacity"}`)
 	for _, b := range s.targets {
 		b.SetMode(target.Mode{
 			ResetAfter: true,
@@ -62,7 +62,7 @@
 // Guards against a workspace that exceeds its limit across nodes or affects others. Its
 // excess is refused early, and other workspaces are served.
 func TestWorkspaceLimitAcrossNodes(t *testing.T) {
-	s := pool(t, 2, "")
+	s := ejectionSite(t, 2, "")
 	s.platform.Publish("workspaces", `{"workspaces":[{"id":"hot","rate":20,"burst":20},{"id":"quiet","rate":100,"burst":100}]}`)
 	for _, n := range s.nodes {
 		eventually(t, "the limits in force", func() bool {
@@ -134,7 +134,7 @@
 
 // Guards against unbounded connections to a target after its links are restored.
 func TestReconnectIsBounded(t *testing.T) {
-	s := pool(t, 2, `,"policy":{"floor":"capacity"}`)
+	s := ejectionSite(t, 2, `,"policy":{"floor":"capacity"}`)
 	l := startLoad(s.nodes, 16, 5*time.Millisecond)
 	b := s.targets[0]
 	eventually(t, "work on the target", func() bool { return len(b.Runs()) > 50 })
@@ -159,7 +159,7 @@
 
 // Guards against random bytes that crash or block a node. Every port closes the connection.
 func TestRandomBytesOnEveryPort(t *testing.T) {
-	s := pool(t, 2, "")
+	s := ejectionSite(t, 2, "")
 	n := s.nodes[0]
 	p := n.proc.Load()
 	junk := [][]byte{
--- a/internal/integration/outlier_test.go
+++ b/internal/integration/outlier_test.go
@@ -77,8 +77,8 @@
 	return operator.TargetStatus{}
 }
 
-// pool returns a site with six targets and nodes in two data halls.
-func pool(t *testing.T, nodes int, policy string) *site {
+// ejectionSite returns a site with six targets and nodes in two data halls.
+func ejectionSite(t *testing.T, nodes int, policy string) *site {
 	s := newSite(t)
 	for range 6 {
 		s.target("quotes", "a", 30).SetMode(target.Mode{
@@ -96,7 +96,7 @@
 }
 
 func TestStalledTargetLosesWorkEverywhereAndReturns(t *testing.T) {
-	s := pool(t, 6, "")
+	s := ejectionSite(t, 6, "")
 	bad := s.targets[2]
 	// Only four of the six nodes have callers; the others depend on ejection decisions.
 	l := startLoad(s.nodes[:4], 16, 10*time.Millisecond)
@@ -144,7 +144,7 @@
 }
 
 func TestFloorHoldsWhenMostTargetsFail(t *testing.T) {
-	s := pool(t, 2, `,"policy":{"floor":"0.5 * capacity"}`)
+	s := ejectionSite(t, 2, `,"policy":{"floor":"0.5 * capacity"}`)
 	l := startLoad(s.nodes, 8, 10*time.Millisecond)
 	defer l.stop()
 	// The targets fail one after another, so that each is an outlier in its pool.
@@ -219,7 +219,7 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			s := pool(t, 6, "")
+			s := ejectionSite(t, 6, "")
 			bad := s.targets[1]
 			l := startLoad(s.nodes, 24, 10*time.Millisecond)
 			eventually(t, "work on the target", func() bool { return len(bad.Runs()) > 200 })
--- a/internal/integration/stop_test.go
+++ b/internal/integration/stop_test.go
@@ -78,7 +78,7 @@
 }
 
 func TestPlannedStopFailsNoRequests(t *testing.T) {
-	s := pool(t, 1, "")
+	s := ejectionSite(t, 1, "")
 	for _, b := range s.targets {
 		b.SetMode(target.Mode{
 			ChunkDelay: time.Millisecond,
--- a/internal/integration/tool_test.go
+++ b/internal/integration/tool_test.go
@@ -37,7 +37,7 @@
 }
 
 func TestTool(t *testing.T) {
-	s := pool(t, 1, "")
+	s := ejectionSite(t, 1, "")
 	n := s.nodes[0]
 	ops := n.proc.Load().Operator()
 	cases := []struct {
