--- a/internal/integration/once_test.go
+++ b/internal/integration/once_test.go
@@ -200,8 +200,8 @@
 	}
 }
 
-// caller sends requests that are not repeatable one after another and records them.
-func caller(n *node, name string, count int) []history.Call {
+// recordCalls sends requests that are not repeatable one after another and records them.
+func recordCalls(n *node, name string, count int) []history.Call {
 	client := newCaller()
 	defer client.CloseIdleConnections()
 	var calls []history.Call
@@ -251,7 +251,7 @@
 	const each = 150
 	for i := range 16 {
 		all.Go(func() {
-			calls := caller(nodes[i%2], fmt.Sprintf("storm-%d", i), each)
+			calls := recordCalls(nodes[i%2], fmt.Sprintf("storm-%d", i), each)
 			mu.Lock()
 			defer mu.Unlock()
 			h.Calls = append(h.Calls, calls...)
@@ -295,7 +295,7 @@
 			b.proxy.Forward(faultproxy.Fault{})
 			b.proxy.Backward(faultproxy.Fault{})
 		}
-		calls = append(calls, caller(n, fmt.Sprintf("calm-%d", i), 1)...)
+		calls = append(calls, recordCalls(n, fmt.Sprintf("calm-%d", i), 1)...)
 	}
 	return calls
 }
