--- a/internal/integration/smuggle_test.go
+++ b/internal/integration/smuggle_test.go
@@ -15,9 +15,9 @@
 // smuggled is a request hidden in the body of another.
 const smuggled = "GET /quotes/smuggled HTTP/1.1\r\nHost: h\r\nTest-Key: smuggled\r\n\r\n"
 
-// raw sends bytes to a node and returns the statuses of all answers until the
+// sendRaw sends bytes to a node and returns the statuses of all answers until the
 // node closes the connection or sends nothing more.
-func raw(t *testing.T, address, text string) []int {
+func sendRaw(t *testing.T, address, text string) []int {
 	t.Helper()
 	conn, err := net.Dial("tcp", address)
 	if err != nil {
@@ -172,7 +172,7 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			got := raw(t, n.entry, c.text)
+			got := sendRaw(t, n.entry, c.text)
 			if c.then != 0 && len(got) == 2 && got[1] == c.then {
 				got = got[:1]
 			}
