--- a/internal/integration/restore_test.go
+++ b/internal/integration/restore_test.go
@@ -10,8 +10,8 @@
 	"testing"
 )
 
-// markDoc returns routes by which a caller detects the revision in force.
-func markDoc(version int) string {
+// numberedRoutes returns routes by which a caller detects the revision in force.
+func numberedRoutes(version int) string {
 	return fmt.Sprintf(`{"routes":[{"name":"v%[1]d","pathPrefix":"/v%[1]d","methods":["GET"],"service":"quotes","repeatable":true}]}`, version)
 }
 
@@ -24,11 +24,11 @@
 	s := newSite(t)
 	s.target("quotes", "a", 3)
 	s.publishTargets(nil)
-	s.platform.Publish("routes", markDoc(1))
+	s.platform.Publish("routes", numberedRoutes(1))
 	s.fleet(4)
 	copied := s.platform.Copy()
 	for _, version := range []int{2, 3, 4} {
-		s.platform.Publish("routes", markDoc(version))
+		s.platform.Publish("routes", numberedRoutes(version))
 	}
 	for _, n := range s.nodes {
 		eventually(t, "the newest routes", func() bool { return n.serves(4) })
@@ -52,7 +52,7 @@
 	if !s.nodes[0].serves(4) {
 		t.Error("a starting node serves by the copy")
 	}
-	s.platform.Publish("routes", markDoc(5))
+	s.platform.Publish("routes", numberedRoutes(5))
 	for _, n := range s.nodes {
 		eventually(t, "routes of the new era", func() bool { return n.serves(5) && len(n.status().Config.Ahead) == 0 })
 		if !strings.Contains(n.proc.Load().Log(), `"era":1`) {
