--- a/internal/integration/harness_test.go
+++ b/internal/integration/harness_test.go
@@ -52,11 +52,11 @@
 
 // site holds the platform, targets and nodes of one test.
 type site struct {
-	t        *testing.T
-	platform *platform.Platform
-	toPlat   *faultproxy.Proxy
-	nodes    []*node
-	targets  []*backend
+	t             *testing.T
+	platform      *platform.Platform
+	platformProxy *faultproxy.Proxy
+	nodes         []*node
+	targets       []*backend
 }
 
 func newSite(t *testing.T) *site {
@@ -66,10 +66,10 @@
 		platform: platform.New(),
 	}
 	srv := httptest.NewServer(s.platform.Handler())
-	s.toPlat = newProxy(t, addr(srv.URL))
+	s.platformProxy = newProxy(t, addr(srv.URL))
 	t.Cleanup(func() {
 		s.platform.SetMode(platform.ModeDown)
-		s.toPlat.Close()
+		s.platformProxy.Close()
 		srv.CloseClientConnections()
 		srv.Close()
 	})
@@ -172,7 +172,7 @@
 		site:     s,
 		hall:     hall,
 		front:    newProxy(s.t, "127.0.0.1:1"),
-		toPlat:   s.toPlat.Addr(),
+		toPlat:   s.platformProxy.Addr(),
 		outgoing: fmt.Sprintf("127.0.1.%d", len(s.nodes)+1),
 	}
 	for i, other := range s.nodes {
