--- a/internal/integration/harness_test.go
+++ b/internal/integration/harness_test.go
@@ -139,11 +139,11 @@
 
 // node is one ploverd process.
 type node struct {
-	t      *testing.T
-	site   *site
-	hall   string
-	front  *faultproxy.Proxy
-	toPlat string
+	t               *testing.T
+	site            *site
+	hall            string
+	front           *faultproxy.Proxy
+	platformAddress string
 	// keys holds the settings of the certificate and key for peers.
 	keys string
 	// outgoing is the source IP address of connections to targets.
@@ -162,18 +162,18 @@
 
 func withExtra(ini string) option { return func(n *node) { n.extra = ini } }
 
-func withPlatform(address string) option { return func(n *node) { n.toPlat = address } }
+func withPlatform(address string) option { return func(n *node) { n.platformAddress = address } }
 
 // node starts a node, with the nodes started before it as seeds.
 func (s *site) node(hall string, opts ...option) *node {
 	s.t.Helper()
 	n := &node{
-		t:        s.t,
-		site:     s,
-		hall:     hall,
-		front:    newProxy(s.t, "127.0.0.1:1"),
-		toPlat:   s.platformProxy.Addr(),
-		outgoing: fmt.Sprintf("127.0.1.%d", len(s.nodes)+1),
+		t:               s.t,
+		site:            s,
+		hall:            hall,
+		front:           newProxy(s.t, "127.0.0.1:1"),
+		platformAddress: s.platformProxy.Addr(),
+		outgoing:        fmt.Sprintf("127.0.1.%d", len(s.nodes)+1),
 	}
 	for i, other := range s.nodes {
 		if i < 3 {
@@ -225,7 +225,7 @@
 [entry]
 listen = 127.0.0.1:0
 %s
-`, n.hall, n.outgoing, n.peerSettings(), seeds, n.keys, n.toPlat, n.extra)
+`, n.hall, n.outgoing, n.peerSettings(), seeds, n.keys, n.platformAddress, n.extra)
 }
 
 func (n *node) start() {
