--- a/internal/integration/config_test.go
+++ b/internal/integration/config_test.go
@@ -155,7 +155,7 @@
 func (s *site) listNodes() {
 	var list []string
 	for _, n := range s.nodes {
-		list = append(list, fmt.Sprintf(`{"address":%q,"dataHall":%q,"state":"LIVE","role":"ENTRY"}`, n.front.Addr(), n.hall))
+		list = append(list, fmt.Sprintf(`{"address":%q,"dataHall":%q,"state":"LIVE","role":"ENTRY"}`, n.peerProxy.Addr(), n.hall))
 	}
 	s.platform.Publish("instances", fmt.Sprintf(`{"instances":[%s]}`, strings.Join(list, ",")))
 }
@@ -213,14 +213,14 @@
 			name: "a third cannot be reached",
 			fault: func() {
 				for i := 0; i < len(s.nodes); i += 3 {
-					s.nodes[i].front.Forward(faultproxy.Fault{
+					s.nodes[i].peerProxy.Forward(faultproxy.Fault{
 						Cut: true,
 					})
 				}
 			},
 			heal: func() {
 				for _, n := range s.nodes {
-					n.front.Forward(faultproxy.Fault{})
+					n.peerProxy.Forward(faultproxy.Fault{})
 				}
 			},
 		},
@@ -228,14 +228,14 @@
 			name: "answers of a third are cut",
 			fault: func() {
 				for i := 0; i < len(s.nodes); i += 3 {
-					s.nodes[i].front.Backward(faultproxy.Fault{
+					s.nodes[i].peerProxy.Backward(faultproxy.Fault{
 						Cut: true,
 					})
 				}
 			},
 			heal: func() {
 				for _, n := range s.nodes {
-					n.front.Backward(faultproxy.Fault{})
+					n.peerProxy.Backward(faultproxy.Fault{})
 				}
 			},
 		},
@@ -274,10 +274,10 @@
 		s.platform.SetModeAt(platform.ModeStale, rev-1)
 		defer s.platform.SetMode(platform.ModeGood)
 		for i := 0; i < len(s.nodes); i += 3 {
-			s.nodes[i].front.Forward(faultproxy.Fault{
+			s.nodes[i].peerProxy.Forward(faultproxy.Fault{
 				Cut: true,
 			})
-			defer s.nodes[i].front.Forward(faultproxy.Fault{})
+			defer s.nodes[i].peerProxy.Forward(faultproxy.Fault{})
 		}
 		s.checkSpread(t, rev, s.nodes)
 	})
@@ -395,7 +395,7 @@
 	s.platform.SetModeAt(platform.ModeStale, old)
 	last := s.nodes[3]
 	for _, n := range s.nodes[:3] {
-		n.front.Forward(faultproxy.Fault{
+		n.peerProxy.Forward(faultproxy.Fault{
 			Delay: 300 * time.Millisecond,
 		})
 	}
--- a/internal/integration/freeze_test.go
+++ b/internal/integration/freeze_test.go
@@ -113,8 +113,8 @@
 	var list []membership.Node
 	byAddress := map[string]*node{}
 	for _, n := range s.nodes {
-		list = append(list, membership.NewNode(n.front.Addr(), n.hall))
-		byAddress[n.front.Addr()] = n
+		list = append(list, membership.NewNode(n.peerProxy.Addr(), n.hall))
+		byAddress[n.peerProxy.Addr()] = n
 	}
 	table := membership.NewTable(list[0])
 	table.List(list, nil)
--- a/internal/integration/harness_test.go
+++ b/internal/integration/harness_test.go
@@ -142,7 +142,7 @@
 	t               *testing.T
 	site            *site
 	hall            string
-	front           *faultproxy.Proxy
+	peerProxy       *faultproxy.Proxy
 	platformAddress string
 	// keys holds the settings of the certificate and key for peers.
 	keys string
@@ -171,13 +171,13 @@
 		t:               s.t,
 		site:            s,
 		hall:            hall,
-		front:           newProxy(s.t, "127.0.0.1:1"),
+		peerProxy:       newProxy(s.t, "127.0.0.1:1"),
 		platformAddress: s.platformProxy.Addr(),
 		outgoing:        fmt.Sprintf("127.0.1.%d", len(s.nodes)+1),
 	}
 	for i, other := range s.nodes {
 		if i < 3 {
-			n.seeds = append(n.seeds, cmp.Or(other.peersAt, other.front.Addr()))
+			n.seeds = append(n.seeds, cmp.Or(other.peersAt, other.peerProxy.Addr()))
 		}
 	}
 	for _, o := range opts {
@@ -198,7 +198,7 @@
 	if n.peersAt != "" {
 		return "listen = " + n.peersAt
 	}
-	return "listen = 127.0.0.1:0\nadvertise = " + n.front.Addr()
+	return "listen = 127.0.0.1:0\nadvertise = " + n.peerProxy.Addr()
 }
 
 func (n *node) settings() string {
@@ -236,7 +236,7 @@
 	}
 	n.proc.Store(p)
 	n.entry = p.Entry()
-	n.front.SetUpstream(p.Peers())
+	n.peerProxy.SetUpstream(p.Peers())
 }
 
 func (n *node) signal(s syscall.Signal) { n.proc.Load().Signal(s) }
@@ -257,7 +257,7 @@
 func (n *node) restart() {
 	n.t.Helper()
 	n.kill()
-	n.front.Reset()
+	n.peerProxy.Reset()
 	n.start()
 }
 
