--- a/internal/integration/harness_test.go
+++ b/internal/integration/harness_test.go
@@ -150,8 +150,8 @@
 	outgoing string
 	extra    string
 	seeds    []string
-	// peersAt is the address for peers if no proxy is used, else "".
-	peersAt string
+	// peerAddress is the address for peers if no proxy is used, else "".
+	peerAddress string
 	// proc is the running process, entry its address for callers.
 	proc  atomic.Pointer[process.Process]
 	entry string
@@ -177,7 +177,7 @@
 	}
 	for i, other := range s.nodes {
 		if i < 3 {
-			n.seeds = append(n.seeds, cmp.Or(other.peersAt, other.peerProxy.Addr()))
+			n.seeds = append(n.seeds, cmp.Or(other.peerAddress, other.peerProxy.Addr()))
 		}
 	}
 	for _, o := range opts {
@@ -191,12 +191,12 @@
 
 // withPeersAt sets the node's address for peers without a proxy, because datagrams
 // do not pass through one.
-func withPeersAt(address string) option { return func(n *node) { n.peersAt = address } }
+func withPeersAt(address string) option { return func(n *node) { n.peerAddress = address } }
 
 // peerSettings returns the settings of the addresses for peers.
 func (n *node) peerSettings() string {
-	if n.peersAt != "" {
-		return "listen = " + n.peersAt
+	if n.peerAddress != "" {
+		return "listen = " + n.peerAddress
 	}
 	return "listen = 127.0.0.1:0\nadvertise = " + n.peerProxy.Addr()
 }
