--- a/internal/integration/ends_test.go
+++ b/internal/integration/ends_test.go
@@ -43,7 +43,7 @@
 	s.standardRoutes("quotes")
 	for i := range 4 {
 		s.node(string(rune('a'+i%2)),
-			withPeersAt(fmt.Sprintf("127.0.4.%d:7950", i+1)),
+			withPeerAddress(fmt.Sprintf("127.0.4.%d:7950", i+1)),
 			withExtra("[targets]\nchoice = joint\n"))
 	}
 	s.allReady()
--- a/internal/integration/harness_test.go
+++ b/internal/integration/harness_test.go
@@ -189,9 +189,9 @@
 	return n
 }
 
-// withPeersAt sets the node's address for peers without a proxy, because datagrams
+// withPeerAddress sets the node's address for peers without a proxy, because datagrams
 // do not pass through one.
-func withPeersAt(address string) option { return func(n *node) { n.peerAddress = address } }
+func withPeerAddress(address string) option { return func(n *node) { n.peerAddress = address } }
 
 // peerSettings returns the settings of the addresses for peers.
 func (n *node) peerSettings() string {
--- a/internal/integration/joint_test.go
+++ b/internal/integration/joint_test.go
@@ -24,7 +24,7 @@
 	s.standardRoutes("quotes")
 	for i := range nodes {
 		s.node(string(rune('a'+i%2)),
-			withPeersAt(fmt.Sprintf("127.0.3.%d:7950", i+1)),
+			withPeerAddress(fmt.Sprintf("127.0.3.%d:7950", i+1)),
 			withExtra("[targets]\nchoice = joint\n"))
 	}
 	s.allReady()
--- a/internal/integration/keys_test.go
+++ b/internal/integration/keys_test.go
@@ -49,7 +49,7 @@
 	s.publishWorkspaces(rate, keyBrokers)
 	for i := range nodes {
 		s.node("a",
-			withPeersAt(fmt.Sprintf("127.0.3.%d:7951", i+1)),
+			withPeerAddress(fmt.Sprintf("127.0.3.%d:7951", i+1)),
 			withExtra("[targets]\nchoice = joint\n[workspaces]\nidentity = key\n"))
 	}
 	s.allReady()
--- a/internal/integration/signal_test.go
+++ b/internal/integration/signal_test.go
@@ -31,7 +31,7 @@
 	s.standardRoutes("quotes")
 	for i := range 4 {
 		s.node("a",
-			withPeersAt(fmt.Sprintf("127.0.%d.%d:7950", tt.net, i+1)),
+			withPeerAddress(fmt.Sprintf("127.0.%d.%d:7950", tt.net, i+1)),
 			withExtra("[targets]\nchoice = "+tt.choice+"\n"))
 	}
 	s.allReady()
@@ -369,7 +369,7 @@
 		{"name":"documents","pathPrefix":"/documents","methods":["POST"],"service":"documents","deadline":"2s"}]}`, times))
 	for i := range 2 {
 		s.node("a",
-			withPeersAt(fmt.Sprintf("127.0.%d.%d:7950", net, i+1)),
+			withPeerAddress(fmt.Sprintf("127.0.%d.%d:7950", net, i+1)),
 			withExtra("[targets]\nchoice = joint\n"))
 	}
 	s.allReady()
