--- a/internal/integration/harness_test.go
+++ b/internal/integration/harness_test.go
@@ -265,7 +265,7 @@
 
 func (n *node) ready() bool { return n.proc.Load().Ready() }
 
-// eventually waits until cond holds and fails the test after patience.
+// eventually waits until cond holds and fails the test after maxWait.
 func eventually(t *testing.T, what string, cond func() bool) {
 	t.Helper()
 	end := time.Now().Add(maxWait)
--- a/internal/integration/limit_test.go
+++ b/internal/integration/limit_test.go
@@ -18,11 +18,11 @@
 	limitWindow = 4 * time.Second
 	limitExcess = 1.5
 	limitSlack  = 5
-	// A node must comply limitKnown after an answer with the limit, the fleet limitSettled
+	// A node must comply limitGrace after an answer with the limit, the fleet limitSettleTime
 	// after the first such answer.
 	limitGrace      = 500 * time.Millisecond
 	limitSettleTime = 2 * time.Second
-	// undisturbedExcess and calmSlack are the bounds for all nodes together without faults.
+	// undisturbedExcess and undisturbedSlack are the bounds for all nodes together without faults.
 	undisturbedExcess = 1.1
 	undisturbedSlack  = 2
 	// undisturbedFrom is the time from complete membership until these bounds apply, as a dispatcher
@@ -59,7 +59,7 @@
 }
 
 // maxFromReceivers returns the maximum number of requests in one window from nodes that had received
-// the limit at least limitKnown before.
+// the limit at least limitGrace before.
 func (l targetLimit) maxFromReceivers(b *backend, nodes []int) int {
 	received := map[string]time.Time{}
 	for _, i := range nodes {
--- a/internal/integration/signal_test.go
+++ b/internal/integration/signal_test.go
@@ -41,7 +41,7 @@
 	return s
 }
 
-// signalLatency is the latency of a request, noticeGap the interval between two of one node. The
+// signalLatency is the latency of a request, signalInterval the interval between two of one node. The
 // four nodes keep two thirds of the slots busy, so that each target gets requests.
 const (
 	signalLatency  = 60 * time.Millisecond
@@ -86,7 +86,7 @@
 	return out
 }
 
-// nodeFault is an additional fault of the nodes; left lists the nodes that still forward requests.
+// nodeFault is an additional fault of the nodes; remaining lists the nodes that still forward requests.
 type nodeFault struct {
 	name string
 	// net is the third octet of the nodes' addresses, unique to the test.
