--- a/internal/integration/config_test.go
+++ b/internal/integration/config_test.go
@@ -256,7 +256,7 @@
 		})
 	}
 	for _, mode := range []platform.Mode{platform.ModeDown, platform.ModeHang, platform.ModeStale} {
-		t.Run("platform "+string(mode)+" after one reader heard", func(t *testing.T) {
+		t.Run("platform "+string(mode)+" after one reader received the value", func(t *testing.T) {
 			rev := publish()
 			eventually(t, "one node with the revision", func() bool {
 				return slices.ContainsFunc(s.nodes, func(n *node) bool { return n.revision("routes") >= rev })
--- a/internal/integration/ends_test.go
+++ b/internal/integration/crash_test.go
@@ -102,11 +102,11 @@
 		method string
 	}{
 		{
-			name:   "repeatable",
+			name:   "repeatable request",
 			method: http.MethodGet,
 		},
 		{
-			name:   "not repeatable",
+			name:   "request that is not repeatable",
 			method: http.MethodPost,
 		},
 	}
--- a/internal/soak/fleet.go
+++ b/internal/soak/fleet.go
@@ -66,7 +66,7 @@
 	// before the newest was revoked.
 	keys    int
 	revoked time.Time
-	// processes counts the processes started, ends the crashes of targets under the harmful
+	// processes counts the processes started, crashes those of targets under the harmful
 	// request.
 	processes atomic.Int64
 	crashes   atomic.Int64
