--- a/internal/integration/crash_test.go
+++ b/internal/integration/crash_test.go
@@ -28,14 +28,14 @@
 func crashSite(t *testing.T, targets int, back time.Duration) (*site, *atomic.Int64) {
 	t.Helper()
 	s := newSite(t)
-	ends := &atomic.Int64{}
+	crashes := &atomic.Int64{}
 	for i := range targets {
 		b := s.target("quotes", string(rune('a'+i%2)), 3)
 		b.SetMode(target.Mode{
 			Latency: 20 * time.Millisecond,
 		})
 		b.SetEnd(func() {
-			ends.Add(1)
+			crashes.Add(1)
 			b.crash(t, back)
 		})
 	}
@@ -50,7 +50,7 @@
 	for _, n := range s.nodes {
 		eventually(t, "all members live", func() bool { return liveMembers(n) == len(s.nodes) })
 	}
-	return s, ends
+	return s, crashes
 }
 
 // crash makes the target unreachable until it restarts after back.
