--- a/internal/integration/crash_test.go
+++ b/internal/integration/crash_test.go
@@ -112,15 +112,15 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			s, ends := crashSite(t, 8, time.Second)
+			s, crashes := crashSite(t, 8, time.Second)
 			harmful := func(int) string { return "/quotes/7?ends" }
 			harmless := func(i int) string { return fmt.Sprintf("/quotes/%d", i) }
 			var harm sync.WaitGroup
 			harm.Go(func() { s.send(tt.method, harmful, 50*time.Millisecond, during) })
 			sent, failed := s.send(http.MethodGet, harmless, 20*time.Millisecond, during)
 			harm.Wait()
-			t.Logf("%d targets crashed; of %d other requests %d were not served", ends.Load(), sent, failed)
-			if got := ends.Load(); got > maxCrashes {
+			t.Logf("%d targets crashed; of %d other requests %d were not served", crashes.Load(), sent, failed)
+			if got := crashes.Load(); got > maxCrashes {
 				t.Errorf("one request crashed %d targets, want at most %d", got, maxCrashes)
 			}
 			// Other requests in flight on a target are lost when it crashes.
