--- a/internal/integration/crash_test.go
+++ b/internal/integration/crash_test.go
@@ -134,9 +134,9 @@
 // Guards against a late or vague refusal of such a request. The caller immediately gets the
 // outcome not-run and the time after which to retry.
 func TestRefusalOfRequestThatCrashesTargets(t *testing.T) {
-	s, ends := crashSite(t, 8, time.Second)
+	s, crashes := crashSite(t, 8, time.Second)
 	s.send(http.MethodGet, func(int) string { return "/quotes/7?ends" }, 50*time.Millisecond, 2*time.Second)
-	before := ends.Load()
+	before := crashes.Load()
 	for _, n := range s.nodes {
 		r := n.do(http.MethodGet, "/quotes/7?ends", "", "")
 		if r.err != nil || r.status != http.StatusServiceUnavailable || r.outcome != "not-run" {
@@ -153,7 +153,7 @@
 			t.Errorf("refused after %v", r.took)
 		}
 	}
-	if got := ends.Load(); got != before {
+	if got := crashes.Load(); got != before {
 		t.Errorf("%d more targets crashed", got-before)
 	}
 }
