--- a/internal/integration/crash_test.go
+++ b/internal/integration/crash_test.go
@@ -187,7 +187,7 @@
 // Guards against counting a broken connection as a crash. While live targets lose their answers
 // the same request is forwarded each time, and it is answered once they recover.
 func TestBrokenConnectionsAreNotCrashes(t *testing.T) {
-	s, ends := crashSite(t, 4, time.Second)
+	s, crashes := crashSite(t, 4, time.Second)
 	for _, b := range s.targets {
 		b.SetMode(target.Mode{
 			ResetAfter: true,
@@ -206,7 +206,7 @@
 			t.Errorf("status %d, body %s, err %v", r.status, r.body, r.err)
 		}
 	}
-	if ends.Load() > 0 {
-		t.Errorf("%d targets crashed", ends.Load())
+	if crashes.Load() > 0 {
+		t.Errorf("%d targets crashed", crashes.Load())
 	}
 }
