--- a/internal/integration/retry_test.go
+++ b/internal/integration/retry_test.go
@@ -31,50 +31,50 @@
 
 func TestUnconfirmedWriteIsNotRetried(t *testing.T) {
 	cases := []struct {
-		name   string
-		mode   target.Mode
-		status int
-		most   time.Duration
+		name    string
+		mode    target.Mode
+		status  int
+		maxTook time.Duration
 	}{
 		{
 			name: "runs and never answers",
 			mode: target.Mode{
 				Stall: true,
 			},
-			status: http.StatusGatewayTimeout,
-			most:   3 * time.Second,
+			status:  http.StatusGatewayTimeout,
+			maxTook: 3 * time.Second,
 		},
 		{
 			name: "answer lost",
 			mode: target.Mode{
 				ResetAfter: true,
 			},
-			status: http.StatusBadGateway,
-			most:   time.Second,
+			status:  http.StatusBadGateway,
+			maxTook: time.Second,
 		},
 		{
 			name: "reset before it runs",
 			mode: target.Mode{
 				ResetBefore: true,
 			},
-			status: http.StatusBadGateway,
-			most:   time.Second,
+			status:  http.StatusBadGateway,
+			maxTook: time.Second,
 		},
 		{
 			name: "answer cut",
 			mode: target.Mode{
 				CutAfter: 5,
 			},
-			status: http.StatusBadGateway,
-			most:   time.Second,
+			status:  http.StatusBadGateway,
+			maxTook: time.Second,
 		},
 		{
 			name: "answer of another request",
 			mode: target.Mode{
 				Swap: true,
 			},
-			status: http.StatusBadGateway,
-			most:   time.Second,
+			status:  http.StatusBadGateway,
+			maxTook: time.Second,
 		},
 	}
 	s, b, n := oneTarget(t)
@@ -92,7 +92,7 @@
 			if r.err != nil || r.status != c.status || r.outcome != "unknown" {
 				t.Fatalf("status %d outcome %q err %v", r.status, r.outcome, r.err)
 			}
-			if r.took > c.most {
+			if r.took > c.maxTook {
 				t.Fatalf("the final answer took %v", r.took)
 			}
 			if r.header.Get("Retry-After") == "" {
