--- a/internal/integration/harness_test.go
+++ b/internal/integration/harness_test.go
@@ -269,13 +269,13 @@
 func eventually(t *testing.T, what string, cond func() bool) {
 	t.Helper()
 	end := time.Now().Add(maxWait)
-	look := time.NewTicker(10 * time.Millisecond)
-	defer look.Stop()
+	poll := time.NewTicker(10 * time.Millisecond)
+	defer poll.Stop()
 	for !cond() {
 		if time.Now().After(end) {
 			t.Fatalf("not within %v: %s", maxWait, what)
 		}
-		<-look.C
+		<-poll.C
 	}
 }
 
