--- a/internal/integration/signal_test.go
+++ b/internal/integration/signal_test.go
@@ -220,7 +220,7 @@
 // good again, and nothing read the backoff. Log lines of the refusals showed the backoff
 // and no change after it.
 func TestRequestedBackoffIsRespected(t *testing.T) {
-	const rest = 4 * time.Second
+	const backoff = 4 * time.Second
 	for _, tt := range nodeFaults {
 		t.Run(tt.name, func(t *testing.T) {
 			t.Parallel()
@@ -231,7 +231,7 @@
 			eventually(t, "work at the target", func() bool { return len(b.Arrivals()) > 40 })
 			b.SetMode(target.Mode{
 				Shed: true,
-				Rest: rest,
+				Rest: backoff,
 			})
 			eventually(t, "a request refused with a backoff", func() bool { return requestedBackoff(b, tt.remaining) })
 			b.SetMode(target.Mode{
@@ -239,8 +239,8 @@
 			})
 			stopped()
 			tt.inject(s)
-			time.AfterFunc(rest+time.Second, stop)
-			<-time.After(rest + 2*time.Second)
+			time.AfterFunc(backoff+time.Second, stop)
+			<-time.After(backoff + 2*time.Second)
 			for _, i := range tt.remaining {
 				checkBackoff(t, b, i)
 			}
