--- a/internal/integration/signal_test.go
+++ b/internal/integration/signal_test.go
@@ -288,13 +288,13 @@
 // second. The caller must immediately get the time at which the request can be served, and
 // another service must not be affected.
 func TestServiceWithAllTargetsBackingOff(t *testing.T) {
-	const rest = 4 * time.Second
+	const backoff = 4 * time.Second
 	s := twoServiceSite(t, 54, `"deadline":"5s"`)
 	quotes := s.targets[:3]
 	for _, b := range quotes {
 		b.SetMode(target.Mode{
 			Shed: true,
-			Rest: rest,
+			Rest: backoff,
 		})
 	}
 	request := func(i int) reply { return s.nodes[i].do(http.MethodGet, "/quotes/1", fmt.Sprintf("%d-q", i), "") }
@@ -305,9 +305,9 @@
 		})
 	}
 	for i := range s.nodes {
-		ends := time.Now().Add(rest)
+		ends := time.Now().Add(backoff)
 		for _, b := range quotes {
-			if at := b.from(i)[0].At.Add(rest); at.Before(ends) {
+			if at := b.from(i)[0].At.Add(backoff); at.Before(ends) {
 				ends = at
 			}
 		}
@@ -318,7 +318,7 @@
 		seconds, err := strconv.Atoi(r.header.Get("Retry-After"))
 		back := time.Now().Add(time.Duration(seconds) * time.Second)
 		// The value is rounded up to seconds and jittered, to spread the callers.
-		if err != nil || back.Before(ends) || back.After(ends.Add(rest/2+time.Second)) {
+		if err != nil || back.Before(ends) || back.After(ends.Add(backoff/2+time.Second)) {
 			t.Errorf("node %d: Retry-After %q, the backoff ends in %v", i, r.header.Get("Retry-After"), time.Until(ends))
 		}
 	}
