--- a/internal/integration/signal_test.go
+++ b/internal/integration/signal_test.go
@@ -269,15 +269,15 @@
 		maxRequests = 2
 	)
 	all := b.from(node)
-	for _, asked := range all {
+	for _, refusal := range all {
 		n := 0
 		for _, a := range all {
-			if after := a.At.Sub(asked.At); asked.Rest > 0 && after > slack && after < asked.Rest {
+			if after := a.At.Sub(refusal.At); refusal.Rest > 0 && after > slack && after < refusal.Rest {
 				n++
 			}
 		}
 		if n > maxRequests {
-			t.Errorf("node %d sent %d requests during the requested backoff of %v", node, n, asked.Rest)
+			t.Errorf("node %d sent %d requests during the requested backoff of %v", node, n, refusal.Rest)
 			return
 		}
 	}
