--- a/internal/integration/limit_test.go
+++ b/internal/integration/limit_test.go
@@ -59,7 +59,7 @@
 }
 
 // maxFromReceivers returns the maximum number of requests in one window from nodes that had received
-// the limit at least limitGrace before.
+// the limit at least limitGrace before, from limitSettleTime after its first signal on.
 func (l targetLimit) maxFromReceivers(b *backend, nodes []int) int {
 	received := map[string]time.Time{}
 	for _, i := range nodes {
--- a/internal/integration/signal_test.go
+++ b/internal/integration/signal_test.go
@@ -216,7 +216,7 @@
 
 // Guards against requests to a target during the backoff that it requested of a node. In an
 // incident a target refused a node with a backoff of 3 s and got four requests from it in that
-// time: it had recovered for 2 s and answered other nodes, so that the dispatcher's estimate was
+// time: it had recovered 2 s before and answered other nodes, so that the dispatcher's estimate was
 // good again, and nothing read the backoff. Log lines of the refusals showed the backoff
 // and no change after it.
 func TestRequestedBackoffIsRespected(t *testing.T) {
