--- a/internal/standin/faultproxy/faultproxy.go
+++ b/internal/standin/faultproxy/faultproxy.go
@@ -66,7 +66,7 @@
 
 // New returns a proxy that listens on loopback and forwards to upstream.
 func New(upstream string) (*Proxy, error) {
-	at, err := takePort()
+	at, err := reservePort()
 	if err != nil {
 		return nil, err
 	}
--- a/internal/standin/faultproxy/port.go
+++ b/internal/standin/faultproxy/port.go
@@ -18,8 +18,8 @@
 	address netip.AddrPort
 }
 
-// takePort takes a free port.
-func takePort() (*port, error) {
+// reservePort takes a free port.
+func reservePort() (*port, error) {
 	fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
 	if err != nil {
 		return nil, err
