--- a/internal/standin/faultproxy/faultproxy.go
+++ b/internal/standin/faultproxy/faultproxy.go
@@ -204,7 +204,7 @@
 		return
 	}
 	defer p.drop(caller, upstream)
-	if !p.keep(caller, upstream) {
+	if !p.track(caller, upstream) {
 		return
 	}
 	ctx, cancel := context.WithCancel(context.Background())
@@ -217,9 +217,9 @@
 	both.Wait()
 }
 
-// keep notes connections, and returns false if the proxy has gone down since they were
+// track notes connections, and returns false if the proxy has gone down since they were
 // accepted.
-func (p *Proxy) keep(conns ...net.Conn) bool {
+func (p *Proxy) track(conns ...net.Conn) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, c := range conns {
