--- a/internal/standin/faultproxy/faultproxy.go
+++ b/internal/standin/faultproxy/faultproxy.go
@@ -203,7 +203,7 @@
 		_ = caller.Close()
 		return
 	}
-	defer p.drop(caller, upstream)
+	defer p.untrack(caller, upstream)
 	if !p.track(caller, upstream) {
 		return
 	}
@@ -228,7 +228,7 @@
 	return p.listener != nil
 }
 
-func (p *Proxy) drop(conns ...net.Conn) {
+func (p *Proxy) untrack(conns ...net.Conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, c := range conns {
