--- a/internal/standin/faultproxy/faultproxy.go
+++ b/internal/standin/faultproxy/faultproxy.go
@@ -113,15 +113,15 @@
 	return nil
 }
 
-// links are the two directions of connections from one IP number.
-type links struct {
+// sourceFaults are the two directions of connections from one IP number.
+type sourceFaults struct {
 	forward  direction
 	backward direction
 }
 
-func (p *Proxy) linksOf(ip string) *links {
-	l, _ := p.from.LoadOrStore(ip, &links{})
-	return l.(*links)
+func (p *Proxy) linksOf(ip string) *sourceFaults {
+	l, _ := p.from.LoadOrStore(ip, &sourceFaults{})
+	return l.(*sourceFaults)
 }
 
 // From sets the faults of the connections that come from one IP number, besides
