--- a/internal/standin/faultproxy/faultproxy.go
+++ b/internal/standin/faultproxy/faultproxy.go
@@ -119,7 +119,7 @@
 	backward direction
 }
 
-func (p *Proxy) linksOf(ip string) *sourceFaults {
+func (p *Proxy) sourceFaultsOf(ip string) *sourceFaults {
 	l, _ := p.from.LoadOrStore(ip, &sourceFaults{})
 	return l.(*sourceFaults)
 }
@@ -127,7 +127,7 @@
 // From sets the faults of the connections that come from one IP number, besides
 // those of all connections.
 func (p *Proxy) From(ip string, forward, backward Fault) {
-	l := p.linksOf(ip)
+	l := p.sourceFaultsOf(ip)
 	l.forward.set(forward)
 	l.backward.set(backward)
 }
@@ -211,7 +211,7 @@
 	defer cancel()
 	var both sync.WaitGroup
 	ip, _, _ := net.SplitHostPort(caller.RemoteAddr().String())
-	l := p.linksOf(ip)
+	l := p.sourceFaultsOf(ip)
 	both.Go(func() { pump(ctx, cancel, caller, upstream, &p.forward, &l.forward) })
 	both.Go(func() { pump(ctx, cancel, upstream, caller, &p.backward, &l.backward) })
 	both.Wait()
