--- a/internal/standin/faultproxy/faultproxy.go
+++ b/internal/standin/faultproxy/faultproxy.go
@@ -26,11 +26,11 @@
 	upstream atomic.Pointer[string]
 	forward  direction
 	backward direction
-	// from are the faults of the connections that come from one IP number.
-	from   sync.Map
-	refuse atomic.Bool
-	mu     sync.Mutex
-	conns  map[net.Conn]struct{}
+	// bySource are the faults of the connections that come from one IP number.
+	bySource sync.Map
+	refuse   atomic.Bool
+	mu       sync.Mutex
+	conns    map[net.Conn]struct{}
 	// listener is nil while the proxy is down.
 	listener net.Listener
 	closed   bool
@@ -120,7 +120,7 @@
 }
 
 func (p *Proxy) sourceFaultsOf(ip string) *sourceFaults {
-	l, _ := p.from.LoadOrStore(ip, &sourceFaults{})
+	l, _ := p.bySource.LoadOrStore(ip, &sourceFaults{})
 	return l.(*sourceFaults)
 }
 
@@ -174,7 +174,7 @@
 	p.Down()
 	p.Forward(Fault{})
 	p.Backward(Fault{})
-	p.from.Range(func(ip, _ any) bool {
+	p.bySource.Range(func(ip, _ any) bool {
 		p.From(ip.(string), Fault{}, Fault{})
 		return true
 	})
