--- a/internal/standin/faultproxy/faultproxy.go
+++ b/internal/standin/faultproxy/faultproxy.go
@@ -66,17 +66,17 @@
 
 // New returns a proxy that listens on loopback and forwards to upstream.
 func New(upstream string) (*Proxy, error) {
-	at, err := reservePort()
+	reserved, err := reservePort()
 	if err != nil {
 		return nil, err
 	}
 	p := &Proxy{
-		port:  at,
+		port:  reserved,
 		conns: map[net.Conn]struct{}{},
 	}
 	p.SetUpstream(upstream)
 	if err := p.Up(); err != nil {
-		at.release()
+		reserved.release()
 		return nil, err
 	}
 	return p, nil
