--- a/internal/standin/platform/platform.go
+++ b/internal/standin/platform/platform.go
@@ -46,14 +46,14 @@
 
 // Platform is the stand-in. It may be used concurrently.
 type Platform struct {
-	mu       sync.Mutex
-	revision uint64
-	changes  []change
-	changed  chan struct{}
-	mode     Mode
-	frozen   uint64
-	lag      time.Duration
-	calls    atomic.Int64
+	mu            sync.Mutex
+	revision      uint64
+	changes       []change
+	changed       chan struct{}
+	mode          Mode
+	staleRevision uint64
+	lag           time.Duration
+	calls         atomic.Int64
 	// era counts restores; versions are the operators' own counts by key, which no restore
 	// takes back.
 	era      uint64
@@ -173,7 +173,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.mode = m
-	p.frozen = p.revision
+	p.staleRevision = p.revision
 	p.wake()
 }
 
@@ -182,7 +182,7 @@
 	p.SetMode(m)
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.frozen = revision
+	p.staleRevision = revision
 }
 
 // SetLag delays the sight of each change by d.
@@ -205,7 +205,7 @@
 	}
 	newest := map[string]*wire.Value{}
 	for _, c := range p.changes {
-		if p.mode == ModeStale && c.value.GetRevision() > p.frozen || time.Since(c.at) < p.lag {
+		if p.mode == ModeStale && c.value.GetRevision() > p.staleRevision || time.Since(c.at) < p.lag {
 			break
 		}
 		list.Revision = c.value.GetRevision()
