--- a/internal/standin/platform/platform.go
+++ b/internal/standin/platform/platform.go
@@ -118,7 +118,7 @@
 	p.era++
 	p.revision = c.revision
 	p.changes = slices.Clone(c.changes)
-	p.wake()
+	p.notifyWatches()
 	return lost
 }
 
@@ -159,11 +159,11 @@
 		value: v,
 		at:    time.Now(),
 	})
-	p.wake()
+	p.notifyWatches()
 	return p.revision
 }
 
-func (p *Platform) wake() {
+func (p *Platform) notifyWatches() {
 	close(p.changed)
 	p.changed = make(chan struct{})
 }
@@ -174,7 +174,7 @@
 	defer p.mu.Unlock()
 	p.mode = m
 	p.staleRevision = p.revision
-	p.wake()
+	p.notifyWatches()
 }
 
 // SetModeAt is like SetMode, but ModeStale answers as of a given revision.
