--- a/internal/standin/platform/platform.go
+++ b/internal/standin/platform/platform.go
@@ -231,8 +231,8 @@
 	return mux
 }
 
-// fails answers a reader in the modes in which it gets no values.
-func (p *Platform) fails(r *http.Request) bool {
+// failByMode answers a reader in the modes in which it gets no values.
+func (p *Platform) failByMode(r *http.Request) bool {
 	p.calls.Add(1)
 	p.mu.Lock()
 	mode := p.mode
@@ -249,7 +249,7 @@
 }
 
 func (p *Platform) values(w http.ResponseWriter, r *http.Request) {
-	if p.fails(r) {
+	if p.failByMode(r) {
 		return
 	}
 	list, _ := p.visible(0)
@@ -257,7 +257,7 @@
 }
 
 func (p *Platform) watch(w http.ResponseWriter, r *http.Request) {
-	if p.fails(r) {
+	if p.failByMode(r) {
 		return
 	}
 	after, err := strconv.ParseUint(r.URL.Query().Get("after"), 10, 64)
