--- a/internal/standin/platform/platform.go
+++ b/internal/standin/platform/platform.go
@@ -253,7 +253,7 @@
 		return
 	}
 	list, _ := p.visible(0)
-	answer(w, list)
+	writeList(w, list)
 }
 
 func (p *Platform) watch(w http.ResponseWriter, r *http.Request) {
@@ -281,7 +281,7 @@
 	for {
 		list, changed := p.visible(after)
 		if len(list.GetValues()) > 0 || list.GetEra() != era {
-			answer(w, list)
+			writeList(w, list)
 			return
 		}
 		// A lagging change becomes visible without notice.
@@ -293,7 +293,7 @@
 		case <-r.Context().Done():
 			return
 		case <-end.C:
-			answer(w, list)
+			writeList(w, list)
 			return
 		case <-changed:
 			if p.isDown() {
@@ -316,7 +316,7 @@
 	return p.mode == ModeDown
 }
 
-func answer(w http.ResponseWriter, list *wire.ValueList) {
+func writeList(w http.ResponseWriter, list *wire.ValueList) {
 	b, err := protojson.Marshal(list)
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusInternalServerError)
