--- a/internal/standin/platform/platform.go
+++ b/internal/standin/platform/platform.go
@@ -332,11 +332,11 @@
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	adminAnswer(w, p.Publish(r.PathValue("key"), string(b)))
+	writeRevision(w, p.Publish(r.PathValue("key"), string(b)))
 }
 
 func (p *Platform) adminDelete(w http.ResponseWriter, r *http.Request) {
-	adminAnswer(w, p.Delete(r.PathValue("key")))
+	writeRevision(w, p.Delete(r.PathValue("key")))
 }
 
 func (p *Platform) adminMode(w http.ResponseWriter, r *http.Request) {
@@ -344,7 +344,7 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-func adminAnswer(w http.ResponseWriter, revision uint64) {
+func writeRevision(w http.ResponseWriter, revision uint64) {
 	_ = json.NewEncoder(w).Encode(struct {
 		Revision uint64 `json:"revision"`
 	}{
