--- a/internal/standin/platform/platform.go
+++ b/internal/standin/platform/platform.go
@@ -275,7 +275,7 @@
 	if err != nil {
 		wait = defaultWait
 	}
-	const look = 20 * time.Millisecond
+	const checkInterval = 20 * time.Millisecond
 	end := time.NewTimer(wait)
 	defer end.Stop()
 	for {
@@ -287,7 +287,7 @@
 		// A lagging change becomes visible without notice.
 		var lagged <-chan time.Time
 		if p.lagging() {
-			lagged = time.After(look)
+			lagged = time.After(checkInterval)
 		}
 		select {
 		case <-r.Context().Done():
