--- a/internal/standin/platform/platform.go
+++ b/internal/standin/platform/platform.go
@@ -276,8 +276,8 @@
 		wait = defaultWait
 	}
 	const checkInterval = 20 * time.Millisecond
-	end := time.NewTimer(wait)
-	defer end.Stop()
+	timeout := time.NewTimer(wait)
+	defer timeout.Stop()
 	for {
 		list, changed := p.visible(after)
 		if len(list.GetValues()) > 0 || list.GetEra() != era {
@@ -292,7 +292,7 @@
 		select {
 		case <-r.Context().Done():
 			return
-		case <-end.C:
+		case <-timeout.C:
 			writeList(w, list)
 			return
 		case <-changed:
