--- a/internal/standin/process/process.go
+++ b/internal/standin/process/process.go
@@ -21,8 +21,8 @@
 	"ploverjunction.example/ploverjunction/internal/operator"
 )
 
-// startTime bounds how long a process takes until it serves.
-const startTime = 30 * time.Second
+// startTimeout bounds how long a process takes until it serves.
+const startTimeout = 30 * time.Second
 
 // Error is a process that could not be run.
 type Error struct {
@@ -107,7 +107,7 @@
 			cause: p.exitErr,
 			log:   p.Log(),
 		}
-	case <-time.After(startTime):
+	case <-time.After(startTimeout):
 		p.Kill()
 		return nil, &Error{
 			what: "did not serve in time",
