--- a/internal/standin/process/process.go
+++ b/internal/standin/process/process.go
@@ -67,8 +67,8 @@
 	log     []string
 }
 
-// serving is the log line in which ploverd tells its addresses.
-type serving struct {
+// addressLine is the log line in which ploverd tells its addresses.
+type addressLine struct {
 	Msg      string `json:"msg"`
 	Entry    string `json:"entry"`
 	Operator string `json:"operator"`
@@ -95,7 +95,7 @@
 	if err := p.cmd.Start(); err != nil {
 		return nil, fmt.Errorf("process: %w", err)
 	}
-	told := make(chan serving, 1)
+	told := make(chan addressLine, 1)
 	go p.read(out, told)
 	select {
 	case line := <-told:
@@ -117,14 +117,14 @@
 }
 
 // read follows the log and then the end of the process.
-func (p *Process) read(out io.Reader, told chan<- serving) {
+func (p *Process) read(out io.Reader, told chan<- addressLine) {
 	lines := bufio.NewScanner(out)
 	lines.Buffer(nil, 1<<20)
 	for lines.Scan() {
 		p.mu.Lock()
 		p.log = append(p.log, lines.Text())
 		p.mu.Unlock()
-		var line serving
+		var line addressLine
 		if json.Unmarshal(lines.Bytes(), &line) == nil && line.Msg == "node: serving" {
 			told <- line
 		}
