--- a/internal/standin/process/process.go
+++ b/internal/standin/process/process.go
@@ -57,14 +57,14 @@
 
 // Process is one running ploverd. It may be used concurrently.
 type Process struct {
-	cmd     *exec.Cmd
-	entry   string
-	ops     string
-	peers   string
-	exited  chan struct{}
-	exitErr error
-	mu      sync.Mutex
-	log     []string
+	cmd          *exec.Cmd
+	entry        string
+	operatorAddr string
+	peers        string
+	exited       chan struct{}
+	exitErr      error
+	mu           sync.Mutex
+	log          []string
 }
 
 // addressLine is the log line in which ploverd tells its addresses.
@@ -99,7 +99,7 @@
 	go p.read(out, told)
 	select {
 	case line := <-told:
-		p.entry, p.ops, p.peers = line.Entry, line.Operator, line.Peers
+		p.entry, p.operatorAddr, p.peers = line.Entry, line.Operator, line.Peers
 		return p, nil
 	case <-p.exited:
 		return nil, &Error{
@@ -137,7 +137,7 @@
 func (p *Process) Entry() string { return p.entry }
 
 // Operator returns the address for operators.
-func (p *Process) Operator() string { return p.ops }
+func (p *Process) Operator() string { return p.operatorAddr }
 
 // Peers returns the address for other processes of the fleet.
 func (p *Process) Peers() string { return p.peers }
@@ -177,7 +177,7 @@
 func (p *Process) Brief() *operator.Status { return p.status("?brief") }
 
 func (p *Process) status(query string) *operator.Status {
-	res, err := http.Get("http://" + p.ops + "/status" + query)
+	res, err := http.Get("http://" + p.operatorAddr + "/status" + query)
 	if err != nil {
 		return nil
 	}
