--- a/internal/standin/process/process.go
+++ b/internal/standin/process/process.go
@@ -26,14 +26,14 @@
 
 // Error is a process that could not be run.
 type Error struct {
-	what  string
+	op    string
 	cause error
 	log   string
 }
 
 // Error names what failed and shows the log.
 func (e *Error) Error() string {
-	return fmt.Sprintf("process: %s: %v\n%s", e.what, e.cause, e.log)
+	return fmt.Sprintf("process: %s: %v\n%s", e.op, e.cause, e.log)
 }
 
 // Unwrap returns the error beneath, or nil.
@@ -47,7 +47,7 @@
 	out, err := build.CombinedOutput()
 	if err != nil {
 		return "", &Error{
-			what:  "build",
+			op:    "build",
 			cause: err,
 			log:   string(out),
 		}
@@ -103,15 +103,15 @@
 		return p, nil
 	case <-p.exited:
 		return nil, &Error{
-			what:  "ended at its start",
+			op:    "ended at its start",
 			cause: p.exitErr,
 			log:   p.Log(),
 		}
 	case <-time.After(startTimeout):
 		p.Kill()
 		return nil, &Error{
-			what: "did not serve in time",
-			log:  p.Log(),
+			op:  "did not serve in time",
+			log: p.Log(),
 		}
 	}
 }
