--- a/internal/standin/process/process.go
+++ b/internal/standin/process/process.go
@@ -95,10 +95,10 @@
 	if err := p.cmd.Start(); err != nil {
 		return nil, fmt.Errorf("process: %w", err)
 	}
-	told := make(chan addressLine, 1)
-	go p.read(out, told)
+	addresses := make(chan addressLine, 1)
+	go p.read(out, addresses)
 	select {
-	case line := <-told:
+	case line := <-addresses:
 		p.entry, p.operatorAddr, p.peers = line.Entry, line.Operator, line.Peers
 		return p, nil
 	case <-p.exited:
