--- a/internal/standin/process/process.go
+++ b/internal/standin/process/process.go
@@ -117,7 +117,7 @@
 }
 
 // read follows the log and then the end of the process.
-func (p *Process) read(out io.Reader, told chan<- addressLine) {
+func (p *Process) read(out io.Reader, addresses chan<- addressLine) {
 	lines := bufio.NewScanner(out)
 	lines.Buffer(nil, 1<<20)
 	for lines.Scan() {
@@ -126,7 +126,7 @@
 		p.mu.Unlock()
 		var line addressLine
 		if json.Unmarshal(lines.Bytes(), &line) == nil && line.Msg == "node: serving" {
-			told <- line
+			addresses <- line
 		}
 	}
 	p.exitErr = p.cmd.Wait()
