--- a/internal/standin/target/faulty.go
+++ b/internal/standin/target/faulty.go
@@ -4,8 +4,8 @@
 
 import "net/http"
 
-// faulty is a body that breaks off, stops or comes slowly.
-type faulty struct {
+// faultyWriter is a body that breaks off, stops or comes slowly.
+type faultyWriter struct {
 	http.ResponseWriter
 	request *http.Request
 	mode    *Mode
@@ -13,7 +13,7 @@
 }
 
 // Write sends b in pieces, up to the fault.
-func (f *faulty) Write(b []byte) (int, error) {
+func (f *faultyWriter) Write(b []byte) (int, error) {
 	const piece = 16 << 10
 	done := 0
 	for done < len(b) {
@@ -40,7 +40,7 @@
 	return done, nil
 }
 
-func (f *faulty) fail() {
+func (f *faultyWriter) fail() {
 	if f.mode.StallAfter > 0 {
 		<-f.request.Context().Done()
 	}
--- a/internal/standin/target/target.go
+++ b/internal/standin/target/target.go
@@ -312,7 +312,7 @@
 		return
 	}
 	if m.CutAfter > 0 || m.StallAfter > 0 || m.ChunkDelay > 0 {
-		w = &faulty{
+		w = &faultyWriter{
 			ResponseWriter: w,
 			request:        r,
 			mode:           m,
