--- a/internal/standin/target/faulty.go
+++ b/internal/standin/target/faulty.go
@@ -35,7 +35,7 @@
 			return done, err
 		}
 		_ = http.NewResponseController(f.ResponseWriter).Flush()
-		work(f.request, f.mode.ChunkDelay)
+		sleep(f.request, f.mode.ChunkDelay)
 	}
 	return done, nil
 }
--- a/internal/standin/target/target.go
+++ b/internal/standin/target/target.go
@@ -238,7 +238,7 @@
 		<-r.Context().Done()
 		return
 	}
-	work(r, m.Latency)
+	sleep(r, m.Latency)
 	t.answer(w, r, m, body)
 }
 
@@ -276,7 +276,7 @@
 	})
 }
 
-func work(r *http.Request, d time.Duration) {
+func sleep(r *http.Request, d time.Duration) {
 	if d <= 0 {
 		return
 	}
