--- a/internal/standin/target/target.go
+++ b/internal/standin/target/target.go
@@ -211,7 +211,7 @@
 	if m.Shed && m.Rest > 0 {
 		w.Header().Set("Retry-After", strconv.FormatFloat(m.Rest.Seconds(), 'f', -1, 64))
 	}
-	if m.Shed || late(r) {
+	if m.Shed || pastDeadline(r) {
 		refuse(w)
 		return
 	}
@@ -225,7 +225,7 @@
 	case <-r.Context().Done():
 		return
 	}
-	if late(r) {
+	if pastDeadline(r) {
 		refuse(w)
 		return
 	}
@@ -251,7 +251,7 @@
 	return time.UnixMilli(ms)
 }
 
-func late(r *http.Request) bool {
+func pastDeadline(r *http.Request) bool {
 	d := deadline(r)
 	return !d.IsZero() && !time.Now().Before(d)
 }
