--- a/internal/standin/target/target.go
+++ b/internal/standin/target/target.go
@@ -138,8 +138,8 @@
 	return append([]Arrival(nil), t.arrivals...)
 }
 
-// arrived notes a request that reached the target.
-func (t *Target) arrived(r *http.Request, m *Mode) {
+// recordArrival notes a request that reached the target.
+func (t *Target) recordArrival(r *http.Request, m *Mode) {
 	a := Arrival{
 		Key:     r.Header.Get(HeaderKey),
 		At:      time.Now(),
@@ -201,7 +201,7 @@
 func (t *Target) serve(w http.ResponseWriter, r *http.Request) {
 	m := t.mode.Load()
 	t.requests.Add(1)
-	t.arrived(r, m)
+	t.recordArrival(r, m)
 	t.inFlight.Add(1)
 	defer t.inFlight.Add(-1)
 	t.state(w, m)
