--- a/internal/standin/target/target.go
+++ b/internal/standin/target/target.go
@@ -229,7 +229,7 @@
 		refuse(w)
 		return
 	}
-	t.record(r)
+	t.recordRun(r)
 	if end := t.end.Load(); end != nil && r.URL.Query().Has("ends") {
 		(*end)()
 		panic(http.ErrAbortHandler)
@@ -261,7 +261,7 @@
 	w.WriteHeader(http.StatusServiceUnavailable)
 }
 
-func (t *Target) record(r *http.Request) {
+func (t *Target) recordRun(r *http.Request) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.header = r.Header.Clone()
