--- a/internal/standin/target/target.go
+++ b/internal/standin/target/target.go
@@ -175,11 +175,11 @@
 func (t *Target) health(w http.ResponseWriter, _ *http.Request) {
 	m := t.mode.Load()
 	time.Sleep(m.ProbeDelay)
-	t.state(w, m)
+	t.setState(w, m)
 	w.WriteHeader(http.StatusOK)
 }
 
-func (t *Target) state(w http.ResponseWriter, m *Mode) {
+func (t *Target) setState(w http.ResponseWriter, m *Mode) {
 	if m.Leaving {
 		w.Header().Set(headerState, "leaving")
 	}
@@ -204,7 +204,7 @@
 	t.recordArrival(r, m)
 	t.inFlight.Add(1)
 	defer t.inFlight.Add(-1)
-	t.state(w, m)
+	t.setState(w, m)
 	if m.ResetBefore {
 		panic(http.ErrAbortHandler)
 	}
