--- a/internal/standin/target/target.go
+++ b/internal/standin/target/target.go
@@ -92,7 +92,7 @@
 	name     string
 	slots    chan struct{}
 	mode     atomic.Pointer[Mode]
-	end      atomic.Pointer[func()]
+	crash    atomic.Pointer[func()]
 	inFlight atomic.Int64
 	requests atomic.Int64
 	mu       sync.Mutex
@@ -119,7 +119,7 @@
 
 // SetEnd sets what ends the target's process: a request whose query has "ends" calls it
 // as soon as it runs.
-func (t *Target) SetEnd(end func()) { t.end.Store(&end) }
+func (t *Target) SetEnd(end func()) { t.crash.Store(&end) }
 
 // Requests returns how many requests came in, run or not.
 func (t *Target) Requests() int64 { return t.requests.Load() }
@@ -230,7 +230,7 @@
 		return
 	}
 	t.recordRun(r)
-	if end := t.end.Load(); end != nil && r.URL.Query().Has("ends") {
+	if end := t.crash.Load(); end != nil && r.URL.Query().Has("ends") {
 		(*end)()
 		panic(http.ErrAbortHandler)
 	}
