--- a/internal/standin/target/target.go
+++ b/internal/standin/target/target.go
@@ -89,16 +89,16 @@
 
 // Target is the stand-in. It may be used concurrently.
 type Target struct {
-	name     string
-	slots    chan struct{}
-	mode     atomic.Pointer[Mode]
-	crash    atomic.Pointer[func()]
-	inFlight atomic.Int64
-	requests atomic.Int64
-	mu       sync.Mutex
-	runs     []Run
-	arrivals []Arrival
-	header   http.Header
+	name       string
+	slots      chan struct{}
+	mode       atomic.Pointer[Mode]
+	crash      atomic.Pointer[func()]
+	inFlight   atomic.Int64
+	requests   atomic.Int64
+	mu         sync.Mutex
+	runs       []Run
+	arrivals   []Arrival
+	lastHeader http.Header
 }
 
 // New returns a healthy target with a number of slots.
@@ -158,7 +158,7 @@
 func (t *Target) LastHeader() http.Header {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.header
+	return t.lastHeader
 }
 
 // Handler serves requests, /health, /load and the test below /admin/.
@@ -264,7 +264,7 @@
 func (t *Target) recordRun(r *http.Request) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.header = r.Header.Clone()
+	t.lastHeader = r.Header.Clone()
 	t.runs = append(t.runs, Run{
 		Workspace:  r.Header.Get(headerWorkspace),
 		Authorized: r.Header.Get("Authorization") != "",
