--- a/internal/standin/target/target.go
+++ b/internal/standin/target/target.go
@@ -230,8 +230,8 @@
 		return
 	}
 	t.recordRun(r)
-	if end := t.crash.Load(); end != nil && r.URL.Query().Has("ends") {
-		(*end)()
+	if crash := t.crash.Load(); crash != nil && r.URL.Query().Has("ends") {
+		(*crash)()
 		panic(http.ErrAbortHandler)
 	}
 	if m.Stall {
