--- a/internal/standin/target/target.go
+++ b/internal/standin/target/target.go
@@ -119,7 +119,7 @@
 
 // SetEnd sets what ends the target's process: a request whose query has "ends" calls it
 // as soon as it runs.
-func (t *Target) SetEnd(end func()) { t.crash.Store(&end) }
+func (t *Target) SetEnd(crash func()) { t.crash.Store(&crash) }
 
 // Requests returns how many requests came in, run or not.
 func (t *Target) Requests() int64 { return t.requests.Load() }
