--- a/internal/mutants/main.go
+++ b/internal/mutants/main.go
@@ -63,7 +63,7 @@
 		return 0, err
 	}
 	for _, m := range all {
-		killed, out, err := m.try()
+		killed, out, err := m.run()
 		if err != nil {
 			return survived, err
 		}
@@ -109,9 +109,9 @@
 	return out, lines.Err()
 }
 
-// try runs the test on a copy with the mechanism taken out. It gives the line
+// run runs the test on a copy with the mechanism taken out. It gives the line
 // that says how the test failed.
-func (m mutant) try() (killed bool, out string, err error) {
+func (m mutant) run() (killed bool, out string, err error) {
 	dir, err := os.MkdirTemp("", "mutant")
 	if err != nil {
 		return false, "", fmt.Errorf("mutants: %w", err)
