--- a/internal/mutants/main.go
+++ b/internal/mutants/main.go
@@ -131,7 +131,7 @@
 			detail: fmt.Sprintf("%s does not build with %q", m.file, m.changed),
 		}
 	}
-	return err != nil, finding(string(b)), nil
+	return err != nil, firstFailure(string(b)), nil
 }
 
 func (m mutant) apply(path string) error {
@@ -151,8 +151,8 @@
 	return nil
 }
 
-// finding returns the first line in which a test says what it found.
-func finding(out string) string {
+// firstFailure returns the first line in which a test says what it found.
+func firstFailure(out string) string {
 	for line := range strings.SplitSeq(out, "\n") {
 		if strings.Contains(line, "_test.go:") {
 			return strings.TrimSpace(line)
