--- a/internal/mutants/main.go
+++ b/internal/mutants/main.go
@@ -67,12 +67,12 @@
 		if err != nil {
 			return survived, err
 		}
-		verdict := "caught"
+		outcome := "caught"
 		if !killed {
-			verdict = "SURVIVED"
+			outcome = "SURVIVED"
 			survived++
 		}
-		fmt.Printf("%s: %s: %q by %s: %s\n", verdict, m.file, m.original, m.test, out)
+		fmt.Printf("%s: %s: %q by %s: %s\n", outcome, m.file, m.original, m.test, out)
 	}
 	fmt.Printf("%d mutants, %d survived\n", len(all), survived)
 	return survived, nil
