--- a/internal/capacity/main.go
+++ b/internal/capacity/main.go
@@ -37,7 +37,7 @@
 		return fmt.Errorf("capacity: %w", err)
 	}
 	if args.Keep {
-		return keep(args)
+		return renderPage(args)
 	}
 	bench, err := newBench(args.Window)
 	if err != nil {
@@ -78,7 +78,7 @@
 	if args.Only != "" {
 		return nil
 	}
-	return keep(args)
+	return renderPage(args)
 }
 
 // latencyName names the measurement of added latency among the series.
@@ -87,8 +87,8 @@
 // latencyFile holds the raw latencies.
 const latencyFile = latencyName + ".csv"
 
-// keep writes the page from the raw figures of an earlier run.
-func keep(args arguments) error {
+// renderPage writes the page from the raw figures of an earlier run.
+func renderPage(args arguments) error {
 	results := map[string]*result{}
 	for _, s := range allSeries() {
 		r, err := readCSV(filepath.Join(args.Raw, s.name+".csv"), s)
