--- a/internal/capacity/bench.go
+++ b/internal/capacity/bench.go
@@ -69,7 +69,7 @@
 	point    point
 	platform *platform.Platform
 	server   *httptest.Server
-	fronts   []*faultproxy.Proxy
+	proxies  []*faultproxy.Proxy
 	procs    []*process.Process
 	target   *httptest.Server
 }
@@ -101,7 +101,7 @@
 		if err != nil {
 			return nil, errors.Join(err, f.stop())
 		}
-		f.fronts = append(f.fronts, front)
+		f.proxies = append(f.proxies, front)
 	}
 	f.publish()
 	if err := f.startNodes(); err != nil {
@@ -147,12 +147,12 @@
 platform = %s
 [log]
 format = json
-`, hall(i), f.fronts[i].Addr(), f.fronts[(i+1)%len(f.fronts)].Addr(), f.server.URL)
+`, hall(i), f.proxies[i].Addr(), f.proxies[(i+1)%len(f.proxies)].Addr(), f.server.URL)
 	p, err := process.Start(f.bench.daemon, dir, settings)
 	if err != nil {
 		return nil, err
 	}
-	f.fronts[i].SetUpstream(p.Peers())
+	f.proxies[i].SetUpstream(p.Peers())
 	return p, nil
 }
 
@@ -198,7 +198,7 @@
 	for _, p := range f.procs {
 		p.Kill()
 	}
-	for _, front := range f.fronts {
+	for _, front := range f.proxies {
 		front.Close()
 	}
 	f.platform.SetMode(platform.ModeDown)
@@ -229,7 +229,7 @@
 		return fmt.Sprintf(`{"id":"workspace-%06d","rate":10,"burst":20}`, i)
 	})
 	f.publishMany("instances", p.nodes, func(i int) string {
-		return fmt.Sprintf(`{"address":%q,"dataHall":%q,"state":"LIVE","role":"ENTRY"}`, f.fronts[i].Addr(), hall(i))
+		return fmt.Sprintf(`{"address":%q,"dataHall":%q,"state":"LIVE","role":"ENTRY"}`, f.proxies[i].Addr(), hall(i))
 	})
 }
 
--- a/internal/capacity/restart.go
+++ b/internal/capacity/restart.go
@@ -56,7 +56,7 @@
 
 func (f *fleet) restart(i int) (restartRow, error) {
 	f.procs[i].Kill()
-	f.fronts[i].Reset()
+	f.proxies[i].Reset()
 	begun := time.Now()
 	p, err := f.startNode(i)
 	if err != nil {
