--- a/internal/capacity/bench.go
+++ b/internal/capacity/bench.go
@@ -107,7 +107,7 @@
 	if err := f.startNodes(); err != nil {
 		return nil, errors.Join(err, f.stop())
 	}
-	return f, f.settle()
+	return f, f.waitReady()
 }
 
 func (f *fleet) startNodes() error {
@@ -171,8 +171,8 @@
 	return fmt.Sprintf("capacity: %d of %d nodes ready", e.ready, e.want)
 }
 
-// settle waits until every node is ready and knows all others.
-func (f *fleet) settle() error {
+// waitReady waits until every node is ready and knows all others.
+func (f *fleet) waitReady() error {
 	end := time.Now().Add(settleTime)
 	for {
 		ready := 0
