--- a/internal/capacity/bench.go
+++ b/internal/capacity/bench.go
@@ -158,8 +158,8 @@
 
 func hall(i int) string { return string(rune('a' + i%dataHalls)) }
 
-// settleTime bounds how long a fleet takes to become ready.
-const settleTime = time.Minute
+// readyTimeout bounds how long a fleet takes to become ready.
+const readyTimeout = time.Minute
 
 // settleError is a fleet that doesn't become ready.
 type settleError struct {
@@ -173,7 +173,7 @@
 
 // waitReady waits until every node is ready and knows all others.
 func (f *fleet) waitReady() error {
-	end := time.Now().Add(settleTime)
+	end := time.Now().Add(readyTimeout)
 	for {
 		ready := 0
 		for _, p := range f.procs {
--- a/internal/capacity/restart.go
+++ b/internal/capacity/restart.go
@@ -63,7 +63,7 @@
 		return restartRow{}, err
 	}
 	f.procs[i] = p
-	for time.Since(begun) < settleTime {
+	for time.Since(begun) < readyTimeout {
 		if s := p.Brief(); s != nil && s.Ready {
 			return restartRow{
 				Ready:    time.Since(begun),
