--- a/internal/capacity/bench.go
+++ b/internal/capacity/bench.go
@@ -161,13 +161,13 @@
 // readyTimeout bounds how long a fleet takes to become ready.
 const readyTimeout = time.Minute
 
-// settleError is a fleet that doesn't become ready.
-type settleError struct {
+// notReadyError is a fleet that doesn't become ready.
+type notReadyError struct {
 	ready, want int
 }
 
 // Error says how many nodes are ready.
-func (e *settleError) Error() string {
+func (e *notReadyError) Error() string {
 	return fmt.Sprintf("capacity: %d of %d nodes ready", e.ready, e.want)
 }
 
@@ -185,7 +185,7 @@
 			return nil
 		}
 		if time.Now().After(end) {
-			return &settleError{
+			return &notReadyError{
 				ready: ready,
 				want:  f.point.nodes,
 			}
--- a/internal/capacity/restart.go
+++ b/internal/capacity/restart.go
@@ -72,7 +72,7 @@
 		}
 		time.Sleep(time.Millisecond)
 	}
-	return restartRow{}, &settleError{
+	return restartRow{}, &notReadyError{
 		want: 1,
 	}
 }
--- a/internal/capacity/sample.go
+++ b/internal/capacity/sample.go
@@ -133,7 +133,7 @@
 	for _, p := range f.procs {
 		s := p.Brief()
 		if s == nil {
-			return c, &settleError{
+			return c, &notReadyError{
 				want: len(f.procs),
 			}
 		}
