--- a/internal/capacity/sample.go
+++ b/internal/capacity/sample.go
@@ -50,12 +50,12 @@
 	go func() { ended <- f.drive(stop) }()
 	// The work of the start must not count: wait for one window.
 	time.Sleep(b.window)
-	before, err := f.read()
+	before, err := f.readCounters()
 	if err != nil {
 		return sample{}, err
 	}
 	time.Sleep(b.window)
-	after, err := f.read()
+	after, err := f.readCounters()
 	if err != nil {
 		return sample{}, err
 	}
@@ -118,7 +118,7 @@
 	}
 }
 
-func (f *fleet) read() (counters, error) {
+func (f *fleet) readCounters() (counters, error) {
 	c := counters{
 		at:       time.Now(),
 		platform: f.platform.Calls(),
