--- a/internal/capacity/bench.go
+++ b/internal/capacity/bench.go
@@ -280,7 +280,7 @@
 				case <-tick.C:
 				}
 				sentCount.Add(1)
-				if !ask(client, p, n%f.point.services) {
+				if !sendRequest(client, p, n%f.point.services) {
 					failedCount.Add(1)
 				}
 			}
@@ -290,7 +290,7 @@
 	return sentCount.Load(), failedCount.Load()
 }
 
-func ask(client *http.Client, p *process.Process, service int) bool {
+func sendRequest(client *http.Client, p *process.Process, service int) bool {
 	url := fmt.Sprintf("http://%s/s%d/r%d/x", p.Entry(), service, service)
 	req, err := http.NewRequest(http.MethodGet, url, nil)
 	if err != nil {
