--- a/internal/capacity/latency.go
+++ b/internal/capacity/latency.go
@@ -49,8 +49,8 @@
 	through := "http://" + f.procs[0].Entry() + "/s0/r0/x"
 	out := &latencyResult{}
 	for _, rate := range latencyRates {
-		d, df := paced(direct, rate)
-		t, tf := paced(through, rate)
+		d, df := sendAtRate(direct, rate)
+		t, tf := sendAtRate(through, rate)
 		row := latencyRow{
 			Rate:       rate,
 			DirectP50:  quantile(d, 50),
@@ -67,9 +67,9 @@
 	return out, nil
 }
 
-// paced sends requests at a rate, each at its own time whether or not earlier
+// sendAtRate sends requests at a rate, each at its own time whether or not earlier
 // ones have ended, and returns their latencies.
-func paced(url string, rate float64) (took []time.Duration, failed int64) {
+func sendAtRate(url string, rate float64) (took []time.Duration, failed int64) {
 	client := &http.Client{
 		Transport: &http.Transport{
 			MaxIdleConnsPerHost: 512,
