--- a/internal/capacity/page.go
+++ b/internal/capacity/page.go
@@ -122,16 +122,16 @@
 	return fmt.Sprintf("%.3g", v)
 }
 
-// grow returns what a quantity grows by from nothing to the goal of a series; a
+// growth returns what a quantity grows by from nothing to the goal of a series; a
 // falling line counts as none.
-func grow(r *result, q quantity) float64 {
+func growth(r *result, q quantity) float64 {
 	return max(r.fit(q).slope, 0) * r.series.goal
 }
 
 // sum adds the parts of a node's cost at the target size.
 func (p *page) sum(rs map[string]*result) {
 	nodes := rs["nodes"]
-	bytes := func(r *result) float64 { return grow(r, sentBytes) + grow(r, receivedBytes) }
+	bytes := func(r *result) float64 { return growth(r, sentBytes) + growth(r, receivedBytes) }
 	p.Sum = []sumRow{
 		{
 			What:  "a member alone",
@@ -144,33 +144,33 @@
 			What:  "1,000 members",
 			From:  "nodes",
 			Bytes: bytes(nodes),
-			CPU:   grow(nodes, cpuShare),
-			MBs:   grow(nodes, memorySize),
+			CPU:   growth(nodes, cpuShare),
+			MBs:   growth(nodes, memorySize),
 		},
 		{
 			What:  "290 services, 8,700 targets",
 			From:  "services",
 			Bytes: bytes(rs["services"]),
-			CPU:   grow(rs["services"], cpuShare),
-			MBs:   grow(rs["services"], memorySize),
+			CPU:   growth(rs["services"], cpuShare),
+			MBs:   growth(rs["services"], memorySize),
 		},
 		{
 			What: "7,100 routes",
 			From: "routes",
-			CPU:  grow(rs["routes"], cpuShare),
-			MBs:  grow(rs["routes"], memorySize),
+			CPU:  growth(rs["routes"], cpuShare),
+			MBs:  growth(rs["routes"], memorySize),
 		},
 		{
 			What: "48,000 workspaces",
 			From: "workspaces",
-			CPU:  grow(rs["workspaces"], cpuShare),
-			MBs:  grow(rs["workspaces"], memorySize),
+			CPU:  growth(rs["workspaces"], cpuShare),
+			MBs:  growth(rs["workspaces"], memorySize),
 		},
 		{
 			What:  "5,800 changes a day of 10 kB",
 			From:  "changes; changes-full for the processor",
 			Bytes: bytes(rs["changes"]),
-			CPU:   grow(rs["changes-full"], cpuShare),
+			CPU:   growth(rs["changes-full"], cpuShare),
 		},
 		{
 			What:  "evidence of 210 requests a second",
