--- a/internal/capacity/page.go
+++ b/internal/capacity/page.go
@@ -181,7 +181,7 @@
 	p.Sum = append(p.Sum, sumRow{
 		What: "all of it together, beyond its parts",
 		From: "changes-full",
-		MBs:  p.beyond(rs["changes-full"]),
+		MBs:  p.extraMemory(rs["changes-full"]),
 	})
 	p.Total = sumRow{
 		What: "sum",
@@ -199,9 +199,9 @@
 	p.judge("memory, MB", p.Total.MBs, limitMemory)
 }
 
-// beyond returns how much more memory a node with the whole configuration takes,
+// extraMemory returns how much more memory a node with the whole configuration takes,
 // quiet or while values change, than the parts of it measured alone, in MB.
-func (p *page) beyond(r *result) float64 {
+func (p *page) extraMemory(r *result) float64 {
 	most := 0.0
 	for _, runs := range r.samples {
 		mean := 0.0
