--- a/internal/capacity/page.go
+++ b/internal/capacity/page.go
@@ -194,9 +194,9 @@
 		s.text()
 	}
 	p.Total.text()
-	p.judge("bytes a second between nodes", p.Total.Bytes, limitBytes)
-	p.judge("processor, % of a core", p.Total.CPU, limitCPU)
-	p.judge("memory, MB", p.Total.MBs, limitMemory)
+	p.checkLimit("bytes a second between nodes", p.Total.Bytes, limitBytes)
+	p.checkLimit("processor, % of a core", p.Total.CPU, limitCPU)
+	p.checkLimit("memory, MB", p.Total.MBs, limitMemory)
 }
 
 // extraMemory returns how much more memory a node with the whole configuration takes,
@@ -227,7 +227,7 @@
 	return short(2 * restarts * float64(p.Restart.Received) / goalNodes)
 }
 
-func (p *page) judge(what string, have, limit float64) {
+func (p *page) checkLimit(what string, have, limit float64) {
 	if have <= limit {
 		p.Verdicts = append(p.Verdicts, fmt.Sprintf("%s: %s of %s: fits", what, short(have), short(limit)))
 		return
