--- a/internal/capacity/bench.go
+++ b/internal/capacity/bench.go
@@ -233,13 +233,13 @@
 	})
 }
 
-// perValue is how many objects one published value holds.
-const perValue = 500
+// objectsPerValue is how many objects one published value holds.
+const objectsPerValue = 500
 
 func (f *fleet) publishMany(field string, count int, object func(i int) string) {
-	for from := 0; from < count; from += perValue {
+	for from := 0; from < count; from += objectsPerValue {
 		var list []string
-		for i := from; i < min(from+perValue, count); i++ {
+		for i := from; i < min(from+objectsPerValue, count); i++ {
 			list = append(list, object(i))
 		}
 		f.platform.Publish(fmt.Sprintf("%s-%d", field, from), fmt.Sprintf(`{%q:[%s]}`, field, strings.Join(list, ",")))
