--- a/internal/capacity/raw.go
+++ b/internal/capacity/raw.go
@@ -74,7 +74,7 @@
 func (r *result) writeCSV(path string) error {
 	head := []string{r.series.label, "run"}
 	for _, q := range r.series.quantities {
-		head = append(head, q.head())
+		head = append(head, q.column())
 	}
 	rows := [][]string{head}
 	for i, runs := range r.samples {
@@ -113,7 +113,7 @@
 		}
 		var one sample
 		for _, q := range s.quantities {
-			if col := slices.Index(rows[0], q.head()); col >= 0 {
+			if col := slices.Index(rows[0], q.column()); col >= 0 {
 				*q.of(&one) = v[col]
 			}
 		}
--- a/internal/capacity/series.go
+++ b/internal/capacity/series.go
@@ -20,8 +20,8 @@
 	of   func(*sample) *float64
 }
 
-// head is the quantity's column in raw figures.
-func (q quantity) head() string { return q.name + " (" + q.unit + ")" }
+// column is the quantity's column in raw figures.
+func (q quantity) column() string { return q.name + " (" + q.unit + ")" }
 
 // Quantities.
 var (
@@ -275,7 +275,7 @@
 		p := plot.New()
 		p.Title.Text = q.name + " of a node"
 		p.X.Label.Text = r.series.label
-		p.Y.Label.Text = q.head()
+		p.Y.Label.Text = q.column()
 		p.Y.Min = 0
 		xs, ys := r.values(q)
 		points := make(plotter.XYs, len(xs))
