--- a/internal/capacity/restart.go
+++ b/internal/capacity/restart.go
@@ -22,8 +22,8 @@
 	Received int64
 }
 
-// restartHead names the columns of the raw restarts.
-var restartHead = []string{"run", "ready after (ms)", "bytes from peers"}
+// restartColumns names the columns of the raw restarts.
+var restartColumns = []string{"run", "ready after (ms)", "bytes from peers"}
 
 // measureRestarts replaces the nodes of a fleet with the configuration of the
 // target size one after another.
@@ -78,7 +78,7 @@
 }
 
 func writeRestarts(path string, list []restartRow) error {
-	rows := [][]string{restartHead}
+	rows := [][]string{restartColumns}
 	for i, r := range list {
 		rows = append(rows, []string{
 			strconv.Itoa(i + 1),
