--- a/internal/capacity/raw.go
+++ b/internal/capacity/raw.go
@@ -122,13 +122,13 @@
 	return r, nil
 }
 
-// latencyHead names the columns of the raw latencies.
-var latencyHead = []string{
+// latencyColumns names the columns of the raw latencies.
+var latencyColumns = []string{
 	"requests/s", "direct p50 (us)", "direct p99 (us)", "through p50 (us)", "through p99 (us)", "failed",
 }
 
 func (l *latencyResult) writeCSV(path string) error {
-	rows := [][]string{latencyHead}
+	rows := [][]string{latencyColumns}
 	for _, r := range l.Rows {
 		rows = append(rows, []string{
 			number(r.Rate),
