--- a/internal/capacity/raw.go
+++ b/internal/capacity/raw.go
@@ -51,7 +51,7 @@
 	return rows, nil
 }
 
-func number(v float64) string { return strconv.FormatFloat(v, 'g', 5, 64) }
+func formatFloat(v float64) string { return strconv.FormatFloat(v, 'g', 5, 64) }
 
 // numbers parses a row.
 func numbers(path string, row []string) ([]float64, error) {
@@ -79,9 +79,9 @@
 	rows := [][]string{head}
 	for i, runs := range r.samples {
 		for n, s := range runs {
-			row := []string{number(r.series.sizes[i]), strconv.Itoa(n + 1)}
+			row := []string{formatFloat(r.series.sizes[i]), strconv.Itoa(n + 1)}
 			for _, q := range r.series.quantities {
-				row = append(row, number(*q.of(&s)))
+				row = append(row, formatFloat(*q.of(&s)))
 			}
 			rows = append(rows, row)
 		}
@@ -131,7 +131,7 @@
 	rows := [][]string{latencyColumns}
 	for _, r := range l.Rows {
 		rows = append(rows, []string{
-			number(r.Rate),
+			formatFloat(r.Rate),
 			strconv.FormatInt(r.DirectP50, 10),
 			strconv.FormatInt(r.DirectP99, 10),
 			strconv.FormatInt(r.ThroughP50, 10),
