--- a/internal/capacity/raw.go
+++ b/internal/capacity/raw.go
@@ -53,8 +53,8 @@
 
 func formatFloat(v float64) string { return strconv.FormatFloat(v, 'g', 5, 64) }
 
-// numbers parses a row.
-func numbers(path string, row []string) ([]float64, error) {
+// parseFloats parses a row.
+func parseFloats(path string, row []string) ([]float64, error) {
 	out := make([]float64, len(row))
 	for i, text := range row {
 		v, err := strconv.ParseFloat(text, 64)
@@ -100,7 +100,7 @@
 		samples: make([][]sample, len(s.sizes)),
 	}
 	for _, row := range rows[1:] {
-		v, err := numbers(path, row)
+		v, err := parseFloats(path, row)
 		if err != nil {
 			return nil, err
 		}
@@ -149,7 +149,7 @@
 	}
 	out := &latencyResult{}
 	for _, row := range rows[1:] {
-		v, err := numbers(path, row)
+		v, err := parseFloats(path, row)
 		if err != nil {
 			return nil, err
 		}
--- a/internal/capacity/restart.go
+++ b/internal/capacity/restart.go
@@ -96,7 +96,7 @@
 	}
 	var out []restartRow
 	for _, row := range rows[1:] {
-		v, err := numbers(path, row)
+		v, err := parseFloats(path, row)
 		if err != nil {
 			return nil, err
 		}
