--- a/internal/capacity/page.go
+++ b/internal/capacity/page.go
@@ -101,21 +101,21 @@
 			Quantity: q.name,
 			Unit:     q.unit,
 			Plot:     filepath.Join(filepath.Base(raw), r.plotName(q)),
-			Base:     short(f.base),
-			Slope:    short(f.slope),
-			Residual: short(f.residual),
+			Base:     formatShort(f.base),
+			Slope:    formatShort(f.slope),
+			Residual: formatShort(f.residual),
 			Spread:   fmt.Sprintf("%.0f%%", 100*f.spread),
-			From:     short(first),
-			To:       short(last),
-			Goal:     short(r.series.goal),
-			AtGoal:   short(f.at(r.series.goal)),
+			From:     formatShort(first),
+			To:       formatShort(last),
+			Goal:     formatShort(r.series.goal),
+			AtGoal:   formatShort(f.at(r.series.goal)),
 			Far:      r.series.goal > 10*last,
 		})
 	}
 	return out
 }
 
-func short(v float64) string {
+func formatShort(v float64) string {
 	if v == math.Trunc(v) && math.Abs(v) < 1e6 {
 		return fmt.Sprintf("%.0f", v)
 	}
@@ -217,20 +217,20 @@
 }
 
 func (s *sumRow) text() {
-	s.BytesT, s.CPUT, s.MT = short(s.Bytes), short(s.CPU), short(s.MBs)
+	s.BytesT, s.CPUT, s.MT = formatShort(s.Bytes), formatShort(s.CPU), formatShort(s.MBs)
 }
 
 // RestartRate returns what the restarts of a day cost each node of the target
 // size on average, in bytes a second, sent and received together.
 func (p *page) RestartRate() string {
 	const restarts = 3700 / 86400.0
-	return short(2 * restarts * float64(p.Restart.Received) / goalNodes)
+	return formatShort(2 * restarts * float64(p.Restart.Received) / goalNodes)
 }
 
 func (p *page) checkLimit(what string, have, limit float64) {
 	if have <= limit {
-		p.Verdicts = append(p.Verdicts, fmt.Sprintf("%s: %s of %s: fits", what, short(have), short(limit)))
+		p.Verdicts = append(p.Verdicts, fmt.Sprintf("%s: %s of %s: fits", what, formatShort(have), formatShort(limit)))
 		return
 	}
-	p.Verdicts = append(p.Verdicts, fmt.Sprintf("**%s: %s of %s: does not fit**", what, short(have), short(limit)))
+	p.Verdicts = append(p.Verdicts, fmt.Sprintf("**%s: %s of %s: does not fit**", what, formatShort(have), formatShort(limit)))
 }
