--- a/internal/capacity/latency.go
+++ b/internal/capacity/latency.go
@@ -34,7 +34,7 @@
 // measureLatency sends requests at steady rates to a target directly and through
 // one node, in turn.
 func measureLatency(b *bench) (*latencyResult, error) {
-	p := small()
+	p := basePoint()
 	p.nodes = 1
 	p.workspaces = 0
 	f, err := b.startFleet(p)
--- a/internal/capacity/restart.go
+++ b/internal/capacity/restart.go
@@ -28,7 +28,7 @@
 // measureRestarts replaces the nodes of a fleet with the configuration of the
 // target size one after another.
 func measureRestarts(b *bench) ([]restartRow, error) {
-	p := small()
+	p := basePoint()
 	p.nodes = 4
 	p.services = goalServices
 	p.perService = goalTargets / goalServices
--- a/internal/capacity/series.go
+++ b/internal/capacity/series.go
@@ -62,8 +62,8 @@
 	at         func(size float64) point
 }
 
-// small is the point that series start from.
-func small() point {
+// basePoint is the point that series start from.
+func basePoint() point {
 	return point{
 		nodes:      6,
 		services:   3,
@@ -96,7 +96,7 @@
 			goal:       goalNodes,
 			quantities: control,
 			at: func(size float64) point {
-				p := small()
+				p := basePoint()
 				p.nodes = int(size)
 				return p
 			},
@@ -108,7 +108,7 @@
 			goal:       goalServices,
 			quantities: control,
 			at: func(size float64) point {
-				p := small()
+				p := basePoint()
 				p.services = int(size)
 				p.perService = 30
 				p.routes = int(size)
@@ -122,7 +122,7 @@
 			goal:       goalRoutes,
 			quantities: []quantity{cpuShare, memorySize},
 			at: func(size float64) point {
-				p := small()
+				p := basePoint()
 				p.routes = int(size)
 				return p
 			},
@@ -134,7 +134,7 @@
 			goal:       goalWorkspaces,
 			quantities: []quantity{cpuShare, memorySize},
 			at: func(size float64) point {
-				p := small()
+				p := basePoint()
 				p.workspaces = int(size)
 				return p
 			},
@@ -146,7 +146,7 @@
 			goal:       goalChanges,
 			quantities: []quantity{sentBytes, receivedBytes, cpuShare},
 			at: func(size float64) point {
-				p := small()
+				p := basePoint()
 				p.nodes = 20
 				p.changes = size
 				p.changeSize = 10_000
@@ -178,7 +178,7 @@
 			goal:       goalRequests,
 			quantities: []quantity{sentBytes, receivedBytes, peerCalls},
 			at: func(size float64) point {
-				p := small()
+				p := basePoint()
 				p.nodes = 18
 				p.services = 10
 				p.perService = 30
