--- a/internal/capacity/bench.go
+++ b/internal/capacity/bench.go
@@ -254,8 +254,8 @@
 	return fmt.Sprintf("127.%d.%d.%d:%d", 1+n/62500, n/250%250, 1+n%250, port)
 }
 
-// change publishes one more version of a value of about size bytes.
-func (f *fleet) change(version, size int) uint64 {
+// publishChange publishes one more version of a value of about size bytes.
+func (f *fleet) publishChange(version, size int) uint64 {
 	pad := max(size-60, 0)
 	return f.platform.Publish("change", fmt.Sprintf(`{"workspaces":[{"id":"v%d"}]}%s`, version, strings.Repeat(" ", pad)))
 }
--- a/internal/capacity/sample.go
+++ b/internal/capacity/sample.go
@@ -97,7 +97,7 @@
 			case <-stop:
 				return nil
 			case <-tick.C:
-				f.change(version, f.point.changeSize)
+				f.publishChange(version, f.point.changeSize)
 			}
 		}
 	}
