--- a/internal/capacity/series.go
+++ b/internal/capacity/series.go
@@ -59,7 +59,7 @@
 	sizes      []float64
 	goal       float64
 	quantities []quantity
-	at         func(size float64) point
+	pointAt    func(size float64) point
 }
 
 // basePoint is the point that series start from.
@@ -95,7 +95,7 @@
 			sizes:      []float64{10, 20, 40, 80},
 			goal:       goalNodes,
 			quantities: control,
-			at: func(size float64) point {
+			pointAt: func(size float64) point {
 				p := basePoint()
 				p.nodes = int(size)
 				return p
@@ -107,7 +107,7 @@
 			sizes:      []float64{10, 40, 100, 290},
 			goal:       goalServices,
 			quantities: control,
-			at: func(size float64) point {
+			pointAt: func(size float64) point {
 				p := basePoint()
 				p.services = int(size)
 				p.perService = 30
@@ -121,7 +121,7 @@
 			sizes:      []float64{100, 1000, 3500, 7100},
 			goal:       goalRoutes,
 			quantities: []quantity{cpuShare, memorySize},
-			at: func(size float64) point {
+			pointAt: func(size float64) point {
 				p := basePoint()
 				p.routes = int(size)
 				return p
@@ -133,7 +133,7 @@
 			sizes:      []float64{1000, 10000, 25000, 48000},
 			goal:       goalWorkspaces,
 			quantities: []quantity{cpuShare, memorySize},
-			at: func(size float64) point {
+			pointAt: func(size float64) point {
 				p := basePoint()
 				p.workspaces = int(size)
 				return p
@@ -145,7 +145,7 @@
 			sizes:      []float64{0, 1, 2, 4},
 			goal:       goalChanges,
 			quantities: []quantity{sentBytes, receivedBytes, cpuShare},
-			at: func(size float64) point {
+			pointAt: func(size float64) point {
 				p := basePoint()
 				p.nodes = 20
 				p.changes = size
@@ -159,7 +159,7 @@
 			sizes:      []float64{0, 0.5, 1, 2},
 			goal:       goalChanges,
 			quantities: []quantity{cpuShare, memorySize},
-			at: func(size float64) point {
+			pointAt: func(size float64) point {
 				return point{
 					nodes:      4,
 					services:   goalServices,
@@ -177,7 +177,7 @@
 			sizes:      []float64{0, 20, 50, 100},
 			goal:       goalRequests,
 			quantities: []quantity{sentBytes, receivedBytes, peerCalls},
-			at: func(size float64) point {
+			pointAt: func(size float64) point {
 				p := basePoint()
 				p.nodes = 18
 				p.services = 10
@@ -205,7 +205,7 @@
 	}
 	for i, size := range s.sizes {
 		for range runs {
-			one, err := b.run(s.at(size))
+			one, err := b.run(s.pointAt(size))
 			if err != nil {
 				return nil, err
 			}
