--- a/internal/capacity/page.go
+++ b/internal/capacity/page.go
@@ -191,9 +191,9 @@
 		p.Total.Bytes += s.Bytes
 		p.Total.CPU += s.CPU
 		p.Total.MBs += s.MBs
-		s.text()
+		s.formatCells()
 	}
-	p.Total.text()
+	p.Total.formatCells()
 	p.checkLimit("bytes a second between nodes", p.Total.Bytes, limitBytes)
 	p.checkLimit("processor, % of a core", p.Total.CPU, limitCPU)
 	p.checkLimit("memory, MB", p.Total.MBs, limitMemory)
@@ -216,7 +216,7 @@
 	return max(most, 0)
 }
 
-func (s *sumRow) text() {
+func (s *sumRow) formatCells() {
 	s.BytesT, s.CPUT, s.MT = formatShort(s.Bytes), formatShort(s.CPU), formatShort(s.MBs)
 }
 
