--- a/internal/capacity/latency.go
+++ b/internal/capacity/latency.go
@@ -80,9 +80,9 @@
 	var mu sync.Mutex
 	var all sync.WaitGroup
 	count := int(rate * latencyTime.Seconds())
-	begun := time.Now()
+	started := time.Now()
 	for i := range count {
-		due := begun.Add(time.Duration(float64(i) / rate * float64(time.Second)))
+		due := started.Add(time.Duration(float64(i) / rate * float64(time.Second)))
 		time.Sleep(time.Until(due))
 		all.Go(func() {
 			sent := time.Now()
