--- a/internal/capacity/restart.go
+++ b/internal/capacity/restart.go
@@ -57,16 +57,16 @@
 func (f *fleet) restart(i int) (restartRow, error) {
 	f.procs[i].Kill()
 	f.proxies[i].Reset()
-	begun := time.Now()
+	started := time.Now()
 	p, err := f.startNode(i)
 	if err != nil {
 		return restartRow{}, err
 	}
 	f.procs[i] = p
-	for time.Since(begun) < readyTimeout {
+	for time.Since(started) < readyTimeout {
 		if s := p.Brief(); s != nil && s.Ready {
 			return restartRow{
-				Ready:    time.Since(begun),
+				Ready:    time.Since(started),
 				Received: s.Control.BytesReceived,
 			}, nil
 		}
