--- a/internal/capacity/page.go
+++ b/internal/capacity/page.go
@@ -202,18 +202,18 @@
 // extraMemory returns how much more memory a node with the whole configuration takes,
 // quiet or while values change, than the parts of it measured alone, in MB.
 func (p *page) extraMemory(r *result) float64 {
-	most := 0.0
+	extra := 0.0
 	for _, runs := range r.samples {
 		mean := 0.0
 		for _, s := range runs {
 			mean += s.memory / float64(len(runs))
 		}
-		most = max(most, mean)
+		extra = max(extra, mean)
 	}
 	for _, s := range p.Sum {
-		most -= s.MBs
+		extra -= s.MBs
 	}
-	return max(most, 0)
+	return max(extra, 0)
 }
 
 func (s *sumRow) formatCells() {
