--- a/internal/detection/strategy.go
+++ b/internal/detection/strategy.go
@@ -108,9 +108,9 @@
 		for _, t := range w.targets {
 			info.Targets = append(info.Targets, t.name)
 		}
-		halls := make([]*hallFake, w.pool.halls)
+		halls := make([]*fakeHall, w.pool.halls)
 		for i := range halls {
-			halls[i] = &hallFake{
+			halls[i] = &fakeHall{
 				observer: outlier.NewObserver(info),
 			}
 		}
@@ -128,15 +128,15 @@
 // slowInterval is how often evidence goes out that is not urgent.
 const slowInterval = 2 * time.Second
 
-// hallFake is a data hall with its observer.
-type hallFake struct {
+// fakeHall is a data hall with its observer.
+type fakeHall struct {
 	observer *outlier.Observer
 	nodes    []*sharing
 	summed   time.Time
 }
 
 // tick passes the nodes' evidence on, as the observing controller does.
-func (h *hallFake) tick(now time.Time, self int, halls []*hallFake) {
+func (h *fakeHall) tick(now time.Time, self int, halls []*fakeHall) {
 	for _, n := range h.nodes {
 		n.report(now, h.observer)
 	}
