--- a/internal/detection/strategy.go
+++ b/internal/detection/strategy.go
@@ -130,9 +130,9 @@
 
 // fakeHall is a data hall with its observer.
 type fakeHall struct {
-	observer *outlier.Observer
-	nodes    []*sharing
-	summed   time.Time
+	observer   *outlier.Observer
+	nodes      []*sharing
+	summarized time.Time
 }
 
 // tick passes the nodes' evidence on, as the observing controller does.
@@ -140,8 +140,8 @@
 	for _, n := range h.nodes {
 		n.report(now, h.observer)
 	}
-	if h.observer.Urgent() || now.Sub(h.summed) >= slowInterval {
-		h.summed = now
+	if h.observer.Urgent() || now.Sub(h.summarized) >= slowInterval {
+		h.summarized = now
 		for _, c := range h.observer.TakeSummary() {
 			for i, other := range halls {
 				if i != self {
