--- a/internal/detection/strategy.go
+++ b/internal/detection/strategy.go
@@ -131,7 +131,7 @@
 // fakeHall is a data hall with its observer.
 type fakeHall struct {
 	observer   *outlier.Observer
-	nodes      []*sharing
+	nodes      []*sharingNode
 	summarized time.Time
 }
 
@@ -158,8 +158,8 @@
 	}
 }
 
-// sharing is one node that shares its evidence.
-type sharing struct {
+// sharingNode is one node that shares its evidence.
+type sharingNode struct {
 	*chooser
 	w         *world
 	node      *fakeNode
@@ -172,8 +172,8 @@
 	sent      time.Time
 }
 
-func newSharing(w *world, n *fakeNode, info outlier.Service) *sharing {
-	s := &sharing{
+func newSharing(w *world, n *fakeNode, info outlier.Service) *sharingNode {
+	s := &sharingNode{
 		w:         w,
 		node:      n,
 		info:      info,
@@ -189,7 +189,7 @@
 	return s
 }
 
-func (s *sharing) strategy() strategy {
+func (s *sharingNode) strategy() strategy {
 	return strategy{
 		pick: func(now time.Time) (int, func(time.Time, bool, bool), bool) {
 			if p, ok := s.pool.PickTrial(s.w.rng.Uint64); ok {
@@ -202,7 +202,7 @@
 	}
 }
 
-func (s *sharing) observe(now time.Time, target int) func(time.Time, bool, bool) {
+func (s *sharingNode) observe(now time.Time, target int) func(time.Time, bool, bool) {
 	f := s.collector.Begin(now, "s", "c", targetName(target))
 	return func(now time.Time, ok, shed bool) {
 		f.End(now, outlier.Result{
@@ -213,7 +213,7 @@
 }
 
 // trial sends a copy that nobody waits for.
-func (s *sharing) trial(now time.Time, p balance.Pick) {
+func (s *sharingNode) trial(now time.Time, p balance.Pick) {
 	i, end, _ := s.use(p, func(target int) func(time.Time, bool, bool) { return s.observe(now, target) })
 	r := &request{
 		node:   s.node,
@@ -224,7 +224,7 @@
 	s.w.send(r)
 }
 
-func (s *sharing) tick(now time.Time) {
+func (s *sharingNode) tick(now time.Time) {
 	changed := false
 	var counts []outlier.Counts
 	for _, e := range s.collector.Drain(now) {
@@ -254,7 +254,7 @@
 	}
 }
 
-func (s *sharing) report(now time.Time, o *outlier.Observer) {
+func (s *sharingNode) report(now time.Time, o *outlier.Observer) {
 	if len(s.pending) == 0 || !s.urgent && now.Sub(s.sent) < slowInterval {
 		return
 	}
