--- a/internal/detection/strategy.go
+++ b/internal/detection/strategy.go
@@ -115,7 +115,7 @@
 			}
 		}
 		for _, n := range w.nodes {
-			s := newSharing(w, n, info)
+			s := newSharingNode(w, n, info)
 			n.strategy = s.strategy()
 			halls[n.hall].nodes = append(halls[n.hall].nodes, s)
 		}
@@ -172,7 +172,7 @@
 	sent      time.Time
 }
 
-func newSharing(w *world, n *fakeNode, info outlier.Service) *sharingNode {
+func newSharingNode(w *world, n *fakeNode, info outlier.Service) *sharingNode {
 	s := &sharingNode{
 		w:         w,
 		node:      n,
