--- a/internal/detection/measure.go
+++ b/internal/detection/measure.go
@@ -80,7 +80,7 @@
 	return method{
 		name:      fmt.Sprintf("shared evidence, threshold %g", threshold),
 		threshold: threshold,
-		build:     shared(threshold),
+		build:     sharedEvidence(threshold),
 	}
 }
 
--- a/internal/detection/strategy.go
+++ b/internal/detection/strategy.go
@@ -93,8 +93,8 @@
 	panic("detection: the pool knows only the targets: " + address)
 }
 
-// shared is the fleet's own way of judging.
-func shared(threshold float64) func(w *world) {
+// sharedEvidence is the fleet's own way of judging.
+func sharedEvidence(threshold float64) func(w *world) {
 	return func(w *world) {
 		prg, err := policy.Compile(policy.Text{})
 		if err != nil {
