--- a/internal/detection/strategy.go
+++ b/internal/detection/strategy.go
@@ -152,7 +152,7 @@
 	}
 	for _, v := range h.observer.Advance(now) {
 		for _, n := range h.nodes {
-			n.judge.EjectForLease(now, v.Target, v.Score, v.Lease)
+			n.controller.EjectForLease(now, v.Target, v.Score, v.Lease)
 			n.chooser.rebuild(now)
 		}
 	}
@@ -161,30 +161,30 @@
 // sharingNode is one node that shares its evidence.
 type sharingNode struct {
 	*chooser
-	w         *world
-	node      *fakeNode
-	info      outlier.Service
-	collector *outlier.Collector
-	detector  *outlier.Detector
-	judge     *outlier.Controller
-	pending   map[string]outlier.Counts
-	urgent    bool
-	sent      time.Time
+	w          *world
+	node       *fakeNode
+	info       outlier.Service
+	collector  *outlier.Collector
+	detector   *outlier.Detector
+	controller *outlier.Controller
+	pending    map[string]outlier.Counts
+	urgent     bool
+	sent       time.Time
 }
 
 func newSharingNode(w *world, n *fakeNode, info outlier.Service) *sharingNode {
 	s := &sharingNode{
-		w:         w,
-		node:      n,
-		info:      info,
-		collector: outlier.NewCollector(tick),
-		detector:  outlier.NewDetector(info.Threshold),
-		judge:     outlier.NewController(),
-		pending:   map[string]outlier.Counts{},
+		w:          w,
+		node:       n,
+		info:       info,
+		collector:  outlier.NewCollector(tick),
+		detector:   outlier.NewDetector(info.Threshold),
+		controller: outlier.NewController(),
+		pending:    map[string]outlier.Counts{},
 	}
-	s.judge.SetTargets(epoch, info.Targets)
+	s.controller.SetTargets(epoch, info.Targets)
 	s.chooser = newChooser(w, n, func(now time.Time, target int) outlier.State {
-		return s.judge.State(now, targetName(target))
+		return s.controller.State(now, targetName(target))
 	})
 	return s
 }
@@ -229,7 +229,7 @@
 	var counts []outlier.Counts
 	for _, e := range s.collector.Drain(now) {
 		c := e.Counts
-		s.judge.Record(now, c)
+		s.controller.Record(now, c)
 		counts = append(counts, c)
 		sum := s.pending[c.Target]
 		sum.Target = c.Target
@@ -243,13 +243,13 @@
 		s.detector.Update(now, counts)
 		for _, t := range s.info.Targets {
 			if r := s.detector.Score(t); r.Score >= s.info.Threshold {
-				s.judge.EjectLocal(now, t, r.Score)
+				s.controller.EjectLocal(now, t, r.Score)
 				s.detector.Reset(t)
 				changed = true
 			}
 		}
 	}
-	if s.judge.Advance(now) || changed {
+	if s.controller.Advance(now) || changed {
 		s.rebuild(now)
 	}
 }
