--- a/internal/detection/strategy.go
+++ b/internal/detection/strategy.go
@@ -193,7 +193,7 @@
 	return strategy{
 		pick: func(now time.Time) (int, func(time.Time, bool, bool), bool) {
 			if p, ok := s.pool.PickTrial(s.w.rng.Uint64); ok {
-				s.trial(now, p)
+				s.sendTrial(now, p)
 			}
 			return s.take(func(target int) func(time.Time, bool, bool) { return s.observe(now, target) })
 		},
@@ -212,8 +212,8 @@
 	}
 }
 
-// trial sends a copy that nobody waits for.
-func (s *sharingNode) trial(now time.Time, p balance.Pick) {
+// sendTrial sends a copy that nobody waits for.
+func (s *sharingNode) sendTrial(now time.Time, p balance.Pick) {
 	i, end, _ := s.use(p, func(target int) func(time.Time, bool, bool) { return s.observe(now, target) })
 	r := &request{
 		node:   s.node,
