--- a/internal/detection/strategy.go
+++ b/internal/detection/strategy.go
@@ -266,12 +266,12 @@
 	s.sent = now
 }
 
-// alone is a node that judges by its own failures; eject says which targets go.
-type alone struct {
+// independentNode is a node that judges by its own failures; eject says which targets go.
+type independentNode struct {
 	*chooser
 	until []time.Time
 	ends  []ends
-	eject func(a *alone, now time.Time, target int) bool
+	eject func(a *independentNode, now time.Time, target int) bool
 	// interval is the time between two judgements; 0 judges at each end.
 	interval time.Duration
 	judged   time.Time
@@ -286,10 +286,10 @@
 // holdAlone is how long baselines eject.
 const holdAlone = 30 * time.Second
 
-func baseline(interval time.Duration, eject func(a *alone, now time.Time, target int) bool) func(w *world) {
+func baseline(interval time.Duration, eject func(a *independentNode, now time.Time, target int) bool) func(w *world) {
 	return func(w *world) {
 		for _, n := range w.nodes {
-			a := &alone{
+			a := &independentNode{
 				until:    make([]time.Time, len(w.targets)),
 				ends:     make([]ends, len(w.targets)),
 				eject:    eject,
@@ -305,7 +305,7 @@
 	}
 }
 
-func (a *alone) stateOf(now time.Time, target int) outlier.State {
+func (a *independentNode) stateOf(now time.Time, target int) outlier.State {
 	s := outlier.State{
 		Warmth: 1,
 	}
@@ -315,7 +315,7 @@
 	return s
 }
 
-func (a *alone) observe(target int) func(time.Time, bool, bool) {
+func (a *independentNode) observe(target int) func(time.Time, bool, bool) {
 	return func(now time.Time, ok, shed bool) {
 		e := &a.ends[target]
 		switch {
@@ -333,7 +333,7 @@
 	}
 }
 
-func (a *alone) judge(now time.Time, target int) {
+func (a *independentNode) judge(now time.Time, target int) {
 	if a.eject(a, now, target) {
 		a.until[target] = now.Add(holdAlone)
 		a.ends[target] = ends{}
@@ -341,7 +341,7 @@
 	}
 }
 
-func (a *alone) tick(now time.Time) {
+func (a *independentNode) tick(now time.Time) {
 	for i := range a.until {
 		if a.isOut[i] && !now.Before(a.until[i]) {
 			a.rebuild(now)
@@ -358,13 +358,15 @@
 }
 
 // never ejects nothing.
-func never(*alone, time.Time, int) bool { return false }
+func never(*independentNode, time.Time, int) bool { return false }
 
 // rowLength is how many failures in a row eject in the baseline.
 const rowLength = 5
 
 // consecutive ejects after failures in a row, the common default.
-func consecutive(a *alone, _ time.Time, target int) bool { return a.ends[target].row >= rowLength }
+func consecutive(a *independentNode, _ time.Time, target int) bool {
+	return a.ends[target].row >= rowLength
+}
 
 // Parameters of the success-rate baseline, after the defaults of common proxies:
 // at least five targets with enough requests, a factor of 1.9 standard
@@ -377,7 +379,7 @@
 )
 
 // successRate ejects targets whose success rate stands out below the others'.
-func successRate(a *alone, _ time.Time, target int) bool {
+func successRate(a *independentNode, _ time.Time, target int) bool {
 	var rates []float64
 	for _, e := range a.ends {
 		if n := e.ok + e.failed; n >= rateRequests {
