--- a/internal/detection/strategy.go
+++ b/internal/detection/strategy.go
@@ -269,9 +269,9 @@
 // independentNode is a node that judges by its own failures; eject says which targets go.
 type independentNode struct {
 	*chooser
-	until []time.Time
-	ends  []ends
-	eject func(a *independentNode, now time.Time, target int) bool
+	until    []time.Time
+	outcomes []ends
+	eject    func(a *independentNode, now time.Time, target int) bool
 	// interval is the time between two judgements; 0 judges at each end.
 	interval time.Duration
 	judged   time.Time
@@ -291,7 +291,7 @@
 		for _, n := range w.nodes {
 			a := &independentNode{
 				until:    make([]time.Time, len(w.targets)),
-				ends:     make([]ends, len(w.targets)),
+				outcomes: make([]ends, len(w.targets)),
 				eject:    eject,
 				interval: interval,
 			}
@@ -317,7 +317,7 @@
 
 func (a *independentNode) observe(target int) func(time.Time, bool, bool) {
 	return func(now time.Time, ok, shed bool) {
-		e := &a.ends[target]
+		e := &a.outcomes[target]
 		switch {
 		case shed:
 		case ok:
@@ -336,7 +336,7 @@
 func (a *independentNode) judge(now time.Time, target int) {
 	if a.eject(a, now, target) {
 		a.until[target] = now.Add(holdAlone)
-		a.ends[target] = ends{}
+		a.outcomes[target] = ends{}
 		a.rebuild(now)
 	}
 }
@@ -351,10 +351,10 @@
 		return
 	}
 	a.judged = now
-	for i := range a.ends {
+	for i := range a.outcomes {
 		a.judge(now, i)
 	}
-	clear(a.ends)
+	clear(a.outcomes)
 }
 
 // never ejects nothing.
@@ -365,7 +365,7 @@
 
 // consecutive ejects after failures in a row, the common default.
 func consecutive(a *independentNode, _ time.Time, target int) bool {
-	return a.ends[target].row >= rowLength
+	return a.outcomes[target].row >= rowLength
 }
 
 // Parameters of the success-rate baseline, after the defaults of common proxies:
@@ -381,12 +381,12 @@
 // successRate ejects targets whose success rate stands out below the others'.
 func successRate(a *independentNode, _ time.Time, target int) bool {
 	var rates []float64
-	for _, e := range a.ends {
+	for _, e := range a.outcomes {
 		if n := e.ok + e.failed; n >= rateRequests {
 			rates = append(rates, e.ok/n)
 		}
 	}
-	own := a.ends[target]
+	own := a.outcomes[target]
 	if len(rates) < rateTargets || own.ok+own.failed < rateRequests {
 		return false
 	}
