--- a/internal/detection/strategy.go
+++ b/internal/detection/strategy.go
@@ -270,15 +270,15 @@
 type independentNode struct {
 	*chooser
 	until    []time.Time
-	outcomes []ends
+	outcomes []outcomeCount
 	eject    func(a *independentNode, now time.Time, target int) bool
 	// interval is the time between two judgements; 0 judges at each end.
 	interval time.Duration
 	judged   time.Time
 }
 
-// ends counts the ends of requests to one target.
-type ends struct {
+// outcomeCount counts the ends of requests to one target.
+type outcomeCount struct {
 	ok, failed float64
 	row        int
 }
@@ -291,7 +291,7 @@
 		for _, n := range w.nodes {
 			a := &independentNode{
 				until:    make([]time.Time, len(w.targets)),
-				outcomes: make([]ends, len(w.targets)),
+				outcomes: make([]outcomeCount, len(w.targets)),
 				eject:    eject,
 				interval: interval,
 			}
@@ -336,7 +336,7 @@
 func (a *independentNode) judge(now time.Time, target int) {
 	if a.eject(a, now, target) {
 		a.until[target] = now.Add(holdAlone)
-		a.outcomes[target] = ends{}
+		a.outcomes[target] = outcomeCount{}
 		a.rebuild(now)
 	}
 }
