--- a/internal/detection/strategy.go
+++ b/internal/detection/strategy.go
@@ -279,8 +279,8 @@
 
 // outcomeCount counts the ends of requests to one target.
 type outcomeCount struct {
-	ok, failed float64
-	row        int
+	ok, failed  float64
+	consecutive int
 }
 
 // holdAlone is how long baselines eject.
@@ -322,10 +322,10 @@
 		case shed:
 		case ok:
 			e.ok++
-			e.row = 0
+			e.consecutive = 0
 		default:
 			e.failed++
-			e.row++
+			e.consecutive++
 		}
 		if a.interval == 0 {
 			a.judge(now, target)
@@ -365,7 +365,7 @@
 
 // consecutive ejects after failures in a row, the common default.
 func consecutive(a *independentNode, _ time.Time, target int) bool {
-	return a.outcomes[target].row >= rowLength
+	return a.outcomes[target].consecutive >= rowLength
 }
 
 // Parameters of the success-rate baseline, after the defaults of common proxies:
