--- a/internal/detection/strategy.go
+++ b/internal/detection/strategy.go
@@ -328,12 +328,12 @@
 			e.consecutive++
 		}
 		if a.interval == 0 {
-			a.judge(now, target)
+			a.evaluate(now, target)
 		}
 	}
 }
 
-func (a *independentNode) judge(now time.Time, target int) {
+func (a *independentNode) evaluate(now time.Time, target int) {
 	if a.eject(a, now, target) {
 		a.until[target] = now.Add(holdAlone)
 		a.outcomes[target] = outcomeCount{}
@@ -352,7 +352,7 @@
 	}
 	a.judged = now
 	for i := range a.outcomes {
-		a.judge(now, i)
+		a.evaluate(now, i)
 	}
 	clear(a.outcomes)
 }
