--- a/internal/detection/strategy.go
+++ b/internal/detection/strategy.go
@@ -273,8 +273,8 @@
 	outcomes []outcomeCount
 	eject    func(a *independentNode, now time.Time, target int) bool
 	// interval is the time between two judgements; 0 judges at each end.
-	interval time.Duration
-	judged   time.Time
+	interval  time.Duration
+	evaluated time.Time
 }
 
 // outcomeCount counts the ends of requests to one target.
@@ -347,10 +347,10 @@
 			a.rebuild(now)
 		}
 	}
-	if a.interval == 0 || now.Sub(a.judged) < a.interval {
+	if a.interval == 0 || now.Sub(a.evaluated) < a.interval {
 		return
 	}
-	a.judged = now
+	a.evaluated = now
 	for i := range a.outcomes {
 		a.evaluate(now, i)
 	}
