--- a/internal/detection/strategy.go
+++ b/internal/detection/strategy.go
@@ -283,8 +283,8 @@
 	consecutive int
 }
 
-// holdAlone is how long baselines eject.
-const holdAlone = 30 * time.Second
+// baselineEjection is how long baselines eject.
+const baselineEjection = 30 * time.Second
 
 func baseline(interval time.Duration, eject func(a *independentNode, now time.Time, target int) bool) func(w *world) {
 	return func(w *world) {
@@ -335,7 +335,7 @@
 
 func (a *independentNode) evaluate(now time.Time, target int) {
 	if a.eject(a, now, target) {
-		a.until[target] = now.Add(holdAlone)
+		a.until[target] = now.Add(baselineEjection)
 		a.outcomes[target] = outcomeCount{}
 		a.rebuild(now)
 	}
