--- a/internal/detection/strategy.go
+++ b/internal/detection/strategy.go
@@ -360,12 +360,12 @@
 // never ejects nothing.
 func never(*independentNode, time.Time, int) bool { return false }
 
-// rowLength is how many failures in a row eject in the baseline.
-const rowLength = 5
+// consecutiveFailures is how many failures in a row eject in the baseline.
+const consecutiveFailures = 5
 
 // consecutive ejects after failures in a row, the common default.
 func consecutive(a *independentNode, _ time.Time, target int) bool {
-	return a.outcomes[target].consecutive >= rowLength
+	return a.outcomes[target].consecutive >= consecutiveFailures
 }
 
 // Parameters of the success-rate baseline, after the defaults of common proxies:
