--- a/internal/detection/strategy.go
+++ b/internal/detection/strategy.go
@@ -17,8 +17,8 @@
 
 func targetName(i int) string { return fmt.Sprintf("192.0.2.%d:80", i+1) }
 
-// chooser is the part that all strategies share: the fleet's balancer.
-type chooser struct {
+// balancer is the part that all strategies share: the fleet's balancer.
+type balancer struct {
 	w      *world
 	node   *fakeNode
 	gauges []*balance.Gauge
@@ -27,8 +27,8 @@
 	isOut  []bool
 }
 
-func newChooser(w *world, n *fakeNode, state func(time.Time, int) outlier.State) *chooser {
-	c := &chooser{
+func newChooser(w *world, n *fakeNode, state func(time.Time, int) outlier.State) *balancer {
+	c := &balancer{
 		w:     w,
 		node:  n,
 		state: state,
@@ -42,7 +42,7 @@
 }
 
 // rebuild makes the pool anew after a change.
-func (c *chooser) rebuild(now time.Time) {
+func (c *balancer) rebuild(now time.Time) {
 	var members []balance.Member
 	for i, t := range c.w.targets {
 		s := c.state(now, i)
@@ -67,7 +67,7 @@
 }
 
 // take picks a target; observe is told how the request ended.
-func (c *chooser) take(observe func(target int) func(now time.Time, ok, shed bool)) (int, func(time.Time, bool, bool), bool) {
+func (c *balancer) take(observe func(target int) func(now time.Time, ok, shed bool)) (int, func(time.Time, bool, bool), bool) {
 	p, ok := c.pool.Pick(c.w.rng.Uint64, nil, nil)
 	if !ok {
 		return 0, nil, false
@@ -75,7 +75,7 @@
 	return c.use(p, observe)
 }
 
-func (c *chooser) use(p balance.Pick, observe func(target int) func(time.Time, bool, bool)) (int, func(time.Time, bool, bool), bool) {
+func (c *balancer) use(p balance.Pick, observe func(target int) func(time.Time, bool, bool)) (int, func(time.Time, bool, bool), bool) {
 	i := c.index(p.Key())
 	end := observe(i)
 	return i, func(now time.Time, ok, shed bool) {
@@ -84,7 +84,7 @@
 	}, true
 }
 
-func (c *chooser) index(address string) int {
+func (c *balancer) index(address string) int {
 	for i, t := range c.w.targets {
 		if t.name == address {
 			return i
@@ -153,14 +153,14 @@
 	for _, v := range h.observer.Advance(now) {
 		for _, n := range h.nodes {
 			n.controller.EjectForLease(now, v.Target, v.Score, v.Lease)
-			n.chooser.rebuild(now)
+			n.balancer.rebuild(now)
 		}
 	}
 }
 
 // sharingNode is one node that shares its evidence.
 type sharingNode struct {
-	*chooser
+	*balancer
 	w          *world
 	node       *fakeNode
 	info       outlier.Service
@@ -183,7 +183,7 @@
 		pending:    map[string]outlier.Counts{},
 	}
 	s.controller.SetTargets(epoch, info.Targets)
-	s.chooser = newChooser(w, n, func(now time.Time, target int) outlier.State {
+	s.balancer = newChooser(w, n, func(now time.Time, target int) outlier.State {
 		return s.controller.State(now, targetName(target))
 	})
 	return s
@@ -268,7 +268,7 @@
 
 // independentNode is a node that judges by its own failures; eject says which targets go.
 type independentNode struct {
-	*chooser
+	*balancer
 	until    []time.Time
 	outcomes []outcomeCount
 	eject    func(a *independentNode, now time.Time, target int) bool
@@ -295,7 +295,7 @@
 				eject:    eject,
 				interval: interval,
 			}
-			a.chooser = newChooser(w, n, a.stateOf)
+			a.balancer = newChooser(w, n, a.stateOf)
 			n.strategy = strategy{
 				pick: func(time.Time) (int, func(time.Time, bool, bool), bool) { return a.take(a.observe) },
 				tick: a.tick,
