--- a/internal/detection/strategy.go
+++ b/internal/detection/strategy.go
@@ -27,7 +27,7 @@
 	isOut  []bool
 }
 
-func newChooser(w *world, n *fakeNode, state func(time.Time, int) outlier.State) *balancer {
+func newBalancer(w *world, n *fakeNode, state func(time.Time, int) outlier.State) *balancer {
 	c := &balancer{
 		w:     w,
 		node:  n,
@@ -183,7 +183,7 @@
 		pending:    map[string]outlier.Counts{},
 	}
 	s.controller.SetTargets(epoch, info.Targets)
-	s.balancer = newChooser(w, n, func(now time.Time, target int) outlier.State {
+	s.balancer = newBalancer(w, n, func(now time.Time, target int) outlier.State {
 		return s.controller.State(now, targetName(target))
 	})
 	return s
@@ -295,7 +295,7 @@
 				eject:    eject,
 				interval: interval,
 			}
-			a.balancer = newChooser(w, n, a.stateOf)
+			a.balancer = newBalancer(w, n, a.stateOf)
 			n.strategy = strategy{
 				pick: func(time.Time) (int, func(time.Time, bool, bool), bool) { return a.take(a.observe) },
 				tick: a.tick,
