--- a/internal/detection/strategy.go
+++ b/internal/detection/strategy.go
@@ -19,20 +19,20 @@
 
 // balancer is the part that all strategies share: the fleet's balancer.
 type balancer struct {
-	w      *world
-	node   *fakeNode
-	gauges []*balance.Gauge
-	pool   *balance.Pool
-	state  func(now time.Time, target int) outlier.State
-	isOut  []bool
+	w       *world
+	node    *fakeNode
+	gauges  []*balance.Gauge
+	pool    *balance.Pool
+	state   func(now time.Time, target int) outlier.State
+	ejected []bool
 }
 
 func newBalancer(w *world, n *fakeNode, state func(time.Time, int) outlier.State) *balancer {
 	c := &balancer{
-		w:     w,
-		node:  n,
-		state: state,
-		isOut: make([]bool, len(w.targets)),
+		w:       w,
+		node:    n,
+		state:   state,
+		ejected: make([]bool, len(w.targets)),
 	}
 	for range w.targets {
 		c.gauges = append(c.gauges, &balance.Gauge{})
@@ -47,10 +47,10 @@
 	for i, t := range c.w.targets {
 		s := c.state(now, i)
 		out := s.Phase == outlier.PhaseEjected || s.Phase == outlier.PhaseTrial
-		if s.Phase == outlier.PhaseEjected && !c.isOut[i] {
+		if s.Phase == outlier.PhaseEjected && !c.ejected[i] {
 			c.node.ejections[i]++
 		}
-		c.isOut[i] = out
+		c.ejected[i] = out
 		members = append(members, balance.Member{
 			Key:         t.name,
 			Slots:       c.w.pool.slots,
@@ -198,7 +198,7 @@
 			return s.take(func(target int) func(time.Time, bool, bool) { return s.observe(now, target) })
 		},
 		tick: s.tick,
-		out:  func(target int) bool { return s.isOut[target] },
+		out:  func(target int) bool { return s.ejected[target] },
 	}
 }
 
@@ -299,7 +299,7 @@
 			n.strategy = strategy{
 				pick: func(time.Time) (int, func(time.Time, bool, bool), bool) { return a.take(a.observe) },
 				tick: a.tick,
-				out:  func(target int) bool { return a.isOut[target] },
+				out:  func(target int) bool { return a.ejected[target] },
 			}
 		}
 	}
@@ -343,7 +343,7 @@
 
 func (a *independentNode) tick(now time.Time) {
 	for i := range a.until {
-		if a.isOut[i] && !now.Before(a.until[i]) {
+		if a.ejected[i] && !now.Before(a.until[i]) {
 			a.rebuild(now)
 		}
 	}
