--- a/internal/detection/strategy.go
+++ b/internal/detection/strategy.go
@@ -66,8 +66,8 @@
 	c.pool = balance.NewPool(members, floor, fmt.Sprint("node", c.node.index), c.w.pool.nodes)
 }
 
-// take picks a target; observe is told how the request ended.
-func (c *balancer) take(observe func(target int) func(now time.Time, ok, shed bool)) (int, func(time.Time, bool, bool), bool) {
+// pickTarget picks a target; observe is told how the request ended.
+func (c *balancer) pickTarget(observe func(target int) func(now time.Time, ok, shed bool)) (int, func(time.Time, bool, bool), bool) {
 	p, ok := c.pool.Pick(c.w.rng.Uint64, nil, nil)
 	if !ok {
 		return 0, nil, false
@@ -195,7 +195,7 @@
 			if p, ok := s.pool.PickTrial(s.w.rng.Uint64); ok {
 				s.sendTrial(now, p)
 			}
-			return s.take(func(target int) func(time.Time, bool, bool) { return s.observe(now, target) })
+			return s.pickTarget(func(target int) func(time.Time, bool, bool) { return s.observe(now, target) })
 		},
 		tick: s.tick,
 		out:  func(target int) bool { return s.ejected[target] },
@@ -297,7 +297,7 @@
 			}
 			a.balancer = newBalancer(w, n, a.stateOf)
 			n.strategy = strategy{
-				pick: func(time.Time) (int, func(time.Time, bool, bool), bool) { return a.take(a.observe) },
+				pick: func(time.Time) (int, func(time.Time, bool, bool), bool) { return a.pickTarget(a.observe) },
 				tick: a.tick,
 				out:  func(target int) bool { return a.ejected[target] },
 			}
