--- a/internal/detection/fault.go
+++ b/internal/detection/fault.go
@@ -47,7 +47,7 @@
 func cutSeen(nodes func(w *world) []int) func(w *world) bool {
 	return func(w *world) bool {
 		for _, n := range nodes(w) {
-			if !w.nodes[n].strategy.out(0) {
+			if !w.nodes[n].strategy.ejected(0) {
 				return false
 			}
 		}
--- a/internal/detection/strategy.go
+++ b/internal/detection/strategy.go
@@ -197,8 +197,8 @@
 			}
 			return s.pickTarget(func(target int) func(time.Time, bool, bool) { return s.observe(now, target) })
 		},
-		tick: s.tick,
-		out:  func(target int) bool { return s.ejected[target] },
+		tick:    s.tick,
+		ejected: func(target int) bool { return s.ejected[target] },
 	}
 }
 
@@ -297,9 +297,9 @@
 			}
 			a.balancer = newBalancer(w, n, a.stateOf)
 			n.strategy = strategy{
-				pick: func(time.Time) (int, func(time.Time, bool, bool), bool) { return a.pickTarget(a.observe) },
-				tick: a.tick,
-				out:  func(target int) bool { return a.ejected[target] },
+				pick:    func(time.Time) (int, func(time.Time, bool, bool), bool) { return a.pickTarget(a.observe) },
+				tick:    a.tick,
+				ejected: func(target int) bool { return a.ejected[target] },
 			}
 		}
 	}
--- a/internal/detection/world.go
+++ b/internal/detection/world.go
@@ -117,8 +117,8 @@
 	pick func(now time.Time) (int, func(now time.Time, ok, shed bool), bool)
 	// tick lets time pass, every 250 ms.
 	tick func(now time.Time)
-	// out reports whether the node gives a target no regular work.
-	out func(target int) bool
+	// ejected reports whether the node gives a target no regular work.
+	ejected func(target int) bool
 }
 
 // world is the fakes and their time.
@@ -310,7 +310,7 @@
 func (w *world) outShare(target int) float64 {
 	out := 0
 	for _, n := range w.nodes {
-		if n.strategy.out(target) {
+		if n.strategy.ejected(target) {
 			out++
 		}
 	}
