--- a/internal/detection/fault.go
+++ b/internal/detection/fault.go
@@ -22,7 +22,7 @@
 // seenShare is the share of nodes that must have taken the target out.
 const seenShare = 0.9
 
-func seenByAll(w *world) bool { return w.outShare(0) >= seenShare }
+func seenByAll(w *world) bool { return w.ejectedShare(0) >= seenShare }
 
 func flap(period time.Duration) func(w *world) {
 	return func(w *world) {
--- a/internal/detection/world.go
+++ b/internal/detection/world.go
@@ -306,8 +306,8 @@
 	r.end(w.clock(), ok, r.shed)
 }
 
-// outShare returns the share of nodes that give a target no regular work.
-func (w *world) outShare(target int) float64 {
+// ejectedShare returns the share of nodes that give a target no regular work.
+func (w *world) ejectedShare(target int) float64 {
 	out := 0
 	for _, n := range w.nodes {
 		if n.strategy.ejected(target) {
