--- a/internal/detection/fault.go
+++ b/internal/detection/fault.go
@@ -11,8 +11,8 @@
 	name string
 	// begin injects the fault.
 	begin func(w *world)
-	// seen reports whether the fault has been detected; nil if nothing is sick.
-	seen func(w *world) bool
+	// detected reports whether the fault has been detected; nil if nothing is sick.
+	detected func(w *world) bool
 	// sick are the targets whose ejection is right.
 	sick []int
 	// cut is the number of nodes whose ejections are right, the first ones.
@@ -80,52 +80,52 @@
 	one := []int{0}
 	return []fault{
 		{
-			name:  "hard stall, probes fine",
-			sick:  one,
-			seen:  seenByAll,
-			begin: func(w *world) { w.targets[0].stall = true },
+			name:     "hard stall, probes fine",
+			sick:     one,
+			detected: seenByAll,
+			begin:    func(w *world) { w.targets[0].stall = true },
 		},
 		{
-			name:  "10 times slow",
-			sick:  one,
-			seen:  seenByAll,
-			begin: func(w *world) { w.targets[0].slow = 10 },
+			name:     "10 times slow",
+			sick:     one,
+			detected: seenByAll,
+			begin:    func(w *world) { w.targets[0].slow = 10 },
 		},
 		{
-			name:  "30% errors",
-			sick:  one,
-			seen:  seenByAll,
-			begin: func(w *world) { w.targets[0].errors = 0.3 },
+			name:     "30% errors",
+			sick:     one,
+			detected: seenByAll,
+			begin:    func(w *world) { w.targets[0].errors = 0.3 },
 		},
 		{
-			name:  "flapping, period 4 s",
-			sick:  one,
-			seen:  seenByAll,
-			begin: flap(4 * time.Second),
+			name:     "flapping, period 4 s",
+			sick:     one,
+			detected: seenByAll,
+			begin:    flap(4 * time.Second),
 		},
 		{
-			name:  "flapping, period 20 s",
-			sick:  one,
-			seen:  seenByAll,
-			begin: flap(20 * time.Second),
+			name:     "flapping, period 20 s",
+			sick:     one,
+			detected: seenByAll,
+			begin:    flap(20 * time.Second),
 		},
 		{
-			name:  "flapping, period 120 s",
-			sick:  one,
-			seen:  seenByAll,
-			begin: flap(120 * time.Second),
+			name:     "flapping, period 120 s",
+			sick:     one,
+			detected: seenByAll,
+			begin:    flap(120 * time.Second),
 		},
 		{
-			name:  "cut from one node",
-			cut:   firstNode,
-			seen:  cutSeen(firstNode),
-			begin: cutOff(firstNode),
+			name:     "cut from one node",
+			cut:      firstNode,
+			detected: cutSeen(firstNode),
+			begin:    cutOff(firstNode),
 		},
 		{
-			name:  "cut from one data hall",
-			cut:   firstHall,
-			seen:  cutSeen(firstHall),
-			begin: cutOff(firstHall),
+			name:     "cut from one data hall",
+			cut:      firstHall,
+			detected: cutSeen(firstHall),
+			begin:    cutOff(firstHall),
 		},
 		{
 			name:  "whole pool 10 times slow",
--- a/internal/detection/measure.go
+++ b/internal/detection/measure.go
@@ -132,7 +132,7 @@
 	}
 	for w.now < warmUp+faultTime {
 		w.runUntil(w.now + look)
-		if out.detected < 0 && f.seen != nil && f.seen(w) {
+		if out.detected < 0 && f.detected != nil && f.detected(w) {
 			out.detected = w.now - warmUp
 		}
 	}
--- a/internal/detection/page.go
+++ b/internal/detection/page.go
@@ -101,7 +101,7 @@
 // text is one cell: detection time, wrong ejections, lost requests.
 func (c *cell) text() string {
 	s := ""
-	if c.fault.seen != nil {
+	if c.fault.detected != nil {
 		median, high, never := c.detection()
 		switch {
 		case never == len(c.trials):
