--- a/internal/detection/fault.go
+++ b/internal/detection/fault.go
@@ -19,10 +19,10 @@
 	cut func(w *world) []int
 }
 
-// seenShare is the share of nodes that must have taken the target out.
-const seenShare = 0.9
+// detectedShare is the share of nodes that must have taken the target out.
+const detectedShare = 0.9
 
-func seenByAll(w *world) bool { return w.ejectedShare(0) >= seenShare }
+func seenByAll(w *world) bool { return w.ejectedShare(0) >= detectedShare }
 
 func flap(period time.Duration) func(w *world) {
 	return func(w *world) {
