--- a/internal/detection/fault.go
+++ b/internal/detection/fault.go
@@ -22,7 +22,7 @@
 // detectedShare is the share of nodes that must have taken the target out.
 const detectedShare = 0.9
 
-func seenByAll(w *world) bool { return w.ejectedShare(0) >= detectedShare }
+func detectedByMost(w *world) bool { return w.ejectedShare(0) >= detectedShare }
 
 func flap(period time.Duration) func(w *world) {
 	return func(w *world) {
@@ -82,37 +82,37 @@
 		{
 			name:     "hard stall, probes fine",
 			sick:     one,
-			detected: seenByAll,
+			detected: detectedByMost,
 			begin:    func(w *world) { w.targets[0].stall = true },
 		},
 		{
 			name:     "10 times slow",
 			sick:     one,
-			detected: seenByAll,
+			detected: detectedByMost,
 			begin:    func(w *world) { w.targets[0].slow = 10 },
 		},
 		{
 			name:     "30% errors",
 			sick:     one,
-			detected: seenByAll,
+			detected: detectedByMost,
 			begin:    func(w *world) { w.targets[0].errors = 0.3 },
 		},
 		{
 			name:     "flapping, period 4 s",
 			sick:     one,
-			detected: seenByAll,
+			detected: detectedByMost,
 			begin:    flap(4 * time.Second),
 		},
 		{
 			name:     "flapping, period 20 s",
 			sick:     one,
-			detected: seenByAll,
+			detected: detectedByMost,
 			begin:    flap(20 * time.Second),
 		},
 		{
 			name:     "flapping, period 120 s",
 			sick:     one,
-			detected: seenByAll,
+			detected: detectedByMost,
 			begin:    flap(120 * time.Second),
 		},
 		{
