--- a/internal/detection/fault.go
+++ b/internal/detection/fault.go
@@ -44,7 +44,7 @@
 	}
 }
 
-func cutSeen(nodes func(w *world) []int) func(w *world) bool {
+func detectedByCut(nodes func(w *world) []int) func(w *world) bool {
 	return func(w *world) bool {
 		for _, n := range nodes(w) {
 			if !w.nodes[n].strategy.ejected(0) {
@@ -118,13 +118,13 @@
 		{
 			name:     "cut from one node",
 			cut:      firstNode,
-			detected: cutSeen(firstNode),
+			detected: detectedByCut(firstNode),
 			begin:    cutOff(firstNode),
 		},
 		{
 			name:     "cut from one data hall",
 			cut:      firstHall,
-			detected: cutSeen(firstHall),
+			detected: detectedByCut(firstHall),
 			begin:    cutOff(firstHall),
 		},
 		{
