--- a/internal/detection/fault.go
+++ b/internal/detection/fault.go
@@ -36,7 +36,7 @@
 	}
 }
 
-func cutOff(nodes func(w *world) []int) func(w *world) {
+func cutNodes(nodes func(w *world) []int) func(w *world) {
 	return func(w *world) {
 		for _, n := range nodes(w) {
 			w.targets[0].cut[n] = true
@@ -119,13 +119,13 @@
 			name:     "cut from one node",
 			cut:      firstNode,
 			detected: detectedByCut(firstNode),
-			begin:    cutOff(firstNode),
+			begin:    cutNodes(firstNode),
 		},
 		{
 			name:     "cut from one data hall",
 			cut:      firstHall,
 			detected: detectedByCut(firstHall),
-			begin:    cutOff(firstHall),
+			begin:    cutNodes(firstHall),
 		},
 		{
 			name:  "whole pool 10 times slow",
