--- a/internal/detection/world.go
+++ b/internal/detection/world.go
@@ -87,11 +87,11 @@
 
 // fakeTarget is a target with slots and a line before them.
 type fakeTarget struct {
-	index  int
-	name   string
-	busy   int
-	line   []*request
-	paused time.Duration
+	index   int
+	name    string
+	busy    int
+	waiting []*request
+	paused  time.Duration
 	// stall, slow, errors and shed are the faults in force.
 	stall  bool
 	slow   float64
@@ -235,7 +235,7 @@
 	case t.busy < w.pool.slots:
 		w.start(r)
 	default:
-		t.line = append(t.line, r)
+		t.waiting = append(t.waiting, r)
 	}
 }
 
@@ -273,9 +273,9 @@
 
 func (w *world) free(t *fakeTarget) {
 	t.busy--
-	for len(t.line) > 0 && t.busy < w.pool.slots {
-		next := t.line[0]
-		t.line = t.line[1:]
+	for len(t.waiting) > 0 && t.busy < w.pool.slots {
+		next := t.waiting[0]
+		t.waiting = t.waiting[1:]
 		if !next.ended {
 			w.start(next)
 		}
