--- a/internal/detection/world.go
+++ b/internal/detection/world.go
@@ -54,18 +54,18 @@
 	do   func()
 }
 
-// queue orders events by time.
-type queue []event
+// eventQueue orders events by time.
+type eventQueue []event
 
-func (q queue) Len() int           { return len(q) }
-func (q queue) Less(i, j int) bool { return q[i].at < q[j].at }
-func (q queue) Swap(i, j int)      { q[i], q[j] = q[j], q[i] }
+func (q eventQueue) Len() int           { return len(q) }
+func (q eventQueue) Less(i, j int) bool { return q[i].at < q[j].at }
+func (q eventQueue) Swap(i, j int)      { q[i], q[j] = q[j], q[i] }
 
 // Push is part of heap.Interface.
-func (q *queue) Push(x any) { *q = append(*q, x.(event)) }
+func (q *eventQueue) Push(x any) { *q = append(*q, x.(event)) }
 
 // Pop is part of heap.Interface.
-func (q *queue) Pop() any {
+func (q *eventQueue) Pop() any {
 	old := *q
 	last := old[len(old)-1]
 	*q = old[:len(old)-1]
@@ -126,7 +126,7 @@
 	pool    pool
 	rng     *rand.Rand
 	now     time.Duration
-	events  queue
+	events  eventQueue
 	nodes   []*fakeNode
 	targets []*fakeTarget
 	served  int
