--- a/internal/detection/strategy.go
+++ b/internal/detection/strategy.go
@@ -216,10 +216,10 @@
 func (s *sharingNode) sendTrial(now time.Time, p balance.Pick) {
 	i, end, _ := s.use(p, func(target int) func(time.Time, bool, bool) { return s.observe(now, target) })
 	r := &request{
-		node:   s.node,
-		target: s.w.targets[i],
-		begun:  s.w.now,
-		end:    end,
+		node:    s.node,
+		target:  s.w.targets[i],
+		started: s.w.now,
+		end:     end,
 	}
 	s.w.send(r)
 }
--- a/internal/detection/world.go
+++ b/internal/detection/world.go
@@ -74,12 +74,12 @@
 
 // request is one request on its way.
 type request struct {
-	node   *fakeNode
-	target *fakeTarget
-	begun  time.Duration
-	ended  bool
-	failed bool
-	shed   bool
+	node    *fakeNode
+	target  *fakeTarget
+	started time.Duration
+	ended   bool
+	failed  bool
+	shed    bool
 	// stuck is set while a stalled target holds the request in a slot.
 	stuck bool
 	end   func(now time.Time, ok, shed bool)
@@ -215,10 +215,10 @@
 		return
 	}
 	r := &request{
-		node:   n,
-		target: w.targets[i],
-		begun:  w.now,
-		end:    end,
+		node:    n,
+		target:  w.targets[i],
+		started: w.now,
+		end:     end,
 	}
 	w.send(r)
 }
