--- a/internal/detection/measure.go
+++ b/internal/detection/measure.go
@@ -111,8 +111,8 @@
 	look      = 50 * time.Millisecond
 )
 
-// trial is one run with a fault.
-type trial struct {
+// faultRun is one run with a fault.
+type faultRun struct {
 	// detected is the time until detection; negative means never.
 	detected time.Duration
 	// wrong is the number of ejections that the fault doesn't justify, each
@@ -122,12 +122,12 @@
 	lost int
 }
 
-func runFault(p pool, m method, f fault, seed uint64) trial {
+func runFault(p pool, m method, f fault, seed uint64) faultRun {
 	w := newWorld(p, seed, m.build)
 	w.runUntil(warmUp)
 	before, lost := w.wrong(f), w.failed
 	f.begin(w)
-	out := trial{
+	out := faultRun{
 		detected: -1,
 	}
 	for w.now < warmUp+faultTime {
@@ -159,7 +159,7 @@
 	pool   pool
 	method method
 	fault  fault
-	trials []trial
+	trials []faultRun
 }
 
 // quietCell is a method without a fault.
