--- a/internal/detection/measure.go
+++ b/internal/detection/measure.go
@@ -159,7 +159,7 @@
 	pool   pool
 	method method
 	fault  fault
-	trials []faultRun
+	runs   []faultRun
 }
 
 // quietCell is a method without a fault.
@@ -287,7 +287,7 @@
 
 func (r *report) runFaults(c *cell) {
 	for i := range r.args.Runs {
-		c.trials = append(c.trials, runFault(c.pool, c.method, c.fault, uint64(i+1)))
+		c.runs = append(c.runs, runFault(c.pool, c.method, c.fault, uint64(i+1)))
 	}
 	fmt.Printf("%s, %s, %s: %s\n", c.pool.name, c.method.name, c.fault.name, c.summary())
 }
@@ -296,7 +296,7 @@
 // was never detected.
 func (c *cell) detection() (median, high time.Duration, never int) {
 	var times []time.Duration
-	for _, t := range c.trials {
+	for _, t := range c.runs {
 		if t.detected < 0 {
 			never++
 			times = append(times, faultTime)
@@ -310,21 +310,21 @@
 
 func (c *cell) wrong() float64 {
 	total := 0.0
-	for _, t := range c.trials {
-		total += t.wrong / float64(len(c.trials))
+	for _, t := range c.runs {
+		total += t.wrong / float64(len(c.runs))
 	}
 	return total
 }
 
 func (c *cell) lost() float64 {
 	total := 0.0
-	for _, t := range c.trials {
-		total += float64(t.lost) / float64(len(c.trials))
+	for _, t := range c.runs {
+		total += float64(t.lost) / float64(len(c.runs))
 	}
 	return total
 }
 
 func (c *cell) summary() string {
 	median, high, never := c.detection()
-	return fmt.Sprintf("median %v, 95%% %v, never %d of %d, wrong %.2f, lost %.0f", median, high, never, len(c.trials), c.wrong(), c.lost())
+	return fmt.Sprintf("median %v, 95%% %v, never %d of %d, wrong %.2f, lost %.0f", median, high, never, len(c.runs), c.wrong(), c.lost())
 }
--- a/internal/detection/page.go
+++ b/internal/detection/page.go
@@ -104,10 +104,10 @@
 	if c.fault.detected != nil {
 		median, high, never := c.detection()
 		switch {
-		case never == len(c.trials):
+		case never == len(c.runs):
 			s = "never, "
 		case never > 0:
-			s = fmt.Sprintf("%s / never in %d of %d, ", seconds(median), never, len(c.trials))
+			s = fmt.Sprintf("%s / never in %d of %d, ", seconds(median), never, len(c.runs))
 		default:
 			s = fmt.Sprintf("%s / %s, ", seconds(median), seconds(high))
 		}
@@ -147,7 +147,7 @@
 func (r *report) writeCSV(dir string) error {
 	rows := [][]string{{"service", "method", "fault", "run", "detected (s)", "wrong ejections", "lost requests"}}
 	for _, c := range r.cells {
-		for i, t := range c.trials {
+		for i, t := range c.runs {
 			rows = append(rows, []string{
 				c.pool.name, c.method.name, c.fault.name, fmt.Sprint(i + 1),
 				fmt.Sprintf("%.2f", t.detected.Seconds()), fmt.Sprintf("%.3f", t.wrong), fmt.Sprint(t.lost),
