--- a/internal/detection/measure.go
+++ b/internal/detection/measure.go
@@ -115,9 +115,9 @@
 type faultRun struct {
 	// detected is the time until detection; negative means never.
 	detected time.Duration
-	// wrong is the number of ejections that the fault doesn't justify, each
+	// falseEjections is the number of ejections that the fault doesn't justify, each
 	// counting for its share of the nodes.
-	wrong float64
+	falseEjections float64
 	// lost is the number of failed requests.
 	lost int
 }
@@ -136,7 +136,7 @@
 			out.detected = w.now - warmUp
 		}
 	}
-	out.wrong = w.wrong(f) - before
+	out.falseEjections = w.wrong(f) - before
 	out.lost = w.failed - lost
 	return out
 }
@@ -311,7 +311,7 @@
 func (c *cell) wrong() float64 {
 	total := 0.0
 	for _, t := range c.runs {
-		total += t.wrong / float64(len(c.runs))
+		total += t.falseEjections / float64(len(c.runs))
 	}
 	return total
 }
--- a/internal/detection/page.go
+++ b/internal/detection/page.go
@@ -150,7 +150,7 @@
 		for i, t := range c.runs {
 			rows = append(rows, []string{
 				c.pool.name, c.method.name, c.fault.name, fmt.Sprint(i + 1),
-				fmt.Sprintf("%.2f", t.detected.Seconds()), fmt.Sprintf("%.3f", t.wrong), fmt.Sprint(t.lost),
+				fmt.Sprintf("%.2f", t.detected.Seconds()), fmt.Sprintf("%.3f", t.falseEjections), fmt.Sprint(t.lost),
 			})
 		}
 	}
