--- a/internal/detection/measure.go
+++ b/internal/detection/measure.go
@@ -125,7 +125,7 @@
 func runFault(p pool, m method, f fault, seed uint64) faultRun {
 	w := newWorld(p, seed, m.build)
 	w.runUntil(warmUp)
-	before, lost := w.wrong(f), w.failed
+	before, lost := w.falseEjections(f), w.failed
 	f.begin(w)
 	out := faultRun{
 		detected: -1,
@@ -136,13 +136,13 @@
 			out.detected = w.now - warmUp
 		}
 	}
-	out.falseEjections = w.wrong(f) - before
+	out.falseEjections = w.falseEjections(f) - before
 	out.lost = w.failed - lost
 	return out
 }
 
-// wrong returns the ejections that a fault doesn't justify.
-func (w *world) wrong(f fault) float64 {
+// falseEjections returns the ejections that a fault doesn't justify.
+func (w *world) falseEjections(f fault) float64 {
 	all := w.ejections(f.sick...)
 	if f.cut == nil {
 		return all
