--- a/internal/detection/measure.go
+++ b/internal/detection/measure.go
@@ -308,7 +308,7 @@
 	return times[len(times)/2], times[len(times)*95/100], never
 }
 
-func (c *cell) wrong() float64 {
+func (c *cell) falseEjections() float64 {
 	total := 0.0
 	for _, t := range c.runs {
 		total += t.falseEjections / float64(len(c.runs))
@@ -326,5 +326,5 @@
 
 func (c *cell) summary() string {
 	median, high, never := c.detection()
-	return fmt.Sprintf("median %v, 95%% %v, never %d of %d, wrong %.2f, lost %.0f", median, high, never, len(c.runs), c.wrong(), c.lost())
+	return fmt.Sprintf("median %v, 95%% %v, never %d of %d, wrong %.2f, lost %.0f", median, high, never, len(c.runs), c.falseEjections(), c.lost())
 }
--- a/internal/detection/page.go
+++ b/internal/detection/page.go
@@ -112,7 +112,7 @@
 			s = fmt.Sprintf("%s / %s, ", seconds(median), seconds(high))
 		}
 	}
-	return s + fmt.Sprintf("%.2f wrong, %.0f lost", c.wrong(), c.lost())
+	return s + fmt.Sprintf("%.2f wrong, %.0f lost", c.falseEjections(), c.lost())
 }
 
 func seconds(d time.Duration) string { return fmt.Sprintf("%.1f s", d.Seconds()) }
