--- a/internal/detection/measure.go
+++ b/internal/detection/measure.go
@@ -106,9 +106,9 @@
 
 // Times of a run with a fault.
 const (
-	warmUp    = time.Minute
-	faultTime = time.Minute
-	look      = 50 * time.Millisecond
+	warmUp        = time.Minute
+	faultTime     = time.Minute
+	checkInterval = 50 * time.Millisecond
 )
 
 // faultRun is one run with a fault.
@@ -131,7 +131,7 @@
 		detected: -1,
 	}
 	for w.now < warmUp+faultTime {
-		w.runUntil(w.now + look)
+		w.runUntil(w.now + checkInterval)
 		if out.detected < 0 && f.detected != nil && f.detected(w) {
 			out.detected = w.now - warmUp
 		}
