--- a/internal/detection/measure.go
+++ b/internal/detection/measure.go
@@ -201,7 +201,7 @@
 		}
 	}
 	for _, p := range []pool{quotes, reservations, documents, drafts, receipts, exports} {
-		m := sharedMethod(chosen(p))
+		m := sharedMethod(recommendedThreshold(p))
 		jobs = append(jobs, r.quietJob(p, m, args.Long))
 		if p.name != documents.name && p.name != drafts.name {
 			jobs = append(jobs, r.faultJob(p, m, faults()[0]))
@@ -211,9 +211,9 @@
 	return r, nil
 }
 
-// chosen returns the threshold that the page recommends for the user of a pool:
+// recommendedThreshold returns the threshold that the page recommends for the user of a pool:
 // the non-profit weighs false ejections, the directorate detection time.
-func chosen(p pool) float64 {
+func recommendedThreshold(p pool) float64 {
 	if slices.Contains([]string{quotes.name, reservations.name, documents.name}, p.name) {
 		return leasingThreshold
 	}
--- a/internal/detection/page.go
+++ b/internal/detection/page.go
@@ -135,9 +135,9 @@
 	}
 	for _, p := range []pool{quotes, reservations, documents, drafts, receipts, exports} {
 		for _, c := range r.cells {
-			if c.pool.name == p.name && c.fault.name == faults()[0].name && c.method.threshold == chosen(p) {
+			if c.pool.name == p.name && c.fault.name == faults()[0].name && c.method.threshold == recommendedThreshold(p) {
 				median, high, _ := c.detection()
-				t.Rows = append(t.Rows, row{p.name, fmt.Sprint(chosen(p)), seconds(median) + " / " + seconds(high)})
+				t.Rows = append(t.Rows, row{p.name, fmt.Sprint(recommendedThreshold(p)), seconds(median) + " / " + seconds(high)})
 			}
 		}
 	}
