--- a/internal/detection/measure.go
+++ b/internal/detection/measure.go
@@ -207,7 +207,7 @@
 			jobs = append(jobs, r.faultJob(p, m, faults()[0]))
 		}
 	}
-	work(jobs, args.Only)
+	runJobs(jobs, args.Only)
 	return r, nil
 }
 
@@ -232,7 +232,7 @@
 	run  func()
 }
 
-func work(jobs []job, only string) {
+func runJobs(jobs []job, only string) {
 	var all sync.WaitGroup
 	next := make(chan func())
 	for range workers {
