--- a/internal/detection/world.go
+++ b/internal/detection/world.go
@@ -268,7 +268,7 @@
 	if !r.shed {
 		w.free(r.target)
 	}
-	w.end(r, !r.failed && !r.shed)
+	w.complete(r, !r.failed && !r.shed)
 }
 
 func (w *world) free(t *fakeTarget) {
@@ -291,10 +291,10 @@
 		// The target accepts the cancellation.
 		w.free(r.target)
 	}
-	w.end(r, false)
+	w.complete(r, false)
 }
 
-func (w *world) end(r *request, ok bool) {
+func (w *world) complete(r *request, ok bool) {
 	if r.ended {
 		return
 	}
