--- a/internal/detection/strategy.go
+++ b/internal/detection/strategy.go
@@ -372,10 +372,10 @@
 // at least five targets with enough requests, a factor of 1.9 standard
 // deviations. The usual 100 requests would never be reached here; 5 are asked.
 const (
-	rateInterval = 10 * time.Second
-	rateTargets  = 5
-	rateRequests = 5
-	rateFactor   = 1.9
+	rateInterval   = 10 * time.Second
+	rateMinTargets = 5
+	rateRequests   = 5
+	rateFactor     = 1.9
 )
 
 // successRate ejects targets whose success rate stands out below the others'.
@@ -387,7 +387,7 @@
 		}
 	}
 	own := a.outcomes[target]
-	if len(rates) < rateTargets || own.ok+own.failed < rateRequests {
+	if len(rates) < rateMinTargets || own.ok+own.failed < rateRequests {
 		return false
 	}
 	mean, square := 0.0, 0.0
