--- a/internal/detection/strategy.go
+++ b/internal/detection/strategy.go
@@ -372,22 +372,22 @@
 // at least five targets with enough requests, a factor of 1.9 standard
 // deviations. The usual 100 requests would never be reached here; 5 are asked.
 const (
-	rateInterval   = 10 * time.Second
-	rateMinTargets = 5
-	rateRequests   = 5
-	rateFactor     = 1.9
+	rateInterval    = 10 * time.Second
+	rateMinTargets  = 5
+	rateMinRequests = 5
+	rateFactor      = 1.9
 )
 
 // successRate ejects targets whose success rate stands out below the others'.
 func successRate(a *independentNode, _ time.Time, target int) bool {
 	var rates []float64
 	for _, e := range a.outcomes {
-		if n := e.ok + e.failed; n >= rateRequests {
+		if n := e.ok + e.failed; n >= rateMinRequests {
 			rates = append(rates, e.ok/n)
 		}
 	}
 	own := a.outcomes[target]
-	if len(rates) < rateMinTargets || own.ok+own.failed < rateRequests {
+	if len(rates) < rateMinTargets || own.ok+own.failed < rateMinRequests {
 		return false
 	}
 	mean, square := 0.0, 0.0
