--- a/internal/detection/world.go
+++ b/internal/detection/world.go
@@ -169,12 +169,12 @@
 
 // every calls fn at each tick, from a random moment on.
 func (w *world) every(d time.Duration, fn func(now time.Time)) {
-	var again func()
-	again = func() {
+	var repeat func()
+	repeat = func() {
 		fn(w.clock())
-		w.at(w.now+d, kindInterval, nil, again)
+		w.at(w.now+d, kindInterval, nil, repeat)
 	}
-	w.at(w.now+time.Duration(w.rng.Int64N(int64(d))), kindInterval, nil, again)
+	w.at(w.now+time.Duration(w.rng.Int64N(int64(d))), kindInterval, nil, repeat)
 }
 
 func (w *world) at(at time.Duration, k kind, r *request, do func()) {
