--- a/internal/detection/fault.go
+++ b/internal/detection/fault.go
@@ -27,12 +27,12 @@
 func flap(period time.Duration) func(w *world) {
 	return func(w *world) {
 		t := w.targets[0]
-		var turn func()
-		turn = func() {
+		var toggle func()
+		toggle = func() {
 			t.stall = !t.stall
-			w.at(w.now+period/2, kindFault, nil, turn)
+			w.at(w.now+period/2, kindFault, nil, toggle)
 		}
-		turn()
+		toggle()
 	}
 }
 
