--- a/internal/history/history.go
+++ b/internal/history/history.go
@@ -1,7 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package history checks recorded histories of a fleet against its promises. A
-// history is what callers were told and what targets ran, whatever recorded it.
+// Package history checks recorded histories of a fleet against its guarantees. A
+// history holds the answers that callers received and the requests that targets ran,
+// independent of how they were recorded.
 package history
 
 import (
@@ -9,7 +10,7 @@
 	"time"
 )
 
-// Outcome values as callers see them.
+// Outcomes as sent to callers.
 const (
 	OutcomeDone    = "done"
 	OutcomeNotRun  = "not-run"
@@ -18,15 +19,15 @@
 
 // Call is one request of a caller.
 type Call struct {
-	// Key names the request; it is the same in the runs of the request.
+	// Key identifies the request; its runs have the same key.
 	Key        string
 	Repeatable bool
-	// Outcome is what the caller was told; empty if it got no answer.
+	// Outcome is the outcome that the caller received; empty if it got no answer.
 	Outcome string
-	// Status is the status that the caller got.
+	// Status is the HTTP status that the caller received.
 	Status int
-	// Whole is set if the answer came to its stated end, Right if its bytes are
-	// those of this request.
+	// Whole is set if the answer is complete, Right if its bytes are those of this
+	// request.
 	Whole bool
 	Right bool
 }
@@ -36,20 +37,20 @@
 	Key    string
 	Target string
 	At     time.Time
-	// Deadline is the time limit that came with the request; zero means none.
+	// Deadline is the deadline sent with the request; zero means none.
 	Deadline time.Time
 }
 
-// History is a recorded history.
+// History is the recorded calls and runs.
 type History struct {
 	Calls []Call
 	Runs  []Run
 }
 
-// Promise names what was broken.
+// Promise is a guarantee of the fleet.
 type Promise string
 
-// Promises that a history can break.
+// Guarantees that Check checks.
 const (
 	PromiseAtMostOnce Promise = "at most once"
 	PromiseNotRun     Promise = "not run"
@@ -58,17 +59,17 @@
 	PromiseDeadline   Promise = "no run after the deadline"
 )
 
-// Violation is one broken promise.
+// Violation is one violated guarantee.
 type Violation struct {
 	promise Promise
 	key     string
 	detail  string
 }
 
-// Promise returns what was broken.
+// Promise returns the violated guarantee.
 func (v Violation) Promise() Promise { return v.promise }
 
-// Key returns the request for which it was broken.
+// Key returns the key of the request.
 func (v Violation) Key() string { return v.key }
 
 // String describes the violation.
@@ -76,8 +77,8 @@
 	return fmt.Sprintf("%s: %s: %s", v.promise, v.key, v.detail)
 }
 
-// Check returns all broken promises of a history. slack is how far the clocks
-// behind deadlines and runs may differ.
+// Check returns all violations in a history. slack is the greatest difference between
+// the clocks that gave the deadlines and the times of the runs.
 func Check(h History, slack time.Duration) []Violation {
 	runs := map[string][]Run{}
 	for _, r := range h.Runs {
@@ -109,7 +110,7 @@
 		broken(PromiseDone, "never ran")
 	}
 	if c.Outcome == OutcomeDone && c.Whole && !c.Right {
-		broken(PromiseWhole, "a whole answer with other bytes")
+		broken(PromiseWhole, "a complete answer with wrong bytes")
 	}
 	for _, r := range runs {
 		if !r.Deadline.IsZero() && r.At.After(r.Deadline.Add(slack)) {
--- a/internal/history/history_test.go
+++ b/internal/history/history_test.go
@@ -9,7 +9,7 @@
 	"ploverjunction.example/ploverjunction/internal/history"
 )
 
-func TestCheckFindsEachBrokenPromise(t *testing.T) {
+func TestCheckFindsEachViolation(t *testing.T) {
 	at := time.Unix(1000, 0)
 	once := []history.Run{{
 		Key:      "k",
@@ -37,49 +37,49 @@
 			want: "",
 		},
 		{
-			name: "repeatable twice",
+			name: "repeatable, run twice",
 			call: func(c *history.Call) { c.Repeatable = true },
 			runs: twice,
 			want: "",
 		},
 		{
-			name: "twice",
+			name: "not repeatable, run twice",
 			call: func(*history.Call) {},
 			runs: twice,
 			want: history.PromiseAtMostOnce,
 		},
 		{
-			name: "not run but run",
+			name: "outcome not-run, but run",
 			call: func(c *history.Call) { c.Outcome = history.OutcomeNotRun },
 			runs: once,
 			want: history.PromiseNotRun,
 		},
 		{
-			name: "unknown and run",
+			name: "outcome unknown, run",
 			call: func(c *history.Call) { c.Outcome = history.OutcomeUnknown },
 			runs: once,
 			want: "",
 		},
 		{
-			name: "done but never run",
+			name: "outcome done, never run",
 			call: func(*history.Call) {},
 			runs: nil,
 			want: history.PromiseDone,
 		},
 		{
-			name: "other bytes",
+			name: "wrong bytes",
 			call: func(c *history.Call) { c.Right = false },
 			runs: once,
 			want: history.PromiseWhole,
 		},
 		{
-			name: "visibly broken",
+			name: "incomplete answer",
 			call: func(c *history.Call) { c.Right, c.Whole = false, false },
 			runs: once,
 			want: "",
 		},
 		{
-			name: "late",
+			name: "run after the deadline",
 			call: func(*history.Call) {},
 			runs: []history.Run{{
 				Key:      "k",
--- a/internal/mutants/main.go
+++ b/internal/mutants/main.go
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Command mutants shows that the tests can fail: it takes one mechanism after
-// another out of a copy of the code and expects the named test to fail then. It
-// is test scaffolding and not part of the product.
+// Command mutants runs mutation tests: it applies each mutant of a list to a copy
+// of the code and expects the named test to fail. It is a development tool and not
+// part of the product.
 package main
 
 import (
@@ -16,7 +16,7 @@
 	"github.com/alecthomas/kong"
 )
 
-// columns of a line of the list, divided by tabs.
+// columns is the number of tab-separated columns of the list.
 const columns = 5
 
 type arguments struct {
@@ -24,7 +24,7 @@
 	Only string `help:"Run only the mutants whose line holds this text."`
 }
 
-// mutant is one mechanism to take out.
+// mutant is one change that a test must detect.
 type mutant struct {
 	file     string
 	original string
@@ -33,13 +33,13 @@
 	test     string
 }
 
-// listError is a line of the list that can't be used.
+// listError reports a line of the list that can't be used.
 type listError struct {
 	line   int
 	detail string
 }
 
-// Error names the line and the fault.
+// Error returns the line number and the fault.
 func (e *listError) Error() string {
 	return fmt.Sprintf("mutants: line %d: %s", e.line, e.detail)
 }
@@ -109,8 +109,8 @@
 	return out, lines.Err()
 }
 
-// run runs the test on a copy with the mechanism taken out. It gives the line
-// that says how the test failed.
+// run runs the test on a changed copy of the code. It returns the line in which the
+// test reports its failure.
 func (m mutant) run() (killed bool, out string, err error) {
 	dir, err := os.MkdirTemp("", "mutant")
 	if err != nil {
@@ -141,7 +141,7 @@
 	}
 	if strings.Count(string(b), m.original) != 1 {
 		return &listError{
-			detail: fmt.Sprintf("%s holds %q not exactly once", m.file, m.original),
+			detail: fmt.Sprintf("%s does not contain %q exactly once", m.file, m.original),
 		}
 	}
 	b = []byte(strings.Replace(string(b), m.original, m.changed, 1))
@@ -151,7 +151,7 @@
 	return nil
 }
 
-// firstFailure returns the first line in which a test says what it found.
+// firstFailure returns the first line written by a test, or the head of the output.
 func firstFailure(out string) string {
 	for line := range strings.SplitSeq(out, "\n") {
 		if strings.Contains(line, "_test.go:") {
--- a/internal/standin/faultproxy/faultproxy.go
+++ b/internal/standin/faultproxy/faultproxy.go
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package faultproxy is a TCP proxy that injects network faults, each direction
-// alone: cuts that neither side notices, delays and resets.
+// Package faultproxy is a TCP proxy that injects network faults, separately in each
+// direction: silent cuts, delays and resets.
 package faultproxy
 
 import (
@@ -12,11 +12,11 @@
 	"time"
 )
 
-// Fault is what happens to the bytes of one direction.
+// Fault is the fault applied to the bytes of one direction.
 type Fault struct {
-	// Cut holds all bytes back; they arrive when the cut ends.
+	// Cut withholds all bytes until the cut ends.
 	Cut bool
-	// Delay holds each piece back for a time.
+	// Delay is added to each chunk read.
 	Delay time.Duration
 }
 
@@ -26,7 +26,7 @@
 	upstream atomic.Pointer[string]
 	forward  direction
 	backward direction
-	// bySource are the faults of the connections that come from one IP number.
+	// bySource maps a source IP address to its *sourceFaults.
 	bySource sync.Map
 	refuse   atomic.Bool
 	mu       sync.Mutex
@@ -37,7 +37,7 @@
 	done     sync.WaitGroup
 }
 
-// direction is the way from the callers to the upstream, or back.
+// direction holds the fault and the byte count of one direction.
 type direction struct {
 	mu      sync.Mutex
 	fault   Fault
@@ -85,8 +85,8 @@
 // Addr returns the address on which the proxy listens.
 func (p *Proxy) Addr() string { return p.port.address.String() }
 
-// Down ends all connections with a TCP reset and has new ones refused, as the machine of a
-// process that has ended does. More than one call does no harm.
+// Down resets all connections and refuses new ones, as a host does whose process has
+// ended. It is idempotent.
 func (p *Proxy) Down() {
 	p.mu.Lock()
 	if p.listener != nil {
@@ -97,7 +97,7 @@
 	p.Reset()
 }
 
-// Up takes connections, again at the same address.
+// Up accepts connections, after Down at the same address.
 func (p *Proxy) Up() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -113,7 +113,7 @@
 	return nil
 }
 
-// sourceFaults are the two directions of connections from one IP number.
+// sourceFaults are the faults of the connections from one IP address.
 type sourceFaults struct {
 	forward  direction
 	backward direction
@@ -124,7 +124,7 @@
 	return l.(*sourceFaults)
 }
 
-// From sets the faults of the connections that come from one IP number, besides
+// From sets the faults of the connections from one IP address, in addition to
 // those of all connections.
 func (p *Proxy) From(ip string, forward, backward Fault) {
 	l := p.sourceFaultsOf(ip)
@@ -132,29 +132,29 @@
 	l.backward.set(backward)
 }
 
-// SetUpstream changes where new connections go.
+// SetUpstream sets the address to which new connections are forwarded.
 func (p *Proxy) SetUpstream(address string) { p.upstream.Store(&address) }
 
-// Forward sets the fault of the way to the upstream, Backward of the way back.
+// Forward sets the fault of the direction to the upstream.
 func (p *Proxy) Forward(f Fault) { p.forward.set(f) }
 
-// Backward sets the fault of the way from the upstream.
+// Backward sets the fault of the direction from the upstream.
 func (p *Proxy) Backward(f Fault) { p.backward.set(f) }
 
-// Refuse makes the proxy close new connections at once.
+// Refuse sets whether the proxy closes new connections immediately.
 func (p *Proxy) Refuse(on bool) { p.refuse.Store(on) }
 
-// Sent returns the bytes that came through towards the upstream.
+// Sent returns the number of bytes forwarded to the upstream.
 func (p *Proxy) Sent() int64 { return p.forward.bytes.Load() }
 
-// Conns returns how many connections go through the proxy.
+// Conns returns the number of proxied connections.
 func (p *Proxy) Conns() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return len(p.conns) / 2
 }
 
-// Reset breaks all connections with a TCP reset.
+// Reset closes all connections with a TCP reset.
 func (p *Proxy) Reset() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -166,7 +166,7 @@
 	}
 }
 
-// Close ends the proxy and all its connections.
+// Close stops the proxy, closes its connections and releases its port.
 func (p *Proxy) Close() {
 	p.mu.Lock()
 	p.closed = true
@@ -217,8 +217,8 @@
 	both.Wait()
 }
 
-// track notes connections, and returns false if the proxy has gone down since they were
-// accepted.
+// track records connections and reports whether the proxy is still up: it may have gone
+// down since they were accepted.
 func (p *Proxy) track(conns ...net.Conn) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -237,7 +237,7 @@
 	}
 }
 
-// pump moves bytes from one side to the other. The end of one side ends both.
+// pump copies bytes from one side to the other. When one side closes, both are closed.
 func pump(ctx context.Context, cancel context.CancelFunc, from, to net.Conn, all, one *direction) {
 	defer cancel()
 	defer func() {
@@ -257,7 +257,7 @@
 			all.bytes.Add(int64(n))
 		}
 		if err != nil {
-			// A cut hides the end of a connection, too.
+			// A cut also withholds the close of a connection.
 			if all.pass(ctx) {
 				one.pass(ctx)
 			}
@@ -266,7 +266,8 @@
 	}
 }
 
-// pass waits until the direction lets bytes through.
+// pass waits until the direction lets bytes through and reports whether it does before ctx
+// is done.
 func (d *direction) pass(ctx context.Context) bool {
 	for {
 		f, changed := d.get()
--- a/internal/standin/faultproxy/port.go
+++ b/internal/standin/faultproxy/port.go
@@ -11,14 +11,14 @@
 	"golang.org/x/sys/unix"
 )
 
-// port is a TCP port on loopback that stays taken while nothing listens on it: callers are
-// refused then, and no other socket gets the port meanwhile.
+// port is a TCP port on loopback that stays reserved while nothing listens on it:
+// connections are refused then, and no other socket is given the port.
 type port struct {
 	fd      int
 	address netip.AddrPort
 }
 
-// reservePort takes a free port.
+// reservePort binds a free port without listening on it.
 func reservePort() (*port, error) {
 	fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
 	if err != nil {
@@ -56,7 +56,7 @@
 	return nil
 }
 
-// listen listens on the port.
+// listen listens on the port, which the reserving socket shares by SO_REUSEPORT.
 func (p *port) listen() (net.Listener, error) {
 	shared := net.ListenConfig{
 		Control: func(_, _ string, raw syscall.RawConn) error {
@@ -73,5 +73,5 @@
 	return shared.Listen(context.Background(), "tcp", p.address.String())
 }
 
-// release gives the port back.
+// release frees the port.
 func (p *port) release() { _ = unix.Close(p.fd) }
--- a/internal/standin/platform/platform.go
+++ b/internal/standin/platform/platform.go
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package platform is a stand-in for the platform's configuration service, for
-// tests and the quick start. Nodes can only read it. It can lag, answer from a
-// stale replica, hang or go away.
+// Package platform is a stand-in for the platform's configuration service, for tests
+// and the quick start. Nodes have read-only access. It can lag, answer from a
+// stale replica, hang or be down.
 package platform
 
 import (
@@ -22,23 +22,24 @@
 	"ploverjunction.example/ploverjunction/internal/wire"
 )
 
-// Mode is how the stand-in answers readers.
+// Mode selects how the stand-in answers readers.
 type Mode string
 
-// Modes.
+// Modes of the stand-in.
 const (
 	ModeGood Mode = "good"
-	// ModeStale answers as of the moment when the mode was set.
+	// ModeStale answers as of the time when the mode was set.
 	ModeStale Mode = "stale"
-	// ModeHang takes calls and never answers.
+	// ModeHang accepts calls and never answers.
 	ModeHang Mode = "hang"
 	// ModeDown closes connections without an answer.
 	ModeDown Mode = "down"
 )
 
+// defaultWait is the longest wait of a watch that gives none.
 const defaultWait = 25 * time.Second
 
-// change is one value at the time when it was published.
+// change is one published value and its time of publication.
 type change struct {
 	value *wire.Value
 	at    time.Time
@@ -54,8 +55,8 @@
 	staleRevision uint64
 	lag           time.Duration
 	calls         atomic.Int64
-	// era counts restores; versions are the operators' own counts by key, which no restore
-	// takes back.
+	// era counts restores; versions are the operators' own version numbers by key, which a
+	// restore doesn't reset.
 	era      uint64
 	versions map[string]uint64
 }
@@ -69,7 +70,7 @@
 	}
 }
 
-// Publish sets the value of a key, as operators do, and returns its revision.
+// Publish sets the value of a key, as operators do, and returns the new revision.
 func (p *Platform) Publish(key, value string) uint64 {
 	return p.add(&wire.Value{
 		Key:     key,
@@ -85,13 +86,13 @@
 	return p.versions[key]
 }
 
-// Copy is what a platform held at one moment.
+// Copy is a snapshot of a platform.
 type Copy struct {
 	revision uint64
 	changes  []change
 }
 
-// Copy returns a copy of all values.
+// Copy returns a snapshot of all values.
 func (p *Platform) Copy() Copy {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -101,9 +102,9 @@
 	}
 }
 
-// Restore has the platform go on from a copy in a new era: what was published since is lost,
-// and its revisions are given out again. Waiting watches end. It returns what was lost: the last
-// value of each key, which operators publish again.
+// Restore resets the platform to a snapshot and begins a new era: later changes are lost,
+// and their revisions are assigned again. Waiting watches end. It returns the last lost value
+// of each key, for operators to publish again.
 func (p *Platform) Restore(c Copy) []*wire.Value {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -122,8 +123,8 @@
 	return lost
 }
 
-// PublishAgain writes a value that was lost, with the operators' count of it, unless a later one
-// of its key is there.
+// PublishAgain publishes a lost value with its former version, unless the key has that version
+// or a later one.
 func (p *Platform) PublishAgain(v *wire.Value) {
 	p.mu.Lock()
 	later := slices.ContainsFunc(p.changes, func(c change) bool {
@@ -141,7 +142,7 @@
 	})
 }
 
-// Delete removes a key.
+// Delete removes a key and returns the new revision.
 func (p *Platform) Delete(key string) uint64 {
 	return p.add(&wire.Value{
 		Key:     key,
@@ -168,7 +169,7 @@
 	p.changed = make(chan struct{})
 }
 
-// SetMode changes how readers are answered.
+// SetMode sets how readers are answered.
 func (p *Platform) SetMode(m Mode) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -185,18 +186,18 @@
 	p.staleRevision = revision
 }
 
-// SetLag delays the sight of each change by d.
+// SetLag delays the visibility of each change by d.
 func (p *Platform) SetLag(d time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.lag = d
 }
 
-// Calls returns how many calls of readers were counted; a waiting watch is one.
+// Calls returns the number of calls by readers; a waiting watch counts as one.
 func (p *Platform) Calls() int64 { return p.calls.Load() }
 
-// visible returns the newest values after a revision that readers may see, and a
-// channel that is closed when there may be more.
+// visible returns the newest visible values after a revision, and a channel that is
+// closed when there may be more.
 func (p *Platform) visible(after uint64) (*wire.ValueList, <-chan struct{}) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -220,7 +221,7 @@
 	return list, p.changed
 }
 
-// Handler serves readers below /v1/ and the test below /admin/.
+// Handler serves readers below /v1/ and test control below /admin/.
 func (p *Platform) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /v1/values", p.values)
@@ -231,7 +232,7 @@
 	return mux
 }
 
-// failByMode answers a reader in the modes in which it gets no values.
+// failByMode fails a call in the modes that return no values and reports whether it did.
 func (p *Platform) failByMode(r *http.Request) bool {
 	p.calls.Add(1)
 	p.mu.Lock()
@@ -265,7 +266,7 @@
 		http.Error(w, "after: want a revision", http.StatusBadRequest)
 		return
 	}
-	// A reader of a former era is answered at once.
+	// A reader of an earlier era is answered immediately.
 	era, err := strconv.ParseUint(cmp.Or(r.URL.Query().Get("era"), "0"), 10, 64)
 	if err != nil {
 		http.Error(w, "era: want a number", http.StatusBadRequest)
@@ -284,7 +285,7 @@
 			writeList(w, list)
 			return
 		}
-		// A lagging change becomes visible without notice.
+		// No notification is sent when a lagging change becomes visible.
 		var lagged <-chan time.Time
 		if p.lagging() {
 			lagged = time.After(checkInterval)
--- a/internal/standin/process/process.go
+++ b/internal/standin/process/process.go
@@ -1,7 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package process runs ploverd as a process of its own, for tests and
-// measurements.
+// Package process runs ploverd in a separate process, for tests and measurements.
 package process
 
 import (
@@ -21,25 +20,25 @@
 	"ploverjunction.example/ploverjunction/internal/operator"
 )
 
-// startTimeout bounds how long a process takes until it serves.
+// startTimeout is how long a process may take to start serving.
 const startTimeout = 30 * time.Second
 
-// Error is a process that could not be run.
+// Error reports that a process could not be built or started.
 type Error struct {
 	op    string
 	cause error
 	log   string
 }
 
-// Error names what failed and shows the log.
+// Error returns the failed operation, its cause and the log.
 func (e *Error) Error() string {
 	return fmt.Sprintf("process: %s: %v\n%s", e.op, e.cause, e.log)
 }
 
-// Unwrap returns the error beneath, or nil.
+// Unwrap returns the cause, or nil.
 func (e *Error) Unwrap() error { return e.cause }
 
-// Build compiles a command, ploverd or ploverctl, into a folder and returns its
+// Build compiles a command, ploverd or ploverctl, into a directory and returns its
 // path.
 func Build(dir, command string) (string, error) {
 	path := filepath.Join(dir, command)
@@ -67,7 +66,7 @@
 	log          []string
 }
 
-// addressLine is the log line in which ploverd tells its addresses.
+// addressLine is the log line in which ploverd reports its addresses.
 type addressLine struct {
 	Msg      string `json:"msg"`
 	Entry    string `json:"entry"`
@@ -75,8 +74,8 @@
 	Peers    string `json:"peers"`
 }
 
-// Start writes the settings into a folder and runs the daemon with them. The
-// settings must ask for a JSON log. It returns once all ports are open.
+// Start writes the settings into a directory and runs the daemon with them. The
+// settings must select the JSON log format. It returns once all ports are open.
 func Start(daemon, dir, settings string) (*Process, error) {
 	file := filepath.Join(dir, "ploverd.ini")
 	if err := os.WriteFile(file, []byte(settings), 0o600); err != nil {
@@ -90,7 +89,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("process: %w", err)
 	}
-	// Panics of the runtime go to standard error.
+	// The runtime writes panics to standard error.
 	p.cmd.Stderr = p.cmd.Stdout
 	if err := p.cmd.Start(); err != nil {
 		return nil, fmt.Errorf("process: %w", err)
@@ -103,20 +102,20 @@
 		return p, nil
 	case <-p.exited:
 		return nil, &Error{
-			op:    "ended at its start",
+			op:    "exited before serving",
 			cause: p.exitErr,
 			log:   p.Log(),
 		}
 	case <-time.After(startTimeout):
 		p.Kill()
 		return nil, &Error{
-			op:  "did not serve in time",
+			op:  "did not start serving in time",
 			log: p.Log(),
 		}
 	}
 }
 
-// read follows the log and then the end of the process.
+// read collects the log and then waits for the process.
 func (p *Process) read(out io.Reader, addresses chan<- addressLine) {
 	lines := bufio.NewScanner(out)
 	lines.Buffer(nil, 1<<20)
@@ -142,38 +141,38 @@
 // Peers returns the address for other processes of the fleet.
 func (p *Process) Peers() string { return p.peers }
 
-// PID returns the number of the process.
+// PID returns the process ID.
 func (p *Process) PID() int { return p.cmd.Process.Pid }
 
-// Exited returns a channel that is closed when the process has ended.
+// Exited returns a channel that is closed when the process has exited.
 func (p *Process) Exited() <-chan struct{} { return p.exited }
 
-// ExitError returns how the process ended; call it after Exited.
+// ExitError returns the result of waiting for the process; it is valid once Exited is closed.
 func (p *Process) ExitError() error { return p.exitErr }
 
-// Log returns what the process has logged.
+// Log returns the output of the process so far.
 func (p *Process) Log() string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return strings.Join(p.log, "\n")
 }
 
-// Signal sends a signal; a process that has ended ignores it.
+// Signal sends a signal; it has no effect on a process that has exited.
 func (p *Process) Signal(s syscall.Signal) {
 	_ = p.cmd.Process.Signal(s)
 }
 
-// Kill ends the process at once and waits for its end.
+// Kill kills the process, paused or not, and waits until it has exited.
 func (p *Process) Kill() {
 	p.Signal(syscall.SIGCONT)
 	p.Signal(syscall.SIGKILL)
 	<-p.exited
 }
 
-// Status asks the process for its state; nil if it doesn't answer.
+// Status returns the status of the process, or nil if it doesn't answer.
 func (p *Process) Status() *operator.Status { return p.status("") }
 
-// Brief is Status without members, services and revisions.
+// Brief returns Status without members, services and revisions.
 func (p *Process) Brief() *operator.Status { return p.status("?brief") }
 
 func (p *Process) status(query string) *operator.Status {
@@ -189,7 +188,7 @@
 	return s
 }
 
-// Ready reports whether the process is ready for callers.
+// Ready reports whether the process is ready for requests.
 func (p *Process) Ready() bool {
 	s := p.Status()
 	return s != nil && s.Ready
--- a/internal/standin/program/main.go
+++ b/internal/standin/program/main.go
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Command program runs a stand-in as a process of its own, for the quick start
-// and for tests.
+// Command program runs a stand-in platform or target as a separate process, for the
+// quick start and for tests.
 package main
 
 import (
@@ -25,7 +25,7 @@
 	Listen string `default:"127.0.0.1:9300" help:"Address to listen on."`
 }
 
-// Run serves until the process ends.
+// Run serves the fake platform.
 func (c *platformCommand) Run() error {
 	return serve(c.Listen, platform.New().Handler())
 }
@@ -36,7 +36,7 @@
 	Latency time.Duration `default:"5ms" help:"Time that a request takes."`
 }
 
-// Run serves until the process ends.
+// Run serves the fake target.
 func (c *targetCommand) Run() error {
 	t := target.New(c.Listen, c.Slots)
 	t.SetMode(target.Mode{
--- a/internal/standin/target/faulty.go
+++ b/internal/standin/target/faulty.go
@@ -4,7 +4,7 @@
 
 import "net/http"
 
-// faultyWriter is a body that breaks off, stops or comes slowly.
+// faultyWriter truncates, stalls or slows down the body of a response.
 type faultyWriter struct {
 	http.ResponseWriter
 	request *http.Request
@@ -12,7 +12,7 @@
 	sent    int64
 }
 
-// Write sends b in pieces, up to the fault.
+// Write sends b in chunks up to the fault.
 func (f *faultyWriter) Write(b []byte) (int, error) {
 	const piece = 16 << 10
 	done := 0
--- a/internal/standin/target/target.go
+++ b/internal/standin/target/target.go
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package target is a stand-in for a target, for tests and the quick start. It
-// keeps a record of what it ran and can fail in the gray ways that targets do.
+// Package target is a stand-in target for tests and the quick start. It records the
+// requests that it ran and simulates gray failures.
 package target
 
 import (
@@ -17,7 +17,7 @@
 	"time"
 )
 
-// Headers of the contract with the fleet, as targets know them.
+// Headers of the contract between targets and the fleet.
 const (
 	headerRequestID = "Plover-Request-Id"
 	headerOutcome   = "Plover-Outcome"
@@ -25,41 +25,41 @@
 	headerState     = "Plover-State"
 	headerLimit     = "Plover-Limit"
 	headerWorkspace = "Plover-Workspace"
-	// HeaderKey names a request in the record of runs; tests set it.
+	// HeaderKey identifies a request in the record of runs; tests set it.
 	HeaderKey = "Test-Key"
 )
 
-// Mode is how a target works. Its zero value is a healthy one.
+// Mode is the simulated behavior of a target. The zero value is a healthy target.
 type Mode struct {
-	// Latency is the time that a request takes in a slot.
+	// Latency is how long a request occupies a slot.
 	Latency time.Duration `json:"latency"`
 	// Stall runs requests and never answers them.
 	Stall bool `json:"stall"`
-	// ErrorShare is the share of requests that end in status 500 after they ran.
+	// ErrorShare is the fraction of requests that get status 500 after they ran.
 	ErrorShare float64 `json:"error_share"`
 	// Shed refuses requests before running them.
 	Shed bool `json:"shed"`
-	// Rest is the rest that Shed asks for.
+	// Rest is the backoff sent with the refusals of Shed.
 	Rest time.Duration `json:"rest"`
-	// Leaving says so in all answers; the target still works.
+	// Leaving signals draining in all answers; the target still runs requests.
 	Leaving bool `json:"leaving"`
-	// Limit is named in all answers as the requests a second that the target takes from
-	// the whole fleet; "" names none. The target runs what comes beyond it all the same.
+	// Limit is sent in all answers as the requests per second that the target accepts from
+	// the whole fleet; "" sends none. The target doesn't enforce it.
 	Limit string `json:"limit"`
-	// ResetBefore closes connections before requests run, ResetAfter after.
+	// ResetBefore closes connections before requests run, ResetAfter after that.
 	ResetBefore bool `json:"reset_before"`
 	ResetAfter  bool `json:"reset_after"`
-	// CutAfter breaks bodies off after so many bytes; 0 means never.
+	// CutAfter truncates bodies after so many bytes; 0 means never.
 	CutAfter int64 `json:"cut_after"`
-	// StallAfter stops bodies after so many bytes; 0 means never.
+	// StallAfter stalls bodies after so many bytes; 0 means never.
 	StallAfter int64 `json:"stall_after"`
-	// Swap echoes the id of another request.
+	// Swap returns the ID of another request.
 	Swap bool `json:"swap"`
-	// Unframed sends bodies whose end is the end of the connection.
+	// Unframed sends bodies that are delimited by the close of the connection.
 	Unframed bool `json:"unframed"`
-	// ProbeDelay is the time that the health endpoint takes.
+	// ProbeDelay is the latency of the health endpoint.
 	ProbeDelay time.Duration `json:"probe_delay"`
-	// ChunkDelay is the time between two pieces of a document.
+	// ChunkDelay is the time between two chunks of a body.
 	ChunkDelay time.Duration `json:"chunk_delay"`
 }
 
@@ -69,16 +69,15 @@
 	ID   string    `json:"id"`
 	Path string    `json:"path"`
 	At   time.Time `json:"at"`
-	// Deadline is the time limit that came with the request; zero means none.
+	// Deadline is the deadline sent with the request; zero means none.
 	Deadline time.Time `json:"deadline"`
-	// Workspace is the one that the request came for, Authorized whether it brought a key,
-	// which none may.
+	// Workspace is the workspace of the request. Authorized is set if the request carried a
+	// key, which must never reach a target.
 	Workspace  string `json:"workspace"`
 	Authorized bool   `json:"authorized"`
 }
 
-// Arrival is one request that reached a target, run or not, and what its answer said of the
-// target.
+// Arrival is one request that reached a target, run or not, and the signals in its answer.
 type Arrival struct {
 	Key     string
 	At      time.Time
@@ -101,7 +100,7 @@
 	lastHeader http.Header
 }
 
-// New returns a healthy target with a number of slots.
+// New returns a healthy target with the given number of slots.
 func New(name string, slots int) *Target {
 	t := &Target{
 		name:  name,
@@ -114,31 +113,31 @@
 // Name returns the name given to New.
 func (t *Target) Name() string { return t.name }
 
-// SetMode changes how the target works from the next request on.
+// SetMode sets the behavior from the next request on.
 func (t *Target) SetMode(m Mode) { t.mode.Store(&m) }
 
-// SetEnd sets what ends the target's process: a request whose query has "ends" calls it
-// as soon as it runs.
+// SetEnd sets the function that crashes the target: a request whose query has "ends" calls
+// it as soon as it runs.
 func (t *Target) SetEnd(crash func()) { t.crash.Store(&crash) }
 
-// Requests returns how many requests came in, run or not.
+// Requests returns the number of requests received, run or not.
 func (t *Target) Requests() int64 { return t.requests.Load() }
 
-// Runs returns the record of what ran.
+// Runs returns the requests that ran.
 func (t *Target) Runs() []Run {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return append([]Run(nil), t.runs...)
 }
 
-// Arrivals returns the record of what reached the target.
+// Arrivals returns the requests that reached the target.
 func (t *Target) Arrivals() []Arrival {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return append([]Arrival(nil), t.arrivals...)
 }
 
-// recordArrival notes a request that reached the target.
+// recordArrival records a request that reached the target.
 func (t *Target) recordArrival(r *http.Request, m *Mode) {
 	a := Arrival{
 		Key:     r.Header.Get(HeaderKey),
@@ -161,7 +160,7 @@
 	return t.lastHeader
 }
 
-// Handler serves requests, /health, /load and the test below /admin/.
+// Handler serves requests, /health, /load and test control below /admin/.
 func (t *Target) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /health", t.health)
@@ -242,7 +241,7 @@
 	t.answer(w, r, m, body)
 }
 
-// deadline returns the request's own time limit, or zero.
+// deadline returns the deadline in the request's header, or zero.
 func deadline(r *http.Request) time.Time {
 	ms, err := strconv.ParseInt(r.Header.Get(headerDeadline), 10, 64)
 	if err != nil {
@@ -319,7 +318,7 @@
 		}
 	}
 	if r.URL.Query().Has("chunked") {
-		// Without a length net/http sends chunks.
+		// Without a length net/http uses chunked encoding.
 		_, _ = w.Write(content)
 		return
 	}
@@ -331,7 +330,7 @@
 	return fmt.Appendf(nil, "%s %s key=%s body=%s\n", method, path, key, body)
 }
 
-// Document returns size bytes that depend on the path alone.
+// Document returns size bytes that depend only on the path.
 func Document(path string, size int64) []byte {
 	b := make([]byte, size)
 	seed := uint64(len(path))
@@ -373,5 +372,5 @@
 	_ = json.NewEncoder(w).Encode(t.Runs())
 }
 
-// InFlight returns how many requests are being worked on or wait for a slot.
+// InFlight returns the number of requests that run or wait for a slot.
 func (t *Target) InFlight() int64 { return t.inFlight.Load() }
