--- a/internal/capacity/bench.go
+++ b/internal/capacity/bench.go
@@ -21,7 +21,7 @@
 	"ploverjunction.example/ploverjunction/internal/standin/target"
 )
 
-// bench is the machine on which points are measured, one after another.
+// bench measures points, one at a time, on this machine.
 type bench struct {
 	dir    string
 	daemon string
@@ -46,24 +46,25 @@
 
 func (b *bench) close() { _ = os.RemoveAll(b.dir) }
 
-// point says what is measured at once.
+// point is the fleet and the load of one measurement.
 type point struct {
 	nodes      int
 	services   int
 	perService int
 	routes     int
 	workspaces int
-	// changes of configuration a second, each of a value of changeSize bytes.
+	// changes is the number of configuration changes per second, each of a value of
+	// changeSize bytes.
 	changes    float64
 	changeSize int
-	// requests a second through all nodes together.
+	// requests is the number of requests per second through all nodes together.
 	requests float64
 }
 
-// dataHalls is how many data halls the nodes are spread over.
+// dataHalls is the number of data halls of the nodes.
 const dataHalls = 3
 
-// fleet is a running point.
+// fleet holds the processes of a point.
 type fleet struct {
 	bench    *bench
 	point    point
@@ -74,8 +75,8 @@
 	target   *httptest.Server
 }
 
-// startFleet runs the processes of a point and waits until all are ready and
-// know each other.
+// startFleet starts the processes of a point and waits until all are ready and have
+// discovered each other.
 func (b *bench) startFleet(p point) (*fleet, error) {
 	f := &fleet{
 		bench:    b,
@@ -88,7 +89,7 @@
 		Latency: time.Millisecond,
 	})
 	f.target = httptest.NewUnstartedServer(t.Handler())
-	// Every address of the loopback network leads to the one stand-in.
+	// All addresses of the loopback network reach this one stand-in.
 	lis, err := net.Listen("tcp4", "0.0.0.0:0")
 	if err != nil {
 		return nil, fmt.Errorf("capacity: %w", err)
@@ -158,20 +159,20 @@
 
 func hall(i int) string { return string(rune('a' + i%dataHalls)) }
 
-// readyTimeout bounds how long a fleet takes to become ready.
+// readyTimeout is how long a fleet may take to become ready.
 const readyTimeout = time.Minute
 
-// notReadyError is a fleet that doesn't become ready.
+// notReadyError reports that a fleet did not become ready in time.
 type notReadyError struct {
 	ready, want int
 }
 
-// Error says how many nodes are ready.
+// Error returns how many nodes are ready.
 func (e *notReadyError) Error() string {
 	return fmt.Sprintf("capacity: %d of %d nodes ready", e.ready, e.want)
 }
 
-// waitReady waits until every node is ready and knows all others.
+// waitReady waits until every node is ready and lists all members.
 func (f *fleet) waitReady() error {
 	end := time.Now().Add(readyTimeout)
 	for {
@@ -209,8 +210,8 @@
 	return nil
 }
 
-// publish publishes the point's configuration in values below the platform's
-// bound.
+// publish publishes the point's configuration, split into values below the
+// platform's size limit.
 func (f *fleet) publish() {
 	p := f.point
 	for s := range p.services {
@@ -233,7 +234,7 @@
 	})
 }
 
-// objectsPerValue is how many objects one published value holds.
+// objectsPerValue is the number of objects in one published value.
 const objectsPerValue = 500
 
 func (f *fleet) publishMany(field string, count int, object func(i int) string) {
@@ -246,22 +247,22 @@
 	}
 }
 
-// targetAddress gives every target an address of its own on loopback, all served
-// by one stand-in.
+// targetAddress returns a distinct loopback address for each target; one stand-in
+// serves all of them.
 func (f *fleet) targetAddress(service, i int) string {
 	n := service*f.point.perService + i
 	port := f.target.Listener.Addr().(*net.TCPAddr).Port
 	return fmt.Sprintf("127.%d.%d.%d:%d", 1+n/62500, n/250%250, 1+n%250, port)
 }
 
-// publishChange publishes one more version of a value of about size bytes.
+// publishChange publishes a new version of a value of about size bytes.
 func (f *fleet) publishChange(version, size int) uint64 {
 	pad := max(size-60, 0)
 	return f.platform.Publish("change", fmt.Sprintf(`{"workspaces":[{"id":"v%d"}]}%s`, version, strings.Repeat(" ", pad)))
 }
 
 // load sends requests at a steady rate until stop is closed and returns how many
-// failed.
+// were sent and how many failed.
 func (f *fleet) load(stop <-chan struct{}) (sent, failed int64) {
 	var all sync.WaitGroup
 	var sentCount, failedCount atomic.Int64
--- a/internal/capacity/latency.go
+++ b/internal/capacity/latency.go
@@ -12,13 +12,13 @@
 	"ploverjunction.example/ploverjunction/internal/balance"
 )
 
-// latencyRates are the requests a second at which added latency is measured.
+// latencyRates are the rates, in requests per second, at which added latency is measured.
 var latencyRates = []float64{210, 1000, 3000}
 
-// latencyTime is how long each rate lasts.
+// latencyTime is how long each rate is applied.
 const latencyTime = 5 * time.Second
 
-// latencyRow is one rate, in microseconds.
+// latencyRow holds the latencies at one rate, in microseconds.
 type latencyRow struct {
 	Rate                       float64
 	DirectP50, DirectP99       int64
@@ -31,8 +31,8 @@
 	Rows []latencyRow
 }
 
-// measureLatency sends requests at steady rates to a target directly and through
-// one node, in turn.
+// measureLatency sends requests at steady rates to a target, first directly and then
+// through one node.
 func measureLatency(b *bench) (*latencyResult, error) {
 	p := basePoint()
 	p.nodes = 1
@@ -67,8 +67,8 @@
 	return out, nil
 }
 
-// sendAtRate sends requests at a rate, each at its own time whether or not earlier
-// ones have ended, and returns their latencies.
+// sendAtRate sends requests in an open loop, each at its scheduled time whether or not
+// earlier ones have completed, and returns their sorted latencies.
 func sendAtRate(url string, rate float64) (took []time.Duration, failed int64) {
 	client := &http.Client{
 		Transport: &http.Transport{
@@ -111,20 +111,21 @@
 	return sorted[(len(sorted)-1)*percent/100].Microseconds()
 }
 
-// connectionRow is one size of a service's pool at the target size.
+// connectionRow holds the connections to a service's pool of one size in a fleet of
+// goalNodes.
 type connectionRow struct {
 	Targets int
-	// Subset is how many targets a node uses, Most the connections of the
-	// busiest target.
+	// Subset is the number of targets that a node uses, Most the greatest number of
+	// connections to one target.
 	Subset int
 	Most   int
 }
 
-// poolSizes are the sizes of the brief's pools and the mean at the target size.
+// poolSizes are the sizes of the users' pools and the mean at the goal size.
 var poolSizes = []int{6, 9, 16, 20, goalTargets / goalServices}
 
-// connections works out with the balancer itself what the nodes of the target
-// size use together.
+// connections computes, with the fleet's balancer, the connections that goalNodes nodes
+// open together.
 func (p *page) connections() {
 	for _, n := range poolSizes {
 		p.Connections = append(p.Connections, connectionsOf(n))
--- a/internal/capacity/main.go
+++ b/internal/capacity/main.go
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Command capacity measures what the control of a node costs, with real ploverd
-// processes on this machine, and writes docs/CAPACITY.md from the slopes. It is
-// test scaffolding and not part of the product.
+// Command capacity measures the cost of a node's control plane with real ploverd
+// processes on this machine and writes docs/CAPACITY.md from fitted slopes. It is
+// a development tool and not part of the product.
 package main
 
 import (
@@ -81,13 +81,13 @@
 	return renderPage(args)
 }
 
-// latencyName names the measurement of added latency among the series.
+// latencyName selects the measurement of added latency in --only.
 const latencyName = "latency"
 
-// latencyFile holds the raw latencies.
+// latencyFile is the file of the raw latencies.
 const latencyFile = latencyName + ".csv"
 
-// renderPage writes the page from the raw figures of an earlier run.
+// renderPage writes the plots and the page from the raw figures.
 func renderPage(args arguments) error {
 	results := map[string]*result{}
 	for _, s := range allSeries() {
--- a/internal/capacity/page.go
+++ b/internal/capacity/page.go
@@ -16,32 +16,32 @@
 //go:embed page.tmpl
 var pageText string
 
-// Limits of a node at the target size.
+// Limits of a node's cost at the goal size.
 const (
 	limitCPU    = 4.4  // % of a core
 	limitMemory = 128  // MB
-	limitBytes  = 6000 // bytes a second, sent and received together
+	limitBytes  = 6000 // bytes per second, sent and received together
 )
 
-// slopeRow is one line of the table of slopes.
+// slopeRow is one row of the table of slopes.
 type slopeRow struct {
 	Series, Quantity, Unit, Plot string
 	Base, Slope                  string
 	Residual, Spread             string
 	From, To, Goal               string
 	AtGoal                       string
-	// Far is set where the goal lies beyond ten times the measured range.
+	// Far is set where the goal exceeds ten times the greatest measured size.
 	Far bool
 }
 
-// sumRow is one line of the sum of a node at the target size.
+// sumRow is one row of the table of a node's total cost at the goal size.
 type sumRow struct {
 	What, From       string
 	Bytes, CPU, MBs  float64
 	BytesT, CPUT, MT string
 }
 
-// page is what the template shows.
+// page is the data of the template.
 type page struct {
 	Machine  string
 	Runs     int
@@ -52,7 +52,7 @@
 	Verdicts []string
 	Latency  *latencyResult
 	Restart  restartRow
-	// Connections are the pools at the target size.
+	// Connections has one row per pool size.
 	Connections []connectionRow
 }
 
@@ -122,13 +122,13 @@
 	return fmt.Sprintf("%.3g", v)
 }
 
-// growth returns what a quantity grows by from nothing to the goal of a series; a
-// falling line counts as none.
+// growth returns the fitted increase of a quantity from size 0 to the goal of a series;
+// a negative slope counts as 0.
 func growth(r *result, q quantity) float64 {
 	return max(r.fit(q).slope, 0) * r.series.goal
 }
 
-// sum adds the parts of a node's cost at the target size.
+// sum adds up the components of a node's cost at the goal size.
 func (p *page) sum(rs map[string]*result) {
 	nodes := rs["nodes"]
 	bytes := func(r *result) float64 { return growth(r, sentBytes) + growth(r, receivedBytes) }
@@ -199,8 +199,8 @@
 	p.checkLimit("memory, MB", p.Total.MBs, limitMemory)
 }
 
-// extraMemory returns how much more memory a node with the whole configuration takes,
-// quiet or while values change, than the parts of it measured alone, in MB.
+// extraMemory returns by how many MB the memory of a node with the whole configuration,
+// idle or while values change, exceeds the sum of the parts measured separately.
 func (p *page) extraMemory(r *result) float64 {
 	extra := 0.0
 	for _, runs := range r.samples {
@@ -220,13 +220,14 @@
 	s.BytesT, s.CPUT, s.MT = formatShort(s.Bytes), formatShort(s.CPU), formatShort(s.MBs)
 }
 
-// RestartRate returns what the restarts of a day cost each node of the target
-// size on average, in bytes a second, sent and received together.
+// RestartRate returns the mean cost to each node of the restarts of a day at the goal
+// size, in bytes per second, sent and received together.
 func (p *page) RestartRate() string {
 	const restarts = 3700 / 86400.0
 	return formatShort(2 * restarts * float64(p.Restart.Received) / goalNodes)
 }
 
+// checkLimit adds a line that compares a total with its limit.
 func (p *page) checkLimit(what string, have, limit float64) {
 	if have <= limit {
 		p.Verdicts = append(p.Verdicts, fmt.Sprintf("%s: %s of %s: fits", what, formatShort(have), formatShort(limit)))
--- a/internal/capacity/raw.go
+++ b/internal/capacity/raw.go
@@ -10,13 +10,13 @@
 	"strconv"
 )
 
-// rawError is a file of raw figures that can't be used.
+// rawError reports a file of raw figures that can't be used.
 type rawError struct {
 	file   string
 	detail string
 }
 
-// Error names the file and the fault.
+// Error returns the file and the fault.
 func (e *rawError) Error() string {
 	return fmt.Sprintf("capacity: %s: %s", e.file, e.detail)
 }
@@ -53,7 +53,7 @@
 
 func formatFloat(v float64) string { return strconv.FormatFloat(v, 'g', 5, 64) }
 
-// parseFloats parses a row.
+// parseFloats parses a row of numbers.
 func parseFloats(path string, row []string) ([]float64, error) {
 	out := make([]float64, len(row))
 	for i, text := range row {
@@ -69,8 +69,7 @@
 	return out, nil
 }
 
-// writeCSV writes the samples of a series: its size, the number of the run, then
-// each quantity.
+// writeCSV writes one row per sample: the size, the number of the run and each quantity.
 func (r *result) writeCSV(path string) error {
 	head := []string{r.series.label, "run"}
 	for _, q := range r.series.quantities {
@@ -89,7 +88,7 @@
 	return writeRows(path, rows)
 }
 
-// readCSV reads what writeCSV wrote.
+// readCSV reads a file written by writeCSV.
 func readCSV(path string, s series) (*result, error) {
 	rows, err := readRows(path)
 	if err != nil {
@@ -122,7 +121,7 @@
 	return r, nil
 }
 
-// latencyColumns names the columns of the raw latencies.
+// latencyColumns are the columns of latencyFile.
 var latencyColumns = []string{
 	"requests/s", "direct p50 (us)", "direct p99 (us)", "through p50 (us)", "through p99 (us)", "failed",
 }
--- a/internal/capacity/restart.go
+++ b/internal/capacity/restart.go
@@ -8,25 +8,25 @@
 	"time"
 )
 
-// restartName names the measurement of restarts among the series.
+// restartName selects the measurement of restarts in --only.
 const restartName = "restart"
 
-// restartFile holds the raw figures of restarts.
+// restartFile is the file of the raw figures of restarts.
 const restartFile = restartName + ".csv"
 
-// restartRow is one restart before the whole configuration.
+// restartRow is one restart of a node with the whole configuration.
 type restartRow struct {
 	// Ready is the time from the start of the process until it was ready.
 	Ready time.Duration
-	// Received are the bytes that it got from peers until then.
+	// Received is the number of bytes received from peers until then.
 	Received int64
 }
 
-// restartColumns names the columns of the raw restarts.
+// restartColumns are the columns of restartFile.
 var restartColumns = []string{"run", "ready after (ms)", "bytes from peers"}
 
-// measureRestarts replaces the nodes of a fleet with the configuration of the
-// target size one after another.
+// measureRestarts restarts, one after another, the nodes of a fleet with a configuration
+// of the goal size.
 func measureRestarts(b *bench) ([]restartRow, error) {
 	p := basePoint()
 	p.nodes = 4
@@ -108,7 +108,7 @@
 	return out, nil
 }
 
-// worstRestart returns the greatest time and the most bytes.
+// worstRestart returns the longest time and the greatest number of bytes.
 func worstRestart(list []restartRow) restartRow {
 	var out restartRow
 	for _, r := range list {
--- a/internal/capacity/sample.go
+++ b/internal/capacity/sample.go
@@ -10,21 +10,21 @@
 	"time"
 )
 
-// sample is what one run of a point measured, for each node on average.
+// sample holds the measurements of one run of a point, as means per node.
 type sample struct {
-	// Bytes a second sent and received on the links between nodes.
+	// sent and received are bytes per second on the links between nodes.
 	sent, received float64
-	// Calls a second to peers.
+	// calls is the number of calls to peers per second.
 	calls float64
-	// Processor time in percent of one core.
+	// cpu is the processor time in percent of one core.
 	cpu float64
-	// Resident memory in MB.
+	// memory is the resident memory in MB.
 	memory float64
-	// Calls a minute on the platform by the whole fleet.
+	// platform is the number of calls per minute to the platform by the whole fleet.
 	platform float64
 }
 
-// counters are what the processes have used up to a moment.
+// counters are the cumulative counters of all processes at one time.
 type counters struct {
 	at                    time.Time
 	sent, received, calls int64
@@ -32,10 +32,10 @@
 	platform              int64
 }
 
-// clockTick is the unit of processor times in /proc; Linux fixes it for programs.
+// clockTick is the unit of processor times in /proc (USER_HZ), constant on Linux.
 const clockTick = 10 * time.Millisecond
 
-// run measures one point once.
+// run starts the fleet of a point and measures it once.
 func (b *bench) run(p point) (sample, error) {
 	f, err := b.startFleet(p)
 	if f == nil {
@@ -48,7 +48,7 @@
 	stop := make(chan struct{})
 	ended := make(chan error, 1)
 	go func() { ended <- f.drive(stop) }()
-	// The work of the start must not count: wait for one window.
+	// The first window is not measured: it includes the work of the start.
 	time.Sleep(b.window)
 	before, err := f.readCounters()
 	if err != nil {
@@ -67,17 +67,17 @@
 	return before.until(after, len(f.procs), memory), err
 }
 
-// loadError is a load of which requests failed.
+// loadError reports that too many requests of a load failed.
 type loadError struct {
 	sent, failed int64
 }
 
-// Error says how many failed.
+// Error returns how many requests failed.
 func (e *loadError) Error() string {
 	return fmt.Sprintf("capacity: %d of %d requests failed", e.failed, e.sent)
 }
 
-// drive makes the changes and requests of the point until stop is closed.
+// drive generates the changes or requests of the point until stop is closed.
 func (f *fleet) drive(stop <-chan struct{}) error {
 	if f.point.requests > 0 {
 		sent, failed := f.load(stop)
@@ -105,6 +105,7 @@
 	return nil
 }
 
+// until returns the rates between a and the later counters b.
 func (a counters) until(b counters, nodes int, memory float64) sample {
 	seconds := b.at.Sub(a.at).Seconds()
 	each := seconds * float64(nodes)
@@ -144,7 +145,7 @@
 	return c, nil
 }
 
-// cpuTime reads the processor time of a process: fields 14 and 15 of
+// cpuTime returns the processor time of a process, from fields 14 and 15 of
 // /proc/PID/stat (proc(5)).
 func cpuTime(pid int) (time.Duration, error) {
 	b, err := os.ReadFile(statFile(pid, "stat"))
--- a/internal/capacity/series.go
+++ b/internal/capacity/series.go
@@ -13,14 +13,14 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// quantity is one figure of a sample that a slope is taken of.
+// quantity is a measurement of a sample to which a line is fitted.
 type quantity struct {
 	name string
 	unit string
 	of   func(*sample) *float64
 }
 
-// column is the quantity's column in raw figures.
+// column returns the quantity's column name in raw figures.
 func (q quantity) column() string { return q.name + " (" + q.unit + ")" }
 
 // Quantities.
@@ -52,7 +52,7 @@
 	}
 )
 
-// series varies one size and holds the others.
+// series varies one size and keeps the others constant.
 type series struct {
 	name       string
 	label      string
@@ -62,7 +62,7 @@
 	pointAt    func(size float64) point
 }
 
-// basePoint is the point that series start from.
+// basePoint returns the point that most series vary.
 func basePoint() point {
 	return point{
 		nodes:      6,
@@ -73,7 +73,7 @@
 	}
 }
 
-// Sizes at the target of the users' first letter.
+// Sizes that the users require.
 const (
 	goalNodes      = 1000
 	goalServices   = 290
@@ -81,8 +81,8 @@
 	goalRoutes     = 7100
 	goalWorkspaces = 48000
 	goalRequests   = 210000.0 / goalNodes
-	// goalChanges are the changes of configuration and of the instance list a
-	// second.
+	// goalChanges is the number of changes of configuration and of the instance list
+	// per second.
 	goalChanges = (2100 + 3700) / 86400.0
 )
 
@@ -182,7 +182,7 @@
 				p.nodes = 18
 				p.services = 10
 				p.perService = 30
-				// Without workspaces there are no limits on them.
+				// Without workspaces no rate limits apply.
 				p.workspaces = 0
 				p.requests = size * float64(p.nodes)
 				return p
@@ -216,12 +216,12 @@
 	return r, nil
 }
 
-// fit is a straight line through all samples of one quantity.
+// fit is the linear regression over all samples of one quantity.
 type fit struct {
 	base, slope float64
 	// residual is the standard deviation of the samples from the line.
 	residual float64
-	// spread is the greatest relative deviation of a run from its size's mean.
+	// spread is the greatest relative deviation of a run from the mean of its size.
 	spread float64
 }
 
@@ -266,7 +266,7 @@
 	return worst
 }
 
-// at returns the line's value at a size.
+// at returns the fitted value at a size.
 func (f fit) at(size float64) float64 { return f.base + f.slope*size }
 
 // plot draws each quantity with its fit.
--- a/internal/detection/fault.go
+++ b/internal/detection/fault.go
@@ -6,20 +6,22 @@
 	"time"
 )
 
-// fault is a scenario. Target 0 is the sick one where there is one.
+// fault is a scenario. Where it affects one target, that is target 0.
 type fault struct {
 	name string
 	// begin injects the fault.
 	begin func(w *world)
-	// detected reports whether the fault has been detected; nil if nothing is sick.
+	// detected reports whether the fault has been detected; nil if no target should be
+	// ejected.
 	detected func(w *world) bool
-	// sick are the targets whose ejection is right.
+	// sick are the targets whose ejection is correct at every node.
 	sick []int
-	// cut is the number of nodes whose ejections are right, the first ones.
+	// cut returns the nodes that are cut off from target 0 and whose ejections of it are
+	// correct.
 	cut func(w *world) []int
 }
 
-// detectedShare is the share of nodes that must have taken the target out.
+// detectedShare is the share of nodes that must have ejected the target.
 const detectedShare = 0.9
 
 func detectedByMost(w *world) bool { return w.ejectedShare(0) >= detectedShare }
@@ -67,7 +69,7 @@
 	return out
 }
 
-// each applies a change to all targets.
+// each returns a function that applies a change to all targets.
 func each(fn func(t *fakeTarget)) func(w *world) {
 	return func(w *world) {
 		for _, t := range w.targets {
--- a/internal/detection/main.go
+++ b/internal/detection/main.go
@@ -1,10 +1,10 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Command detection measures how soon sick targets lose their work and how often
-// healthy ones are ejected, and writes docs/DETECTION.md. It drives the fleet's
-// own decisions (outlier, balance) and three baselines with small fakes of nodes
-// and targets in time of its own, so that days pass in seconds. It is test
-// scaffolding and not part of the product.
+// Command detection measures how soon failing targets are ejected and how often
+// healthy ones are, and writes docs/DETECTION.md. It runs the fleet's own code
+// (outlier, balance) and three baselines in a discrete-event simulation of nodes and
+// targets, so that days of simulated time take seconds. It is a development tool and
+// not part of the product.
 package main
 
 import (
--- a/internal/detection/measure.go
+++ b/internal/detection/measure.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// Pools of the brief, with assumed loads of about a sixth of their slots.
+// Pools of the users, with assumed loads of about a sixth of their slots.
 var (
 	quotes = pool{
 		name:    "quotes",
@@ -68,10 +68,10 @@
 	}
 )
 
-// method is a way of judging.
+// method is a named strategy of ejection.
 type method struct {
 	name string
-	// threshold is the knob of the shared method, 0 for baselines.
+	// threshold is the parameter of shared evidence, 0 for baselines.
 	threshold float64
 	build     func(w *world)
 }
@@ -84,7 +84,7 @@
 	}
 }
 
-// thresholds are the settings of the curve.
+// thresholds are the points of the curve.
 var thresholds = []float64{4, 7, 10, 14, 20}
 
 func baselines() []method {
@@ -115,8 +115,8 @@
 type faultRun struct {
 	// detected is the time until detection; negative means never.
 	detected time.Duration
-	// falseEjections is the number of ejections that the fault doesn't justify, each
-	// counting for its share of the nodes.
+	// falseEjections is the number of ejections that the fault doesn't justify, divided
+	// by the number of nodes.
 	falseEjections float64
 	// lost is the number of failed requests.
 	lost int
@@ -141,7 +141,8 @@
 	return out
 }
 
-// falseEjections returns the ejections that a fault doesn't justify.
+// falseEjections returns the ejections that a fault doesn't justify, divided by the number
+// of nodes.
 func (w *world) falseEjections(f fault) float64 {
 	all := w.ejections(f.sick...)
 	if f.cut == nil {
@@ -154,7 +155,7 @@
 	return all - float64(right)/float64(len(w.nodes))
 }
 
-// cell is a method under a fault.
+// cell holds the runs of one method under one fault.
 type cell struct {
 	pool   pool
 	method method
@@ -162,25 +163,25 @@
 	runs   []faultRun
 }
 
-// quietCell is a method without a fault.
+// quietCell holds the results of one method without faults.
 type quietCell struct {
 	pool   pool
 	method method
 	// length is the time without faults.
 	length time.Duration
-	// perDay is the number of false ejections a day.
+	// perDay is the number of false ejections per day.
 	perDay float64
 	failed float64
 }
 
-// report holds all that was measured.
+// report holds all results.
 type report struct {
 	args  arguments
 	cells []*cell
 	quiet []*quietCell
 }
 
-// workers bounds how many runs go on at once.
+// workers is the number of jobs that run concurrently.
 const workers = 4
 
 func measureAll(args arguments) (*report, error) {
@@ -212,7 +213,8 @@
 }
 
 // recommendedThreshold returns the threshold that the page recommends for the user of a pool:
-// the non-profit weighs false ejections, the directorate detection time.
+// the non-profit gives priority to few false ejections, the directorate to short detection
+// times.
 func recommendedThreshold(p pool) float64 {
 	if slices.Contains([]string{quotes.name, reservations.name, documents.name}, p.name) {
 		return leasingThreshold
@@ -226,7 +228,7 @@
 	directorateThreshold = 7
 )
 
-// job is one cell to measure.
+// job measures one cell.
 type job struct {
 	name string
 	run  func()
@@ -292,8 +294,8 @@
 	fmt.Printf("%s, %s, %s: %s\n", c.pool.name, c.method.name, c.fault.name, c.summary())
 }
 
-// detection returns the median and the 95th percentile, and how often the fault
-// was never detected.
+// detection returns the median and the 95th percentile of the detection time, and in how
+// many runs the fault was not detected; these count as faultTime.
 func (c *cell) detection() (median, high time.Duration, never int) {
 	var times []time.Duration
 	for _, t := range c.runs {
--- a/internal/detection/page.go
+++ b/internal/detection/page.go
@@ -21,7 +21,7 @@
 //go:embed page.tmpl
 var pageText string
 
-// row is one line of a table.
+// row is one row of a table.
 type row []string
 
 // table is one table of the page.
@@ -31,7 +31,7 @@
 	Rows  []row
 }
 
-// Markdown returns the table in Markdown.
+// Markdown returns the table as Markdown.
 func (t table) Markdown() string {
 	var b strings.Builder
 	line := func(r row) { fmt.Fprintf(&b, "| %s |\n", strings.Join(r, " | ")) }
@@ -69,7 +69,7 @@
 	return f.Close()
 }
 
-// faultTable shows every fault under every method.
+// faultTable returns the results of every fault under every method.
 func (r *report) faultTable(p pool) table {
 	t := table{
 		Title: p.name,
@@ -98,7 +98,7 @@
 	return t
 }
 
-// text is one cell: detection time, wrong ejections, lost requests.
+// text returns the cell's detection time, false ejections and lost requests.
 func (c *cell) text() string {
 	s := ""
 	if c.fault.detected != nil {
@@ -175,7 +175,7 @@
 	return f.Close()
 }
 
-// plot draws the curve of both users: one point for each threshold.
+// plot draws the curve of both users, with one point per threshold.
 func (r *report) plot(dir string) error {
 	p := plot.New()
 	p.Title.Text = "Detection of a hard stall against false ejections"
--- a/internal/detection/strategy.go
+++ b/internal/detection/strategy.go
@@ -12,12 +12,12 @@
 	"ploverjunction.example/ploverjunction/internal/policy"
 )
 
-// floorShare is the part of the capacity that every strategy keeps in service.
+// floorShare is the share of the capacity that every strategy keeps in service.
 const floorShare = 0.5
 
 func targetName(i int) string { return fmt.Sprintf("192.0.2.%d:80", i+1) }
 
-// balancer is the part that all strategies share: the fleet's balancer.
+// balancer picks targets with the fleet's balancer; all strategies use it.
 type balancer struct {
 	w       *world
 	node    *fakeNode
@@ -41,7 +41,7 @@
 	return c
 }
 
-// rebuild makes the pool anew after a change.
+// rebuild rebuilds the pool after a change of a target's state.
 func (c *balancer) rebuild(now time.Time) {
 	var members []balance.Member
 	for i, t := range c.w.targets {
@@ -66,7 +66,8 @@
 	c.pool = balance.NewPool(members, floor, fmt.Sprint("node", c.node.index), c.w.pool.nodes)
 }
 
-// pickTarget picks a target; observe is told how the request ended.
+// pickTarget picks a target; the function that observe returns gets the result of the
+// request.
 func (c *balancer) pickTarget(observe func(target int) func(now time.Time, ok, shed bool)) (int, func(time.Time, bool, bool), bool) {
 	p, ok := c.pool.Pick(c.w.rng.Uint64, nil, nil)
 	if !ok {
@@ -93,7 +94,7 @@
 	panic("detection: the pool knows only the targets: " + address)
 }
 
-// sharedEvidence is the fleet's own way of judging.
+// sharedEvidence returns the fleet's own strategy: nodes share their evidence.
 func sharedEvidence(threshold float64) func(w *world) {
 	return func(w *world) {
 		prg, err := policy.Compile(policy.Text{})
@@ -125,17 +126,18 @@
 	}
 }
 
-// slowInterval is how often evidence goes out that is not urgent.
+// slowInterval is the time between reports of evidence that is not urgent.
 const slowInterval = 2 * time.Second
 
-// fakeHall is a data hall with its observer.
+// fakeHall is a data hall with its nodes and its observer.
 type fakeHall struct {
 	observer   *outlier.Observer
 	nodes      []*sharingNode
 	summarized time.Time
 }
 
-// tick passes the nodes' evidence on, as the observing controller does.
+// tick reports the nodes' evidence and distributes the decisions, as the observer's
+// controller does.
 func (h *fakeHall) tick(now time.Time, self int, halls []*fakeHall) {
 	for _, n := range h.nodes {
 		n.report(now, h.observer)
@@ -158,7 +160,7 @@
 	}
 }
 
-// sharingNode is one node that shares its evidence.
+// sharingNode is a node that shares its evidence.
 type sharingNode struct {
 	*balancer
 	w          *world
@@ -212,7 +214,7 @@
 	}
 }
 
-// sendTrial sends a copy that nobody waits for.
+// sendTrial sends a trial request, a copy whose answer no caller waits for.
 func (s *sharingNode) sendTrial(now time.Time, p balance.Pick) {
 	i, end, _ := s.use(p, func(target int) func(time.Time, bool, bool) { return s.observe(now, target) })
 	r := &request{
@@ -266,24 +268,25 @@
 	s.sent = now
 }
 
-// independentNode is a node that judges by its own failures; eject says which targets go.
+// independentNode is a node that ejects targets by its own results only, as eject
+// decides.
 type independentNode struct {
 	*balancer
 	until    []time.Time
 	outcomes []outcomeCount
 	eject    func(a *independentNode, now time.Time, target int) bool
-	// interval is the time between two judgements; 0 judges at each end.
+	// interval is the time between two evaluations; 0 evaluates after each request.
 	interval  time.Duration
 	evaluated time.Time
 }
 
-// outcomeCount counts the ends of requests to one target.
+// outcomeCount counts the results of requests to one target.
 type outcomeCount struct {
 	ok, failed  float64
 	consecutive int
 }
 
-// baselineEjection is how long baselines eject.
+// baselineEjection is how long baselines eject a target.
 const baselineEjection = 30 * time.Second
 
 func baseline(interval time.Duration, eject func(a *independentNode, now time.Time, target int) bool) func(w *world) {
@@ -357,20 +360,21 @@
 	clear(a.outcomes)
 }
 
-// never ejects nothing.
+// never ejects no target.
 func never(*independentNode, time.Time, int) bool { return false }
 
-// consecutiveFailures is how many failures in a row eject in the baseline.
+// consecutiveFailures is the number of failures in a row after which the baseline ejects.
 const consecutiveFailures = 5
 
-// consecutive ejects after failures in a row, the common default.
+// consecutive ejects after consecutiveFailures, the common default of proxies.
 func consecutive(a *independentNode, _ time.Time, target int) bool {
 	return a.outcomes[target].consecutive >= consecutiveFailures
 }
 
-// Parameters of the success-rate baseline, after the defaults of common proxies:
+// Parameters of the success-rate baseline, from the defaults of common proxies:
 // at least five targets with enough requests, a factor of 1.9 standard
-// deviations. The usual 100 requests would never be reached here; 5 are asked.
+// deviations. 5 requests are required, not the usual 100, which the simulated load
+// never reaches.
 const (
 	rateInterval    = 10 * time.Second
 	rateMinTargets  = 5
@@ -378,7 +382,7 @@
 	rateFactor      = 1.9
 )
 
-// successRate ejects targets whose success rate stands out below the others'.
+// successRate ejects a target whose success rate is an outlier below the mean.
 func successRate(a *independentNode, _ time.Time, target int) bool {
 	var rates []float64
 	for _, e := range a.outcomes {
--- a/internal/detection/world.go
+++ b/internal/detection/world.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// pool is one service of a user, as the brief states it. Rates and latencies are
-// assumptions; the page names them.
+// pool describes a service of the users. Its sizes are the users' figures; rates and
+// latencies are assumptions, which the page states.
 type pool struct {
 	name    string
 	targets int
@@ -21,21 +21,21 @@
 	median  time.Duration
 }
 
-// Noise of healthy targets.
+// Noise of healthy targets, and the deadline.
 const (
 	// sigma shapes the lognormal latency: 99 in 100 within 4 times the median.
 	sigma = 0.6
-	// errorShare is the share of requests that fail without a cause.
+	// errorShare is the share of requests that fail on a healthy target.
 	errorShare = 0.002
-	// pauseEvery and pauseFor are the mean time between two pauses of a target
-	// and the length of a pause.
+	// pauseEvery is the mean time between two pauses of a target, pauseFor the length
+	// of a pause.
 	pauseEvery = 10 * time.Minute
 	pauseFor   = 400 * time.Millisecond
-	// deadline bounds each request.
+	// deadline is the time limit of each request.
 	deadline = 5 * time.Second
 )
 
-// kind is what an event does.
+// kind selects the handler of an event.
 type kind uint8
 
 const (
@@ -46,7 +46,7 @@
 	kindFault
 )
 
-// event is something that happens at a time.
+// event is a scheduled event of the simulation.
 type event struct {
 	at   time.Duration
 	kind kind
@@ -54,17 +54,17 @@
 	do   func()
 }
 
-// eventQueue orders events by time.
+// eventQueue is a heap of events, ordered by time.
 type eventQueue []event
 
 func (q eventQueue) Len() int           { return len(q) }
 func (q eventQueue) Less(i, j int) bool { return q[i].at < q[j].at }
 func (q eventQueue) Swap(i, j int)      { q[i], q[j] = q[j], q[i] }
 
-// Push is part of heap.Interface.
+// Push implements heap.Interface.
 func (q *eventQueue) Push(x any) { *q = append(*q, x.(event)) }
 
-// Pop is part of heap.Interface.
+// Pop implements heap.Interface.
 func (q *eventQueue) Pop() any {
 	old := *q
 	last := old[len(old)-1]
@@ -72,7 +72,7 @@
 	return last
 }
 
-// request is one request on its way.
+// request is one simulated request.
 type request struct {
 	node    *fakeNode
 	target  *fakeTarget
@@ -80,12 +80,12 @@
 	ended   bool
 	failed  bool
 	shed    bool
-	// stuck is set while a stalled target holds the request in a slot.
+	// stuck is set if the request occupies a slot of a stalled target.
 	stuck bool
 	end   func(now time.Time, ok, shed bool)
 }
 
-// fakeTarget is a target with slots and a line before them.
+// fakeTarget is a target with slots and a queue.
 type fakeTarget struct {
 	index   int
 	name    string
@@ -97,11 +97,11 @@
 	slow   float64
 	errors float64
 	shed   float64
-	// cut holds the nodes that can't reach the target.
+	// cut is the set of nodes that can't reach the target.
 	cut map[int]bool
 }
 
-// fakeNode sends requests as its strategy says.
+// fakeNode is a node that sends requests to the targets that its strategy picks.
 type fakeNode struct {
 	index    int
 	hall     int
@@ -110,18 +110,18 @@
 	ejections map[int]int
 }
 
-// strategy is how a node chooses and judges targets. The functions are seams:
-// the fleet's own decisions fill them, or those of a baseline.
+// strategy is how a node picks and ejects targets: the fleet's own way or that of a
+// baseline.
 type strategy struct {
-	// pick returns the index of a target and the function that ends its use.
+	// pick returns the index of a target and the function that reports the result.
 	pick func(now time.Time) (int, func(now time.Time, ok, shed bool), bool)
-	// tick lets time pass, every 250 ms.
+	// tick is called every 250 ms of simulated time.
 	tick func(now time.Time)
-	// ejected reports whether the node gives a target no regular work.
+	// ejected reports whether the node sends a target no regular requests.
 	ejected func(target int) bool
 }
 
-// world is the fakes and their time.
+// world is the state of a simulation; now is the simulated time since epoch.
 type world struct {
 	pool    pool
 	rng     *rand.Rand
@@ -165,9 +165,10 @@
 	return w
 }
 
+// tick is the interval of the periodic work of nodes and observers.
 const tick = 250 * time.Millisecond
 
-// every calls fn at each tick, from a random moment on.
+// every calls fn once per d, beginning at a random time within the first d.
 func (w *world) every(d time.Duration, fn func(now time.Time)) {
 	var repeat func()
 	repeat = func() {
@@ -186,7 +187,7 @@
 	})
 }
 
-// runUntil lets time pass.
+// runUntil runs the events up to a time.
 func (w *world) runUntil(end time.Duration) {
 	for len(w.events) > 0 && w.events[0].at <= end {
 		e := heap.Pop(&w.events).(event)
@@ -223,7 +224,7 @@
 	w.send(r)
 }
 
-// send brings a request to its target.
+// send delivers a request to its target and schedules its deadline.
 func (w *world) send(r *request) {
 	w.at(w.now+deadline, kindExpire, r, nil)
 	t := r.target
@@ -239,7 +240,7 @@
 	}
 }
 
-// start puts a request into a slot.
+// start runs a request in a slot.
 func (w *world) start(r *request) {
 	t := r.target
 	t.busy++
@@ -253,7 +254,7 @@
 
 func (w *world) latency(t *fakeTarget) time.Duration {
 	d := time.Duration(float64(w.pool.median) * math.Exp(sigma*w.rng.NormFloat64()) * t.slow)
-	// A pause holds up all that is in a slot when it comes.
+	// A pause delays every request that starts before it is over.
 	if w.rng.Float64() < float64(d)/float64(pauseEvery) {
 		t.paused = w.now + pauseFor
 	}
@@ -263,7 +264,7 @@
 	return d
 }
 
-// finish ends a request on its target, and for its node unless that gave up.
+// finish completes a request on its target, and at its node unless it has expired there.
 func (w *world) finish(r *request) {
 	if !r.shed {
 		w.free(r.target)
@@ -288,7 +289,7 @@
 		return
 	}
 	if r.stuck {
-		// The target accepts the cancellation.
+		// The target honors the cancellation.
 		w.free(r.target)
 	}
 	w.complete(r, false)
@@ -306,7 +307,7 @@
 	r.end(w.clock(), ok, r.shed)
 }
 
-// ejectedShare returns the share of nodes that give a target no regular work.
+// ejectedShare returns the share of nodes that send a target no regular requests.
 func (w *world) ejectedShare(target int) float64 {
 	out := 0
 	for _, n := range w.nodes {
@@ -317,8 +318,8 @@
 	return float64(out) / float64(len(w.nodes))
 }
 
-// ejections returns the ejections of all targets but those in sick, over the
-// number of nodes: 1 is one target taken out of service everywhere once.
+// ejections returns the number of ejections of all targets but those in sick, divided by
+// the number of nodes: 1 means that every node ejected one target once.
 func (w *world) ejections(sick ...int) float64 {
 	total := 0
 	for _, n := range w.nodes {
--- a/internal/standin/program/main.go
+++ b/internal/standin/program/main.go
@@ -25,7 +25,7 @@
 	Listen string `default:"127.0.0.1:9300" help:"Address to listen on."`
 }
 
-// Run serves the fake platform.
+// Run serves the stand-in platform.
 func (c *platformCommand) Run() error {
 	return serve(c.Listen, platform.New().Handler())
 }
@@ -36,7 +36,7 @@
 	Latency time.Duration `default:"5ms" help:"Time that a request takes."`
 }
 
-// Run serves the fake target.
+// Run serves the stand-in target.
 func (c *targetCommand) Run() error {
 	t := target.New(c.Listen, c.Slots)
 	t.SetMode(target.Mode{
