--- a/Makefile
+++ b/Makefile
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: Apache-2.0
 
-# Versions of the tools that check the code. They stay out of go.mod, which names
-# what the product itself needs.
+# Versions of the development tools. They are not in go.mod, which lists only the
+# dependencies of the product.
 GOFUMPT  = mvdan.cc/gofumpt@v0.12.0
 REVIVE   = github.com/mgechev/revive@v1.17.0
 GENGO    = google.golang.org/protobuf/cmd/protoc-gen-go@v1.36.12
@@ -12,8 +12,8 @@
 run:
 	./examples/quickstart/run
 
-# One package at a time: the guards compare times, and the integration tests use
-# all processors. SKIP is a pattern of tests to leave out.
+# One package at a time: the guard tests compare durations, and the integration tests
+# use all processors. SKIP is a pattern of tests to skip.
 test:
 	go build ./...
 	go test -p 1 $${SKIP:+-skip "$$SKIP"} ./...
@@ -21,12 +21,12 @@
 build:
 	go build ./...
 
-# The race detector over all but the guards, which compare times, TestQuietCost,
-# under which the detector itself crashes now and then (a CHECK of its runtime
-# fails), and the integration tests, whose processes are built with it by:
+# Runs the race detector on all tests except the guards, which compare durations;
+# TestQuietCost, in which the detector itself sometimes crashes (a CHECK of its runtime
+# fails); and the integration tests, whose processes are built with it by:
 # GOFLAGS=-race go test ./internal/integration
-# The models of internal/dispatch take minutes under it, beside other work more than the
-# ten that go test allows.
+# The model tests of internal/dispatch take minutes under it, and on a busy machine more
+# than the default time limit of go test, ten minutes.
 race:
 	go test -race -timeout 30m -skip "Guard|QuietCost$${SKIP:+|$$SKIP}" $$(go list ./... | grep -v /integration)
 
@@ -35,14 +35,14 @@
 	go run $(REVIVE) -set_exit_status ./...
 	go vet ./...
 
-# Needs protoc, which Debian's package protobuf-compiler brings.
+# Needs protoc (Debian package protobuf-compiler).
 generate:
 	GOBIN=$(CURDIR)/.bin go install $(GENGO)
 	GOBIN=$(CURDIR)/.bin go install $(GENDRPC)
 	PATH=$(CURDIR)/.bin:$$PATH go generate ./internal/wire
 
-# Random faults on fleets of real processes: SEEDS of them from FIRST on, fleets of
-# NODES processes, BESIDE fleets at a time. About 20 s a seed.
+# Random faults in fleets of real processes: SEEDS seeds from FIRST on, NODES processes
+# per fleet, BESIDE fleets at a time. About 20 s per seed.
 SEEDS  = 50
 FIRST  = 1000
 NODES  = 4
@@ -51,8 +51,8 @@
 soak:
 	go test ./internal/soak -run 'TestSoak$$' -count=1 -v -timeout 2h -seeds $(SEEDS) -first $(FIRST) -nodes $(NODES) -beside $(BESIDE)
 
-# Random input for what comes from outside, FUZZ of them for each target; the kept
-# corpora are played by "make test" as well.
+# Fuzzes the parsers of external input, with FUZZ inputs per fuzz test; "make test" also
+# runs the stored corpora.
 FUZZ = 3000x
 
 fuzz:
@@ -62,7 +62,7 @@
 	go test ./internal/contract -run '^$$' -fuzz '^FuzzLimit$$' -fuzztime $(FUZZ)
 	go test ./internal/settings -run '^$$' -fuzz '^FuzzLoad$$' -fuzztime $(FUZZ)
 
-# Measures the cost of control and writes docs/CAPACITY.md; about 20 minutes.
+# Measures the cost of the control plane and writes docs/CAPACITY.md; about 20 minutes.
 capacity:
 	go run ./internal/capacity
 
