--- a/internal/detection/strategy.go
+++ b/internal/detection/strategy.go
@@ -282,8 +282,8 @@
 
 // outcomeCount counts the results of requests to one target.
 type outcomeCount struct {
-	ok, failed  float64
-	consecutive int
+	ok, failed    float64
+	failuresInRow int
 }
 
 // baselineEjection is how long baselines eject a target.
@@ -325,10 +325,10 @@
 		case shed:
 		case ok:
 			e.ok++
-			e.consecutive = 0
+			e.failuresInRow = 0
 		default:
 			e.failed++
-			e.consecutive++
+			e.failuresInRow++
 		}
 		if a.interval == 0 {
 			a.evaluate(now, target)
@@ -368,7 +368,7 @@
 
 // consecutive ejects after consecutiveFailures, the common default of proxies.
 func consecutive(a *independentNode, _ time.Time, target int) bool {
-	return a.outcomes[target].consecutive >= consecutiveFailures
+	return a.outcomes[target].failuresInRow >= consecutiveFailures
 }
 
 // Parameters of the success-rate baseline, from the defaults of common proxies:
