--- a/internal/detection/fault.go
+++ b/internal/detection/fault.go
@@ -69,8 +69,8 @@
 	return out
 }
 
-// each returns a function that applies a change to all targets.
-func each(fn func(t *fakeTarget)) func(w *world) {
+// allTargets returns a function that applies a change to all targets.
+func allTargets(fn func(t *fakeTarget)) func(w *world) {
 	return func(w *world) {
 		for _, t := range w.targets {
 			fn(t)
@@ -131,11 +131,11 @@
 		},
 		{
 			name:  "whole pool 10 times slow",
-			begin: each(func(t *fakeTarget) { t.slow = 10 }),
+			begin: allTargets(func(t *fakeTarget) { t.slow = 10 }),
 		},
 		{
 			name:  "overload, half is shed",
-			begin: each(func(t *fakeTarget) { t.shed = 0.5 }),
+			begin: allTargets(func(t *fakeTarget) { t.shed = 0.5 }),
 		},
 		{
 			name:  "cold start, 3 times slow for 10 s",
