--- a/internal/capacity/sample.go
+++ b/internal/capacity/sample.go
@@ -64,7 +64,7 @@
 	if derr := <-ended; err == nil {
 		err = derr
 	}
-	return before.until(after, len(f.procs), memory), err
+	return before.rates(after, len(f.procs), memory), err
 }
 
 // loadError reports that too many requests of a load failed.
@@ -105,8 +105,8 @@
 	return nil
 }
 
-// until returns the rates between a and the later counters b.
-func (a counters) until(b counters, nodes int, memory float64) sample {
+// rates returns the rates between a and the later counters b.
+func (a counters) rates(b counters, nodes int, memory float64) sample {
 	seconds := b.at.Sub(a.at).Seconds()
 	each := seconds * float64(nodes)
 	return sample{
