--- a/internal/capacity/sample.go
+++ b/internal/capacity/sample.go
@@ -47,7 +47,7 @@
 	}
 	stop := make(chan struct{})
 	ended := make(chan error, 1)
-	go func() { ended <- f.drive(stop) }()
+	go func() { ended <- f.generateLoad(stop) }()
 	// The first window is not measured: it includes the work of the start.
 	time.Sleep(b.window)
 	before, err := f.readCounters()
@@ -77,8 +77,8 @@
 	return fmt.Sprintf("capacity: %d of %d requests failed", e.failed, e.sent)
 }
 
-// drive generates the changes or requests of the point until stop is closed.
-func (f *fleet) drive(stop <-chan struct{}) error {
+// generateLoad generates the changes or requests of the point until stop is closed.
+func (f *fleet) generateLoad(stop <-chan struct{}) error {
 	if f.point.requests > 0 {
 		sent, failed := f.load(stop)
 		if failed > sent/100 {
