--- a/internal/capacity/bench.go
+++ b/internal/capacity/bench.go
@@ -148,7 +148,7 @@
 platform = %s
 [log]
 format = json
-`, hall(i), f.proxies[i].Addr(), f.proxies[(i+1)%len(f.proxies)].Addr(), f.server.URL)
+`, hallName(i), f.proxies[i].Addr(), f.proxies[(i+1)%len(f.proxies)].Addr(), f.server.URL)
 	p, err := process.Start(f.bench.daemon, dir, settings)
 	if err != nil {
 		return nil, err
@@ -157,7 +157,7 @@
 	return p, nil
 }
 
-func hall(i int) string { return string(rune('a' + i%dataHalls)) }
+func hallName(i int) string { return string(rune('a' + i%dataHalls)) }
 
 // readyTimeout is how long a fleet may take to become ready.
 const readyTimeout = time.Minute
@@ -218,7 +218,7 @@
 		var targets []string
 		for t := range p.perService {
 			targets = append(targets, fmt.Sprintf(`{"service":"s%d","address":%q,"dataHall":%q,"slots":3,"connections":200}`,
-				s, f.targetAddress(s, t), hall(t)))
+				s, f.targetAddress(s, t), hallName(t)))
 		}
 		f.platform.Publish(fmt.Sprintf("service-%d", s), fmt.Sprintf(`{"services":[{"name":"s%d"}],"targets":[%s]}`, s, strings.Join(targets, ",")))
 	}
@@ -230,7 +230,7 @@
 		return fmt.Sprintf(`{"id":"workspace-%06d","rate":10,"burst":20}`, i)
 	})
 	f.publishMany("instances", p.nodes, func(i int) string {
-		return fmt.Sprintf(`{"address":%q,"dataHall":%q,"state":"LIVE","role":"ENTRY"}`, f.proxies[i].Addr(), hall(i))
+		return fmt.Sprintf(`{"address":%q,"dataHall":%q,"state":"LIVE","role":"ENTRY"}`, f.proxies[i].Addr(), hallName(i))
 	})
 }
 
