--- a/internal/standin/faultproxy/faultproxy.go
+++ b/internal/standin/faultproxy/faultproxy.go
@@ -34,7 +34,7 @@
 	// listener is nil while the proxy is down.
 	listener net.Listener
 	closed   bool
-	done     sync.WaitGroup
+	wg       sync.WaitGroup
 }
 
 // direction holds the fault and the byte count of one direction.
@@ -109,7 +109,7 @@
 		return err
 	}
 	p.listener = lis
-	p.done.Go(func() { p.accept(lis) })
+	p.wg.Go(func() { p.accept(lis) })
 	return nil
 }
 
@@ -179,7 +179,7 @@
 		return true
 	})
 	p.Reset()
-	p.done.Wait()
+	p.wg.Wait()
 	p.port.release()
 }
 
@@ -193,7 +193,7 @@
 			_ = conn.Close()
 			continue
 		}
-		p.done.Go(func() { p.serve(conn) })
+		p.wg.Go(func() { p.serve(conn) })
 	}
 }
 
