--- a/internal/standin/target/target.go
+++ b/internal/standin/target/target.go
@@ -238,7 +238,7 @@
 		return
 	}
 	sleep(r, m.Latency)
-	t.answer(w, r, m, body)
+	t.writeAnswer(w, r, m, body)
 }
 
 // deadline returns the deadline in the request's header, or zero.
@@ -287,7 +287,7 @@
 	}
 }
 
-func (t *Target) answer(w http.ResponseWriter, r *http.Request, m *Mode, body []byte) {
+func (t *Target) writeAnswer(w http.ResponseWriter, r *http.Request, m *Mode, body []byte) {
 	if m.ResetAfter {
 		panic(http.ErrAbortHandler)
 	}
