--- a/internal/capacity/bench.go
+++ b/internal/capacity/bench.go
@@ -98,11 +98,11 @@
 	f.target.Listener = lis
 	f.target.Start()
 	for range p.nodes {
-		front, err := faultproxy.New("127.0.0.1:1")
+		proxy, err := faultproxy.New("127.0.0.1:1")
 		if err != nil {
 			return nil, errors.Join(err, f.stop())
 		}
-		f.proxies = append(f.proxies, front)
+		f.proxies = append(f.proxies, proxy)
 	}
 	f.publish()
 	if err := f.startNodes(); err != nil {
