--- a/internal/capacity/bench.go
+++ b/internal/capacity/bench.go
@@ -199,8 +199,8 @@
 	for _, p := range f.procs {
 		p.Kill()
 	}
-	for _, front := range f.proxies {
-		front.Close()
+	for _, proxy := range f.proxies {
+		proxy.Close()
 	}
 	f.platform.SetMode(platform.ModeDown)
 	f.server.CloseClientConnections()
