--- a/internal/capacity/bench.go
+++ b/internal/capacity/bench.go
@@ -114,11 +114,11 @@
 func (f *fleet) startNodes() error {
 	procs := make([]*process.Process, f.point.nodes)
 	errs := make([]error, f.point.nodes)
-	var all sync.WaitGroup
+	var wg sync.WaitGroup
 	for i := range f.point.nodes {
-		all.Go(func() { procs[i], errs[i] = f.startNode(i) })
+		wg.Go(func() { procs[i], errs[i] = f.startNode(i) })
 	}
-	all.Wait()
+	wg.Wait()
 	for _, p := range procs {
 		if p != nil {
 			f.procs = append(f.procs, p)
