--- a/internal/capacity/bench.go
+++ b/internal/capacity/bench.go
@@ -264,10 +264,10 @@
 // load sends requests at a steady rate until stop is closed and returns how many
 // were sent and how many failed.
 func (f *fleet) load(stop <-chan struct{}) (sent, failed int64) {
-	var all sync.WaitGroup
+	var wg sync.WaitGroup
 	var sentCount, failedCount atomic.Int64
 	for i, p := range f.procs {
-		all.Go(func() {
+		wg.Go(func() {
 			gap := time.Duration(float64(time.Second) * float64(len(f.procs)) / f.point.requests)
 			tick := time.NewTicker(gap)
 			defer tick.Stop()
@@ -287,7 +287,7 @@
 			}
 		})
 	}
-	all.Wait()
+	wg.Wait()
 	return sentCount.Load(), failedCount.Load()
 }
 
