--- a/internal/capacity/latency.go
+++ b/internal/capacity/latency.go
@@ -78,13 +78,13 @@
 	}
 	defer client.CloseIdleConnections()
 	var mu sync.Mutex
-	var all sync.WaitGroup
+	var wg sync.WaitGroup
 	count := int(rate * latencyTime.Seconds())
 	started := time.Now()
 	for i := range count {
 		due := started.Add(time.Duration(float64(i) / rate * float64(time.Second)))
 		time.Sleep(time.Until(due))
-		all.Go(func() {
+		wg.Go(func() {
 			sent := time.Now()
 			res, err := client.Get(url)
 			if err == nil {
@@ -99,7 +99,7 @@
 			took = append(took, time.Since(sent))
 		})
 	}
-	all.Wait()
+	wg.Wait()
 	slices.Sort(took)
 	return took, failed
 }
