--- a/internal/detection/measure.go
+++ b/internal/detection/measure.go
@@ -235,10 +235,10 @@
 }
 
 func runJobs(jobs []job, only string) {
-	var all sync.WaitGroup
+	var wg sync.WaitGroup
 	next := make(chan func())
 	for range workers {
-		all.Go(func() {
+		wg.Go(func() {
 			for run := range next {
 				run()
 			}
@@ -250,7 +250,7 @@
 		}
 	}
 	close(next)
-	all.Wait()
+	wg.Wait()
 }
 
 func (r *report) quietJob(p pool, m method, length time.Duration) job {
