--- a/internal/detection/measure.go
+++ b/internal/detection/measure.go
@@ -296,7 +296,7 @@
 
 // detection returns the median and the 95th percentile of the detection time, and in how
 // many runs the fault was not detected; these count as faultTime.
-func (c *cell) detection() (median, high time.Duration, never int) {
+func (c *cell) detection() (median, p95 time.Duration, never int) {
 	var times []time.Duration
 	for _, t := range c.runs {
 		if t.detected < 0 {
