--- a/internal/detection/measure.go
+++ b/internal/detection/measure.go
@@ -296,18 +296,18 @@
 
 // detection returns the median and the 95th percentile of the detection time, and in how
 // many runs the fault was not detected; these count as faultTime.
-func (c *cell) detection() (median, p95 time.Duration, never int) {
+func (c *cell) detection() (median, p95 time.Duration, missed int) {
 	var times []time.Duration
 	for _, t := range c.runs {
 		if t.detected < 0 {
-			never++
+			missed++
 			times = append(times, faultTime)
 			continue
 		}
 		times = append(times, t.detected)
 	}
 	slices.Sort(times)
-	return times[len(times)/2], times[len(times)*95/100], never
+	return times[len(times)/2], times[len(times)*95/100], missed
 }
 
 func (c *cell) falseEjections() float64 {
