--- a/internal/history/history.go
+++ b/internal/history/history.go
@@ -93,7 +93,7 @@
 
 func checkCall(c *Call, runs []Run, slack time.Duration) []Violation {
 	var out []Violation
-	broken := func(p Promise, format string, args ...any) {
+	report := func(p Promise, format string, args ...any) {
 		out = append(out, Violation{
 			promise: p,
 			key:     c.Key,
@@ -101,20 +101,20 @@
 		})
 	}
 	if !c.Repeatable && len(runs) > 1 {
-		broken(PromiseAtMostOnce, "ran %d times", len(runs))
+		report(PromiseAtMostOnce, "ran %d times", len(runs))
 	}
 	if c.Outcome == OutcomeNotRun && len(runs) > 0 {
-		broken(PromiseNotRun, "ran %d times", len(runs))
+		report(PromiseNotRun, "ran %d times", len(runs))
 	}
 	if c.Outcome == OutcomeDone && len(runs) == 0 {
-		broken(PromiseDone, "never ran")
+		report(PromiseDone, "never ran")
 	}
 	if c.Outcome == OutcomeDone && c.Whole && !c.Right {
-		broken(PromiseWhole, "a complete answer with wrong bytes")
+		report(PromiseWhole, "a complete answer with wrong bytes")
 	}
 	for _, r := range runs {
 		if !r.Deadline.IsZero() && r.At.After(r.Deadline.Add(slack)) {
-			broken(PromiseDeadline, "run %v after the deadline on %s", r.At.Sub(r.Deadline), r.Target)
+			report(PromiseDeadline, "run %v after the deadline on %s", r.At.Sub(r.Deadline), r.Target)
 		}
 	}
 	return out
