--- a/internal/capacity/sample.go
+++ b/internal/capacity/sample.go
@@ -105,7 +105,7 @@
 	return nil
 }
 
-// rates returns the rates between a and the later counters b.
+// rates returns the rates between a and the later counters b, with the given mean memory.
 func (a counters) rates(b counters, nodes int, memory float64) sample {
 	seconds := b.at.Sub(a.at).Seconds()
 	each := seconds * float64(nodes)
--- a/internal/detection/strategy.go
+++ b/internal/detection/strategy.go
@@ -91,7 +91,7 @@
 			return i
 		}
 	}
-	panic("detection: the pool knows only the targets: " + address)
+	panic("detection: picked target is not in the simulation: " + address)
 }
 
 // sharedEvidence returns the fleet's own strategy: nodes share their evidence.
@@ -99,7 +99,7 @@
 	return func(w *world) {
 		prg, err := policy.Compile(policy.Text{})
 		if err != nil {
-			panic("detection: the default policy compiles: " + err.Error())
+			panic("detection: default policy does not compile: " + err.Error())
 		}
 		info := outlier.Service{
 			Name:      "s",
