--- a/internal/capacity/bench.go
+++ b/internal/capacity/bench.go
@@ -21,7 +21,7 @@
 	"ploverjunction.example/ploverjunction/internal/standin/target"
 )
 
-// bench is the machine on which points are measured, one after another.
+// bench measures points, one at a time, on this machine.
 type bench struct {
 	dir    string
 	daemon string
@@ -46,36 +46,37 @@
 
 func (b *bench) close() { _ = os.RemoveAll(b.dir) }
 
-// point says what is measured at once.
+// point is the fleet and the load of one measurement.
 type point struct {
 	nodes      int
 	services   int
 	perService int
 	routes     int
 	workspaces int
-	// changes of configuration a second, each of a value of changeSize bytes.
+	// changes is the number of configuration changes per second, each of a value of
+	// changeSize bytes.
 	changes    float64
 	changeSize int
-	// requests a second through all nodes together.
+	// requests is the number of requests per second through all nodes together.
 	requests float64
 }
 
-// dataHalls is how many data halls the nodes are spread over.
+// dataHalls is the number of data halls of the nodes.
 const dataHalls = 3
 
-// fleet is a running point.
+// fleet holds the processes of a point.
 type fleet struct {
 	bench    *bench
 	point    point
 	platform *platform.Platform
 	server   *httptest.Server
-	fronts   []*faultproxy.Proxy
+	proxies  []*faultproxy.Proxy
 	procs    []*process.Process
 	target   *httptest.Server
 }
 
-// startFleet runs the processes of a point and waits until all are ready and
-// know each other.
+// startFleet starts the processes of a point and waits until all are ready and have
+// discovered each other.
 func (b *bench) startFleet(p point) (*fleet, error) {
 	f := &fleet{
 		bench:    b,
@@ -88,7 +89,7 @@
 		Latency: time.Millisecond,
 	})
 	f.target = httptest.NewUnstartedServer(t.Handler())
-	// Every address of the loopback network leads to the one stand-in.
+	// All addresses of the loopback network reach this one stand-in.
 	lis, err := net.Listen("tcp4", "0.0.0.0:0")
 	if err != nil {
 		return nil, fmt.Errorf("capacity: %w", err)
@@ -97,27 +98,27 @@
 	f.target.Listener = lis
 	f.target.Start()
 	for range p.nodes {
-		front, err := faultproxy.New("127.0.0.1:1")
+		proxy, err := faultproxy.New("127.0.0.1:1")
 		if err != nil {
 			return nil, errors.Join(err, f.stop())
 		}
-		f.fronts = append(f.fronts, front)
+		f.proxies = append(f.proxies, proxy)
 	}
 	f.publish()
 	if err := f.startNodes(); err != nil {
 		return nil, errors.Join(err, f.stop())
 	}
-	return f, f.settle()
+	return f, f.waitReady()
 }
 
 func (f *fleet) startNodes() error {
 	procs := make([]*process.Process, f.point.nodes)
 	errs := make([]error, f.point.nodes)
-	var all sync.WaitGroup
+	var wg sync.WaitGroup
 	for i := range f.point.nodes {
-		all.Go(func() { procs[i], errs[i] = f.startNode(i) })
+		wg.Go(func() { procs[i], errs[i] = f.startNode(i) })
 	}
-	all.Wait()
+	wg.Wait()
 	for _, p := range procs {
 		if p != nil {
 			f.procs = append(f.procs, p)
@@ -147,33 +148,33 @@
 platform = %s
 [log]
 format = json
-`, hall(i), f.fronts[i].Addr(), f.fronts[(i+1)%len(f.fronts)].Addr(), f.server.URL)
+`, hallName(i), f.proxies[i].Addr(), f.proxies[(i+1)%len(f.proxies)].Addr(), f.server.URL)
 	p, err := process.Start(f.bench.daemon, dir, settings)
 	if err != nil {
 		return nil, err
 	}
-	f.fronts[i].SetUpstream(p.Peers())
+	f.proxies[i].SetUpstream(p.Peers())
 	return p, nil
 }
 
-func hall(i int) string { return string(rune('a' + i%dataHalls)) }
+func hallName(i int) string { return string(rune('a' + i%dataHalls)) }
 
-// settleTime bounds how long a fleet takes to become ready.
-const settleTime = time.Minute
+// readyTimeout is how long a fleet may take to become ready.
+const readyTimeout = time.Minute
 
-// settleError is a fleet that doesn't become ready.
-type settleError struct {
+// notReadyError reports that a fleet did not become ready in time.
+type notReadyError struct {
 	ready, want int
 }
 
-// Error says how many nodes are ready.
-func (e *settleError) Error() string {
+// Error returns how many nodes are ready.
+func (e *notReadyError) Error() string {
 	return fmt.Sprintf("capacity: %d of %d nodes ready", e.ready, e.want)
 }
 
-// settle waits until every node is ready and knows all others.
-func (f *fleet) settle() error {
-	end := time.Now().Add(settleTime)
+// waitReady waits until every node is ready and lists all members.
+func (f *fleet) waitReady() error {
+	end := time.Now().Add(readyTimeout)
 	for {
 		ready := 0
 		for _, p := range f.procs {
@@ -185,7 +186,7 @@
 			return nil
 		}
 		if time.Now().After(end) {
-			return &settleError{
+			return &notReadyError{
 				ready: ready,
 				want:  f.point.nodes,
 			}
@@ -198,8 +199,8 @@
 	for _, p := range f.procs {
 		p.Kill()
 	}
-	for _, front := range f.fronts {
-		front.Close()
+	for _, proxy := range f.proxies {
+		proxy.Close()
 	}
 	f.platform.SetMode(platform.ModeDown)
 	f.server.CloseClientConnections()
@@ -209,15 +210,15 @@
 	return nil
 }
 
-// publish publishes the point's configuration in values below the platform's
-// bound.
+// publish publishes the point's configuration, split into values below the
+// platform's size limit.
 func (f *fleet) publish() {
 	p := f.point
 	for s := range p.services {
 		var targets []string
 		for t := range p.perService {
 			targets = append(targets, fmt.Sprintf(`{"service":"s%d","address":%q,"dataHall":%q,"slots":3,"connections":200}`,
-				s, f.targetAddress(s, t), hall(t)))
+				s, f.targetAddress(s, t), hallName(t)))
 		}
 		f.platform.Publish(fmt.Sprintf("service-%d", s), fmt.Sprintf(`{"services":[{"name":"s%d"}],"targets":[%s]}`, s, strings.Join(targets, ",")))
 	}
@@ -229,44 +230,44 @@
 		return fmt.Sprintf(`{"id":"workspace-%06d","rate":10,"burst":20}`, i)
 	})
 	f.publishMany("instances", p.nodes, func(i int) string {
-		return fmt.Sprintf(`{"address":%q,"dataHall":%q,"state":"LIVE","role":"ENTRY"}`, f.fronts[i].Addr(), hall(i))
+		return fmt.Sprintf(`{"address":%q,"dataHall":%q,"state":"LIVE","role":"ENTRY"}`, f.proxies[i].Addr(), hallName(i))
 	})
 }
 
-// perValue is how many objects one published value holds.
-const perValue = 500
+// objectsPerValue is the number of objects in one published value.
+const objectsPerValue = 500
 
 func (f *fleet) publishMany(field string, count int, object func(i int) string) {
-	for from := 0; from < count; from += perValue {
+	for from := 0; from < count; from += objectsPerValue {
 		var list []string
-		for i := from; i < min(from+perValue, count); i++ {
+		for i := from; i < min(from+objectsPerValue, count); i++ {
 			list = append(list, object(i))
 		}
 		f.platform.Publish(fmt.Sprintf("%s-%d", field, from), fmt.Sprintf(`{%q:[%s]}`, field, strings.Join(list, ",")))
 	}
 }
 
-// targetAddress gives every target an address of its own on loopback, all served
-// by one stand-in.
+// targetAddress returns a distinct loopback address for each target; one stand-in
+// serves all of them.
 func (f *fleet) targetAddress(service, i int) string {
 	n := service*f.point.perService + i
 	port := f.target.Listener.Addr().(*net.TCPAddr).Port
 	return fmt.Sprintf("127.%d.%d.%d:%d", 1+n/62500, n/250%250, 1+n%250, port)
 }
 
-// change publishes one more version of a value of about size bytes.
-func (f *fleet) change(version, size int) uint64 {
+// publishChange publishes a new version of a value of about size bytes.
+func (f *fleet) publishChange(version, size int) uint64 {
 	pad := max(size-60, 0)
 	return f.platform.Publish("change", fmt.Sprintf(`{"workspaces":[{"id":"v%d"}]}%s`, version, strings.Repeat(" ", pad)))
 }
 
 // load sends requests at a steady rate until stop is closed and returns how many
-// failed.
+// were sent and how many failed.
 func (f *fleet) load(stop <-chan struct{}) (sent, failed int64) {
-	var all sync.WaitGroup
+	var wg sync.WaitGroup
 	var sentCount, failedCount atomic.Int64
 	for i, p := range f.procs {
-		all.Go(func() {
+		wg.Go(func() {
 			gap := time.Duration(float64(time.Second) * float64(len(f.procs)) / f.point.requests)
 			tick := time.NewTicker(gap)
 			defer tick.Stop()
@@ -280,17 +281,17 @@
 				case <-tick.C:
 				}
 				sentCount.Add(1)
-				if !ask(client, p, n%f.point.services) {
+				if !sendRequest(client, p, n%f.point.services) {
 					failedCount.Add(1)
 				}
 			}
 		})
 	}
-	all.Wait()
+	wg.Wait()
 	return sentCount.Load(), failedCount.Load()
 }
 
-func ask(client *http.Client, p *process.Process, service int) bool {
+func sendRequest(client *http.Client, p *process.Process, service int) bool {
 	url := fmt.Sprintf("http://%s/s%d/r%d/x", p.Entry(), service, service)
 	req, err := http.NewRequest(http.MethodGet, url, nil)
 	if err != nil {
--- a/internal/capacity/latency.go
+++ b/internal/capacity/latency.go
@@ -12,13 +12,13 @@
 	"ploverjunction.example/ploverjunction/internal/balance"
 )
 
-// latencyRates are the requests a second at which added latency is measured.
+// latencyRates are the rates, in requests per second, at which added latency is measured.
 var latencyRates = []float64{210, 1000, 3000}
 
-// latencyTime is how long each rate lasts.
+// latencyTime is how long each rate is applied.
 const latencyTime = 5 * time.Second
 
-// latencyRow is one rate, in microseconds.
+// latencyRow holds the latencies at one rate, in microseconds.
 type latencyRow struct {
 	Rate                       float64
 	DirectP50, DirectP99       int64
@@ -31,10 +31,10 @@
 	Rows []latencyRow
 }
 
-// measureLatency sends requests at steady rates to a target directly and through
-// one node, in turn.
+// measureLatency sends requests at steady rates to a target, first directly and then
+// through one node.
 func measureLatency(b *bench) (*latencyResult, error) {
-	p := small()
+	p := basePoint()
 	p.nodes = 1
 	p.workspaces = 0
 	f, err := b.startFleet(p)
@@ -49,8 +49,8 @@
 	through := "http://" + f.procs[0].Entry() + "/s0/r0/x"
 	out := &latencyResult{}
 	for _, rate := range latencyRates {
-		d, df := paced(direct, rate)
-		t, tf := paced(through, rate)
+		d, df := sendAtRate(direct, rate)
+		t, tf := sendAtRate(through, rate)
 		row := latencyRow{
 			Rate:       rate,
 			DirectP50:  quantile(d, 50),
@@ -67,9 +67,9 @@
 	return out, nil
 }
 
-// paced sends requests at a rate, each at its own time whether or not earlier
-// ones have ended, and returns their latencies.
-func paced(url string, rate float64) (took []time.Duration, failed int64) {
+// sendAtRate sends requests in an open loop, each at its scheduled time whether or not
+// earlier ones have completed, and returns their sorted latencies.
+func sendAtRate(url string, rate float64) (took []time.Duration, failed int64) {
 	client := &http.Client{
 		Transport: &http.Transport{
 			MaxIdleConnsPerHost: 512,
@@ -78,13 +78,13 @@
 	}
 	defer client.CloseIdleConnections()
 	var mu sync.Mutex
-	var all sync.WaitGroup
+	var wg sync.WaitGroup
 	count := int(rate * latencyTime.Seconds())
-	begun := time.Now()
+	started := time.Now()
 	for i := range count {
-		due := begun.Add(time.Duration(float64(i) / rate * float64(time.Second)))
+		due := started.Add(time.Duration(float64(i) / rate * float64(time.Second)))
 		time.Sleep(time.Until(due))
-		all.Go(func() {
+		wg.Go(func() {
 			sent := time.Now()
 			res, err := client.Get(url)
 			if err == nil {
@@ -99,7 +99,7 @@
 			took = append(took, time.Since(sent))
 		})
 	}
-	all.Wait()
+	wg.Wait()
 	slices.Sort(took)
 	return took, failed
 }
@@ -111,20 +111,21 @@
 	return sorted[(len(sorted)-1)*percent/100].Microseconds()
 }
 
-// connectionRow is one size of a service's pool at the target size.
+// connectionRow holds the connections to a service's pool of one size in a fleet of
+// goalNodes.
 type connectionRow struct {
 	Targets int
-	// Subset is how many targets a node uses, Most the connections of the
-	// busiest target.
+	// Subset is the number of targets that a node uses, Most the greatest number of
+	// connections to one target.
 	Subset int
 	Most   int
 }
 
-// poolSizes are the sizes of the brief's pools and the mean at the target size.
+// poolSizes are the sizes of the users' pools and the mean at the goal size.
 var poolSizes = []int{6, 9, 16, 20, goalTargets / goalServices}
 
-// connections works out with the balancer itself what the nodes of the target
-// size use together.
+// connections computes, with the fleet's balancer, the connections that goalNodes nodes
+// open together.
 func (p *page) connections() {
 	for _, n := range poolSizes {
 		p.Connections = append(p.Connections, connectionsOf(n))
--- a/internal/capacity/main.go
+++ b/internal/capacity/main.go
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Command capacity measures what the control of a node costs, with real ploverd
-// processes on this machine, and writes docs/CAPACITY.md from the slopes. It is
-// test scaffolding and not part of the product.
+// Command capacity measures the cost of a node's control plane with real ploverd
+// processes on this machine and writes docs/CAPACITY.md from fitted slopes. It is
+// a development tool and not part of the product.
 package main
 
 import (
@@ -37,7 +37,7 @@
 		return fmt.Errorf("capacity: %w", err)
 	}
 	if args.Keep {
-		return keep(args)
+		return renderPage(args)
 	}
 	bench, err := newBench(args.Window)
 	if err != nil {
@@ -78,17 +78,17 @@
 	if args.Only != "" {
 		return nil
 	}
-	return keep(args)
+	return renderPage(args)
 }
 
-// latencyName names the measurement of added latency among the series.
+// latencyName selects the measurement of added latency in --only.
 const latencyName = "latency"
 
-// latencyFile holds the raw latencies.
+// latencyFile is the file of the raw latencies.
 const latencyFile = latencyName + ".csv"
 
-// keep writes the page from the raw figures of an earlier run.
-func keep(args arguments) error {
+// renderPage writes the plots and the page from the raw figures.
+func renderPage(args arguments) error {
 	results := map[string]*result{}
 	for _, s := range allSeries() {
 		r, err := readCSV(filepath.Join(args.Raw, s.name+".csv"), s)
--- a/internal/capacity/page.go
+++ b/internal/capacity/page.go
@@ -16,32 +16,32 @@
 //go:embed page.tmpl
 var pageText string
 
-// Limits of a node at the target size.
+// Limits of a node's cost at the goal size.
 const (
 	limitCPU    = 4.4  // % of a core
 	limitMemory = 128  // MB
-	limitBytes  = 6000 // bytes a second, sent and received together
+	limitBytes  = 6000 // bytes per second, sent and received together
 )
 
-// slopeRow is one line of the table of slopes.
+// slopeRow is one row of the table of slopes.
 type slopeRow struct {
 	Series, Quantity, Unit, Plot string
 	Base, Slope                  string
 	Residual, Spread             string
 	From, To, Goal               string
 	AtGoal                       string
-	// Far is set where the goal lies beyond ten times the measured range.
+	// Far is set where the goal exceeds ten times the greatest measured size.
 	Far bool
 }
 
-// sumRow is one line of the sum of a node at the target size.
+// sumRow is one row of the table of a node's total cost at the goal size.
 type sumRow struct {
 	What, From       string
 	Bytes, CPU, MBs  float64
 	BytesT, CPUT, MT string
 }
 
-// page is what the template shows.
+// page is the data of the template.
 type page struct {
 	Machine  string
 	Runs     int
@@ -52,7 +52,7 @@
 	Verdicts []string
 	Latency  *latencyResult
 	Restart  restartRow
-	// Connections are the pools at the target size.
+	// Connections has one row per pool size.
 	Connections []connectionRow
 }
 
@@ -101,37 +101,37 @@
 			Quantity: q.name,
 			Unit:     q.unit,
 			Plot:     filepath.Join(filepath.Base(raw), r.plotName(q)),
-			Base:     short(f.base),
-			Slope:    short(f.slope),
-			Residual: short(f.residual),
+			Base:     formatShort(f.base),
+			Slope:    formatShort(f.slope),
+			Residual: formatShort(f.residual),
 			Spread:   fmt.Sprintf("%.0f%%", 100*f.spread),
-			From:     short(first),
-			To:       short(last),
-			Goal:     short(r.series.goal),
-			AtGoal:   short(f.at(r.series.goal)),
+			From:     formatShort(first),
+			To:       formatShort(last),
+			Goal:     formatShort(r.series.goal),
+			AtGoal:   formatShort(f.at(r.series.goal)),
 			Far:      r.series.goal > 10*last,
 		})
 	}
 	return out
 }
 
-func short(v float64) string {
+func formatShort(v float64) string {
 	if v == math.Trunc(v) && math.Abs(v) < 1e6 {
 		return fmt.Sprintf("%.0f", v)
 	}
 	return fmt.Sprintf("%.3g", v)
 }
 
-// grow returns what a quantity grows by from nothing to the goal of a series; a
-// falling line counts as none.
-func grow(r *result, q quantity) float64 {
+// growth returns the fitted increase of a quantity from size 0 to the goal of a series;
+// a negative slope counts as 0.
+func growth(r *result, q quantity) float64 {
 	return max(r.fit(q).slope, 0) * r.series.goal
 }
 
-// sum adds the parts of a node's cost at the target size.
+// sum adds up the components of a node's cost at the goal size.
 func (p *page) sum(rs map[string]*result) {
 	nodes := rs["nodes"]
-	bytes := func(r *result) float64 { return grow(r, sentBytes) + grow(r, receivedBytes) }
+	bytes := func(r *result) float64 { return growth(r, sentBytes) + growth(r, receivedBytes) }
 	p.Sum = []sumRow{
 		{
 			What:  "a member alone",
@@ -144,33 +144,33 @@
 			What:  "1,000 members",
 			From:  "nodes",
 			Bytes: bytes(nodes),
-			CPU:   grow(nodes, cpuShare),
-			MBs:   grow(nodes, memorySize),
+			CPU:   growth(nodes, cpuShare),
+			MBs:   growth(nodes, memorySize),
 		},
 		{
 			What:  "290 services, 8,700 targets",
 			From:  "services",
 			Bytes: bytes(rs["services"]),
-			CPU:   grow(rs["services"], cpuShare),
-			MBs:   grow(rs["services"], memorySize),
+			CPU:   growth(rs["services"], cpuShare),
+			MBs:   growth(rs["services"], memorySize),
 		},
 		{
 			What: "7,100 routes",
 			From: "routes",
-			CPU:  grow(rs["routes"], cpuShare),
-			MBs:  grow(rs["routes"], memorySize),
+			CPU:  growth(rs["routes"], cpuShare),
+			MBs:  growth(rs["routes"], memorySize),
 		},
 		{
 			What: "48,000 workspaces",
 			From: "workspaces",
-			CPU:  grow(rs["workspaces"], cpuShare),
-			MBs:  grow(rs["workspaces"], memorySize),
+			CPU:  growth(rs["workspaces"], cpuShare),
+			MBs:  growth(rs["workspaces"], memorySize),
 		},
 		{
 			What:  "5,800 changes a day of 10 kB",
 			From:  "changes; changes-full for the processor",
 			Bytes: bytes(rs["changes"]),
-			CPU:   grow(rs["changes-full"], cpuShare),
+			CPU:   growth(rs["changes-full"], cpuShare),
 		},
 		{
 			What:  "evidence of 210 requests a second",
@@ -181,7 +181,7 @@
 	p.Sum = append(p.Sum, sumRow{
 		What: "all of it together, beyond its parts",
 		From: "changes-full",
-		MBs:  p.beyond(rs["changes-full"]),
+		MBs:  p.extraMemory(rs["changes-full"]),
 	})
 	p.Total = sumRow{
 		What: "sum",
@@ -191,46 +191,47 @@
 		p.Total.Bytes += s.Bytes
 		p.Total.CPU += s.CPU
 		p.Total.MBs += s.MBs
-		s.text()
+		s.formatCells()
 	}
-	p.Total.text()
-	p.judge("bytes a second between nodes", p.Total.Bytes, limitBytes)
-	p.judge("processor, % of a core", p.Total.CPU, limitCPU)
-	p.judge("memory, MB", p.Total.MBs, limitMemory)
+	p.Total.formatCells()
+	p.checkLimit("bytes a second between nodes", p.Total.Bytes, limitBytes)
+	p.checkLimit("processor, % of a core", p.Total.CPU, limitCPU)
+	p.checkLimit("memory, MB", p.Total.MBs, limitMemory)
 }
 
-// beyond returns how much more memory a node with the whole configuration takes,
-// quiet or while values change, than the parts of it measured alone, in MB.
-func (p *page) beyond(r *result) float64 {
-	most := 0.0
+// extraMemory returns by how many MB the memory of a node with the whole configuration,
+// idle or while values change, exceeds the sum of the parts measured separately.
+func (p *page) extraMemory(r *result) float64 {
+	extra := 0.0
 	for _, runs := range r.samples {
 		mean := 0.0
 		for _, s := range runs {
 			mean += s.memory / float64(len(runs))
 		}
-		most = max(most, mean)
+		extra = max(extra, mean)
 	}
 	for _, s := range p.Sum {
-		most -= s.MBs
+		extra -= s.MBs
 	}
-	return max(most, 0)
+	return max(extra, 0)
 }
 
-func (s *sumRow) text() {
-	s.BytesT, s.CPUT, s.MT = short(s.Bytes), short(s.CPU), short(s.MBs)
+func (s *sumRow) formatCells() {
+	s.BytesT, s.CPUT, s.MT = formatShort(s.Bytes), formatShort(s.CPU), formatShort(s.MBs)
 }
 
-// RestartRate returns what the restarts of a day cost each node of the target
-// size on average, in bytes a second, sent and received together.
+// RestartRate returns the mean cost to each node of the restarts of a day at the goal
+// size, in bytes per second, sent and received together.
 func (p *page) RestartRate() string {
 	const restarts = 3700 / 86400.0
-	return short(2 * restarts * float64(p.Restart.Received) / goalNodes)
+	return formatShort(2 * restarts * float64(p.Restart.Received) / goalNodes)
 }
 
-func (p *page) judge(what string, have, limit float64) {
+// checkLimit adds a line that compares a total with its limit.
+func (p *page) checkLimit(what string, have, limit float64) {
 	if have <= limit {
-		p.Verdicts = append(p.Verdicts, fmt.Sprintf("%s: %s of %s: fits", what, short(have), short(limit)))
+		p.Verdicts = append(p.Verdicts, fmt.Sprintf("%s: %s of %s: fits", what, formatShort(have), formatShort(limit)))
 		return
 	}
-	p.Verdicts = append(p.Verdicts, fmt.Sprintf("**%s: %s of %s: does not fit**", what, short(have), short(limit)))
+	p.Verdicts = append(p.Verdicts, fmt.Sprintf("**%s: %s of %s: does not fit**", what, formatShort(have), formatShort(limit)))
 }
--- a/internal/capacity/raw.go
+++ b/internal/capacity/raw.go
@@ -10,13 +10,13 @@
 	"strconv"
 )
 
-// rawError is a file of raw figures that can't be used.
+// rawError reports a file of raw figures that can't be used.
 type rawError struct {
 	file   string
 	detail string
 }
 
-// Error names the file and the fault.
+// Error returns the file and the fault.
 func (e *rawError) Error() string {
 	return fmt.Sprintf("capacity: %s: %s", e.file, e.detail)
 }
@@ -51,10 +51,10 @@
 	return rows, nil
 }
 
-func number(v float64) string { return strconv.FormatFloat(v, 'g', 5, 64) }
+func formatFloat(v float64) string { return strconv.FormatFloat(v, 'g', 5, 64) }
 
-// numbers parses a row.
-func numbers(path string, row []string) ([]float64, error) {
+// parseFloats parses a row of numbers.
+func parseFloats(path string, row []string) ([]float64, error) {
 	out := make([]float64, len(row))
 	for i, text := range row {
 		v, err := strconv.ParseFloat(text, 64)
@@ -69,19 +69,18 @@
 	return out, nil
 }
 
-// writeCSV writes the samples of a series: its size, the number of the run, then
-// each quantity.
+// writeCSV writes one row per sample: the size, the number of the run and each quantity.
 func (r *result) writeCSV(path string) error {
 	head := []string{r.series.label, "run"}
 	for _, q := range r.series.quantities {
-		head = append(head, q.head())
+		head = append(head, q.column())
 	}
 	rows := [][]string{head}
 	for i, runs := range r.samples {
 		for n, s := range runs {
-			row := []string{number(r.series.sizes[i]), strconv.Itoa(n + 1)}
+			row := []string{formatFloat(r.series.sizes[i]), strconv.Itoa(n + 1)}
 			for _, q := range r.series.quantities {
-				row = append(row, number(*q.of(&s)))
+				row = append(row, formatFloat(*q.of(&s)))
 			}
 			rows = append(rows, row)
 		}
@@ -89,7 +88,7 @@
 	return writeRows(path, rows)
 }
 
-// readCSV reads what writeCSV wrote.
+// readCSV reads a file written by writeCSV.
 func readCSV(path string, s series) (*result, error) {
 	rows, err := readRows(path)
 	if err != nil {
@@ -100,7 +99,7 @@
 		samples: make([][]sample, len(s.sizes)),
 	}
 	for _, row := range rows[1:] {
-		v, err := numbers(path, row)
+		v, err := parseFloats(path, row)
 		if err != nil {
 			return nil, err
 		}
@@ -113,7 +112,7 @@
 		}
 		var one sample
 		for _, q := range s.quantities {
-			if col := slices.Index(rows[0], q.head()); col >= 0 {
+			if col := slices.Index(rows[0], q.column()); col >= 0 {
 				*q.of(&one) = v[col]
 			}
 		}
@@ -122,16 +121,16 @@
 	return r, nil
 }
 
-// latencyHead names the columns of the raw latencies.
-var latencyHead = []string{
+// latencyColumns are the columns of latencyFile.
+var latencyColumns = []string{
 	"requests/s", "direct p50 (us)", "direct p99 (us)", "through p50 (us)", "through p99 (us)", "failed",
 }
 
 func (l *latencyResult) writeCSV(path string) error {
-	rows := [][]string{latencyHead}
+	rows := [][]string{latencyColumns}
 	for _, r := range l.Rows {
 		rows = append(rows, []string{
-			number(r.Rate),
+			formatFloat(r.Rate),
 			strconv.FormatInt(r.DirectP50, 10),
 			strconv.FormatInt(r.DirectP99, 10),
 			strconv.FormatInt(r.ThroughP50, 10),
@@ -149,7 +148,7 @@
 	}
 	out := &latencyResult{}
 	for _, row := range rows[1:] {
-		v, err := numbers(path, row)
+		v, err := parseFloats(path, row)
 		if err != nil {
 			return nil, err
 		}
--- a/internal/capacity/restart.go
+++ b/internal/capacity/restart.go
@@ -8,27 +8,27 @@
 	"time"
 )
 
-// restartName names the measurement of restarts among the series.
+// restartName selects the measurement of restarts in --only.
 const restartName = "restart"
 
-// restartFile holds the raw figures of restarts.
+// restartFile is the file of the raw figures of restarts.
 const restartFile = restartName + ".csv"
 
-// restartRow is one restart before the whole configuration.
+// restartRow is one restart of a node with the whole configuration.
 type restartRow struct {
 	// Ready is the time from the start of the process until it was ready.
 	Ready time.Duration
-	// Received are the bytes that it got from peers until then.
+	// Received is the number of bytes received from peers until then.
 	Received int64
 }
 
-// restartHead names the columns of the raw restarts.
-var restartHead = []string{"run", "ready after (ms)", "bytes from peers"}
+// restartColumns are the columns of restartFile.
+var restartColumns = []string{"run", "ready after (ms)", "bytes from peers"}
 
-// measureRestarts replaces the nodes of a fleet with the configuration of the
-// target size one after another.
+// measureRestarts restarts, one after another, the nodes of a fleet with a configuration
+// of the goal size.
 func measureRestarts(b *bench) ([]restartRow, error) {
-	p := small()
+	p := basePoint()
 	p.nodes = 4
 	p.services = goalServices
 	p.perService = goalTargets / goalServices
@@ -56,29 +56,29 @@
 
 func (f *fleet) restart(i int) (restartRow, error) {
 	f.procs[i].Kill()
-	f.fronts[i].Reset()
-	begun := time.Now()
+	f.proxies[i].Reset()
+	started := time.Now()
 	p, err := f.startNode(i)
 	if err != nil {
 		return restartRow{}, err
 	}
 	f.procs[i] = p
-	for time.Since(begun) < settleTime {
+	for time.Since(started) < readyTimeout {
 		if s := p.Brief(); s != nil && s.Ready {
 			return restartRow{
-				Ready:    time.Since(begun),
+				Ready:    time.Since(started),
 				Received: s.Control.BytesReceived,
 			}, nil
 		}
 		time.Sleep(time.Millisecond)
 	}
-	return restartRow{}, &settleError{
+	return restartRow{}, &notReadyError{
 		want: 1,
 	}
 }
 
 func writeRestarts(path string, list []restartRow) error {
-	rows := [][]string{restartHead}
+	rows := [][]string{restartColumns}
 	for i, r := range list {
 		rows = append(rows, []string{
 			strconv.Itoa(i + 1),
@@ -96,7 +96,7 @@
 	}
 	var out []restartRow
 	for _, row := range rows[1:] {
-		v, err := numbers(path, row)
+		v, err := parseFloats(path, row)
 		if err != nil {
 			return nil, err
 		}
@@ -108,7 +108,7 @@
 	return out, nil
 }
 
-// worstRestart returns the greatest time and the most bytes.
+// worstRestart returns the longest time and the greatest number of bytes.
 func worstRestart(list []restartRow) restartRow {
 	var out restartRow
 	for _, r := range list {
--- a/internal/capacity/series.go
+++ b/internal/capacity/series.go
@@ -13,15 +13,15 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// quantity is one figure of a sample that a slope is taken of.
+// quantity is a measurement of a sample to which a line is fitted.
 type quantity struct {
 	name string
 	unit string
 	of   func(*sample) *float64
 }
 
-// head is the quantity's column in raw figures.
-func (q quantity) head() string { return q.name + " (" + q.unit + ")" }
+// column returns the quantity's column name in raw figures.
+func (q quantity) column() string { return q.name + " (" + q.unit + ")" }
 
 // Quantities.
 var (
@@ -52,18 +52,18 @@
 	}
 )
 
-// series varies one size and holds the others.
+// series varies one size and keeps the others constant.
 type series struct {
 	name       string
 	label      string
 	sizes      []float64
 	goal       float64
 	quantities []quantity
-	at         func(size float64) point
+	pointAt    func(size float64) point
 }
 
-// small is the point that series start from.
-func small() point {
+// basePoint returns the point that most series vary.
+func basePoint() point {
 	return point{
 		nodes:      6,
 		services:   3,
@@ -73,7 +73,7 @@
 	}
 }
 
-// Sizes at the target of the users' first letter.
+// Sizes that the users require.
 const (
 	goalNodes      = 1000
 	goalServices   = 290
@@ -81,8 +81,8 @@
 	goalRoutes     = 7100
 	goalWorkspaces = 48000
 	goalRequests   = 210000.0 / goalNodes
-	// goalChanges are the changes of configuration and of the instance list a
-	// second.
+	// goalChanges is the number of changes of configuration and of the instance list
+	// per second.
 	goalChanges = (2100 + 3700) / 86400.0
 )
 
@@ -95,8 +95,8 @@
 			sizes:      []float64{10, 20, 40, 80},
 			goal:       goalNodes,
 			quantities: control,
-			at: func(size float64) point {
-				p := small()
+			pointAt: func(size float64) point {
+				p := basePoint()
 				p.nodes = int(size)
 				return p
 			},
@@ -107,8 +107,8 @@
 			sizes:      []float64{10, 40, 100, 290},
 			goal:       goalServices,
 			quantities: control,
-			at: func(size float64) point {
-				p := small()
+			pointAt: func(size float64) point {
+				p := basePoint()
 				p.services = int(size)
 				p.perService = 30
 				p.routes = int(size)
@@ -121,8 +121,8 @@
 			sizes:      []float64{100, 1000, 3500, 7100},
 			goal:       goalRoutes,
 			quantities: []quantity{cpuShare, memorySize},
-			at: func(size float64) point {
-				p := small()
+			pointAt: func(size float64) point {
+				p := basePoint()
 				p.routes = int(size)
 				return p
 			},
@@ -133,8 +133,8 @@
 			sizes:      []float64{1000, 10000, 25000, 48000},
 			goal:       goalWorkspaces,
 			quantities: []quantity{cpuShare, memorySize},
-			at: func(size float64) point {
-				p := small()
+			pointAt: func(size float64) point {
+				p := basePoint()
 				p.workspaces = int(size)
 				return p
 			},
@@ -145,8 +145,8 @@
 			sizes:      []float64{0, 1, 2, 4},
 			goal:       goalChanges,
 			quantities: []quantity{sentBytes, receivedBytes, cpuShare},
-			at: func(size float64) point {
-				p := small()
+			pointAt: func(size float64) point {
+				p := basePoint()
 				p.nodes = 20
 				p.changes = size
 				p.changeSize = 10_000
@@ -159,7 +159,7 @@
 			sizes:      []float64{0, 0.5, 1, 2},
 			goal:       goalChanges,
 			quantities: []quantity{cpuShare, memorySize},
-			at: func(size float64) point {
+			pointAt: func(size float64) point {
 				return point{
 					nodes:      4,
 					services:   goalServices,
@@ -177,12 +177,12 @@
 			sizes:      []float64{0, 20, 50, 100},
 			goal:       goalRequests,
 			quantities: []quantity{sentBytes, receivedBytes, peerCalls},
-			at: func(size float64) point {
-				p := small()
+			pointAt: func(size float64) point {
+				p := basePoint()
 				p.nodes = 18
 				p.services = 10
 				p.perService = 30
-				// Without workspaces there are no limits on them.
+				// Without workspaces no rate limits apply.
 				p.workspaces = 0
 				p.requests = size * float64(p.nodes)
 				return p
@@ -205,7 +205,7 @@
 	}
 	for i, size := range s.sizes {
 		for range runs {
-			one, err := b.run(s.at(size))
+			one, err := b.run(s.pointAt(size))
 			if err != nil {
 				return nil, err
 			}
@@ -216,12 +216,12 @@
 	return r, nil
 }
 
-// fit is a straight line through all samples of one quantity.
+// fit is the linear regression over all samples of one quantity.
 type fit struct {
 	base, slope float64
 	// residual is the standard deviation of the samples from the line.
 	residual float64
-	// spread is the greatest relative deviation of a run from its size's mean.
+	// spread is the greatest relative deviation of a run from the mean of its size.
 	spread float64
 }
 
@@ -266,7 +266,7 @@
 	return worst
 }
 
-// at returns the line's value at a size.
+// at returns the fitted value at a size.
 func (f fit) at(size float64) float64 { return f.base + f.slope*size }
 
 // plot draws each quantity with its fit.
@@ -275,7 +275,7 @@
 		p := plot.New()
 		p.Title.Text = q.name + " of a node"
 		p.X.Label.Text = r.series.label
-		p.Y.Label.Text = q.head()
+		p.Y.Label.Text = q.column()
 		p.Y.Min = 0
 		xs, ys := r.values(q)
 		points := make(plotter.XYs, len(xs))
--- a/internal/detection/fault.go
+++ b/internal/detection/fault.go
@@ -6,37 +6,39 @@
 	"time"
 )
 
-// fault is a scenario. Target 0 is the sick one where there is one.
+// fault is a scenario. Where it affects one target, that is target 0.
 type fault struct {
 	name string
 	// begin injects the fault.
 	begin func(w *world)
-	// seen reports whether the fault has been detected; nil if nothing is sick.
-	seen func(w *world) bool
-	// sick are the targets whose ejection is right.
+	// detected reports whether the fault has been detected; nil if no target should be
+	// ejected.
+	detected func(w *world) bool
+	// sick are the targets whose ejection is correct at every node.
 	sick []int
-	// cut is the number of nodes whose ejections are right, the first ones.
+	// cut returns the nodes that are cut off from target 0 and whose ejections of it are
+	// correct.
 	cut func(w *world) []int
 }
 
-// seenShare is the share of nodes that must have taken the target out.
-const seenShare = 0.9
+// detectedShare is the share of nodes that must have ejected the target.
+const detectedShare = 0.9
 
-func seenByAll(w *world) bool { return w.outShare(0) >= seenShare }
+func detectedByMost(w *world) bool { return w.ejectedShare(0) >= detectedShare }
 
 func flap(period time.Duration) func(w *world) {
 	return func(w *world) {
 		t := w.targets[0]
-		var turn func()
-		turn = func() {
+		var toggle func()
+		toggle = func() {
 			t.stall = !t.stall
-			w.at(w.now+period/2, kindFault, nil, turn)
+			w.at(w.now+period/2, kindFault, nil, toggle)
 		}
-		turn()
+		toggle()
 	}
 }
 
-func cutOff(nodes func(w *world) []int) func(w *world) {
+func cutNodes(nodes func(w *world) []int) func(w *world) {
 	return func(w *world) {
 		for _, n := range nodes(w) {
 			w.targets[0].cut[n] = true
@@ -44,10 +46,10 @@
 	}
 }
 
-func cutSeen(nodes func(w *world) []int) func(w *world) bool {
+func detectedByCut(nodes func(w *world) []int) func(w *world) bool {
 	return func(w *world) bool {
 		for _, n := range nodes(w) {
-			if !w.nodes[n].strategy.out(0) {
+			if !w.nodes[n].strategy.ejected(0) {
 				return false
 			}
 		}
@@ -67,8 +69,8 @@
 	return out
 }
 
-// each applies a change to all targets.
-func each(fn func(t *fakeTarget)) func(w *world) {
+// allTargets returns a function that applies a change to all targets.
+func allTargets(fn func(t *fakeTarget)) func(w *world) {
 	return func(w *world) {
 		for _, t := range w.targets {
 			fn(t)
@@ -80,60 +82,60 @@
 	one := []int{0}
 	return []fault{
 		{
-			name:  "hard stall, probes fine",
-			sick:  one,
-			seen:  seenByAll,
-			begin: func(w *world) { w.targets[0].stall = true },
+			name:     "hard stall, probes fine",
+			sick:     one,
+			detected: detectedByMost,
+			begin:    func(w *world) { w.targets[0].stall = true },
 		},
 		{
-			name:  "10 times slow",
-			sick:  one,
-			seen:  seenByAll,
-			begin: func(w *world) { w.targets[0].slow = 10 },
+			name:     "10 times slow",
+			sick:     one,
+			detected: detectedByMost,
+			begin:    func(w *world) { w.targets[0].slow = 10 },
 		},
 		{
-			name:  "30% errors",
-			sick:  one,
-			seen:  seenByAll,
-			begin: func(w *world) { w.targets[0].errors = 0.3 },
+			name:     "30% errors",
+			sick:     one,
+			detected: detectedByMost,
+			begin:    func(w *world) { w.targets[0].errors = 0.3 },
 		},
 		{
-			name:  "flapping, period 4 s",
-			sick:  one,
-			seen:  seenByAll,
-			begin: flap(4 * time.Second),
+			name:     "flapping, period 4 s",
+			sick:     one,
+			detected: detectedByMost,
+			begin:    flap(4 * time.Second),
 		},
 		{
-			name:  "flapping, period 20 s",
-			sick:  one,
-			seen:  seenByAll,
-			begin: flap(20 * time.Second),
+			name:     "flapping, period 20 s",
+			sick:     one,
+			detected: detectedByMost,
+			begin:    flap(20 * time.Second),
 		},
 		{
-			name:  "flapping, period 120 s",
-			sick:  one,
-			seen:  seenByAll,
-			begin: flap(120 * time.Second),
+			name:     "flapping, period 120 s",
+			sick:     one,
+			detected: detectedByMost,
+			begin:    flap(120 * time.Second),
 		},
 		{
-			name:  "cut from one node",
-			cut:   firstNode,
-			seen:  cutSeen(firstNode),
-			begin: cutOff(firstNode),
+			name:     "cut from one node",
+			cut:      firstNode,
+			detected: detectedByCut(firstNode),
+			begin:    cutNodes(firstNode),
 		},
 		{
-			name:  "cut from one data hall",
-			cut:   firstHall,
-			seen:  cutSeen(firstHall),
-			begin: cutOff(firstHall),
+			name:     "cut from one data hall",
+			cut:      firstHall,
+			detected: detectedByCut(firstHall),
+			begin:    cutNodes(firstHall),
 		},
 		{
 			name:  "whole pool 10 times slow",
-			begin: each(func(t *fakeTarget) { t.slow = 10 }),
+			begin: allTargets(func(t *fakeTarget) { t.slow = 10 }),
 		},
 		{
 			name:  "overload, half is shed",
-			begin: each(func(t *fakeTarget) { t.shed = 0.5 }),
+			begin: allTargets(func(t *fakeTarget) { t.shed = 0.5 }),
 		},
 		{
 			name:  "cold start, 3 times slow for 10 s",
--- a/internal/detection/measure.go
+++ b/internal/detection/measure.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// Pools of the brief, with assumed loads of about a sixth of their slots.
+// Pools of the users, with assumed loads of about a sixth of their slots.
 var (
 	quotes = pool{
 		name:    "quotes",
@@ -68,10 +68,10 @@
 	}
 )
 
-// method is a way of judging.
+// method is a named strategy of ejection.
 type method struct {
 	name string
-	// threshold is the knob of the shared method, 0 for baselines.
+	// threshold is the parameter of shared evidence, 0 for baselines.
 	threshold float64
 	build     func(w *world)
 }
@@ -80,11 +80,11 @@
 	return method{
 		name:      fmt.Sprintf("shared evidence, threshold %g", threshold),
 		threshold: threshold,
-		build:     shared(threshold),
+		build:     sharedEvidence(threshold),
 	}
 }
 
-// thresholds are the settings of the curve.
+// thresholds are the points of the curve.
 var thresholds = []float64{4, 7, 10, 14, 20}
 
 func baselines() []method {
@@ -106,43 +106,44 @@
 
 // Times of a run with a fault.
 const (
-	warmUp    = time.Minute
-	faultTime = time.Minute
-	look      = 50 * time.Millisecond
+	warmUp        = time.Minute
+	faultTime     = time.Minute
+	checkInterval = 50 * time.Millisecond
 )
 
-// trial is one run with a fault.
-type trial struct {
+// faultRun is one run with a fault.
+type faultRun struct {
 	// detected is the time until detection; negative means never.
 	detected time.Duration
-	// wrong is the number of ejections that the fault doesn't justify, each
-	// counting for its share of the nodes.
-	wrong float64
+	// falseEjections is the number of ejections that the fault doesn't justify, divided
+	// by the number of nodes.
+	falseEjections float64
 	// lost is the number of failed requests.
 	lost int
 }
 
-func runFault(p pool, m method, f fault, seed uint64) trial {
+func runFault(p pool, m method, f fault, seed uint64) faultRun {
 	w := newWorld(p, seed, m.build)
 	w.runUntil(warmUp)
-	before, lost := w.wrong(f), w.failed
+	before, lost := w.falseEjections(f), w.failed
 	f.begin(w)
-	out := trial{
+	out := faultRun{
 		detected: -1,
 	}
 	for w.now < warmUp+faultTime {
-		w.runUntil(w.now + look)
-		if out.detected < 0 && f.seen != nil && f.seen(w) {
+		w.runUntil(w.now + checkInterval)
+		if out.detected < 0 && f.detected != nil && f.detected(w) {
 			out.detected = w.now - warmUp
 		}
 	}
-	out.wrong = w.wrong(f) - before
+	out.falseEjections = w.falseEjections(f) - before
 	out.lost = w.failed - lost
 	return out
 }
 
-// wrong returns the ejections that a fault doesn't justify.
-func (w *world) wrong(f fault) float64 {
+// falseEjections returns the ejections that a fault doesn't justify, divided by the number
+// of nodes.
+func (w *world) falseEjections(f fault) float64 {
 	all := w.ejections(f.sick...)
 	if f.cut == nil {
 		return all
@@ -154,33 +155,33 @@
 	return all - float64(right)/float64(len(w.nodes))
 }
 
-// cell is a method under a fault.
+// cell holds the runs of one method under one fault.
 type cell struct {
 	pool   pool
 	method method
 	fault  fault
-	trials []trial
+	runs   []faultRun
 }
 
-// quietCell is a method without a fault.
+// quietCell holds the results of one method without faults.
 type quietCell struct {
 	pool   pool
 	method method
 	// length is the time without faults.
 	length time.Duration
-	// perDay is the number of false ejections a day.
+	// perDay is the number of false ejections per day.
 	perDay float64
 	failed float64
 }
 
-// report holds all that was measured.
+// report holds all results.
 type report struct {
 	args  arguments
 	cells []*cell
 	quiet []*quietCell
 }
 
-// workers bounds how many runs go on at once.
+// workers is the number of jobs that run concurrently.
 const workers = 4
 
 func measureAll(args arguments) (*report, error) {
@@ -201,19 +202,20 @@
 		}
 	}
 	for _, p := range []pool{quotes, reservations, documents, drafts, receipts, exports} {
-		m := sharedMethod(chosen(p))
+		m := sharedMethod(recommendedThreshold(p))
 		jobs = append(jobs, r.quietJob(p, m, args.Long))
 		if p.name != documents.name && p.name != drafts.name {
 			jobs = append(jobs, r.faultJob(p, m, faults()[0]))
 		}
 	}
-	work(jobs, args.Only)
+	runJobs(jobs, args.Only)
 	return r, nil
 }
 
-// chosen returns the threshold that the page recommends for the user of a pool:
-// the non-profit weighs false ejections, the directorate detection time.
-func chosen(p pool) float64 {
+// recommendedThreshold returns the threshold that the page recommends for the user of a pool:
+// the non-profit gives priority to few false ejections, the directorate to short detection
+// times.
+func recommendedThreshold(p pool) float64 {
 	if slices.Contains([]string{quotes.name, reservations.name, documents.name}, p.name) {
 		return leasingThreshold
 	}
@@ -226,17 +228,17 @@
 	directorateThreshold = 7
 )
 
-// job is one cell to measure.
+// job measures one cell.
 type job struct {
 	name string
 	run  func()
 }
 
-func work(jobs []job, only string) {
-	var all sync.WaitGroup
+func runJobs(jobs []job, only string) {
+	var wg sync.WaitGroup
 	next := make(chan func())
 	for range workers {
-		all.Go(func() {
+		wg.Go(func() {
 			for run := range next {
 				run()
 			}
@@ -248,7 +250,7 @@
 		}
 	}
 	close(next)
-	all.Wait()
+	wg.Wait()
 }
 
 func (r *report) quietJob(p pool, m method, length time.Duration) job {
@@ -287,44 +289,44 @@
 
 func (r *report) runFaults(c *cell) {
 	for i := range r.args.Runs {
-		c.trials = append(c.trials, runFault(c.pool, c.method, c.fault, uint64(i+1)))
+		c.runs = append(c.runs, runFault(c.pool, c.method, c.fault, uint64(i+1)))
 	}
 	fmt.Printf("%s, %s, %s: %s\n", c.pool.name, c.method.name, c.fault.name, c.summary())
 }
 
-// detection returns the median and the 95th percentile, and how often the fault
-// was never detected.
-func (c *cell) detection() (median, high time.Duration, never int) {
+// detection returns the median and the 95th percentile of the detection time, and in how
+// many runs the fault was not detected; these count as faultTime.
+func (c *cell) detection() (median, p95 time.Duration, missed int) {
 	var times []time.Duration
-	for _, t := range c.trials {
+	for _, t := range c.runs {
 		if t.detected < 0 {
-			never++
+			missed++
 			times = append(times, faultTime)
 			continue
 		}
 		times = append(times, t.detected)
 	}
 	slices.Sort(times)
-	return times[len(times)/2], times[len(times)*95/100], never
+	return times[len(times)/2], times[len(times)*95/100], missed
 }
 
-func (c *cell) wrong() float64 {
+func (c *cell) falseEjections() float64 {
 	total := 0.0
-	for _, t := range c.trials {
-		total += t.wrong / float64(len(c.trials))
+	for _, t := range c.runs {
+		total += t.falseEjections / float64(len(c.runs))
 	}
 	return total
 }
 
 func (c *cell) lost() float64 {
 	total := 0.0
-	for _, t := range c.trials {
-		total += float64(t.lost) / float64(len(c.trials))
+	for _, t := range c.runs {
+		total += float64(t.lost) / float64(len(c.runs))
 	}
 	return total
 }
 
 func (c *cell) summary() string {
 	median, high, never := c.detection()
-	return fmt.Sprintf("median %v, 95%% %v, never %d of %d, wrong %.2f, lost %.0f", median, high, never, len(c.trials), c.wrong(), c.lost())
+	return fmt.Sprintf("median %v, 95%% %v, never %d of %d, wrong %.2f, lost %.0f", median, high, never, len(c.runs), c.falseEjections(), c.lost())
 }
--- a/internal/detection/page.go
+++ b/internal/detection/page.go
@@ -21,7 +21,7 @@
 //go:embed page.tmpl
 var pageText string
 
-// row is one line of a table.
+// row is one row of a table.
 type row []string
 
 // table is one table of the page.
@@ -31,7 +31,7 @@
 	Rows  []row
 }
 
-// Markdown returns the table in Markdown.
+// Markdown returns the table as Markdown.
 func (t table) Markdown() string {
 	var b strings.Builder
 	line := func(r row) { fmt.Fprintf(&b, "| %s |\n", strings.Join(r, " | ")) }
@@ -69,7 +69,7 @@
 	return f.Close()
 }
 
-// faultTable shows every fault under every method.
+// faultTable returns the results of every fault under every method.
 func (r *report) faultTable(p pool) table {
 	t := table{
 		Title: p.name,
@@ -98,21 +98,21 @@
 	return t
 }
 
-// text is one cell: detection time, wrong ejections, lost requests.
+// text returns the cell's detection time, false ejections and lost requests.
 func (c *cell) text() string {
 	s := ""
-	if c.fault.seen != nil {
+	if c.fault.detected != nil {
 		median, high, never := c.detection()
 		switch {
-		case never == len(c.trials):
+		case never == len(c.runs):
 			s = "never, "
 		case never > 0:
-			s = fmt.Sprintf("%s / never in %d of %d, ", seconds(median), never, len(c.trials))
+			s = fmt.Sprintf("%s / never in %d of %d, ", seconds(median), never, len(c.runs))
 		default:
 			s = fmt.Sprintf("%s / %s, ", seconds(median), seconds(high))
 		}
 	}
-	return s + fmt.Sprintf("%.2f wrong, %.0f lost", c.wrong(), c.lost())
+	return s + fmt.Sprintf("%.2f wrong, %.0f lost", c.falseEjections(), c.lost())
 }
 
 func seconds(d time.Duration) string { return fmt.Sprintf("%.1f s", d.Seconds()) }
@@ -135,9 +135,9 @@
 	}
 	for _, p := range []pool{quotes, reservations, documents, drafts, receipts, exports} {
 		for _, c := range r.cells {
-			if c.pool.name == p.name && c.fault.name == faults()[0].name && c.method.threshold == chosen(p) {
+			if c.pool.name == p.name && c.fault.name == faults()[0].name && c.method.threshold == recommendedThreshold(p) {
 				median, high, _ := c.detection()
-				t.Rows = append(t.Rows, row{p.name, fmt.Sprint(chosen(p)), seconds(median) + " / " + seconds(high)})
+				t.Rows = append(t.Rows, row{p.name, fmt.Sprint(recommendedThreshold(p)), seconds(median) + " / " + seconds(high)})
 			}
 		}
 	}
@@ -147,10 +147,10 @@
 func (r *report) writeCSV(dir string) error {
 	rows := [][]string{{"service", "method", "fault", "run", "detected (s)", "wrong ejections", "lost requests"}}
 	for _, c := range r.cells {
-		for i, t := range c.trials {
+		for i, t := range c.runs {
 			rows = append(rows, []string{
 				c.pool.name, c.method.name, c.fault.name, fmt.Sprint(i + 1),
-				fmt.Sprintf("%.2f", t.detected.Seconds()), fmt.Sprintf("%.3f", t.wrong), fmt.Sprint(t.lost),
+				fmt.Sprintf("%.2f", t.detected.Seconds()), fmt.Sprintf("%.3f", t.falseEjections), fmt.Sprint(t.lost),
 			})
 		}
 	}
@@ -175,7 +175,7 @@
 	return f.Close()
 }
 
-// plot draws the curve of both users: one point for each threshold.
+// plot draws the curve of both users, with one point per threshold.
 func (r *report) plot(dir string) error {
 	p := plot.New()
 	p.Title.Text = "Detection of a hard stall against false ejections"
--- a/internal/detection/strategy.go
+++ b/internal/detection/strategy.go
@@ -12,27 +12,27 @@
 	"ploverjunction.example/ploverjunction/internal/policy"
 )
 
-// floorShare is the part of the capacity that every strategy keeps in service.
+// floorShare is the share of the capacity that every strategy keeps in service.
 const floorShare = 0.5
 
 func targetName(i int) string { return fmt.Sprintf("192.0.2.%d:80", i+1) }
 
-// chooser is the part that all strategies share: the fleet's balancer.
-type chooser struct {
-	w      *world
-	node   *fakeNode
-	gauges []*balance.Gauge
-	pool   *balance.Pool
-	state  func(now time.Time, target int) outlier.State
-	isOut  []bool
+// balancer picks targets with the fleet's balancer; all strategies use it.
+type balancer struct {
+	w       *world
+	node    *fakeNode
+	gauges  []*balance.Gauge
+	pool    *balance.Pool
+	state   func(now time.Time, target int) outlier.State
+	ejected []bool
 }
 
-func newChooser(w *world, n *fakeNode, state func(time.Time, int) outlier.State) *chooser {
-	c := &chooser{
-		w:     w,
-		node:  n,
-		state: state,
-		isOut: make([]bool, len(w.targets)),
+func newBalancer(w *world, n *fakeNode, state func(time.Time, int) outlier.State) *balancer {
+	c := &balancer{
+		w:       w,
+		node:    n,
+		state:   state,
+		ejected: make([]bool, len(w.targets)),
 	}
 	for range w.targets {
 		c.gauges = append(c.gauges, &balance.Gauge{})
@@ -41,16 +41,16 @@
 	return c
 }
 
-// rebuild makes the pool anew after a change.
-func (c *chooser) rebuild(now time.Time) {
+// rebuild rebuilds the pool after a change of a target's state.
+func (c *balancer) rebuild(now time.Time) {
 	var members []balance.Member
 	for i, t := range c.w.targets {
 		s := c.state(now, i)
 		out := s.Phase == outlier.PhaseEjected || s.Phase == outlier.PhaseTrial
-		if s.Phase == outlier.PhaseEjected && !c.isOut[i] {
+		if s.Phase == outlier.PhaseEjected && !c.ejected[i] {
 			c.node.ejections[i]++
 		}
-		c.isOut[i] = out
+		c.ejected[i] = out
 		members = append(members, balance.Member{
 			Key:         t.name,
 			Slots:       c.w.pool.slots,
@@ -66,8 +66,9 @@
 	c.pool = balance.NewPool(members, floor, fmt.Sprint("node", c.node.index), c.w.pool.nodes)
 }
 
-// take picks a target; observe is told how the request ended.
-func (c *chooser) take(observe func(target int) func(now time.Time, ok, shed bool)) (int, func(time.Time, bool, bool), bool) {
+// pickTarget picks a target; the function that observe returns gets the result of the
+// request.
+func (c *balancer) pickTarget(observe func(target int) func(now time.Time, ok, shed bool)) (int, func(time.Time, bool, bool), bool) {
 	p, ok := c.pool.Pick(c.w.rng.Uint64, nil, nil)
 	if !ok {
 		return 0, nil, false
@@ -75,7 +76,7 @@
 	return c.use(p, observe)
 }
 
-func (c *chooser) use(p balance.Pick, observe func(target int) func(time.Time, bool, bool)) (int, func(time.Time, bool, bool), bool) {
+func (c *balancer) use(p balance.Pick, observe func(target int) func(time.Time, bool, bool)) (int, func(time.Time, bool, bool), bool) {
 	i := c.index(p.Key())
 	end := observe(i)
 	return i, func(now time.Time, ok, shed bool) {
@@ -84,21 +85,21 @@
 	}, true
 }
 
-func (c *chooser) index(address string) int {
+func (c *balancer) index(address string) int {
 	for i, t := range c.w.targets {
 		if t.name == address {
 			return i
 		}
 	}
-	panic("detection: the pool knows only the targets: " + address)
+	panic("detection: picked target is not in the simulation: " + address)
 }
 
-// shared is the fleet's own way of judging.
-func shared(threshold float64) func(w *world) {
+// sharedEvidence returns the fleet's own strategy: nodes share their evidence.
+func sharedEvidence(threshold float64) func(w *world) {
 	return func(w *world) {
 		prg, err := policy.Compile(policy.Text{})
 		if err != nil {
-			panic("detection: the default policy compiles: " + err.Error())
+			panic("detection: default policy does not compile: " + err.Error())
 		}
 		info := outlier.Service{
 			Name:      "s",
@@ -108,14 +109,14 @@
 		for _, t := range w.targets {
 			info.Targets = append(info.Targets, t.name)
 		}
-		halls := make([]*hallFake, w.pool.halls)
+		halls := make([]*fakeHall, w.pool.halls)
 		for i := range halls {
-			halls[i] = &hallFake{
+			halls[i] = &fakeHall{
 				observer: outlier.NewObserver(info),
 			}
 		}
 		for _, n := range w.nodes {
-			s := newSharing(w, n, info)
+			s := newSharingNode(w, n, info)
 			n.strategy = s.strategy()
 			halls[n.hall].nodes = append(halls[n.hall].nodes, s)
 		}
@@ -125,23 +126,24 @@
 	}
 }
 
-// slowInterval is how often evidence goes out that is not urgent.
+// slowInterval is the time between reports of evidence that is not urgent.
 const slowInterval = 2 * time.Second
 
-// hallFake is a data hall with its observer.
-type hallFake struct {
-	observer *outlier.Observer
-	nodes    []*sharing
-	summed   time.Time
+// fakeHall is a data hall with its nodes and its observer.
+type fakeHall struct {
+	observer   *outlier.Observer
+	nodes      []*sharingNode
+	summarized time.Time
 }
 
-// tick passes the nodes' evidence on, as the observing controller does.
-func (h *hallFake) tick(now time.Time, self int, halls []*hallFake) {
+// tick reports the nodes' evidence and distributes the decisions, as the observer's
+// controller does.
+func (h *fakeHall) tick(now time.Time, self int, halls []*fakeHall) {
 	for _, n := range h.nodes {
 		n.report(now, h.observer)
 	}
-	if h.observer.Urgent() || now.Sub(h.summed) >= slowInterval {
-		h.summed = now
+	if h.observer.Urgent() || now.Sub(h.summarized) >= slowInterval {
+		h.summarized = now
 		for _, c := range h.observer.TakeSummary() {
 			for i, other := range halls {
 				if i != self {
@@ -152,57 +154,57 @@
 	}
 	for _, v := range h.observer.Advance(now) {
 		for _, n := range h.nodes {
-			n.judge.EjectForLease(now, v.Target, v.Score, v.Lease)
-			n.chooser.rebuild(now)
+			n.controller.EjectForLease(now, v.Target, v.Score, v.Lease)
+			n.balancer.rebuild(now)
 		}
 	}
 }
 
-// sharing is one node that shares its evidence.
-type sharing struct {
-	*chooser
-	w         *world
-	node      *fakeNode
-	info      outlier.Service
-	collector *outlier.Collector
-	detector  *outlier.Detector
-	judge     *outlier.Controller
-	pending   map[string]outlier.Counts
-	urgent    bool
-	sent      time.Time
+// sharingNode is a node that shares its evidence.
+type sharingNode struct {
+	*balancer
+	w          *world
+	node       *fakeNode
+	info       outlier.Service
+	collector  *outlier.Collector
+	detector   *outlier.Detector
+	controller *outlier.Controller
+	pending    map[string]outlier.Counts
+	urgent     bool
+	sent       time.Time
 }
 
-func newSharing(w *world, n *fakeNode, info outlier.Service) *sharing {
-	s := &sharing{
-		w:         w,
-		node:      n,
-		info:      info,
-		collector: outlier.NewCollector(tick),
-		detector:  outlier.NewDetector(info.Threshold),
-		judge:     outlier.NewController(),
-		pending:   map[string]outlier.Counts{},
+func newSharingNode(w *world, n *fakeNode, info outlier.Service) *sharingNode {
+	s := &sharingNode{
+		w:          w,
+		node:       n,
+		info:       info,
+		collector:  outlier.NewCollector(tick),
+		detector:   outlier.NewDetector(info.Threshold),
+		controller: outlier.NewController(),
+		pending:    map[string]outlier.Counts{},
 	}
-	s.judge.SetTargets(epoch, info.Targets)
-	s.chooser = newChooser(w, n, func(now time.Time, target int) outlier.State {
-		return s.judge.State(now, targetName(target))
+	s.controller.SetTargets(epoch, info.Targets)
+	s.balancer = newBalancer(w, n, func(now time.Time, target int) outlier.State {
+		return s.controller.State(now, targetName(target))
 	})
 	return s
 }
 
-func (s *sharing) strategy() strategy {
+func (s *sharingNode) strategy() strategy {
 	return strategy{
 		pick: func(now time.Time) (int, func(time.Time, bool, bool), bool) {
 			if p, ok := s.pool.PickTrial(s.w.rng.Uint64); ok {
-				s.trial(now, p)
+				s.sendTrial(now, p)
 			}
-			return s.take(func(target int) func(time.Time, bool, bool) { return s.observe(now, target) })
+			return s.pickTarget(func(target int) func(time.Time, bool, bool) { return s.observe(now, target) })
 		},
-		tick: s.tick,
-		out:  func(target int) bool { return s.isOut[target] },
+		tick:    s.tick,
+		ejected: func(target int) bool { return s.ejected[target] },
 	}
 }
 
-func (s *sharing) observe(now time.Time, target int) func(time.Time, bool, bool) {
+func (s *sharingNode) observe(now time.Time, target int) func(time.Time, bool, bool) {
 	f := s.collector.Begin(now, "s", "c", targetName(target))
 	return func(now time.Time, ok, shed bool) {
 		f.End(now, outlier.Result{
@@ -212,24 +214,24 @@
 	}
 }
 
-// trial sends a copy that nobody waits for.
-func (s *sharing) trial(now time.Time, p balance.Pick) {
+// sendTrial sends a trial request, a copy whose answer no caller waits for.
+func (s *sharingNode) sendTrial(now time.Time, p balance.Pick) {
 	i, end, _ := s.use(p, func(target int) func(time.Time, bool, bool) { return s.observe(now, target) })
 	r := &request{
-		node:   s.node,
-		target: s.w.targets[i],
-		begun:  s.w.now,
-		end:    end,
+		node:    s.node,
+		target:  s.w.targets[i],
+		started: s.w.now,
+		end:     end,
 	}
 	s.w.send(r)
 }
 
-func (s *sharing) tick(now time.Time) {
+func (s *sharingNode) tick(now time.Time) {
 	changed := false
 	var counts []outlier.Counts
 	for _, e := range s.collector.Drain(now) {
 		c := e.Counts
-		s.judge.Record(now, c)
+		s.controller.Record(now, c)
 		counts = append(counts, c)
 		sum := s.pending[c.Target]
 		sum.Target = c.Target
@@ -243,18 +245,18 @@
 		s.detector.Update(now, counts)
 		for _, t := range s.info.Targets {
 			if r := s.detector.Score(t); r.Score >= s.info.Threshold {
-				s.judge.EjectLocal(now, t, r.Score)
+				s.controller.EjectLocal(now, t, r.Score)
 				s.detector.Reset(t)
 				changed = true
 			}
 		}
 	}
-	if s.judge.Advance(now) || changed {
+	if s.controller.Advance(now) || changed {
 		s.rebuild(now)
 	}
 }
 
-func (s *sharing) report(now time.Time, o *outlier.Observer) {
+func (s *sharingNode) report(now time.Time, o *outlier.Observer) {
 	if len(s.pending) == 0 || !s.urgent && now.Sub(s.sent) < slowInterval {
 		return
 	}
@@ -266,46 +268,47 @@
 	s.sent = now
 }
 
-// alone is a node that judges by its own failures; eject says which targets go.
-type alone struct {
-	*chooser
-	until []time.Time
-	ends  []ends
-	eject func(a *alone, now time.Time, target int) bool
-	// interval is the time between two judgements; 0 judges at each end.
-	interval time.Duration
-	judged   time.Time
+// independentNode is a node that ejects targets by its own results only, as eject
+// decides.
+type independentNode struct {
+	*balancer
+	until    []time.Time
+	outcomes []outcomeCount
+	eject    func(a *independentNode, now time.Time, target int) bool
+	// interval is the time between two evaluations; 0 evaluates after each request.
+	interval  time.Duration
+	evaluated time.Time
 }
 
-// ends counts the ends of requests to one target.
-type ends struct {
-	ok, failed float64
-	row        int
+// outcomeCount counts the results of requests to one target.
+type outcomeCount struct {
+	ok, failed    float64
+	failuresInRow int
 }
 
-// holdAlone is how long baselines eject.
-const holdAlone = 30 * time.Second
+// baselineEjection is how long baselines eject a target.
+const baselineEjection = 30 * time.Second
 
-func baseline(interval time.Duration, eject func(a *alone, now time.Time, target int) bool) func(w *world) {
+func baseline(interval time.Duration, eject func(a *independentNode, now time.Time, target int) bool) func(w *world) {
 	return func(w *world) {
 		for _, n := range w.nodes {
-			a := &alone{
+			a := &independentNode{
 				until:    make([]time.Time, len(w.targets)),
-				ends:     make([]ends, len(w.targets)),
+				outcomes: make([]outcomeCount, len(w.targets)),
 				eject:    eject,
 				interval: interval,
 			}
-			a.chooser = newChooser(w, n, a.stateOf)
+			a.balancer = newBalancer(w, n, a.stateOf)
 			n.strategy = strategy{
-				pick: func(time.Time) (int, func(time.Time, bool, bool), bool) { return a.take(a.observe) },
-				tick: a.tick,
-				out:  func(target int) bool { return a.isOut[target] },
+				pick:    func(time.Time) (int, func(time.Time, bool, bool), bool) { return a.pickTarget(a.observe) },
+				tick:    a.tick,
+				ejected: func(target int) bool { return a.ejected[target] },
 			}
 		}
 	}
 }
 
-func (a *alone) stateOf(now time.Time, target int) outlier.State {
+func (a *independentNode) stateOf(now time.Time, target int) outlier.State {
 	s := outlier.State{
 		Warmth: 1,
 	}
@@ -315,77 +318,80 @@
 	return s
 }
 
-func (a *alone) observe(target int) func(time.Time, bool, bool) {
+func (a *independentNode) observe(target int) func(time.Time, bool, bool) {
 	return func(now time.Time, ok, shed bool) {
-		e := &a.ends[target]
+		e := &a.outcomes[target]
 		switch {
 		case shed:
 		case ok:
 			e.ok++
-			e.row = 0
+			e.failuresInRow = 0
 		default:
 			e.failed++
-			e.row++
+			e.failuresInRow++
 		}
 		if a.interval == 0 {
-			a.judge(now, target)
+			a.evaluate(now, target)
 		}
 	}
 }
 
-func (a *alone) judge(now time.Time, target int) {
+func (a *independentNode) evaluate(now time.Time, target int) {
 	if a.eject(a, now, target) {
-		a.until[target] = now.Add(holdAlone)
-		a.ends[target] = ends{}
+		a.until[target] = now.Add(baselineEjection)
+		a.outcomes[target] = outcomeCount{}
 		a.rebuild(now)
 	}
 }
 
-func (a *alone) tick(now time.Time) {
+func (a *independentNode) tick(now time.Time) {
 	for i := range a.until {
-		if a.isOut[i] && !now.Before(a.until[i]) {
+		if a.ejected[i] && !now.Before(a.until[i]) {
 			a.rebuild(now)
 		}
 	}
-	if a.interval == 0 || now.Sub(a.judged) < a.interval {
+	if a.interval == 0 || now.Sub(a.evaluated) < a.interval {
 		return
 	}
-	a.judged = now
-	for i := range a.ends {
-		a.judge(now, i)
+	a.evaluated = now
+	for i := range a.outcomes {
+		a.evaluate(now, i)
 	}
-	clear(a.ends)
+	clear(a.outcomes)
 }
 
-// never ejects nothing.
-func never(*alone, time.Time, int) bool { return false }
+// never ejects no target.
+func never(*independentNode, time.Time, int) bool { return false }
 
-// rowLength is how many failures in a row eject in the baseline.
-const rowLength = 5
+// consecutiveFailures is the number of failures in a row after which the baseline ejects.
+const consecutiveFailures = 5
 
-// consecutive ejects after failures in a row, the common default.
-func consecutive(a *alone, _ time.Time, target int) bool { return a.ends[target].row >= rowLength }
+// consecutive ejects after consecutiveFailures, the common default of proxies.
+func consecutive(a *independentNode, _ time.Time, target int) bool {
+	return a.outcomes[target].failuresInRow >= consecutiveFailures
+}
 
-// Parameters of the success-rate baseline, after the defaults of common proxies:
+// Parameters of the success-rate baseline, from the defaults of common proxies:
 // at least five targets with enough requests, a factor of 1.9 standard
-// deviations. The usual 100 requests would never be reached here; 5 are asked.
+// deviations. 5 requests are required, not the usual 100, which the simulated load
+// never reaches.
 const (
-	rateInterval = 10 * time.Second
-	rateTargets  = 5
-	rateRequests = 5
-	rateFactor   = 1.9
+	rateInterval    = 10 * time.Second
+	rateMinTargets  = 5
+	rateMinRequests = 5
+	rateFactor      = 1.9
 )
 
-// successRate ejects targets whose success rate stands out below the others'.
-func successRate(a *alone, _ time.Time, target int) bool {
+// successRate ejects a target whose success rate is an outlier below the mean.
+func successRate(a *independentNode, _ time.Time, target int) bool {
 	var rates []float64
-	for _, e := range a.ends {
-		if n := e.ok + e.failed; n >= rateRequests {
+	for _, e := range a.outcomes {
+		if n := e.ok + e.failed; n >= rateMinRequests {
 			rates = append(rates, e.ok/n)
 		}
 	}
-	own := a.ends[target]
-	if len(rates) < rateTargets || own.ok+own.failed < rateRequests {
+	own := a.outcomes[target]
+	if len(rates) < rateMinTargets || own.ok+own.failed < rateMinRequests {
 		return false
 	}
 	mean, square := 0.0, 0.0
--- a/internal/standin/target/faulty.go
+++ b/internal/standin/target/faulty.go
@@ -4,16 +4,16 @@
 
 import "net/http"
 
-// faulty is a body that breaks off, stops or comes slowly.
-type faulty struct {
+// faultyWriter truncates, stalls or slows down the body of a response.
+type faultyWriter struct {
 	http.ResponseWriter
 	request *http.Request
 	mode    *Mode
 	sent    int64
 }
 
-// Write sends b in pieces, up to the fault.
-func (f *faulty) Write(b []byte) (int, error) {
+// Write sends b in chunks up to the fault.
+func (f *faultyWriter) Write(b []byte) (int, error) {
 	const piece = 16 << 10
 	done := 0
 	for done < len(b) {
@@ -35,12 +35,12 @@
 			return done, err
 		}
 		_ = http.NewResponseController(f.ResponseWriter).Flush()
-		work(f.request, f.mode.ChunkDelay)
+		sleep(f.request, f.mode.ChunkDelay)
 	}
 	return done, nil
 }
 
-func (f *faulty) fail() {
+func (f *faultyWriter) fail() {
 	if f.mode.StallAfter > 0 {
 		<-f.request.Context().Done()
 	}
