--- a/internal/settings/fields.go
+++ b/internal/settings/fields.go
@@ -45,9 +45,9 @@
 	return fd
 }
 
-// given is a figure that comes from the platform, not from whoever writes the file: a
+// withFallback is a figure that comes from the platform, not from whoever writes the file: a
 // node that refused to start because of it would leave a fleet without any service.
-func given(section, key string, set func(text string) string, safe func()) field {
+func withFallback(section, key string, set func(text string) string, safe func()) field {
 	fd := optional(section, key, set)
 	fd.safe = safe
 	return fd
@@ -57,13 +57,13 @@
 	return []field{
 		required("node", "data_hall", text(&s.dataHall)),
 		optional("node", "outgoing", ip(&s.outgoing)),
-		given("node", "processors", processors(&s.weight), func() {}),
+		withFallback("node", "processors", processors(&s.weight), func() {}),
 		optional("node", "regions", pairs(&s.regions)),
 		required("entry", "listen", address(&s.entryListen)),
 		optional("entry", "max_body", size(&s.maxBody, minBody, maxBody)),
 		optional("entry", "max_header", size(&s.maxHeader, minHeader, maxHeader)),
 		optional("entry", "hold_body", size(&s.holdBody, 0, maxBody)),
-		given("entry", "memory", size(&s.memory, 0, maxMemory), func() {}),
+		withFallback("entry", "memory", size(&s.memory, 0, maxMemory), func() {}),
 		optional("entry", "deadline", duration(&s.deadline, time.Millisecond, maxDeadline)),
 		optional("entry", "stall", duration(&s.stall, 10*time.Millisecond, maxDeadline)),
 		optional("entry", "workspace_header", text(&s.workspaceHeader)),
@@ -80,16 +80,16 @@
 		optional("source", "directory", text(&s.directory)),
 		optional("source", "platform", webAddress(&s.platform)),
 		optional("targets", "choice", oneOf(&s.choice, ChoiceAlone, ChoiceJoint)),
-		given("targets", "floor", share(&s.floor), func() {}),
-		given("targets", "retry_share", decimal(&s.retryShare, 0, maxRetryShare), func() { s.retryShare = 0 }),
-		given("targets", "retry_reserve", decimal(&s.retryReserve, 0, maxReserve), func() { s.retryReserve = 0 }),
-		given("targets", "retry_window", duration(&s.retryWindow, minWindow, maxDeadline), func() {}),
+		withFallback("targets", "floor", share(&s.floor), func() {}),
+		withFallback("targets", "retry_share", decimal(&s.retryShare, 0, maxRetryShare), func() { s.retryShare = 0 }),
+		withFallback("targets", "retry_reserve", decimal(&s.retryReserve, 0, maxReserve), func() { s.retryReserve = 0 }),
+		withFallback("targets", "retry_window", duration(&s.retryWindow, minWindow, maxDeadline), func() {}),
 		optional("workspaces", "identity", oneOf(&s.workspaces.identity, IdentityHeader, IdentityKey)),
-		given("workspaces", "strict", truth(&s.workspaces.strict), func() { s.workspaces.strict = true }),
-		given("workspaces", "key_age", duration(&s.workspaces.keyAge, minWindow, maxDeadline), func() {}),
-		given("workspaces", "window", duration(&s.workspaces.window, minWindow, maxDeadline), func() {}),
-		given("workspaces", "excess", share(&s.workspaces.excess), func() { s.workspaces.excess = 0 }),
-		given("workspaces", "slack", decimal(&s.workspaces.slack, 0, maxReserve), func() { s.workspaces.slack = 0 }),
+		withFallback("workspaces", "strict", truth(&s.workspaces.strict), func() { s.workspaces.strict = true }),
+		withFallback("workspaces", "key_age", duration(&s.workspaces.keyAge, minWindow, maxDeadline), func() {}),
+		withFallback("workspaces", "window", duration(&s.workspaces.window, minWindow, maxDeadline), func() {}),
+		withFallback("workspaces", "excess", share(&s.workspaces.excess), func() { s.workspaces.excess = 0 }),
+		withFallback("workspaces", "slack", decimal(&s.workspaces.slack, 0, maxReserve), func() { s.workspaces.slack = 0 }),
 		optional("log", "level", oneOf(&s.logLevel, "debug", "info", "warning", "error")),
 		optional("log", "format", oneOf(&s.logFormat, "text", "json")),
 		optional("metrics", "listen", address(&s.metricsListen)),
