--- a/internal/settings/fields.go
+++ b/internal/settings/fields.go
@@ -26,9 +26,9 @@
 	required bool
 	// set takes the value, or says what is wrong with it.
 	set func(text string) string
-	// safe takes the value that harms nobody in place of one that is wrong; nil means
+	// fallback takes the value that harms nobody in place of one that is wrong; nil means
 	// that there is none.
-	safe func()
+	fallback func()
 }
 
 func optional(section, key string, set func(text string) string) field {
@@ -49,7 +49,7 @@
 // node that refused to start because of it would leave a fleet without any service.
 func withFallback(section, key string, set func(text string) string, safe func()) field {
 	fd := optional(section, key, set)
-	fd.safe = safe
+	fd.fallback = safe
 	return fd
 }
 
--- a/internal/settings/load.go
+++ b/internal/settings/load.go
@@ -134,10 +134,10 @@
 		return nil
 	}
 	fault.kind = KindValue
-	if fd.safe == nil {
+	if fd.fallback == nil {
 		return fault
 	}
-	fd.safe()
+	fd.fallback()
 	s.warnings = append(s.warnings, fault)
 	return nil
 }
