--- a/internal/settings/fields.go
+++ b/internal/settings/fields.go
@@ -85,7 +85,7 @@
 		withFallback("targets", "retry_reserve", decimal(&s.retryReserve, 0, maxReserve), func() { s.retryReserve = 0 }),
 		withFallback("targets", "retry_window", duration(&s.retryWindow, minWindow, maxDeadline), func() {}),
 		optional("workspaces", "identity", oneOf(&s.workspaces.identity, IdentityHeader, IdentityKey)),
-		withFallback("workspaces", "strict", truth(&s.workspaces.strict), func() { s.workspaces.strict = true }),
+		withFallback("workspaces", "strict", boolean(&s.workspaces.strict), func() { s.workspaces.strict = true }),
 		withFallback("workspaces", "key_age", duration(&s.workspaces.keyAge, minWindow, maxDeadline), func() {}),
 		withFallback("workspaces", "window", duration(&s.workspaces.window, minWindow, maxDeadline), func() {}),
 		withFallback("workspaces", "excess", share(&s.workspaces.excess), func() { s.workspaces.excess = 0 }),
--- a/internal/settings/value.go
+++ b/internal/settings/value.go
@@ -165,8 +165,8 @@
 // share reads a number from 0 to 1.
 func share(dst *float64) func(string) string { return decimal(dst, 0, 1) }
 
-// truth reads true or false.
-func truth(dst *bool) func(string) string {
+// boolean reads true or false.
+func boolean(dst *bool) func(string) string {
 	return func(v string) string {
 		switch v {
 		case "true":
