--- a/internal/settings/load.go
+++ b/internal/settings/load.go
@@ -30,7 +30,7 @@
 			return nil, err
 		}
 	}
-	return s, s.checkTogether(file)
+	return s, s.checkCombinations(file)
 }
 
 func loadError(file string, err error) *Error {
@@ -83,8 +83,8 @@
 	}
 }
 
-// checkTogether checks what one key alone doesn't show.
-func (s *Settings) checkTogether(file string) error {
+// checkCombinations checks what one key alone doesn't show.
+func (s *Settings) checkCombinations(file string) error {
 	missing := func(section, key, why string) error {
 		return &Error{
 			kind:    KindMissing,
