--- a/internal/settings/load.go
+++ b/internal/settings/load.go
@@ -26,7 +26,7 @@
 		return nil, err
 	}
 	for _, fd := range fields {
-		if err := s.read(fd, file, f); err != nil {
+		if err := s.readField(fd, file, f); err != nil {
 			return nil, err
 		}
 	}
@@ -115,7 +115,7 @@
 	return nil
 }
 
-func (s *Settings) read(fd field, file string, f *ini.File) error {
+func (s *Settings) readField(fd field, file string, f *ini.File) error {
 	sec := f.Section(fd.section)
 	fault := &Error{
 		file:    file,
