--- a/internal/logging/buffer.go
+++ b/internal/logging/buffer.go
@@ -15,9 +15,9 @@
 	// bufferLines is how many lines wait at most; with about 300 bytes each that
 	// is some 1.2 MB.
 	bufferLines = 4096
-	// calmLines is how many lines may wait before lines that tell of successes are
+	// infoLines is how many lines may wait before lines that tell of successes are
 	// left out, so that there is room for failures.
-	calmLines = bufferLines / 2
+	infoLines = bufferLines / 2
 	// closeWait is how long Close waits for the reader of the log.
 	closeWait = 200 * time.Millisecond
 )
@@ -53,7 +53,7 @@
 // Write takes one line. It always reports success: a process must not fail for
 // its log.
 func (b *Buffer) Write(line []byte) (int, error) {
-	if len(b.lines) >= calmLines && tellsSuccess(line) {
+	if len(b.lines) >= infoLines && tellsSuccess(line) {
 		b.dropped.Add(1)
 		return len(line), nil
 	}
