--- a/internal/logging/buffer.go
+++ b/internal/logging/buffer.go
@@ -53,7 +53,7 @@
 // Write takes one line. It always reports success: a process must not fail for
 // its log.
 func (b *Buffer) Write(line []byte) (int, error) {
-	if len(b.lines) >= infoLines && tellsSuccess(line) {
+	if len(b.lines) >= infoLines && isInfo(line) {
 		b.dropped.Add(1)
 		return len(line), nil
 	}
@@ -65,7 +65,7 @@
 	return len(line), nil
 }
 
-func tellsSuccess(line []byte) bool {
+func isInfo(line []byte) bool {
 	for _, mark := range success {
 		if bytes.Contains(line, mark) {
 			return true
