--- a/internal/logging/buffer.go
+++ b/internal/logging/buffer.go
@@ -22,8 +22,8 @@
 	closeWait = 200 * time.Millisecond
 )
 
-// success marks the lines that are left out first, in either format.
-var success = [][]byte{
+// infoMarks marks the lines that are left out first, in either format.
+var infoMarks = [][]byte{
 	[]byte(`"level":"info"`),
 	[]byte("level=info"),
 	[]byte(`"level":"debug"`),
@@ -66,7 +66,7 @@
 }
 
 func isInfo(line []byte) bool {
-	for _, mark := range success {
+	for _, mark := range infoMarks {
 		if bytes.Contains(line, mark) {
 			return true
 		}
