--- a/internal/logging/buffer.go
+++ b/internal/logging/buffer.go
@@ -18,8 +18,8 @@
 	// infoLines is how many lines may wait before lines that tell of successes are
 	// left out, so that there is room for failures.
 	infoLines = bufferLines / 2
-	// closeWait is how long Close waits for the reader of the log.
-	closeWait = 200 * time.Millisecond
+	// closeTimeout is how long Close waits for the reader of the log.
+	closeTimeout = 200 * time.Millisecond
 )
 
 // infoMarks marks the lines that are left out first, in either format.
@@ -119,7 +119,7 @@
 // Close writes what waits, as long as the log is read, and ends the buffer.
 func (b *Buffer) Close() {
 	close(b.stop)
-	t := time.NewTimer(closeWait)
+	t := time.NewTimer(closeTimeout)
 	defer t.Stop()
 	select {
 	case <-b.done:
