--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -12,9 +12,9 @@
 // partField carries the name of a part from Part to the formatter.
 const partField = "part"
 
-// stampFormat is RFC 3339 with milliseconds: lines of several nodes are put in
+// timestampFormat is RFC 3339 with milliseconds: lines of several nodes are put in
 // order by it.
-const stampFormat = "2006-01-02T15:04:05.000Z07:00"
+const timestampFormat = "2006-01-02T15:04:05.000Z07:00"
 
 // New returns a logger that writes to w. An unknown level means info; any
 // format but "json" means text.
@@ -28,7 +28,7 @@
 	}
 	if format == "json" {
 		inner = &logrus.JSONFormatter{
-			TimestampFormat: stampFormat,
+			TimestampFormat: timestampFormat,
 		}
 	}
 	l.SetFormatter(&prefixed{
