--- a/internal/logging/buffer.go
+++ b/internal/logging/buffer.go
@@ -81,7 +81,7 @@
 	for {
 		select {
 		case line := <-b.lines:
-			if err := b.put(w, line); err != nil {
+			if err := b.writeLine(w, line); err != nil {
 				return err
 			}
 		case <-b.stop:
@@ -95,7 +95,7 @@
 	for {
 		select {
 		case line := <-b.lines:
-			if err := b.put(w, line); err != nil {
+			if err := b.writeLine(w, line); err != nil {
 				return err
 			}
 		default:
@@ -104,7 +104,7 @@
 	}
 }
 
-func (b *Buffer) put(w io.Writer, line []byte) error {
+func (b *Buffer) writeLine(w io.Writer, line []byte) error {
 	if n := b.dropped.Swap(0); n > 0 {
 		if _, err := fmt.Fprintf(w, "{\"level\":\"warning\",\"msg\":\"logging: lines left out\",\"lines\":%d}\n", n); err != nil {
 			return fmt.Errorf("logging: write: %w", err)
