--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -31,7 +31,7 @@
 			TimestampFormat: timestampFormat,
 		}
 	}
-	l.SetFormatter(&prefixed{
+	l.SetFormatter(&prefixFormatter{
 		format: inner.Format,
 	})
 	return l
@@ -45,13 +45,13 @@
 	return lv
 }
 
-// prefixed puts the name of the part before each message.
-type prefixed struct {
+// prefixFormatter puts the name of the part before each message.
+type prefixFormatter struct {
 	format func(*logrus.Entry) ([]byte, error)
 }
 
 // Format formats one line.
-func (f *prefixed) Format(e *logrus.Entry) ([]byte, error) {
+func (f *prefixFormatter) Format(e *logrus.Entry) ([]byte, error) {
 	part, ok := e.Data[partField].(string)
 	if !ok {
 		return f.format(e)
