--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -28,13 +28,13 @@
 
 // Metrics holds the series of one process. It may be used concurrently.
 type Metrics struct {
-	scope      tally.Scope
-	closer     io.Closer
-	handler    http.Handler
-	classes    sync.Map
-	mu         sync.RWMutex
-	workspaces map[string]tally.Histogram
-	bound      int
+	scope         tally.Scope
+	closer        io.Closer
+	handler       http.Handler
+	classes       sync.Map
+	mu            sync.RWMutex
+	workspaces    map[string]tally.Histogram
+	maxWorkspaces int
 }
 
 type classKey struct {
@@ -62,11 +62,11 @@
 		Separator:      promreporter.DefaultSeparator,
 	}, reportInterval)
 	return &Metrics{
-		scope:      scope,
-		closer:     closer,
-		handler:    reporter.HTTPHandler(),
-		workspaces: map[string]tally.Histogram{},
-		bound:      workspaces,
+		scope:         scope,
+		closer:        closer,
+		handler:       reporter.HTTPHandler(),
+		workspaces:    map[string]tally.Histogram{},
+		maxWorkspaces: workspaces,
 	}
 }
 
@@ -114,7 +114,7 @@
 func (m *Metrics) workspace(id string) tally.Histogram {
 	m.mu.RLock()
 	h := m.workspaces[id]
-	full := len(m.workspaces) >= m.bound
+	full := len(m.workspaces) >= m.maxWorkspaces
 	m.mu.RUnlock()
 	if h != nil {
 		return h
