--- a/internal/suspend/clock.go
+++ b/internal/suspend/clock.go
@@ -19,7 +19,7 @@
 
 // Clock measures the time for which the machine was suspended. It may be used concurrently.
 type Clock struct {
-	begun time.Time
+	started time.Time
 	// first is what read gave at the beginning.
 	first time.Duration
 	// read is nil where the system has no such clock. It returns by how much the clock that counts suspended time is ahead of the one that
@@ -36,7 +36,7 @@
 
 func newClock(read func() (time.Duration, error)) (*Clock, error) {
 	c := &Clock{
-		begun: time.Now(),
+		started: time.Now(),
 	}
 	first, err := read()
 	if err != nil {
@@ -47,7 +47,7 @@
 }
 
 // Since returns the time since the clock began, suspended time included.
-func (c *Clock) Since(now time.Time) time.Duration { return now.Sub(c.begun) + c.Total(now) }
+func (c *Clock) Since(now time.Time) time.Duration { return now.Sub(c.started) + c.Total(now) }
 
 // Total returns for how long the machine was suspended since the clock began. It never
 // shrinks.
@@ -56,7 +56,7 @@
 		return 0
 	}
 	total := time.Duration(c.total.Load())
-	at := int64(now.Sub(c.begun))
+	at := int64(now.Sub(c.started))
 	if last := c.sampled.Load(); last != 0 && at-last < int64(sampleInterval) {
 		return total
 	}
