--- a/internal/suspend/clock.go
+++ b/internal/suspend/clock.go
@@ -20,8 +20,8 @@
 // Clock measures the time for which the machine was suspended. It may be used concurrently.
 type Clock struct {
 	started time.Time
-	// first is what read gave at the beginning.
-	first time.Duration
+	// initial is what read gave at the beginning.
+	initial time.Duration
 	// read is nil where the system has no such clock. It returns by how much the clock that counts suspended time is ahead of the one that
 	// doesn't.
 	read func() (time.Duration, error)
@@ -42,7 +42,7 @@
 	if err != nil {
 		return c, fmt.Errorf("suspend: %w", err)
 	}
-	c.first, c.read = first, read
+	c.initial, c.read = first, read
 	return c, nil
 }
 
@@ -66,9 +66,9 @@
 	if err != nil {
 		return total
 	}
-	for read-c.first > total {
-		if c.total.CompareAndSwap(int64(total), int64(read-c.first)) {
-			return read - c.first
+	for read-c.initial > total {
+		if c.total.CompareAndSwap(int64(total), int64(read-c.initial)) {
+			return read - c.initial
 		}
 		total = time.Duration(c.total.Load())
 	}
