--- a/internal/suspend/clock.go
+++ b/internal/suspend/clock.go
@@ -32,7 +32,7 @@
 
 // NewClock returns a clock that begins at 0. Where the system has no clock that counts
 // suspended time it returns an error and one that takes it for 0.
-func NewClock() (*Clock, error) { return newClock(ahead) }
+func NewClock() (*Clock, error) { return newClock(clockOffset) }
 
 func newClock(read func() (time.Duration, error)) (*Clock, error) {
 	c := &Clock{
@@ -75,8 +75,8 @@
 	return total
 }
 
-// ahead reads the system's clocks.
-func ahead() (time.Duration, error) {
+// clockOffset reads the system's clocks.
+func clockOffset() (time.Duration, error) {
 	var steady, whole unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_MONOTONIC, &steady); err != nil {
 		return 0, err
