--- a/internal/suspend/clock.go
+++ b/internal/suspend/clock.go
@@ -77,12 +77,12 @@
 
 // clockOffset reads the system's clocks.
 func clockOffset() (time.Duration, error) {
-	var steady, whole unix.Timespec
-	if err := unix.ClockGettime(unix.CLOCK_MONOTONIC, &steady); err != nil {
+	var monotonic, whole unix.Timespec
+	if err := unix.ClockGettime(unix.CLOCK_MONOTONIC, &monotonic); err != nil {
 		return 0, err
 	}
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &whole); err != nil {
 		return 0, err
 	}
-	return time.Duration(whole.Nano() - steady.Nano()), nil
+	return time.Duration(whole.Nano() - monotonic.Nano()), nil
 }
