--- a/internal/suspend/clock.go
+++ b/internal/suspend/clock.go
@@ -77,12 +77,12 @@
 
 // clockOffset reads the system's clocks.
 func clockOffset() (time.Duration, error) {
-	var monotonic, whole unix.Timespec
+	var monotonic, bootTime unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_MONOTONIC, &monotonic); err != nil {
 		return 0, err
 	}
-	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &whole); err != nil {
+	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &bootTime); err != nil {
 		return 0, err
 	}
-	return time.Duration(whole.Nano() - monotonic.Nano()), nil
+	return time.Duration(bootTime.Nano() - monotonic.Nano()), nil
 }
