--- a/cmd/ploverd/main.go
+++ b/cmd/ploverd/main.go
@@ -70,7 +70,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	signals := task.Go(ctx, "signals", func(ctx context.Context) error {
-		return follow(ctx, n.Drain, cancel)
+		return handleSignals(ctx, n.Drain, cancel)
 	})
 	reload := task.Go(ctx, "reload", func(ctx context.Context) error {
 		return followSettings(ctx, args.Settings, n.Reload)
@@ -95,9 +95,9 @@
 	return platform.New(set.Platform())
 }
 
-// follow turns the first signal into a planned stop and the second into an end
+// handleSignals turns the first signal into a planned stop and the second into an end
 // at once.
-func follow(ctx context.Context, drain, stop func()) error {
+func handleSignals(ctx context.Context, drain, stop func()) error {
 	signals := make(chan os.Signal, 2)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT)
 	defer signal.Stop(signals)
