--- a/cmd/ploverd/main.go
+++ b/cmd/ploverd/main.go
@@ -73,7 +73,7 @@
 		return handleSignals(ctx, n.Drain, cancel)
 	})
 	reload := task.Go(ctx, "reload", func(ctx context.Context) error {
-		return followSettings(ctx, args.Settings, n.Reload)
+		return watchSettings(ctx, args.Settings, n.Reload)
 	})
 	err = n.Run(ctx)
 	if serr := errors.Join(signals.Stop(), reload.Stop()); err == nil {
--- a/cmd/ploverd/reload.go
+++ b/cmd/ploverd/reload.go
@@ -16,9 +16,9 @@
 // without a signal too, a moment later.
 const settingsInterval = 2 * time.Second
 
-// followSettings reads the settings again after SIGHUP and when the file has
+// watchSettings reads the settings again after SIGHUP and when the file has
 // changed, and hands them or the fault in them to reload, until the context ends.
-func followSettings(ctx context.Context, file string, reload func(*settings.Settings, error)) error {
+func watchSettings(ctx context.Context, file string, reload func(*settings.Settings, error)) error {
 	hangups := make(chan os.Signal, 1)
 	signal.Notify(hangups, syscall.SIGHUP)
 	defer signal.Stop(hangups)
