--- a/cmd/ploverd/reload.go
+++ b/cmd/ploverd/reload.go
@@ -40,20 +40,20 @@
 	}
 }
 
-// stamp tells two states of a file apart.
-type stamp struct {
+// fileState tells two states of a file apart.
+type fileState struct {
 	at   time.Time
 	size int64
 }
 
 // changed returns the stamp of a file, the zero value if it can't be read: the
 // reload then tells why.
-func changed(file string) stamp {
+func changed(file string) fileState {
 	info, err := os.Stat(file)
 	if err != nil {
-		return stamp{}
+		return fileState{}
 	}
-	return stamp{
+	return fileState{
 		at:   info.ModTime(),
 		size: info.Size(),
 	}
