--- a/cmd/ploverd/reload.go
+++ b/cmd/ploverd/reload.go
@@ -24,18 +24,18 @@
 	defer signal.Stop(hangups)
 	tick := time.NewTicker(settingsInterval)
 	defer tick.Stop()
-	known := changed(file)
+	known := stateOf(file)
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
 		case <-hangups:
 		case <-tick.C:
-			if changed(file) == known {
+			if stateOf(file) == known {
 				continue
 			}
 		}
-		known = changed(file)
+		known = stateOf(file)
 		reload(settings.Load(file))
 	}
 }
@@ -46,9 +46,9 @@
 	size int64
 }
 
-// changed returns the stamp of a file, the zero value if it can't be read: the
+// stateOf returns the stamp of a file, the zero value if it can't be read: the
 // reload then tells why.
-func changed(file string) fileState {
+func stateOf(file string) fileState {
 	info, err := os.Stat(file)
 	if err != nil {
 		return fileState{}
