--- a/cmd/ploverd/reload.go
+++ b/cmd/ploverd/reload.go
@@ -24,18 +24,18 @@
 	defer signal.Stop(hangups)
 	tick := time.NewTicker(settingsInterval)
 	defer tick.Stop()
-	known := stateOf(file)
+	last := stateOf(file)
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
 		case <-hangups:
 		case <-tick.C:
-			if stateOf(file) == known {
+			if stateOf(file) == last {
 				continue
 			}
 		}
-		known = stateOf(file)
+		last = stateOf(file)
 		reload(settings.Load(file))
 	}
 }
