--- a/cmd/ploverctl/follow.go
+++ b/cmd/ploverctl/follow.go
@@ -35,7 +35,7 @@
 	old := map[string]string{}
 	for {
 		s := &operator.Status{}
-		if err := ask(c.Node, http.MethodGet, "/status", nil, s); err != nil {
+		if err := call(c.Node, http.MethodGet, "/status", nil, s); err != nil {
 			return err
 		}
 		seen := observe(s)
--- a/cmd/ploverctl/node.go
+++ b/cmd/ploverctl/node.go
@@ -33,9 +33,9 @@
 // Unwrap returns the error beneath, or nil.
 func (e *nodeError) Unwrap() error { return e.cause }
 
-// ask sends a request to the operators' listener of a node and decodes its JSON
+// call sends a request to the operators' listener of a node and decodes its JSON
 // answer into v, unless v is nil.
-func ask(node, method, path string, query url.Values, v any) error {
+func call(node, method, path string, query url.Values, v any) error {
 	ctx, cancel := context.WithTimeout(context.Background(), askTimeout)
 	defer cancel()
 	u := url.URL{
--- a/cmd/ploverctl/status.go
+++ b/cmd/ploverctl/status.go
@@ -35,7 +35,7 @@
 	var text strings.Builder
 	for _, n := range c.Node {
 		s := &operator.Status{}
-		if err := ask(n, http.MethodGet, "/status", nil, s); err != nil {
+		if err := call(n, http.MethodGet, "/status", nil, s); err != nil {
 			return err
 		}
 		if !s.Ready {
@@ -165,7 +165,7 @@
 // Run prints where the request would go.
 func (c *explainCommand) Run(out *output) error {
 	x := &operator.Explanation{}
-	err := ask(c.Node, http.MethodGet, "/explain", url.Values{
+	err := call(c.Node, http.MethodGet, "/explain", url.Values{
 		"path":   {c.Path},
 		"method": {c.Method},
 		"host":   {c.Host},
@@ -202,7 +202,7 @@
 // Run prints the configuration in force on a node.
 func (c *configShowCommand) Run(out *output) error {
 	s := &operator.Status{}
-	if err := ask(c.Node, http.MethodGet, "/status", nil, s); err != nil {
+	if err := call(c.Node, http.MethodGet, "/status", nil, s); err != nil {
 		return err
 	}
 	var b strings.Builder
@@ -224,7 +224,7 @@
 
 // Run begins the planned stop of a node.
 func (c *drainCommand) Run(out *output) error {
-	if err := ask(c.Node, http.MethodPost, "/drain", nil, nil); err != nil {
+	if err := call(c.Node, http.MethodPost, "/drain", nil, nil); err != nil {
 		return err
 	}
 	return out.print(struct {
