--- a/cmd/ploverctl/node.go
+++ b/cmd/ploverctl/node.go
@@ -12,8 +12,8 @@
 	"time"
 )
 
-// askTimeout bounds one question to a node.
-const askTimeout = 5 * time.Second
+// callTimeout bounds one question to a node.
+const callTimeout = 5 * time.Second
 
 // nodeError is a node that could not be asked.
 type nodeError struct {
@@ -36,7 +36,7 @@
 // call sends a request to the operators' listener of a node and decodes its JSON
 // answer into v, unless v is nil.
 func call(node, method, path string, query url.Values, v any) error {
-	ctx, cancel := context.WithTimeout(context.Background(), askTimeout)
+	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 	defer cancel()
 	u := url.URL{
 		Scheme:   "http",
