--- a/cmd/ploverctl/node.go
+++ b/cmd/ploverctl/node.go
@@ -17,9 +17,9 @@
 
 // nodeError is a node that could not be asked.
 type nodeError struct {
-	node  string
-	code  int
-	cause error
+	node   string
+	status int
+	cause  error
 }
 
 // Error names the node and the failure.
@@ -27,7 +27,7 @@
 	if e.cause != nil {
 		return fmt.Sprintf("ploverctl: node %s: %v", e.node, e.cause)
 	}
-	return fmt.Sprintf("ploverctl: node %s: status %d", e.node, e.code)
+	return fmt.Sprintf("ploverctl: node %s: status %d", e.node, e.status)
 }
 
 // Unwrap returns the error beneath, or nil.
@@ -46,9 +46,9 @@
 	}
 	fault := func(code int, err error) error {
 		return &nodeError{
-			node:  node,
-			code:  code,
-			cause: err,
+			node:   node,
+			status: code,
+			cause:  err,
 		}
 	}
 	req, err := http.NewRequestWithContext(ctx, method, u.String(), nil)
