--- a/cmd/ploverctl/account.go
+++ b/cmd/ploverctl/account.go
@@ -33,8 +33,8 @@
 // firstFailure is the least status that isn't a good answer.
 const firstFailure = 400
 
-// ending counts the requests of one route that ended for one reason.
-type ending struct {
+// resultCount counts the requests of one route that ended for one reason.
+type resultCount struct {
 	Workspace string  `json:"workspace,omitempty"`
 	Service   string  `json:"service"`
 	Route     string  `json:"route"`
@@ -120,9 +120,9 @@
 }
 
 // account counts the endings of all requests whose final line is in the logs.
-func (c *accountCommand) account(requests map[string]*history, order []string) []*ending {
+func (c *accountCommand) account(requests map[string]*history, order []string) []*resultCount {
 	type key struct{ workspace, service, route, reason string }
-	by := map[key]*ending{}
+	by := map[key]*resultCount{}
 	all := 0
 	for _, id := range order {
 		h := requests[id]
@@ -139,7 +139,7 @@
 			k.workspace = h.final.text("workspace")
 		}
 		if by[k] == nil {
-			by[k] = &ending{
+			by[k] = &resultCount{
 				Workspace: k.workspace,
 				Service:   k.service,
 				Route:     k.route,
@@ -149,19 +149,19 @@
 		}
 		by[k].Count++
 	}
-	list := make([]*ending, 0, len(by))
+	list := make([]*resultCount, 0, len(by))
 	for _, e := range by {
 		e.Share = float64(e.Count) / float64(all)
 		list = append(list, e)
 	}
-	slices.SortFunc(list, func(a, b *ending) int {
+	slices.SortFunc(list, func(a, b *resultCount) int {
 		return cmp.Or(b.Count-a.Count, strings.Compare(a.Workspace+a.Service+a.Route+a.Reason, b.Workspace+b.Service+b.Route+b.Reason))
 	})
 	return list
 }
 
 // table returns the account in columns, with that of workspaces if they are counted apart.
-func table(list []*ending, workspaces bool) string {
+func table(list []*resultCount, workspaces bool) string {
 	var text strings.Builder
 	w := tabwriter.NewWriter(&text, 0, 0, 2, ' ', 0)
 	head := "requests\tshare\t"
