--- a/cmd/ploverctl/account.go
+++ b/cmd/ploverctl/account.go
@@ -45,21 +45,21 @@
 	Example string `json:"example"`
 }
 
-// history is what the logs say of one request.
-type history struct {
+// requestLog is what the logs say of one request.
+type requestLog struct {
 	final    *line
 	attempts []line
 }
 
 // Run reads the logs and prints the account, what happened most often first.
 func (c *accountCommand) Run(out *output) error {
-	requests := map[string]*history{}
+	requests := map[string]*requestLog{}
 	var order []string
 	err := scanFiles(c.Files, `"request"`, func(l line) {
 		id := l.text("request")
 		h := requests[id]
 		if h == nil {
-			h = &history{}
+			h = &requestLog{}
 			requests[id] = h
 			order = append(order, id)
 		}
@@ -73,7 +73,7 @@
 }
 
 // add adds one line about the request.
-func (h *history) add(l line) {
+func (h *requestLog) add(l line) {
 	switch msg := l.text("msg"); {
 	case msg == lineAnswered, msg == lineFailed, msg == lineRefused:
 		h.final = &l
@@ -84,7 +84,7 @@
 
 // reason says why the request ended as it did: what came of each of its attempts, in
 // the order of time.
-func (h *history) reason() string {
+func (h *requestLog) reason() string {
 	if status, ok := h.final.fields["status"].(float64); ok && status < firstFailure {
 		return served
 	}
@@ -120,7 +120,7 @@
 }
 
 // account counts the endings of all requests whose final line is in the logs.
-func (c *accountCommand) account(requests map[string]*history, order []string) []*resultCount {
+func (c *accountCommand) account(requests map[string]*requestLog, order []string) []*resultCount {
 	type key struct{ workspace, service, route, reason string }
 	by := map[key]*resultCount{}
 	all := 0
