--- a/cmd/ploverctl/account.go
+++ b/cmd/ploverctl/account.go
@@ -30,8 +30,8 @@
 // served is the reason of requests that got a good answer.
 const served = "served"
 
-// firstFailure is the least status that isn't a good answer.
-const firstFailure = 400
+// minFailureStatus is the least status that isn't a good answer.
+const minFailureStatus = 400
 
 // resultCount counts the requests of one route that ended for one reason.
 type resultCount struct {
@@ -85,7 +85,7 @@
 // reason says why the request ended as it did: what came of each of its attempts, in
 // the order of time.
 func (h *requestLog) reason() string {
-	if status, ok := h.final.fields["status"].(float64); ok && status < firstFailure {
+	if status, ok := h.final.fields["status"].(float64); ok && status < minFailureStatus {
 		return served
 	}
 	slices.SortStableFunc(h.attempts, func(a, b line) int { return strings.Compare(a.text("time"), b.text("time")) })
