--- a/cmd/ploverctl/account.go
+++ b/cmd/ploverctl/account.go
@@ -22,7 +22,7 @@
 const (
 	msgAnswered  = "entry: request answered"
 	msgFailed    = "entry: request failed"
-	lineRefused  = "entry: request refused"
+	msgRefused   = "entry: request refused"
 	lineAttempt  = "entry: attempt"
 	lineNoTarget = "entry: no target for the attempt"
 )
@@ -75,7 +75,7 @@
 // add adds one line about the request.
 func (h *requestLog) add(l line) {
 	switch msg := l.text("msg"); {
-	case msg == msgAnswered, msg == msgFailed, msg == lineRefused:
+	case msg == msgAnswered, msg == msgFailed, msg == msgRefused:
 		h.final = &l
 	case strings.HasPrefix(msg, lineAttempt), msg == lineNoTarget:
 		h.attempts = append(h.attempts, l)
