--- a/cmd/ploverctl/account.go
+++ b/cmd/ploverctl/account.go
@@ -23,7 +23,7 @@
 	msgAnswered  = "entry: request answered"
 	msgFailed    = "entry: request failed"
 	msgRefused   = "entry: request refused"
-	lineAttempt  = "entry: attempt"
+	msgAttempt   = "entry: attempt"
 	lineNoTarget = "entry: no target for the attempt"
 )
 
@@ -77,7 +77,7 @@
 	switch msg := l.text("msg"); {
 	case msg == msgAnswered, msg == msgFailed, msg == msgRefused:
 		h.final = &l
-	case strings.HasPrefix(msg, lineAttempt), msg == lineNoTarget:
+	case strings.HasPrefix(msg, msgAttempt), msg == lineNoTarget:
 		h.attempts = append(h.attempts, l)
 	}
 }
