--- a/cmd/ploverctl/account.go
+++ b/cmd/ploverctl/account.go
@@ -20,11 +20,11 @@
 
 // Final lines about a request begin with these words.
 const (
-	msgAnswered  = "entry: request answered"
-	msgFailed    = "entry: request failed"
-	msgRefused   = "entry: request refused"
-	msgAttempt   = "entry: attempt"
-	lineNoTarget = "entry: no target for the attempt"
+	msgAnswered = "entry: request answered"
+	msgFailed   = "entry: request failed"
+	msgRefused  = "entry: request refused"
+	msgAttempt  = "entry: attempt"
+	msgNoTarget = "entry: no target for the attempt"
 )
 
 // served is the reason of requests that got a good answer.
@@ -77,7 +77,7 @@
 	switch msg := l.text("msg"); {
 	case msg == msgAnswered, msg == msgFailed, msg == msgRefused:
 		h.final = &l
-	case strings.HasPrefix(msg, msgAttempt), msg == lineNoTarget:
+	case strings.HasPrefix(msg, msgAttempt), msg == msgNoTarget:
 		h.attempts = append(h.attempts, l)
 	}
 }
@@ -110,7 +110,7 @@
 // outcome says what came of one attempt.
 func (l *line) outcome() string {
 	switch {
-	case l.text("msg") == lineNoTarget:
+	case l.text("msg") == msgNoTarget:
 		return l.text("error")
 	case l.text("kind") != "":
 		return l.text("kind")
