--- a/cmd/ploverctl/trace.go
+++ b/cmd/ploverctl/trace.go
@@ -46,15 +46,15 @@
 	return out, err
 }
 
-// told are the fields of a line that the story begins with; the others follow by
+// leadingFields are the fields of a line that the story begins with; the others follow by
 // name.
-var told = []string{"time", "level", "msg", "request"}
+var leadingFields = []string{"time", "level", "msg", "request"}
 
 // String returns the line in words.
 func (l *line) String() string {
 	var rest []string
 	for k := range l.fields {
-		if !slices.Contains(told, k) {
+		if !slices.Contains(leadingFields, k) {
 			rest = append(rest, k+"="+l.text(k))
 		}
 	}
