--- a/cmd/ploverctl/follow.go
+++ b/cmd/ploverctl/follow.go
@@ -38,7 +38,7 @@
 		if err := call(c.Node, http.MethodGet, "/status", nil, s); err != nil {
 			return err
 		}
-		seen := observe(s)
+		seen := states(s)
 		for object, state := range seen {
 			if err := report(out, old, object, state); err != nil {
 				return err
@@ -66,8 +66,8 @@
 	return out.print(e, "%s %s: %s -> %s\n", e.At.Format(time.TimeOnly), e.Object, e.From, e.To)
 }
 
-// observe returns the states that are worth following, by object.
-func observe(s *operator.Status) map[string]string {
+// states returns the states that are worth following, by object.
+func states(s *operator.Status) map[string]string {
 	out := map[string]string{
 		"node":     fmt.Sprintf("ready %t %s", s.Ready, s.Reason),
 		"revision": position(&s.Config),
