--- a/cmd/ploverctl/trace.go
+++ b/cmd/ploverctl/trace.go
@@ -27,12 +27,12 @@
 	}
 	slices.SortStableFunc(lines, func(a, b line) int { return strings.Compare(a.text("time"), b.text("time")) })
 	fields := make([]map[string]any, len(lines))
-	var story strings.Builder
+	var text strings.Builder
 	for i := range lines {
 		fields[i] = lines[i].fields
-		story.WriteString(lines[i].String())
+		text.WriteString(lines[i].String())
 	}
-	return out.print(fields, "%s", story.String())
+	return out.print(fields, "%s", text.String())
 }
 
 // read returns the lines that name the request.
