--- a/cmd/ploverctl/follow.go
+++ b/cmd/ploverctl/follow.go
@@ -38,13 +38,13 @@
 		if err := call(c.Node, http.MethodGet, "/status", nil, s); err != nil {
 			return err
 		}
-		seen := states(s)
-		for object, state := range seen {
+		current := states(s)
+		for object, state := range current {
 			if err := report(out, old, object, state); err != nil {
 				return err
 			}
 		}
-		old = seen
+		old = current
 		select {
 		case <-ctx.Done():
 			return nil
