--- a/cmd/ploverctl/account.go
+++ b/cmd/ploverctl/account.go
@@ -122,7 +122,7 @@
 // account counts the endings of all requests whose final line is in the logs.
 func (c *accountCommand) account(requests map[string]*requestLog, order []string) []*resultCount {
 	type key struct{ workspace, service, route, reason string }
-	by := map[key]*resultCount{}
+	counts := map[key]*resultCount{}
 	all := 0
 	for _, id := range order {
 		h := requests[id]
@@ -138,8 +138,8 @@
 		if c.Workspaces {
 			k.workspace = h.final.text("workspace")
 		}
-		if by[k] == nil {
-			by[k] = &resultCount{
+		if counts[k] == nil {
+			counts[k] = &resultCount{
 				Workspace: k.workspace,
 				Service:   k.service,
 				Route:     k.route,
@@ -147,10 +147,10 @@
 				Example:   id,
 			}
 		}
-		by[k].Count++
+		counts[k].Count++
 	}
-	list := make([]*resultCount, 0, len(by))
-	for _, e := range by {
+	list := make([]*resultCount, 0, len(counts))
+	for _, e := range counts {
 		e.Share = float64(e.Count) / float64(all)
 		list = append(list, e)
 	}
