--- a/internal/settings/error.go
+++ b/internal/settings/error.go
@@ -4,10 +4,10 @@
 
 import "fmt"
 
-// Kind says what is wrong with a setting.
+// Kind is the kind of a fault in a settings file.
 type Kind string
 
-// Kinds of faults in a settings file.
+// Kinds of faults.
 const (
 	KindFile      Kind = "file cannot be read"
 	KindSyntax    Kind = "syntax error"
@@ -18,7 +18,7 @@
 	KindMissing   Kind = "missing value"
 )
 
-// Error is one fault in a settings file.
+// Error describes one fault in a settings file.
 type Error struct {
 	kind    Kind
 	file    string
@@ -47,14 +47,14 @@
 	return s
 }
 
-// Unwrap returns the error of the library beneath, or nil.
+// Unwrap returns the underlying error, or nil.
 func (e *Error) Unwrap() error { return e.cause }
 
-// Kind returns what is wrong.
+// Kind returns the kind of the fault.
 func (e *Error) Kind() Kind { return e.kind }
 
-// Section returns the section at fault; empty for a fault of the whole file.
+// Section returns the section with the fault, "" for a fault of the whole file.
 func (e *Error) Section() string { return e.section }
 
-// Key returns the key at fault; empty for a fault of a section or file.
+// Key returns the key with the fault, "" for a fault of a section or file.
 func (e *Error) Key() string { return e.key }
--- a/internal/settings/fields.go
+++ b/internal/settings/fields.go
@@ -24,10 +24,9 @@
 	section  string
 	key      string
 	required bool
-	// set takes the value, or says what is wrong with it.
+	// set parses and stores the value, or returns what is wrong with it.
 	set func(text string) string
-	// fallback takes the value that harms nobody in place of one that is wrong; nil means
-	// that there is none.
+	// fallback stores a safe value in place of a wrong one; nil makes a wrong one an error.
 	fallback func()
 }
 
@@ -45,8 +44,8 @@
 	return fd
 }
 
-// withFallback is a figure that comes from the platform, not from whoever writes the file: a
-// node that refused to start because of it would leave a fleet without any service.
+// withFallback returns a field whose value the platform fills in, not the author of the
+// file: if nodes refused to start because of it, the whole fleet would be down.
 func withFallback(section, key string, set func(text string) string, safe func()) field {
 	fd := optional(section, key, set)
 	fd.fallback = safe
--- a/internal/settings/load.go
+++ b/internal/settings/load.go
@@ -9,8 +9,8 @@
 	"gopkg.in/ini.v1"
 )
 
-// Load reads and checks a settings file. Every fault is an *Error; no part of a
-// faulty file is taken.
+// Load reads and checks a settings file. Every fault is an *Error; a file with a fault has
+// no effect.
 func Load(file string) (*Settings, error) {
 	f, err := ini.LoadSources(ini.LoadOptions{
 		AllowShadows:             true,
@@ -83,7 +83,7 @@
 	}
 }
 
-// checkCombinations checks what one key alone doesn't show.
+// checkCombinations checks constraints between keys.
 func (s *Settings) checkCombinations(file string) error {
 	missing := func(section, key, why string) error {
 		return &Error{
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -9,31 +9,31 @@
 	"time"
 )
 
-// SourceKind says where published configuration is read.
+// SourceKind is where published configuration is read from.
 type SourceKind string
 
 // Kinds of sources of published configuration.
 const (
 	SourceDirectory SourceKind = "directory"
 	SourcePlatform  SourceKind = "platform"
-	// SourceStore is a key-value store that an adapter reads.
+	// SourceStore is a key-value store that is read by an adapter.
 	SourceStore SourceKind = "store"
 )
 
-// ChoiceMode says how the nodes choose targets.
+// ChoiceMode is how the nodes choose targets.
 type ChoiceMode string
 
-// Ways to choose targets.
+// Modes of choosing targets.
 const (
-	// ChoiceAlone means that each node chooses by what it knows itself and by the
-	// verdicts of observers.
+	// ChoiceAlone is the independent mode: each node chooses by its own measurements and
+	// the ejection decisions of observers.
 	ChoiceAlone ChoiceMode = "alone"
-	// ChoiceJoint means that one node chooses for all requests of a service.
+	// ChoiceJoint means that one node, the dispatcher, chooses for all requests of a service.
 	ChoiceJoint ChoiceMode = "joint"
 )
 
-// Settings are the checked settings of one process. They don't change after
-// Load and may be read concurrently.
+// Settings holds the checked settings of one process. It doesn't change after Load and is
+// safe for concurrent use.
 type Settings struct {
 	dataHall string
 	outgoing netip.Addr
@@ -72,7 +72,7 @@
 
 	workspaces Workspaces
 
-	// warnings are faults for which a safe value was taken.
+	// warnings are faults for which a safe value is used.
 	warnings []*Error
 
 	logLevel  string
@@ -85,55 +85,54 @@
 // DataHall returns the data hall of this process.
 func (s *Settings) DataHall() string { return s.dataHall }
 
-// Outgoing returns the IP number that connections to targets come from; the zero
-// value leaves the choice to the system.
+// Outgoing returns the local IP address of connections to targets; the zero value leaves
+// the choice to the system.
 func (s *Settings) Outgoing() netip.Addr { return s.outgoing }
 
-// Regions returns the regions of data halls by their names. The map must not be changed.
+// Regions returns the region of each data hall by its name. The map must not be changed.
 func (s *Settings) Regions() map[string]string { return s.regions }
 
-// Weight returns what this process can carry, in thousandths of a processor. Nodes
-// that can carry more get more of the fleet's roles.
+// Weight returns the capacity of this process in thousandths of a processor. Nodes with
+// more capacity get more of the fleet's roles.
 func (s *Settings) Weight() uint32 { return s.weight }
 
-// EntryListen returns the address on which callers are served.
+// EntryListen returns the address of the listener for callers.
 func (s *Settings) EntryListen() netip.AddrPort { return s.entryListen }
 
-// MaxBody returns the greatest size of a request body in bytes.
+// MaxBody returns the maximum size of a request body in bytes.
 func (s *Settings) MaxBody() int64 { return s.maxBody }
 
-// MaxHeader returns the greatest size of request headers in bytes.
+// MaxHeader returns the maximum size of request headers in bytes.
 func (s *Settings) MaxHeader() int64 { return s.maxHeader }
 
-// HoldBody returns the size in bytes up to which answers are held whole.
+// HoldBody returns the size in bytes up to which answers are buffered whole.
 func (s *Settings) HoldBody() int64 { return s.holdBody }
 
-// Memory returns the bytes that this process may use, 0 if no bound is known.
+// Memory returns the bytes that this process may use, 0 if unknown.
 func (s *Settings) Memory() int64 { return s.memory }
 
-// Deadline returns the deadline of routes that state none.
+// Deadline returns the default deadline of routes.
 func (s *Settings) Deadline() time.Duration { return s.deadline }
 
-// Stall returns how long the body of an answer may stop before it counts as
+// Stall returns how long the body of an answer may make no progress before it counts as
 // broken.
 func (s *Settings) Stall() time.Duration { return s.stall }
 
 // WorkspaceHeader returns the header that names the workspace of a request.
 func (s *Settings) WorkspaceHeader() string { return s.workspaceHeader }
 
-// DrainWait returns how long callers are still accepted after a planned stop
-// began, so that the balancer in front can notice.
+// DrainWait returns how long callers are still accepted after a planned stop began, so
+// that the load balancer in front can detect it.
 func (s *Settings) DrainWait() time.Duration { return s.drainWait }
 
-// OperatorListen returns the address on which operators are served.
+// OperatorListen returns the address of the listener for operators.
 func (s *Settings) OperatorListen() netip.AddrPort { return s.operatorListen }
 
-// PeerListen returns the address for other processes of the fleet; the zero
-// value means that this process stays alone.
+// PeerListen returns the address of the listener for other processes of the fleet; the
+// zero value means that this process has no peers.
 func (s *Settings) PeerListen() netip.AddrPort { return s.peerListen }
 
-// Advertise returns the address by which peers reach this process; it is
-// PeerListen unless the settings say otherwise.
+// Advertise returns the address at which peers reach this process, by default PeerListen.
 func (s *Settings) Advertise() netip.AddrPort {
 	if s.advertise.IsValid() {
 		return s.advertise
@@ -141,54 +140,54 @@
 	return s.peerListen
 }
 
-// Seeds returns peers to ask before any list of instances is known.
+// Seeds returns the peers to contact before a list of instances has been received.
 func (s *Settings) Seeds() []netip.AddrPort { return slices.Clone(s.seeds) }
 
-// PeerTLS returns the files of the certificate, the key and the authority that
-// peers must share. All three are empty when peers talk in the clear.
+// PeerTLS returns the files of the certificate, the key and the authority that peers must
+// share. All three are empty if connections between peers are not encrypted.
 func (s *Settings) PeerTLS() (cert, key, ca string) { return s.peerCert, s.peerKey, s.peerCA }
 
-// Source returns where published configuration is read.
+// Source returns where published configuration is read from.
 func (s *Settings) Source() SourceKind { return s.source }
 
-// Directory returns the folder of published files for SourceDirectory.
+// Directory returns the directory of published files for SourceDirectory.
 func (s *Settings) Directory() string { return s.directory }
 
-// Platform returns the base URL of the platform for SourcePlatform.
+// Platform returns the base URL of the platform for SourcePlatform and SourceStore.
 func (s *Settings) Platform() string { return s.platform }
 
 // Choice returns how this process chooses targets.
 func (s *Settings) Choice() ChoiceMode { return s.choice }
 
-// Floor returns the share of the working targets of a service that should have had work
-// within the last 1.5 s, whether or not requests fail.
+// Floor returns the share of the working targets of a service that should have received
+// requests within the last 1.5 s, whether or not requests fail.
 func (s *Settings) Floor() float64 { return s.floor }
 
-// Retries returns what the whole fleet may send beyond the first attempt of each
-// request to one service: share of the requests and reserve more in each window.
+// Retries returns how many retries the whole fleet may send to one service in each window:
+// share, a fraction of the requests, plus reserve retries.
 func (s *Settings) Retries() (share, reserve float64, window time.Duration) {
 	return s.retryShare, s.retryReserve, s.retryWindow
 }
 
-// Workspaces returns how workspaces are told apart and limited.
+// Workspaces returns how workspaces are identified and limited.
 func (s *Settings) Workspaces() *Workspaces { return &s.workspaces }
 
-// Warnings returns the faults in place of which a safe value was taken: figures that
-// the platform fills in.
+// Warnings returns the faults for which a safe value is used: values that the platform
+// fills in.
 func (s *Settings) Warnings() []*Error { return slices.Clone(s.warnings) }
 
-// PeerSecret returns the key of the datagrams between peers, or "".
+// PeerSecret returns the key that authenticates datagrams between peers, or "".
 func (s *Settings) PeerSecret() string { return s.peerSecret }
 
-// MetricsListen returns the address on which metrics are served besides the
-// operators' one; the zero value means nowhere else.
+// MetricsListen returns an address on which metrics are served besides OperatorListen; the
+// zero value means none.
 func (s *Settings) MetricsListen() netip.AddrPort { return s.metricsListen }
 
-// LogLevel returns the level as logrus names it.
+// LogLevel returns the log level by its logrus name.
 func (s *Settings) LogLevel() string { return s.logLevel }
 
 // LogFormat returns "text" or "json".
 func (s *Settings) LogFormat() string { return s.logFormat }
 
-// MetricWorkspaces returns how many workspaces get series of their own.
+// MetricWorkspaces returns the maximum number of workspaces with their own series.
 func (s *Settings) MetricWorkspaces() int { return s.metricWorkspaces }
--- a/internal/settings/value.go
+++ b/internal/settings/value.go
@@ -38,7 +38,7 @@
 	return func(v string) string {
 		a, err := netip.ParseAddr(v)
 		if err != nil {
-			return "want an IP number, got " + strconv.Quote(v)
+			return "want an IP address, got " + strconv.Quote(v)
 		}
 		*dst = a
 		return ""
@@ -58,7 +58,7 @@
 	}
 }
 
-// pairs reads NAME=VALUE, separated by commas.
+// pairs parses NAME=VALUE pairs separated by commas.
 func pairs(dst *map[string]string) func(string) string {
 	return func(v string) string {
 		out := map[string]string{}
@@ -141,7 +141,7 @@
 	}
 }
 
-// number reads a number from low to high.
+// number parses a number from low to high.
 func number(v string, low, high float64) (float64, string) {
 	f, err := strconv.ParseFloat(v, 64)
 	if err != nil || !(f >= low && f <= high) {
@@ -151,7 +151,7 @@
 	return f, ""
 }
 
-// decimal reads a number from low to high.
+// decimal stores a number from low to high.
 func decimal(dst *float64, low, high float64) func(string) string {
 	return func(v string) string {
 		f, fault := number(v, low, high)
@@ -162,10 +162,10 @@
 	}
 }
 
-// share reads a number from 0 to 1.
+// share stores a number from 0 to 1.
 func share(dst *float64) func(string) string { return decimal(dst, 0, 1) }
 
-// boolean reads true or false.
+// boolean stores true or false.
 func boolean(dst *bool) func(string) string {
 	return func(v string) string {
 		switch v {
@@ -180,8 +180,7 @@
 	}
 }
 
-// processors reads how many processors a process can use, from 0.001 to 1000, into
-// thousandths.
+// processors stores a number of processors from 0.001 to 1000, in thousandths.
 func processors(dst *uint32) func(string) string {
 	return func(v string) string {
 		f, fault := number(v, 0.001, 1000)
--- a/internal/settings/workspaces.go
+++ b/internal/settings/workspaces.go
@@ -4,20 +4,20 @@
 
 import "time"
 
-// Identity says by what the workspace of a request is known.
+// Identity is how the workspace of a request is identified.
 type Identity string
 
 // Kinds of identity.
 const (
-	// IdentityHeader means that a header names the workspace: something in front of the
-	// fleet has checked who the caller is.
+	// IdentityHeader means that a header names the workspace: a proxy in front of the
+	// fleet has authenticated the caller.
 	IdentityHeader Identity = "header"
-	// IdentityKey means that callers show a key of their workspace, and that the header
-	// tells targets which workspace that is.
+	// IdentityKey means that callers send a key of their workspace, and that the header
+	// passes the workspace to targets.
 	IdentityKey Identity = "key"
 )
 
-// Workspaces are the settings about workspaces and their limits.
+// Workspaces holds the settings of workspaces and their limits.
 type Workspaces struct {
 	identity Identity
 	strict   bool
@@ -27,15 +27,15 @@
 	slack    float64
 }
 
-// Identity returns by what the workspace of a request is known.
+// Identity returns how the workspace of a request is identified.
 func (w *Workspaces) Identity() Identity { return w.identity }
 
-// Strict returns after how long without an answer of the platform no request with a key is
-// served any more, for the key may have been taken away; false means never.
+// Strict returns the time without an answer of the platform after which requests with a
+// key are refused, because the key may have been revoked; false means never.
 func (w *Workspaces) Strict() (after time.Duration, strict bool) { return w.keyAge, w.strict }
 
-// Tolerance returns by how much the requests that run may exceed a workspace's limit in
-// any window: by the share excess of the limit and by slack requests more.
+// Tolerance returns by how much admitted requests may exceed a workspace's limit in any
+// window: by excess, a fraction of the limit, plus slack requests.
 func (w *Workspaces) Tolerance() (window time.Duration, excess, slack float64) {
 	return w.window, w.excess, w.slack
 }
