--- a/internal/operator/server.go
+++ b/internal/operator/server.go
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package operator serves the operators of a node: health, readiness, metrics,
-// status and explanations.
+// Package operator is the HTTP interface for operators of a node: health, readiness,
+// metrics, status, route explanations and draining.
 package operator
 
 import (
@@ -19,24 +19,22 @@
 	"ploverjunction.example/ploverjunction/internal/task"
 )
 
-// headerTimeout bounds how long a request's header may take.
+// headerTimeout bounds the time to read a request's header.
 const headerTimeout = 5 * time.Second
 
-// Config holds the values and seams of a Server. All functions may be called
-// concurrently.
+// Config configures a Server. Its functions may be called concurrently.
 type Config struct {
 	Listen netip.AddrPort
-	// Ready returns whether callers should be sent here and, if not, why.
+	// Ready reports whether callers should be sent to this node and, if not, why.
 	Ready func() (bool, string)
-	// Status describes the node; brief leaves members, services and revisions
-	// out.
+	// Status describes the node; brief omits members, services and revisions.
 	Status  func(brief bool) *Status
 	Explain func(Question) *Explanation
 	// Drain begins a planned stop.
 	Drain   func()
 	Metrics http.Handler
-	// MetricsListen is another address on which only metrics are served; the zero
-	// value means none.
+	// MetricsListen is an additional address that serves only metrics; the zero value
+	// means none.
 	MetricsListen netip.AddrPort
 }
 
@@ -45,11 +43,11 @@
 	cfg      Config
 	http     *kratos.Server
 	listener net.Listener
-	// metrics is nil where metrics have no address of their own.
+	// metrics is nil if Config.MetricsListen is not set.
 	metrics *kratos.Server
 }
 
-// New returns a server that listens already but does not serve yet.
+// New returns a server that already listens; Serve must be called to accept requests.
 func New(cfg Config) (*Server, error) {
 	lis, err := net.Listen("tcp", cfg.Listen.String())
 	if err != nil {
@@ -60,7 +58,7 @@
 		listener: lis,
 	}
 	s.http = kratos.NewServer(
-		// Without an address kratos looks at the network interfaces for one.
+		// Without an address kratos chooses one from the network interfaces.
 		kratos.Address(lis.Addr().String()),
 		kratos.Listener(lis),
 		kratos.Timeout(0),
@@ -93,7 +91,7 @@
 	return errors.Join(s.http.Start(ctx), s.metrics.Close(), <-second.Done())
 }
 
-// Close ends all connections and Serve.
+// Close closes all connections and makes Serve return.
 func (s *Server) Close() error {
 	return s.http.Close()
 }
@@ -141,6 +139,6 @@
 		return
 	}
 	w.Header().Set("Content-Type", "application/json")
-	// An operator that is gone needs no answer.
+	// The client may have closed the connection.
 	_, _ = w.Write(append(b, '\n'))
 }
