--- a/internal/logging/buffer.go
+++ b/internal/logging/buffer.go
@@ -12,17 +12,16 @@
 
 // Bounds of a buffer.
 const (
-	// bufferLines is how many lines wait at most; with about 300 bytes each that
-	// is some 1.2 MB.
+	// bufferLines is the capacity in lines; at about 300 bytes each that is some 1.2 MB.
 	bufferLines = 4096
-	// infoLines is how many lines may wait before lines that tell of successes are
-	// left out, so that there is room for failures.
+	// infoLines is the number of waiting lines from which on info and debug lines are
+	// dropped, so that there is room for warnings and errors.
 	infoLines = bufferLines / 2
-	// closeTimeout is how long Close waits for the reader of the log.
+	// closeTimeout is how long Close waits for the underlying writer.
 	closeTimeout = 200 * time.Millisecond
 )
 
-// infoMarks marks the lines that are left out first, in either format.
+// infoMarks are the texts, in either format, of lines that are dropped first.
 var infoMarks = [][]byte{
 	[]byte(`"level":"info"`),
 	[]byte("level=info"),
@@ -30,8 +29,8 @@
 	[]byte("level=debug"),
 }
 
-// Buffer is a writer that never blocks: one goroutine writes the lines, and those
-// for which there is no room are counted and left out. It may be used concurrently.
+// Buffer is a writer that never blocks: one goroutine writes the lines, and those for
+// which there is no room are counted and dropped. It is safe for concurrent use.
 type Buffer struct {
 	lines   chan []byte
 	stop    chan struct{}
@@ -50,7 +49,7 @@
 	return b
 }
 
-// Write takes one line. It always reports success: a process must not fail for
+// Write queues one line. It always reports success: a process must not fail because of
 // its log.
 func (b *Buffer) Write(line []byte) (int, error) {
 	if len(b.lines) >= infoLines && isInfo(line) {
@@ -74,7 +73,7 @@
 	return false
 }
 
-// Dropped returns how many lines were left out since the last line that told so.
+// Dropped returns how many lines were dropped since the last line that reported it.
 func (b *Buffer) Dropped() int64 { return b.dropped.Load() }
 
 func (b *Buffer) run(w io.Writer) error {
@@ -90,7 +89,7 @@
 	}
 }
 
-// flush writes what waits.
+// flush writes the waiting lines.
 func (b *Buffer) flush(w io.Writer) error {
 	for {
 		select {
@@ -116,7 +115,7 @@
 	return nil
 }
 
-// Close writes what waits, as long as the log is read, and ends the buffer.
+// Close writes the waiting lines within closeTimeout and stops the buffer.
 func (b *Buffer) Close() {
 	close(b.stop)
 	t := time.NewTimer(closeTimeout)
--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package logging sets up logrus and gives each part its fixed prefix.
+// Package logging sets up logrus with a prefix for each component.
 package logging
 
 import (
@@ -9,15 +9,15 @@
 	"github.com/sirupsen/logrus"
 )
 
-// partField carries the name of a part from Part to the formatter.
+// partField is the field that carries the component's name from Part to the formatter.
 const partField = "part"
 
-// timestampFormat is RFC 3339 with milliseconds: lines of several nodes are put in
-// order by it.
+// timestampFormat is RFC 3339 with milliseconds, by which lines of several nodes are
+// sorted.
 const timestampFormat = "2006-01-02T15:04:05.000Z07:00"
 
-// New returns a logger that writes to w. An unknown level means info; any
-// format but "json" means text.
+// New returns a logger that writes to w. An unknown level means info, any format but
+// "json" text.
 func New(w io.Writer, level, format string) *logrus.Logger {
 	l := logrus.New()
 	l.SetOutput(w)
@@ -45,7 +45,7 @@
 	return lv
 }
 
-// prefixFormatter puts the name of the part before each message.
+// prefixFormatter prepends the component's name to each message.
 type prefixFormatter struct {
 	format func(*logrus.Entry) ([]byte, error)
 }
@@ -67,8 +67,7 @@
 	return f.format(&line)
 }
 
-// Part returns the logger of one part of the process. Its lines begin with the
-// part's name.
+// Part returns the logger of one component, whose name precedes each message.
 func Part(l *logrus.Logger, part string) *logrus.Entry {
 	return l.WithField(partField, part)
 }
