--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package metrics counts requests with tally and serves them to Prometheus.
+// Package metrics records metrics with tally and serves them to Prometheus.
 package metrics
 
 import (
@@ -16,17 +16,16 @@
 	promreporter "github.com/uber-go/tally/v4/prometheus"
 )
 
-// reportInterval is how often tally hands its values to the reporter.
+// reportInterval is how often tally passes its values to the reporter.
 const reportInterval = time.Second
 
-// otherWorkspaces is the name under which the workspaces beyond the bound are
-// counted together.
+// otherWorkspaces is the label of the series shared by the workspaces beyond the maximum.
 const otherWorkspaces = "other"
 
-// latencyBuckets are the bounds of the histograms.
+// latencyBuckets are the bucket bounds of the histograms.
 var latencyBuckets = tally.MustMakeExponentialDurationBuckets(500*time.Microsecond, 2, 17)
 
-// Metrics holds the series of one process. It may be used concurrently.
+// Metrics holds the series of one process. It is safe for concurrent use.
 type Metrics struct {
 	scope         tally.Scope
 	closer        io.Closer
@@ -48,8 +47,8 @@
 	latency tally.Histogram
 }
 
-// New returns metrics in which at most workspaces workspaces get a histogram of
-// their own: those first seen. The others share one.
+// New returns metrics in which at most workspaces workspaces have their own histogram:
+// those first observed. The others share one.
 func New(workspaces int) *Metrics {
 	registry := prometheus.NewRegistry()
 	reporter := promreporter.NewReporter(promreporter.Options{
@@ -70,10 +69,10 @@
 	}
 }
 
-// Handler serves the series in Prometheus' text format.
+// Handler returns a handler that serves the series in Prometheus' text format.
 func (m *Metrics) Handler() http.Handler { return m.handler }
 
-// Close hands over the last values.
+// Close reports the last values and stops the reporter.
 func (m *Metrics) Close() error {
 	if err := m.closer.Close(); err != nil {
 		return fmt.Errorf("metrics: close: %w", err)
@@ -81,7 +80,7 @@
 	return nil
 }
 
-// Served counts the final answer to a request.
+// Served records the final answer to a request.
 func (m *Metrics) Served(class, workspace string, status int, outcome string, took time.Duration) {
 	s := m.class(classKey{
 		class:   class,
@@ -131,14 +130,14 @@
 	return h
 }
 
-// Count adds n to a counter without tags.
+// Count adds n to an untagged counter.
 func (m *Metrics) Count(name string, n int64) { m.scope.Counter(name).Inc(n) }
 
-// Gauge sets a gauge without tags.
+// Gauge sets an untagged gauge.
 func (m *Metrics) Gauge(name string, v float64) { m.scope.Gauge(name).Update(v) }
 
-// PartGauge sets the gauge of the targets of a service in one data hall, or of all of
-// them where hall is empty.
+// PartGauge sets the gauge of a partition, the targets of a service in one data hall, or of
+// all its targets if hall is empty.
 func (m *Metrics) PartGauge(name, service, hall string, v float64) {
 	m.scope.Tagged(map[string]string{"service": service, "hall": hall}).Gauge(name).Update(v)
 }
