--- a/internal/suspend/clock.go
+++ b/internal/suspend/clock.go
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package suspend tells for how long the machine of this process has been suspended. The
-// clock by which processes measure ages stands still meanwhile, so that what was heard before
-// seems to be new after it.
+// Package suspend measures how long the machine of this process has been suspended. The
+// monotonic clock stops meanwhile, so that data received before the suspension would seem
+// to be recent after it.
 package suspend
 
 import (
@@ -13,25 +13,26 @@
 	"golang.org/x/sys/unix"
 )
 
-// sampleInterval is how old a sample of the clocks may be: a node looks at ages with each
-// datagram, four for each request, and two clocks cost as much as a datagram's encoding.
+// sampleInterval is the maximum age of a sample of the clocks: a node computes ages for each
+// datagram, four for each request, and reading two clocks costs as much as encoding one.
 const sampleInterval = 10 * time.Millisecond
 
-// Clock measures the time for which the machine was suspended. It may be used concurrently.
+// Clock measures how long the machine was suspended. It is safe for concurrent use.
 type Clock struct {
 	started time.Time
-	// initial is what read gave at the beginning.
+	// initial is the result of read at the start.
 	initial time.Duration
-	// read is nil where the system has no such clock. It returns by how much the clock that counts suspended time is ahead of the one that
-	// doesn't.
+	// read returns by how much the clock that includes suspended time is ahead of the one
+	// that doesn't. It is nil if the system has no such clock.
 	read func() (time.Duration, error)
-	// sampled is when read was last called, as the time since begun, total what it gave then.
+	// sampled is when read was last called, in nanoseconds since started; total is the
+	// greatest suspended time measured, in nanoseconds.
 	sampled atomic.Int64
 	total   atomic.Int64
 }
 
-// NewClock returns a clock that begins at 0. Where the system has no clock that counts
-// suspended time it returns an error and one that takes it for 0.
+// NewClock returns a clock that starts at 0. If the system has no clock that includes
+// suspended time, it returns an error and a clock that assumes none.
 func NewClock() (*Clock, error) { return newClock(clockOffset) }
 
 func newClock(read func() (time.Duration, error)) (*Clock, error) {
@@ -46,11 +47,11 @@
 	return c, nil
 }
 
-// Since returns the time since the clock began, suspended time included.
+// Since returns the time since the clock started, suspended time included.
 func (c *Clock) Since(now time.Time) time.Duration { return now.Sub(c.started) + c.Total(now) }
 
-// Total returns for how long the machine was suspended since the clock began. It never
-// shrinks.
+// Total returns how long the machine was suspended since the clock started. It never
+// decreases.
 func (c *Clock) Total(now time.Time) time.Duration {
 	if c.read == nil {
 		return 0
@@ -61,7 +62,7 @@
 		return total
 	}
 	c.sampled.Store(max(at, 1))
-	// NewClock has read both clocks; they don't go away.
+	// NewClock has read both clocks, so an error isn't expected.
 	read, err := c.read()
 	if err != nil {
 		return total
@@ -75,7 +76,7 @@
 	return total
 }
 
-// clockOffset reads the system's clocks.
+// clockOffset returns by how much CLOCK_BOOTTIME is ahead of CLOCK_MONOTONIC.
 func clockOffset() (time.Duration, error) {
 	var monotonic, bootTime unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_MONOTONIC, &monotonic); err != nil {
