--- a/internal/version/version.go
+++ b/internal/version/version.go
@@ -1,14 +1,14 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package version names the version of the programs.
+// Package version holds the version of the programs.
 package version
 
 import "runtime/debug"
 
-// Number is the version that the changelog names next.
+// Number is the next version in the changelog.
 const Number = "0.1.0-dev"
 
-// String returns the version and, where the build knows it, the revision.
+// String returns the version and, if the build recorded it, the VCS revision.
 func String() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
