--- a/cmd/ploverd/main.go
+++ b/cmd/ploverd/main.go
@@ -86,8 +86,8 @@
 	return 0
 }
 
-// adapter returns what the platform that the settings name needs, or nil for the
-// project's own.
+// adapter returns the adapter for the source in the settings, or nil for the built-in
+// sources.
 func adapter(set *settings.Settings) *node.Adapter {
 	if set.Source() != settings.SourceStore {
 		return nil
@@ -95,8 +95,7 @@
 	return platform.New(set.Platform())
 }
 
-// handleSignals turns the first signal into a planned stop and the second into an end
-// at once.
+// handleSignals starts a planned stop on the first signal and stops at once on the second.
 func handleSignals(ctx context.Context, drain, stop func()) error {
 	signals := make(chan os.Signal, 2)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT)
--- a/cmd/ploverd/reload.go
+++ b/cmd/ploverd/reload.go
@@ -12,12 +12,12 @@
 	"ploverjunction.example/ploverjunction/internal/settings"
 )
 
-// settingsInterval is how often the settings file is looked at: a change takes effect
-// without a signal too, a moment later.
+// settingsInterval is how often the settings file is checked for changes, which take
+// effect without a signal too.
 const settingsInterval = 2 * time.Second
 
-// watchSettings reads the settings again after SIGHUP and when the file has
-// changed, and hands them or the fault in them to reload, until the context ends.
+// watchSettings loads the settings after SIGHUP and when the file has changed and passes
+// the result or error to reload, until the context ends.
 func watchSettings(ctx context.Context, file string, reload func(*settings.Settings, error)) error {
 	hangups := make(chan os.Signal, 1)
 	signal.Notify(hangups, syscall.SIGHUP)
@@ -40,14 +40,14 @@
 	}
 }
 
-// fileState tells two states of a file apart.
+// fileState identifies a version of a file.
 type fileState struct {
 	at   time.Time
 	size int64
 }
 
-// stateOf returns the stamp of a file, the zero value if it can't be read: the
-// reload then tells why.
+// stateOf returns the state of a file, the zero value if it can't be read: the reload then
+// reports why.
 func stateOf(file string) fileState {
 	info, err := os.Stat(file)
 	if err != nil {
