--- a/cmd/ploverctl/account.go
+++ b/cmd/ploverctl/account.go
@@ -10,15 +10,15 @@
 	"text/tabwriter"
 )
 
-// accountCommand counts how requests ended, by service and route, and why those that
-// were not served were lost.
+// accountCommand counts the results of requests by service and route, and why requests
+// failed.
 type accountCommand struct {
 	Files      []string `arg:"" optional:"" help:"Logs in JSON; standard input if none is given." type:"existingfile"`
-	Workspaces bool     `help:"Count each workspace apart."`
+	Workspaces bool     `help:"Count each workspace separately."`
 	Workspace  string   `help:"Count the requests of one workspace only." placeholder:"NAME"`
 }
 
-// Final lines about a request begin with these words.
+// Messages of the log lines about requests and attempts; msgAttempt is a prefix.
 const (
 	msgAnswered = "entry: request answered"
 	msgFailed   = "entry: request failed"
@@ -27,13 +27,13 @@
 	msgNoTarget = "entry: no target for the attempt"
 )
 
-// served is the reason of requests that got a good answer.
+// served is the reason of requests with a good answer.
 const served = "served"
 
-// minFailureStatus is the least status that isn't a good answer.
+// minFailureStatus is the lowest status that isn't a good answer.
 const minFailureStatus = 400
 
-// resultCount counts the requests of one route that ended for one reason.
+// resultCount counts the requests of one route that ended for the same reason.
 type resultCount struct {
 	Workspace string  `json:"workspace,omitempty"`
 	Service   string  `json:"service"`
@@ -41,17 +41,17 @@
 	Reason    string  `json:"reason"`
 	Count     int     `json:"count"`
 	Share     float64 `json:"share"`
-	// Example is the id of the first of them.
+	// Example is the ID of the first of them.
 	Example string `json:"example"`
 }
 
-// requestLog is what the logs say of one request.
+// requestLog holds the log lines of one request.
 type requestLog struct {
 	final    *line
 	attempts []line
 }
 
-// Run reads the logs and prints the account, what happened most often first.
+// Run reads the logs and prints the counts, the most frequent result first.
 func (c *accountCommand) Run(out *output) error {
 	requests := map[string]*requestLog{}
 	var order []string
@@ -72,7 +72,7 @@
 	return out.print(list, "%s", table(list, c.Workspaces))
 }
 
-// add adds one line about the request.
+// add records one line about the request.
 func (h *requestLog) add(l line) {
 	switch msg := l.text("msg"); {
 	case msg == msgAnswered, msg == msgFailed, msg == msgRefused:
@@ -82,8 +82,8 @@
 	}
 }
 
-// reason says why the request ended as it did: what came of each of its attempts, in
-// the order of time.
+// reason returns why the request ended as it did: the outcome of each of its attempts, by
+// time.
 func (h *requestLog) reason() string {
 	if status, ok := h.final.fields["status"].(float64); ok && status < minFailureStatus {
 		return served
@@ -99,7 +99,7 @@
 	return strings.Join(parts, ", then ")
 }
 
-// refusal says why a request was refused before any attempt, "" where the line doesn't tell.
+// refusal returns why a request was refused before any attempt, "" if the line has no reason.
 func (l *line) refusal() string {
 	if by := l.text("by"); by != "" {
 		return l.text("code") + " by " + by
@@ -107,7 +107,7 @@
 	return l.text("code")
 }
 
-// outcome says what came of one attempt.
+// outcome returns the outcome of one attempt.
 func (l *line) outcome() string {
 	switch {
 	case l.text("msg") == msgNoTarget:
@@ -119,7 +119,7 @@
 	}
 }
 
-// account counts the endings of all requests whose final line is in the logs.
+// account counts the results of all requests whose final line is in the logs.
 func (c *accountCommand) account(requests map[string]*requestLog, order []string) []*resultCount {
 	type key struct{ workspace, service, route, reason string }
 	counts := map[key]*resultCount{}
@@ -160,7 +160,7 @@
 	return list
 }
 
-// table returns the account in columns, with that of workspaces if they are counted apart.
+// table returns the counts as a table, with a column of workspaces if they are counted separately.
 func table(list []*resultCount, workspaces bool) string {
 	var text strings.Builder
 	w := tabwriter.NewWriter(&text, 0, 0, 2, ' ', 0)
--- a/cmd/ploverctl/check.go
+++ b/cmd/ploverctl/check.go
@@ -17,17 +17,17 @@
 	Path string `arg:"" type:"path" help:"A settings file (.ini), a published value (.json), or a folder of published values, which are checked together."`
 }
 
-// checkResult is the result of a check that found no fault.
+// checkResult is the result of a successful check.
 type checkResult struct {
 	Files      int `json:"files"`
 	Services   int `json:"services"`
 	Routes     int `json:"routes"`
 	Workspaces int `json:"workspaces"`
-	// Warnings are faults in place of which a node takes a safe value.
+	// Warnings are faults for which a node uses a safe value.
 	Warnings []string `json:"warnings,omitempty"`
 }
 
-// Run checks and prints what was found.
+// Run checks the file or folder and prints a summary.
 func (c *checkCommand) Run(out *output) error {
 	if filepath.Ext(c.Path) == ".ini" {
 		return checkSettings(out, c.Path)
@@ -86,7 +86,7 @@
 	return files, nil
 }
 
-// emptyError is a folder without published values.
+// emptyError describes a folder without published values.
 type emptyError struct {
 	path string
 }
--- a/cmd/ploverctl/follow.go
+++ b/cmd/ploverctl/follow.go
@@ -15,10 +15,10 @@
 
 type followCommand struct {
 	Node     string        `required:"" placeholder:"IP:PORT" help:"Operators' address of a node."`
-	Interval time.Duration `default:"500ms" aliases:"beat" help:"Time between two looks."`
+	Interval time.Duration `default:"500ms" aliases:"beat" help:"Time between two reads of the status."`
 }
 
-// event is one change on a node.
+// event is one state change on a node.
 type event struct {
 	At     time.Time `json:"at"`
 	Object string    `json:"object"`
@@ -66,7 +66,7 @@
 	return out.print(e, "%s %s: %s -> %s\n", e.At.Format(time.TimeOnly), e.Object, e.From, e.To)
 }
 
-// states returns the states that are worth following, by object.
+// states returns the states that follow reports, by object.
 func states(s *operator.Status) map[string]string {
 	out := map[string]string{
 		"node":     fmt.Sprintf("ready %t %s", s.Ready, s.Reason),
--- a/cmd/ploverctl/key.go
+++ b/cmd/ploverctl/key.go
@@ -12,8 +12,8 @@
 	"ploverjunction.example/ploverjunction/internal/fleetconfig"
 )
 
-// keyCommand turns a key into its digest. Keys come on standard input: arguments stand in
-// the list of processes for all to read.
+// keyCommand prints the digests of keys. It reads them from standard input because other
+// users can read arguments in the process list.
 type keyCommand struct{}
 
 // Run prints the digest of each line.
--- a/cmd/ploverctl/log.go
+++ b/cmd/ploverctl/log.go
@@ -11,17 +11,17 @@
 	"strings"
 )
 
-// maxLine bounds a line of a log in bytes.
+// maxLine is the maximum length of a log line in bytes.
 const maxLine = 1 << 20
 
-// line is one line of a log. Whatever stands before the JSON, such as a host's name,
-// is part of the source.
+// line is one line of a log. Text before the JSON, such as a host name, is part of the
+// source.
 type line struct {
 	fields map[string]any
 	source string
 }
 
-// text returns a field as text, "" if the line hasn't got it.
+// text returns a field as text, "" if the line doesn't have it.
 func (l *line) text(key string) string {
 	v, ok := l.fields[key]
 	if !ok {
@@ -30,8 +30,8 @@
 	return fmt.Sprint(v)
 }
 
-// scanFiles gives the lines of logs in which part stands, in the order of the files;
-// standard input if none are given.
+// scanFiles passes the log lines that contain part to take, file by file; it reads standard
+// input if no files are given.
 func scanFiles(files []string, part string, take func(line)) error {
 	if len(files) == 0 {
 		return scanLog(os.Stdin, "", part, take)
--- a/cmd/ploverctl/main.go
+++ b/cmd/ploverctl/main.go
@@ -1,8 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Command ploverctl is the operator's tool of ploverjunction. It checks
-// configuration offline and asks nodes for their state. It never writes to the
-// platform.
+// Command ploverctl is the operator's tool of ploverjunction. It checks configuration
+// offline and queries nodes for their state. It never writes to the platform.
 package main
 
 import (
@@ -15,7 +14,7 @@
 	"ploverjunction.example/ploverjunction/internal/version"
 )
 
-// Exit codes. Faulty arguments exit with 80, kong's own code.
+// Exit codes. Invalid arguments exit with 80, kong's own code.
 const (
 	exitGood    = 0
 	exitFinding = 1
@@ -24,7 +23,7 @@
 
 const help = `The operator's tool of ploverjunction.
 
-Exit codes: 0 all is well; 1 the check found a fault, or the node isn't ready; 2 the node could not be asked; 80 the arguments are wrong.`
+Exit codes: 0 all is well; 1 the check found a fault, or the node isn't ready; 2 the node could not be queried; 80 the arguments are wrong.`
 
 type arguments struct {
 	Output string `enum:"text,json" default:"text" help:"Format of the output: text or json."`
@@ -34,7 +33,7 @@
 	Explain explainCommand `cmd:"" help:"Show where a request would go, and why."`
 	Config  configCommand  `cmd:"" help:"Configuration in force on a node."`
 	Follow  followCommand  `cmd:"" help:"Print the changes on a node as they happen, until interrupted."`
-	Trace   traceCommand   `cmd:"" help:"Tell the story of one request from the logs of the nodes."`
+	Trace   traceCommand   `cmd:"" help:"Print the log lines about one request from the logs of the nodes, by time."`
 	Account accountCommand `cmd:"" help:"Count from the logs of the nodes how requests ended, and why."`
 	Key     keyCommand     `cmd:"" help:"Print the digests of keys, one a line of standard input, for a workspace's published value."`
 	Drain   drainCommand   `cmd:"" help:"Begin the planned stop of a node."`
--- a/cmd/ploverctl/node.go
+++ b/cmd/ploverctl/node.go
@@ -12,10 +12,10 @@
 	"time"
 )
 
-// callTimeout bounds one question to a node.
+// callTimeout bounds one call to a node.
 const callTimeout = 5 * time.Second
 
-// nodeError is a node that could not be asked.
+// nodeError describes a failed call to a node.
 type nodeError struct {
 	node   string
 	status int
@@ -30,7 +30,7 @@
 	return fmt.Sprintf("ploverctl: node %s: status %d", e.node, e.status)
 }
 
-// Unwrap returns the error beneath, or nil.
+// Unwrap returns the underlying error, or nil.
 func (e *nodeError) Unwrap() error { return e.cause }
 
 // call sends a request to the operators' listener of a node and decodes its JSON
--- a/cmd/ploverctl/output.go
+++ b/cmd/ploverctl/output.go
@@ -14,7 +14,7 @@
 	json bool
 }
 
-// print writes v as JSON, or the text made by format.
+// print writes v as JSON, or the formatted text.
 func (o *output) print(v any, format string, args ...any) error {
 	if !o.json {
 		_, err := fmt.Fprintf(o.w, format, args...)
--- a/cmd/ploverctl/status.go
+++ b/cmd/ploverctl/status.go
@@ -16,7 +16,7 @@
 	Node []string `required:"" placeholder:"IP:PORT" help:"Operators' address of a node; may be given more than once."`
 }
 
-// notReadyError is a node that should get no callers.
+// notReadyError describes a node that is not ready for callers.
 type notReadyError struct {
 	node   string
 	reason string
@@ -27,8 +27,8 @@
 	return fmt.Sprintf("ploverctl: node %s is not ready: %s", e.node, e.reason)
 }
 
-// Run prints the state of each node. The last node that isn't ready gives the
-// error.
+// Run prints the state of each node. It returns an error for the last node that isn't
+// ready.
 func (c *statusCommand) Run(out *output) error {
 	var last error
 	var all []*operator.Status
@@ -53,7 +53,7 @@
 	return last
 }
 
-// position names the era only where the platform has been restored.
+// position returns the revision, with its era if the platform was ever restored.
 func position(c *operator.ConfigStatus) string {
 	if c.Era == 0 {
 		return fmt.Sprintf("revision %d", c.Revision)
@@ -222,7 +222,7 @@
 	Node string `required:"" placeholder:"IP:PORT" help:"Operators' address of a node."`
 }
 
-// Run begins the planned stop of a node.
+// Run starts the planned stop of a node.
 func (c *drainCommand) Run(out *output) error {
 	if err := call(c.Node, http.MethodPost, "/drain", nil, nil); err != nil {
 		return err
--- a/cmd/ploverctl/trace.go
+++ b/cmd/ploverctl/trace.go
@@ -8,13 +8,13 @@
 	"strings"
 )
 
-// traceCommand tells the story of one request from the logs of the nodes.
+// traceCommand prints the log lines about one request.
 type traceCommand struct {
-	ID    string   `arg:"" help:"Name of the request, as callers and logs have it."`
+	ID    string   `arg:"" help:"ID of the request, as in its headers and the logs."`
 	Files []string `arg:"" optional:"" help:"Logs in JSON; standard input if none is given." type:"existingfile"`
 }
 
-// Run reads the logs and prints the lines about the request in their order.
+// Run reads the logs and prints the lines about the request by time.
 func (c *traceCommand) Run(out *output) error {
 	lines, err := c.read()
 	if err != nil {
@@ -46,11 +46,10 @@
 	return out, err
 }
 
-// leadingFields are the fields of a line that the story begins with; the others follow by
-// name.
+// leadingFields are the fields that are not printed as KEY=VALUE at the end of a line.
 var leadingFields = []string{"time", "level", "msg", "request"}
 
-// String returns the line in words.
+// String returns the line as text.
 func (l *line) String() string {
 	var rest []string
 	for k := range l.fields {
@@ -62,8 +61,8 @@
 	return fmt.Sprintf("%s  %s  %s  %s\n", l.text("time"), l.source, l.text("msg"), strings.Join(rest, " "))
 }
 
-// notFoundError says that no log names a request.
+// notFoundError describes a request that is in none of the logs.
 type notFoundError struct{ id string }
 
-// Error names the request.
+// Error includes the ID of the request.
 func (e *notFoundError) Error() string { return "ploverctl: no line names request " + e.id }
