--- a/cmd/ploverd/reload.go
+++ b/cmd/ploverd/reload.go
@@ -42,8 +42,8 @@
 
 // fileState identifies a version of a file.
 type fileState struct {
-	at   time.Time
-	size int64
+	modified time.Time
+	size     int64
 }
 
 // stateOf returns the state of a file, the zero value if it can't be read: the reload then
@@ -54,7 +54,7 @@
 		return fileState{}
 	}
 	return fileState{
-		at:   info.ModTime(),
-		size: info.Size(),
+		modified: info.ModTime(),
+		size:     info.Size(),
 	}
 }
