--- a/internal/logging/buffer_test.go
+++ b/internal/logging/buffer_test.go
@@ -11,7 +11,7 @@
 	"ploverjunction.example/ploverjunction/internal/logging"
 )
 
-// gate is a writer that stands still until it is opened.
+// gate is a writer that blocks until it is opened.
 type gate struct {
 	open chan struct{}
 	out  bytes.Buffer
@@ -22,9 +22,9 @@
 	return g.out.Write(p)
 }
 
-// A reader of the log that stalls for good must not hold anyone up, and failures
-// are kept when successes are left out.
-func TestStalledReaderBlocksNobody(t *testing.T) {
+// Guards against a stalled reader of the log that blocks the process, and against dropping
+// warnings before info lines.
+func TestStalledReaderDoesNotBlock(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := &gate{
 			open: make(chan struct{}),
@@ -36,21 +36,21 @@
 		}
 		log.Warn("went wrong")
 		if b.Dropped() == 0 {
-			t.Error("nothing was left out")
+			t.Error("no line was dropped")
 		}
 		close(g.open)
 		b.Close()
 		out := g.out.String()
 		if !strings.Contains(out, "went wrong") {
-			t.Error("a failure was left out before successes")
+			t.Error("a warning was dropped before info lines")
 		}
 		if !strings.Contains(out, "lines left out") {
-			t.Error("the log does not tell that lines are missing")
+			t.Error("the log does not report the dropped lines")
 		}
 	})
 }
 
-// Close gives up on a reader that never reads.
+// Guards against a Close that waits for a reader that never reads.
 func TestCloseDoesNotWaitForever(t *testing.T) {
 	synctest.Test(t, func(*testing.T) {
 		g := &gate{
--- a/internal/logging/logging_test.go
+++ b/internal/logging/logging_test.go
@@ -10,7 +10,7 @@
 	"ploverjunction.example/ploverjunction/internal/logging"
 )
 
-func TestPartsHaveTheirPrefix(t *testing.T) {
+func TestComponentPrefix(t *testing.T) {
 	for _, format := range []string{"text", "json"} {
 		var b bytes.Buffer
 		logging.Part(logging.New(&b, "info", format), "entry").WithField("request", "17").Info("request refused")
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -49,7 +49,7 @@
 	}
 }
 
-func TestFaults(t *testing.T) {
+func TestInvalidSettings(t *testing.T) {
 	cases := []struct {
 		name    string
 		text    string
@@ -192,9 +192,9 @@
 	}
 }
 
-// Figures that a platform fills in may take any form that a number can have, and one
-// that can't be understood must not end the program: no node would start.
-func TestFiguresOfThePlatform(t *testing.T) {
+// Guards against a process that doesn't start because of a value that the platform filled in:
+// all number formats are accepted, and an invalid value falls back to a safe one.
+func TestPlatformValuesFallBack(t *testing.T) {
 	cases := []struct {
 		name     string
 		text     string
--- a/internal/suspend/clock_test.go
+++ b/internal/suspend/clock_test.go
@@ -10,7 +10,7 @@
 	"ploverjunction.example/ploverjunction/internal/suspend"
 )
 
-// Only what was suspended since the clock began counts, and it is noticed within a moment.
+// Only suspension since the clock started counts, and it is detected within 20 ms.
 func TestTotal(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ahead := 3 * time.Hour
@@ -23,7 +23,7 @@
 		if got := c.Total(time.Now()); got != 5*time.Second {
 			t.Errorf("%v after 5 s", got)
 		}
-		// The clocks are read one after the other, which looks like a moment less.
+		// The clocks are read one after the other, so their offset may appear to shrink.
 		ahead -= time.Millisecond
 		time.Sleep(time.Second)
 		if got := c.Total(time.Now()); got != 5*time.Second {
@@ -35,7 +35,7 @@
 	})
 }
 
-// The clocks of this machine can be read, and agree while nobody suspends it.
+// The clocks of this machine can be read and show no suspension.
 func TestSystemClocks(t *testing.T) {
 	c, err := suspend.NewClock()
 	if err != nil {
