--- a/cmd/ploverctl/trace.go
+++ b/cmd/ploverctl/trace.go
@@ -51,14 +51,14 @@
 
 // String returns the line as text.
 func (l *line) String() string {
-	var rest []string
+	var fields []string
 	for k := range l.fields {
 		if !slices.Contains(leadingFields, k) {
-			rest = append(rest, k+"="+l.text(k))
+			fields = append(fields, k+"="+l.text(k))
 		}
 	}
-	slices.Sort(rest)
-	return fmt.Sprintf("%s  %s  %s  %s\n", l.text("time"), l.source, l.text("msg"), strings.Join(rest, " "))
+	slices.Sort(fields)
+	return fmt.Sprintf("%s  %s  %s  %s\n", l.text("time"), l.source, l.text("msg"), strings.Join(fields, " "))
 }
 
 // notFoundError describes a request that is in none of the logs.
