--- a/cmd/ploverctl/account.go
+++ b/cmd/ploverctl/account.go
@@ -10,56 +10,56 @@
 	"text/tabwriter"
 )
 
-// accountCommand counts how requests ended, by service and route, and why those that
-// were not served were lost.
+// accountCommand counts the results of requests by service and route, and why requests
+// failed.
 type accountCommand struct {
 	Files      []string `arg:"" optional:"" help:"Logs in JSON; standard input if none is given." type:"existingfile"`
-	Workspaces bool     `help:"Count each workspace apart."`
+	Workspaces bool     `help:"Count each workspace separately."`
 	Workspace  string   `help:"Count the requests of one workspace only." placeholder:"NAME"`
 }
 
-// Final lines about a request begin with these words.
+// Messages of the log lines about requests and attempts; msgAttempt is a prefix.
 const (
-	lineAnswered = "entry: request answered"
-	lineFailed   = "entry: request failed"
-	lineRefused  = "entry: request refused"
-	lineAttempt  = "entry: attempt"
-	lineNoTarget = "entry: no target for the attempt"
+	msgAnswered = "entry: request answered"
+	msgFailed   = "entry: request failed"
+	msgRefused  = "entry: request refused"
+	msgAttempt  = "entry: attempt"
+	msgNoTarget = "entry: no target for the attempt"
 )
 
-// served is the reason of requests that got a good answer.
+// served is the reason of requests with a good answer.
 const served = "served"
 
-// firstFailure is the least status that isn't a good answer.
-const firstFailure = 400
+// minFailureStatus is the lowest status that isn't a good answer.
+const minFailureStatus = 400
 
-// ending counts the requests of one route that ended for one reason.
-type ending struct {
+// resultCount counts the requests of one route that ended for the same reason.
+type resultCount struct {
 	Workspace string  `json:"workspace,omitempty"`
 	Service   string  `json:"service"`
 	Route     string  `json:"route"`
 	Reason    string  `json:"reason"`
 	Count     int     `json:"count"`
 	Share     float64 `json:"share"`
-	// Example is the id of the first of them.
+	// Example is the ID of the first of them.
 	Example string `json:"example"`
 }
 
-// history is what the logs say of one request.
-type history struct {
+// requestLog holds the log lines of one request.
+type requestLog struct {
 	final    *line
 	attempts []line
 }
 
-// Run reads the logs and prints the account, what happened most often first.
+// Run reads the logs and prints the counts, the most frequent result first.
 func (c *accountCommand) Run(out *output) error {
-	requests := map[string]*history{}
+	requests := map[string]*requestLog{}
 	var order []string
 	err := scanFiles(c.Files, `"request"`, func(l line) {
 		id := l.text("request")
 		h := requests[id]
 		if h == nil {
-			h = &history{}
+			h = &requestLog{}
 			requests[id] = h
 			order = append(order, id)
 		}
@@ -72,20 +72,20 @@
 	return out.print(list, "%s", table(list, c.Workspaces))
 }
 
-// add adds one line about the request.
-func (h *history) add(l line) {
+// add records one line about the request.
+func (h *requestLog) add(l line) {
 	switch msg := l.text("msg"); {
-	case msg == lineAnswered, msg == lineFailed, msg == lineRefused:
+	case msg == msgAnswered, msg == msgFailed, msg == msgRefused:
 		h.final = &l
-	case strings.HasPrefix(msg, lineAttempt), msg == lineNoTarget:
+	case strings.HasPrefix(msg, msgAttempt), msg == msgNoTarget:
 		h.attempts = append(h.attempts, l)
 	}
 }
 
-// reason says why the request ended as it did: what came of each of its attempts, in
-// the order of time.
-func (h *history) reason() string {
-	if status, ok := h.final.fields["status"].(float64); ok && status < firstFailure {
+// reason returns why the request ended as it did: the outcome of each of its attempts, by
+// time.
+func (h *requestLog) reason() string {
+	if status, ok := h.final.fields["status"].(float64); ok && status < minFailureStatus {
 		return served
 	}
 	slices.SortStableFunc(h.attempts, func(a, b line) int { return strings.Compare(a.text("time"), b.text("time")) })
@@ -99,7 +99,7 @@
 	return strings.Join(parts, ", then ")
 }
 
-// refusal says why a request was refused before any attempt, "" where the line doesn't tell.
+// refusal returns why a request was refused before any attempt, "" if the line has no reason.
 func (l *line) refusal() string {
 	if by := l.text("by"); by != "" {
 		return l.text("code") + " by " + by
@@ -107,10 +107,10 @@
 	return l.text("code")
 }
 
-// outcome says what came of one attempt.
+// outcome returns the outcome of one attempt.
 func (l *line) outcome() string {
 	switch {
-	case l.text("msg") == lineNoTarget:
+	case l.text("msg") == msgNoTarget:
 		return l.text("error")
 	case l.text("kind") != "":
 		return l.text("kind")
@@ -119,10 +119,10 @@
 	}
 }
 
-// account counts the endings of all requests whose final line is in the logs.
-func (c *accountCommand) account(requests map[string]*history, order []string) []*ending {
+// account counts the results of all requests whose final line is in the logs.
+func (c *accountCommand) account(requests map[string]*requestLog, order []string) []*resultCount {
 	type key struct{ workspace, service, route, reason string }
-	by := map[key]*ending{}
+	counts := map[key]*resultCount{}
 	all := 0
 	for _, id := range order {
 		h := requests[id]
@@ -138,8 +138,8 @@
 		if c.Workspaces {
 			k.workspace = h.final.text("workspace")
 		}
-		if by[k] == nil {
-			by[k] = &ending{
+		if counts[k] == nil {
+			counts[k] = &resultCount{
 				Workspace: k.workspace,
 				Service:   k.service,
 				Route:     k.route,
@@ -147,21 +147,21 @@
 				Example:   id,
 			}
 		}
-		by[k].Count++
+		counts[k].Count++
 	}
-	list := make([]*ending, 0, len(by))
-	for _, e := range by {
+	list := make([]*resultCount, 0, len(counts))
+	for _, e := range counts {
 		e.Share = float64(e.Count) / float64(all)
 		list = append(list, e)
 	}
-	slices.SortFunc(list, func(a, b *ending) int {
+	slices.SortFunc(list, func(a, b *resultCount) int {
 		return cmp.Or(b.Count-a.Count, strings.Compare(a.Workspace+a.Service+a.Route+a.Reason, b.Workspace+b.Service+b.Route+b.Reason))
 	})
 	return list
 }
 
-// table returns the account in columns, with that of workspaces if they are counted apart.
-func table(list []*ending, workspaces bool) string {
+// table returns the counts as a table, with a column of workspaces if they are counted separately.
+func table(list []*resultCount, workspaces bool) string {
 	var text strings.Builder
 	w := tabwriter.NewWriter(&text, 0, 0, 2, ' ', 0)
 	head := "requests\tshare\t"
--- a/cmd/ploverctl/follow.go
+++ b/cmd/ploverctl/follow.go
@@ -15,10 +15,10 @@
 
 type followCommand struct {
 	Node     string        `required:"" placeholder:"IP:PORT" help:"Operators' address of a node."`
-	Interval time.Duration `default:"500ms" aliases:"beat" help:"Time between two looks."`
+	Interval time.Duration `default:"500ms" aliases:"beat" help:"Time between two reads of the status."`
 }
 
-// event is one change on a node.
+// event is one state change on a node.
 type event struct {
 	At     time.Time `json:"at"`
 	Object string    `json:"object"`
@@ -35,16 +35,16 @@
 	old := map[string]string{}
 	for {
 		s := &operator.Status{}
-		if err := ask(c.Node, http.MethodGet, "/status", nil, s); err != nil {
+		if err := call(c.Node, http.MethodGet, "/status", nil, s); err != nil {
 			return err
 		}
-		seen := observe(s)
-		for object, state := range seen {
+		current := states(s)
+		for object, state := range current {
 			if err := report(out, old, object, state); err != nil {
 				return err
 			}
 		}
-		old = seen
+		old = current
 		select {
 		case <-ctx.Done():
 			return nil
@@ -66,8 +66,8 @@
 	return out.print(e, "%s %s: %s -> %s\n", e.At.Format(time.TimeOnly), e.Object, e.From, e.To)
 }
 
-// observe returns the states that are worth following, by object.
-func observe(s *operator.Status) map[string]string {
+// states returns the states that follow reports, by object.
+func states(s *operator.Status) map[string]string {
 	out := map[string]string{
 		"node":     fmt.Sprintf("ready %t %s", s.Ready, s.Reason),
 		"revision": position(&s.Config),
--- a/cmd/ploverctl/node.go
+++ b/cmd/ploverctl/node.go
@@ -12,14 +12,14 @@
 	"time"
 )
 
-// askTimeout bounds one question to a node.
-const askTimeout = 5 * time.Second
+// callTimeout bounds one call to a node.
+const callTimeout = 5 * time.Second
 
-// nodeError is a node that could not be asked.
+// nodeError describes a failed call to a node.
 type nodeError struct {
-	node  string
-	code  int
-	cause error
+	node   string
+	status int
+	cause  error
 }
 
 // Error names the node and the failure.
@@ -27,16 +27,16 @@
 	if e.cause != nil {
 		return fmt.Sprintf("ploverctl: node %s: %v", e.node, e.cause)
 	}
-	return fmt.Sprintf("ploverctl: node %s: status %d", e.node, e.code)
+	return fmt.Sprintf("ploverctl: node %s: status %d", e.node, e.status)
 }
 
-// Unwrap returns the error beneath, or nil.
+// Unwrap returns the underlying error, or nil.
 func (e *nodeError) Unwrap() error { return e.cause }
 
-// ask sends a request to the operators' listener of a node and decodes its JSON
+// call sends a request to the operators' listener of a node and decodes its JSON
 // answer into v, unless v is nil.
-func ask(node, method, path string, query url.Values, v any) error {
-	ctx, cancel := context.WithTimeout(context.Background(), askTimeout)
+func call(node, method, path string, query url.Values, v any) error {
+	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 	defer cancel()
 	u := url.URL{
 		Scheme:   "http",
@@ -46,9 +46,9 @@
 	}
 	fault := func(code int, err error) error {
 		return &nodeError{
-			node:  node,
-			code:  code,
-			cause: err,
+			node:   node,
+			status: code,
+			cause:  err,
 		}
 	}
 	req, err := http.NewRequestWithContext(ctx, method, u.String(), nil)
--- a/cmd/ploverctl/status.go
+++ b/cmd/ploverctl/status.go
@@ -16,7 +16,7 @@
 	Node []string `required:"" placeholder:"IP:PORT" help:"Operators' address of a node; may be given more than once."`
 }
 
-// notReadyError is a node that should get no callers.
+// notReadyError describes a node that is not ready for callers.
 type notReadyError struct {
 	node   string
 	reason string
@@ -27,15 +27,15 @@
 	return fmt.Sprintf("ploverctl: node %s is not ready: %s", e.node, e.reason)
 }
 
-// Run prints the state of each node. The last node that isn't ready gives the
-// error.
+// Run prints the state of each node. It returns an error for the last node that isn't
+// ready.
 func (c *statusCommand) Run(out *output) error {
 	var last error
 	var all []*operator.Status
 	var text strings.Builder
 	for _, n := range c.Node {
 		s := &operator.Status{}
-		if err := ask(n, http.MethodGet, "/status", nil, s); err != nil {
+		if err := call(n, http.MethodGet, "/status", nil, s); err != nil {
 			return err
 		}
 		if !s.Ready {
@@ -53,7 +53,7 @@
 	return last
 }
 
-// position names the era only where the platform has been restored.
+// position returns the revision, with its era if the platform was ever restored.
 func position(c *operator.ConfigStatus) string {
 	if c.Era == 0 {
 		return fmt.Sprintf("revision %d", c.Revision)
@@ -165,7 +165,7 @@
 // Run prints where the request would go.
 func (c *explainCommand) Run(out *output) error {
 	x := &operator.Explanation{}
-	err := ask(c.Node, http.MethodGet, "/explain", url.Values{
+	err := call(c.Node, http.MethodGet, "/explain", url.Values{
 		"path":   {c.Path},
 		"method": {c.Method},
 		"host":   {c.Host},
@@ -202,7 +202,7 @@
 // Run prints the configuration in force on a node.
 func (c *configShowCommand) Run(out *output) error {
 	s := &operator.Status{}
-	if err := ask(c.Node, http.MethodGet, "/status", nil, s); err != nil {
+	if err := call(c.Node, http.MethodGet, "/status", nil, s); err != nil {
 		return err
 	}
 	var b strings.Builder
@@ -222,9 +222,9 @@
 	Node string `required:"" placeholder:"IP:PORT" help:"Operators' address of a node."`
 }
 
-// Run begins the planned stop of a node.
+// Run starts the planned stop of a node.
 func (c *drainCommand) Run(out *output) error {
-	if err := ask(c.Node, http.MethodPost, "/drain", nil, nil); err != nil {
+	if err := call(c.Node, http.MethodPost, "/drain", nil, nil); err != nil {
 		return err
 	}
 	return out.print(struct {
--- a/cmd/ploverctl/trace.go
+++ b/cmd/ploverctl/trace.go
@@ -8,13 +8,13 @@
 	"strings"
 )
 
-// traceCommand tells the story of one request from the logs of the nodes.
+// traceCommand prints the log lines about one request.
 type traceCommand struct {
-	ID    string   `arg:"" help:"Name of the request, as callers and logs have it."`
+	ID    string   `arg:"" help:"ID of the request, as in its headers and the logs."`
 	Files []string `arg:"" optional:"" help:"Logs in JSON; standard input if none is given." type:"existingfile"`
 }
 
-// Run reads the logs and prints the lines about the request in their order.
+// Run reads the logs and prints the lines about the request by time.
 func (c *traceCommand) Run(out *output) error {
 	lines, err := c.read()
 	if err != nil {
@@ -27,12 +27,12 @@
 	}
 	slices.SortStableFunc(lines, func(a, b line) int { return strings.Compare(a.text("time"), b.text("time")) })
 	fields := make([]map[string]any, len(lines))
-	var story strings.Builder
+	var text strings.Builder
 	for i := range lines {
 		fields[i] = lines[i].fields
-		story.WriteString(lines[i].String())
+		text.WriteString(lines[i].String())
 	}
-	return out.print(fields, "%s", story.String())
+	return out.print(fields, "%s", text.String())
 }
 
 // read returns the lines that name the request.
@@ -46,24 +46,23 @@
 	return out, err
 }
 
-// told are the fields of a line that the story begins with; the others follow by
-// name.
-var told = []string{"time", "level", "msg", "request"}
+// leadingFields are the fields that are not printed as KEY=VALUE at the end of a line.
+var leadingFields = []string{"time", "level", "msg", "request"}
 
-// String returns the line in words.
+// String returns the line as text.
 func (l *line) String() string {
-	var rest []string
+	var fields []string
 	for k := range l.fields {
-		if !slices.Contains(told, k) {
-			rest = append(rest, k+"="+l.text(k))
+		if !slices.Contains(leadingFields, k) {
+			fields = append(fields, k+"="+l.text(k))
 		}
 	}
-	slices.Sort(rest)
-	return fmt.Sprintf("%s  %s  %s  %s\n", l.text("time"), l.source, l.text("msg"), strings.Join(rest, " "))
+	slices.Sort(fields)
+	return fmt.Sprintf("%s  %s  %s  %s\n", l.text("time"), l.source, l.text("msg"), strings.Join(fields, " "))
 }
 
-// notFoundError says that no log names a request.
+// notFoundError describes a request that is in none of the logs.
 type notFoundError struct{ id string }
 
-// Error names the request.
+// Error includes the ID of the request.
 func (e *notFoundError) Error() string { return "ploverctl: no line names request " + e.id }
--- a/cmd/ploverd/main.go
+++ b/cmd/ploverd/main.go
@@ -70,10 +70,10 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	signals := task.Go(ctx, "signals", func(ctx context.Context) error {
-		return follow(ctx, n.Drain, cancel)
+		return handleSignals(ctx, n.Drain, cancel)
 	})
 	reload := task.Go(ctx, "reload", func(ctx context.Context) error {
-		return followSettings(ctx, args.Settings, n.Reload)
+		return watchSettings(ctx, args.Settings, n.Reload)
 	})
 	err = n.Run(ctx)
 	if serr := errors.Join(signals.Stop(), reload.Stop()); err == nil {
@@ -86,8 +86,8 @@
 	return 0
 }
 
-// adapter returns what the platform that the settings name needs, or nil for the
-// project's own.
+// adapter returns the adapter for the source in the settings, or nil for the built-in
+// sources.
 func adapter(set *settings.Settings) *node.Adapter {
 	if set.Source() != settings.SourceStore {
 		return nil
@@ -95,9 +95,8 @@
 	return platform.New(set.Platform())
 }
 
-// follow turns the first signal into a planned stop and the second into an end
-// at once.
-func follow(ctx context.Context, drain, stop func()) error {
+// handleSignals starts a planned stop on the first signal and stops at once on the second.
+func handleSignals(ctx context.Context, drain, stop func()) error {
 	signals := make(chan os.Signal, 2)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT)
 	defer signal.Stop(signals)
--- a/cmd/ploverd/reload.go
+++ b/cmd/ploverd/reload.go
@@ -12,49 +12,49 @@
 	"ploverjunction.example/ploverjunction/internal/settings"
 )
 
-// settingsInterval is how often the settings file is looked at: a change takes effect
-// without a signal too, a moment later.
+// settingsInterval is how often the settings file is checked for changes, which take
+// effect without a signal too.
 const settingsInterval = 2 * time.Second
 
-// followSettings reads the settings again after SIGHUP and when the file has
-// changed, and hands them or the fault in them to reload, until the context ends.
-func followSettings(ctx context.Context, file string, reload func(*settings.Settings, error)) error {
+// watchSettings loads the settings after SIGHUP and when the file has changed and passes
+// the result or error to reload, until the context ends.
+func watchSettings(ctx context.Context, file string, reload func(*settings.Settings, error)) error {
 	hangups := make(chan os.Signal, 1)
 	signal.Notify(hangups, syscall.SIGHUP)
 	defer signal.Stop(hangups)
 	tick := time.NewTicker(settingsInterval)
 	defer tick.Stop()
-	known := changed(file)
+	last := stateOf(file)
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
 		case <-hangups:
 		case <-tick.C:
-			if changed(file) == known {
+			if stateOf(file) == last {
 				continue
 			}
 		}
-		known = changed(file)
+		last = stateOf(file)
 		reload(settings.Load(file))
 	}
 }
 
-// stamp tells two states of a file apart.
-type stamp struct {
-	at   time.Time
-	size int64
+// fileState identifies a version of a file.
+type fileState struct {
+	modified time.Time
+	size     int64
 }
 
-// changed returns the stamp of a file, the zero value if it can't be read: the
-// reload then tells why.
-func changed(file string) stamp {
+// stateOf returns the state of a file, the zero value if it can't be read: the reload then
+// reports why.
+func stateOf(file string) fileState {
 	info, err := os.Stat(file)
 	if err != nil {
-		return stamp{}
+		return fileState{}
 	}
-	return stamp{
-		at:   info.ModTime(),
-		size: info.Size(),
+	return fileState{
+		modified: info.ModTime(),
+		size:     info.Size(),
 	}
 }
--- a/internal/logging/buffer.go
+++ b/internal/logging/buffer.go
@@ -12,26 +12,25 @@
 
 // Bounds of a buffer.
 const (
-	// bufferLines is how many lines wait at most; with about 300 bytes each that
-	// is some 1.2 MB.
+	// bufferLines is the capacity in lines; at about 300 bytes each that is some 1.2 MB.
 	bufferLines = 4096
-	// calmLines is how many lines may wait before lines that tell of successes are
-	// left out, so that there is room for failures.
-	calmLines = bufferLines / 2
-	// closeWait is how long Close waits for the reader of the log.
-	closeWait = 200 * time.Millisecond
+	// infoLines is the number of waiting lines from which on info and debug lines are
+	// dropped, so that there is room for warnings and errors.
+	infoLines = bufferLines / 2
+	// closeTimeout is how long Close waits for the underlying writer.
+	closeTimeout = 200 * time.Millisecond
 )
 
-// success marks the lines that are left out first, in either format.
-var success = [][]byte{
+// infoMarks are the texts, in either format, of lines that are dropped first.
+var infoMarks = [][]byte{
 	[]byte(`"level":"info"`),
 	[]byte("level=info"),
 	[]byte(`"level":"debug"`),
 	[]byte("level=debug"),
 }
 
-// Buffer is a writer that never blocks: one goroutine writes the lines, and those
-// for which there is no room are counted and left out. It may be used concurrently.
+// Buffer is a writer that never blocks: one goroutine writes the lines, and those for
+// which there is no room are counted and dropped. It is safe for concurrent use.
 type Buffer struct {
 	lines   chan []byte
 	stop    chan struct{}
@@ -50,10 +49,10 @@
 	return b
 }
 
-// Write takes one line. It always reports success: a process must not fail for
+// Write queues one line. It always reports success: a process must not fail because of
 // its log.
 func (b *Buffer) Write(line []byte) (int, error) {
-	if len(b.lines) >= calmLines && tellsSuccess(line) {
+	if len(b.lines) >= infoLines && isInfo(line) {
 		b.dropped.Add(1)
 		return len(line), nil
 	}
@@ -65,8 +64,8 @@
 	return len(line), nil
 }
 
-func tellsSuccess(line []byte) bool {
-	for _, mark := range success {
+func isInfo(line []byte) bool {
+	for _, mark := range infoMarks {
 		if bytes.Contains(line, mark) {
 			return true
 		}
@@ -74,14 +73,14 @@
 	return false
 }
 
-// Dropped returns how many lines were left out since the last line that told so.
+// Dropped returns how many lines were dropped since the last line that reported it.
 func (b *Buffer) Dropped() int64 { return b.dropped.Load() }
 
 func (b *Buffer) run(w io.Writer) error {
 	for {
 		select {
 		case line := <-b.lines:
-			if err := b.put(w, line); err != nil {
+			if err := b.writeLine(w, line); err != nil {
 				return err
 			}
 		case <-b.stop:
@@ -90,12 +89,12 @@
 	}
 }
 
-// flush writes what waits.
+// flush writes the waiting lines.
 func (b *Buffer) flush(w io.Writer) error {
 	for {
 		select {
 		case line := <-b.lines:
-			if err := b.put(w, line); err != nil {
+			if err := b.writeLine(w, line); err != nil {
 				return err
 			}
 		default:
@@ -104,7 +103,7 @@
 	}
 }
 
-func (b *Buffer) put(w io.Writer, line []byte) error {
+func (b *Buffer) writeLine(w io.Writer, line []byte) error {
 	if n := b.dropped.Swap(0); n > 0 {
 		if _, err := fmt.Fprintf(w, "{\"level\":\"warning\",\"msg\":\"logging: lines left out\",\"lines\":%d}\n", n); err != nil {
 			return fmt.Errorf("logging: write: %w", err)
@@ -116,10 +115,10 @@
 	return nil
 }
 
-// Close writes what waits, as long as the log is read, and ends the buffer.
+// Close writes the waiting lines within closeTimeout and stops the buffer.
 func (b *Buffer) Close() {
 	close(b.stop)
-	t := time.NewTimer(closeWait)
+	t := time.NewTimer(closeTimeout)
 	defer t.Stop()
 	select {
 	case <-b.done:
--- a/internal/settings/load.go
+++ b/internal/settings/load.go
@@ -9,8 +9,8 @@
 	"gopkg.in/ini.v1"
 )
 
-// Load reads and checks a settings file. Every fault is an *Error; no part of a
-// faulty file is taken.
+// Load reads and checks a settings file. Every fault is an *Error; a file with a fault has
+// no effect.
 func Load(file string) (*Settings, error) {
 	f, err := ini.LoadSources(ini.LoadOptions{
 		AllowShadows:             true,
@@ -26,11 +26,11 @@
 		return nil, err
 	}
 	for _, fd := range fields {
-		if err := s.read(fd, file, f); err != nil {
+		if err := s.readField(fd, file, f); err != nil {
 			return nil, err
 		}
 	}
-	return s, s.checkTogether(file)
+	return s, s.checkCombinations(file)
 }
 
 func loadError(file string, err error) *Error {
@@ -83,8 +83,8 @@
 	}
 }
 
-// checkTogether checks what one key alone doesn't show.
-func (s *Settings) checkTogether(file string) error {
+// checkCombinations checks constraints between keys.
+func (s *Settings) checkCombinations(file string) error {
 	missing := func(section, key, why string) error {
 		return &Error{
 			kind:    KindMissing,
@@ -115,7 +115,7 @@
 	return nil
 }
 
-func (s *Settings) read(fd field, file string, f *ini.File) error {
+func (s *Settings) readField(fd field, file string, f *ini.File) error {
 	sec := f.Section(fd.section)
 	fault := &Error{
 		file:    file,
@@ -134,10 +134,10 @@
 		return nil
 	}
 	fault.kind = KindValue
-	if fd.safe == nil {
+	if fd.fallback == nil {
 		return fault
 	}
-	fd.safe()
+	fd.fallback()
 	s.warnings = append(s.warnings, fault)
 	return nil
 }
