--- a/internal/balance/pick.go
+++ b/internal/balance/pick.go
@@ -23,7 +23,7 @@
 // this node's requests in flight and the reported load, per slot. random returns
 // random bits; tried lists the targets of earlier attempts, which are chosen only if
 // there is no other, and unavailable those that are never chosen. It reports false
-// when no other target has a free connection. It does not allocate.
+// when no available target has a free connection. It does not allocate.
 func (p *Pool) Pick(random func() uint64, tried, unavailable []string) (Pick, bool) {
 	n := len(p.choices)
 	if n == 0 {
--- a/internal/dispatch/bench_test.go
+++ b/internal/dispatch/bench_test.go
@@ -10,8 +10,8 @@
 	"ploverjunction.example/ploverjunction/internal/dispatch"
 )
 
-// BenchmarkRequestGrant measures one grant request and the end of its attempt for several sizes of services:
-// half of the slots are taken, as under load.
+// BenchmarkRequestGrant measures one grant request and the end of its attempt for several sizes of
+// services: half of the slots are taken, as under load.
 func BenchmarkRequestGrant(b *testing.B) {
 	for _, targets := range []int{15, 170, 500} {
 		b.Run(fmt.Sprint(targets), func(b *testing.B) {
--- a/internal/dispatch/choose_test.go
+++ b/internal/dispatch/choose_test.go
@@ -127,7 +127,8 @@
 		}
 		queued++
 	}
-	// One is at the target, the others are what it can serve in three fifths of the time.
+	// One is in flight. The others are as many as the target serves in three fifths of the time to
+	// the deadline.
 	if queued < 4 || queued > 6 {
 		t.Errorf("%d requests granted or queued, want about 5", queued)
 	}
--- a/internal/dispatch/coverage.go
+++ b/internal/dispatch/coverage.go
@@ -12,7 +12,7 @@
 // that worked in the window and in the 2 s before it. A loss of power ends a tenth of the requests
 // without warning, so the floor must hold at any time.
 const (
-	// defaultFloor is the users' floor.
+	// defaultFloor is the floor until SetFloor is called: the users' floor.
 	defaultFloor = 0.7
 	// coverSettled is how long a target must have worked to count: the window and the time before
 	// it.
--- a/internal/dispatch/request.go
+++ b/internal/dispatch/request.go
@@ -14,7 +14,7 @@
 	DataHall string
 	// Slots is the number of requests that the target serves concurrently.
 	Slots int
-	// Draining targets are draining and get no work.
+	// Draining is set where the target is published as draining. It gets no work.
 	Draining bool
 	// HasID is set where the key identifies one incarnation of the target, which drains for good.
 	HasID bool
@@ -47,15 +47,13 @@
 	Priority int
 	// Route is the route name; requests of one route have similar response times.
 	Route string
-	// SoftDeadline is the soft deadline, after which an answer is worth less; after Deadline it is worth
-	// nothing.
+	// After SoftDeadline an answer is worth less, after Deadline nothing.
 	SoftDeadline time.Time
 	Deadline     time.Time
 	// Tried are keys of targets that the node cannot reach or that the request was sent to before.
 	// For a hedge, the attempt at the last one is still under way.
 	Tried []string
-	// Unavailable are keys of targets that are unavailable to the node because they asked it to back off.
-	// They are never granted to it.
+	// Unavailable are keys of targets that asked the node to back off. They are never granted to it.
 	Unavailable []string
 	// Draining are keys of targets that signalled to the node that they drain.
 	Draining []string
--- a/internal/dispatch/scheduler.go
+++ b/internal/dispatch/scheduler.go
@@ -91,7 +91,8 @@
 	}
 }
 
-// RequestGrant answers a grant request at once. A repeated request with the same ID gets the same answer.
+// RequestGrant answers a grant request at once. A repeated request with the same ID gets the same
+// answer.
 func (d *Scheduler) RequestGrant(now time.Time, a *Request) Grant {
 	d.recordSignals(now, a)
 	g := d.answer(now, a)
@@ -254,8 +255,8 @@
 	}, d.queue.has(id)
 }
 
-// GrantIsolated answers a grant request on a node that reaches no dispatcher. It ignores slots, because
-// the attempts of other nodes are unknown. share is this node's share of the retry reserve.
+// GrantIsolated answers a grant request on a node that reaches no dispatcher. It ignores slots,
+// because the attempts of other nodes are unknown. share is this node's share of the retry reserve.
 func (d *Scheduler) GrantIsolated(now time.Time, a *Request, share float64) Grant {
 	d.recordSignals(now, a)
 	if !d.affords(now, a, share) {
--- a/internal/dispatch/status.go
+++ b/internal/dispatch/status.go
@@ -18,7 +18,7 @@
 	RejectedSamples int
 	// FailingShare is the estimated share of the time in which targets of the service are failing.
 	FailingShare float64
-	// FailureRate and Leave are the rates, in 1/s, at which targets begin and cease to fail.
+	// FailureRate and RecoveryRate are the rates, in 1/s, at which targets begin and cease to fail.
 	FailureRate, RecoveryRate float64
 	// LostFailing is the share of requests that a failing target does not answer.
 	LostFailing float64
@@ -27,8 +27,8 @@
 	// RetriesLeft is the number of retries that the retry budget still allows.
 	RetriesLeft float64
 	// Working is the expected number of targets that have worked for some seconds, Reached the
-	// expected number of those with recent work, Short the probability that these are fewer than the
-	// floor requires.
+	// expected number of those with recent work, ShortProbability the probability that these are
+	// fewer than the floor requires.
 	Working, Reached, ShortProbability float64
 	// Trials counts the grants made only because the target lacked work.
 	Trials int
--- a/internal/dispatch/target.go
+++ b/internal/dispatch/target.go
@@ -90,8 +90,8 @@
 // usedRecently reports whether the target got work within spreadTime.
 func (t *target) usedRecently(now time.Time) bool { return now.Sub(t.lastGranted) < spreadTime }
 
-// settledProbability returns the estimated probability that the target has worked for coverSettled and so counts
-// for the floor.
+// settledProbability returns the estimated probability that the target has worked for coverSettled
+// and so counts for the floor.
 func (t *target) settledProbability(now time.Time) float64 {
 	if now.Before(t.goneUntil) || t.backoff.active() || t.limit.bounded(now) && t.limit.rate(now, 1)*spreadTime.Seconds() < 1 {
 		return 0
--- a/internal/dispatch/unavailable_test.go
+++ b/internal/dispatch/unavailable_test.go
@@ -92,8 +92,8 @@
 	return out
 }
 
-// A target without an ID has the same key in its next incarnation, so the effect of its drain signal
-// ends.
+// A target without an ID has the same key after a restart, so its drain signal expires after a
+// minute.
 func TestDrainSignalWithoutID(t *testing.T) {
 	d := newScheduler(pool(2)...)
 	d.MarkDraining(start, "t0")
--- a/internal/health/model.go
+++ b/internal/health/model.go
@@ -34,8 +34,8 @@
 	memory = 60 * time.Second
 	// lateShare is the share of good answers that count as late: the slowest ones.
 	lateShare = 0.012
-	// quickFraction is the fraction of the median latency below which a failure is
-	// quick.
+	// quickFraction is the fraction of the median latency below which a failure counts
+	// as Immediate.
 	quickFraction = 0.15
 	// maxRoutes bounds the number of routes with a distribution of their own.
 	maxRoutes = 256
--- a/internal/outlier/collector.go
+++ b/internal/outlier/collector.go
@@ -156,7 +156,7 @@
 	Ignored bool
 	// Draining is set when the target signaled that it is draining.
 	Draining bool
-	// Shed is set when the target refused the request before running it, Other
+	// Shed is set when the target refused the request before running it, Replaced
 	// when another process has the target's address.
 	Shed     bool
 	Replaced bool
--- a/internal/outlier/controller.go
+++ b/internal/outlier/controller.go
@@ -59,7 +59,7 @@
 	initialized bool
 }
 
-// NewController returns a Judge without targets.
+// NewController returns a controller without targets.
 func NewController() *Controller {
 	return &Controller{
 		targets:   map[string]*targetState{},
--- a/internal/outlier/detector.go
+++ b/internal/outlier/detector.go
@@ -273,7 +273,7 @@
 	Stalled float64
 }
 
-// Health returns the reading as variables of a policy. threshold is the service's;
+// Health returns the score as variables of a policy. threshold is the service's;
 // reporters and dataHalls count the sources of the evidence.
 func (r Score) Health(threshold float64, reporters, dataHalls int) policy.Health {
 	return policy.Health{
@@ -287,7 +287,7 @@
 	}
 }
 
-// Score returns the reading of a target, or the zero value for an unknown one.
+// Score returns the score of a target, or the zero value for an unknown one.
 func (d *Detector) Score(target string) Score {
 	t := d.targets[target]
 	if t == nil {
--- a/internal/outlier/doc.go
+++ b/internal/outlier/doc.go
@@ -6,7 +6,7 @@
 // counts of one or many nodes into a score for each target: a
 // CUSUM (Page, "Continuous inspection schemes", Biometrika 1954) of the
 // log-likelihood ratio between "as bad as the rest of its pool" and "sick". A
-// Judge holds a node's state of each target of one service: ejected, on trial,
+// Controller holds a node's state of each target of one service: ejected, on trial,
 // warming or healthy. An Observer merges the evidence of many nodes.
 //
 // The package starts no goroutines, does no I/O and takes the time as an argument.
--- a/internal/outlier/merge.go
+++ b/internal/outlier/merge.go
@@ -12,8 +12,8 @@
 
 // merger sums the counts of several sources. For each target it leaves out the
 // source with the most recent bad requests: a fault that only one source observes,
-// such as the loss of its own link, is the source's, and a single source that
-// reports falsely has no effect.
+// such as the loss of its own link, is taken as a fault of the source, and a single
+// source that reports falsely has no effect.
 type merger struct {
 	targets map[string]*sourceCounts
 	at      time.Time
--- a/internal/outlier/observer.go
+++ b/internal/outlier/observer.go
@@ -17,7 +17,7 @@
 }
 
 // Decision is an observer's decision on a target: to eject it for a lease or, with
-// Leaving set, that it is draining.
+// Draining set, that it is draining.
 type Decision struct {
 	Service  string
 	Target   string
--- a/internal/outlier/outlier_test.go
+++ b/internal/outlier/outlier_test.go
@@ -378,7 +378,7 @@
 	if p := j.State(start.Add(3*time.Second), "t").Phase; p != outlier.PhaseTrial {
 		t.Fatalf("phase after the lease: %v", p)
 	}
-	// A lease of hours, which a faulty observer could send, is limited to MaxHold.
+	// A lease of hours, which a faulty observer could send, is limited to MaxEjectionTime.
 	j.EjectForLease(start, "t", threshold, 24*time.Hour)
 	j.Advance(start.Add(outlier.MaxEjectionTime))
 	if p := j.State(start.Add(outlier.MaxEjectionTime), "t").Phase; p == outlier.PhaseEjected {
--- a/internal/policy/policy.go
+++ b/internal/policy/policy.go
@@ -14,7 +14,7 @@
 	"cel.dev/cel-go/checker"
 )
 
-// Defaults of empty expressions.
+// Expressions in force where a policy leaves one empty.
 const (
 	DefaultSick  = "score >= threshold"
 	DefaultRetry = "attempt < 3"
