--- a/internal/outlier/controller.go
+++ b/internal/outlier/controller.go
@@ -137,17 +137,17 @@
 
 // Record records the requests to a target in one tick. Only those of a trial
 // count: a bad one ejects the target again.
-func (j *Controller) Record(now time.Time, c Counts) {
-	t := j.targets[c.Target]
+func (j *Controller) Record(now time.Time, counts Counts) {
+	t := j.targets[counts.Target]
 	if t == nil || t.phase != PhaseTrial {
 		return
 	}
-	if c.Bad > 0 {
+	if counts.Bad > 0 {
 		t.ejection.start(now)
-		j.eject(now, c.Target, t.score)
+		j.eject(now, counts.Target, t.score)
 		return
 	}
-	t.good += c.Good
+	t.good += counts.Good
 }
 
 // Advance moves targets to their next phase when it is due. It reports whether any
