--- a/internal/outlier/controller.go
+++ b/internal/outlier/controller.go
@@ -69,29 +69,29 @@
 
 // SetTargets replaces the published targets. Targets of the first non-empty list
 // are healthy, later ones begin to warm up.
-func (j *Controller) SetTargets(now time.Time, addresses []string) {
+func (c *Controller) SetTargets(now time.Time, addresses []string) {
 	listed := map[string]bool{}
 	for _, a := range addresses {
 		listed[a] = true
-		if j.targets[a] != nil {
+		if c.targets[a] != nil {
 			continue
 		}
 		t := &targetState{
 			since: now,
 		}
-		if j.initialized {
+		if c.initialized {
 			t.phase = PhaseWarming
-			j.unhealthy[a] = t
+			c.unhealthy[a] = t
 		}
-		j.targets[a] = t
+		c.targets[a] = t
 	}
-	for a := range j.targets {
+	for a := range c.targets {
 		if !listed[a] {
-			delete(j.targets, a)
-			delete(j.unhealthy, a)
+			delete(c.targets, a)
+			delete(c.unhealthy, a)
 		}
 	}
-	j.initialized = j.initialized || len(addresses) > 0
+	c.initialized = c.initialized || len(addresses) > 0
 }
 
 // EjectLocal ejects a target on this node's own evidence.
