--- a/internal/outlier/controller.go
+++ b/internal/outlier/controller.go
@@ -95,13 +95,13 @@
 }
 
 // EjectLocal ejects a target on this node's own evidence.
-func (j *Controller) EjectLocal(now time.Time, target string, score float64) {
-	t := j.targets[target]
+func (c *Controller) EjectLocal(now time.Time, target string, score float64) {
+	t := c.targets[target]
 	if t == nil || t.phase == PhaseEjected {
 		return
 	}
 	t.ejection.start(now)
-	j.eject(now, target, score)
+	c.eject(now, target, score)
 }
 
 // EjectForLease ejects a target on an observer's decision until lease has passed, so that
