--- a/internal/outlier/controller.go
+++ b/internal/outlier/controller.go
@@ -106,15 +106,15 @@
 
 // EjectForLease ejects a target on an observer's decision until lease has passed, so that
 // decisions of an observer that hangs or is partitioned expire.
-func (j *Controller) EjectForLease(now time.Time, target string, score float64, lease time.Duration) {
-	t := j.targets[target]
+func (c *Controller) EjectForLease(now time.Time, target string, score float64, lease time.Duration) {
+	t := c.targets[target]
 	if t == nil {
 		return
 	}
 	if until := now.Add(min(lease, MaxEjectionTime)); until.After(t.leaseEnd) {
 		t.leaseEnd = until
 	}
-	j.eject(now, target, score)
+	c.eject(now, target, score)
 }
 
 func (j *Controller) eject(now time.Time, target string, score float64) {
