--- a/internal/outlier/controller.go
+++ b/internal/outlier/controller.go
@@ -117,9 +117,9 @@
 	c.eject(now, target, score)
 }
 
-func (j *Controller) eject(now time.Time, target string, score float64) {
-	t := j.targets[target]
-	j.unhealthy[target] = t
+func (c *Controller) eject(now time.Time, target string, score float64) {
+	t := c.targets[target]
+	c.unhealthy[target] = t
 	if t.phase != PhaseEjected {
 		t.since = now
 	}
