--- a/internal/outlier/controller.go
+++ b/internal/outlier/controller.go
@@ -129,8 +129,8 @@
 }
 
 // SetDraining records a target's signal that it is draining.
-func (j *Controller) SetDraining(now time.Time, target string) {
-	if t := j.targets[target]; t != nil {
+func (c *Controller) SetDraining(now time.Time, target string) {
+	if t := c.targets[target]; t != nil {
 		t.drainingUntil = now.Add(DrainingTime)
 	}
 }
