--- a/internal/outlier/controller.go
+++ b/internal/outlier/controller.go
@@ -137,14 +137,14 @@
 
 // Record records the requests to a target in one tick. Only those of a trial
 // count: a bad one ejects the target again.
-func (j *Controller) Record(now time.Time, counts Counts) {
-	t := j.targets[counts.Target]
+func (c *Controller) Record(now time.Time, counts Counts) {
+	t := c.targets[counts.Target]
 	if t == nil || t.phase != PhaseTrial {
 		return
 	}
 	if counts.Bad > 0 {
 		t.ejection.start(now)
-		j.eject(now, counts.Target, t.score)
+		c.eject(now, counts.Target, t.score)
 		return
 	}
 	t.good += counts.Good
