--- a/internal/outlier/controller.go
+++ b/internal/outlier/controller.go
@@ -152,9 +152,9 @@
 
 // Advance moves targets to their next phase when it is due. It reports whether any
 // state changed, which is always so while a target warms up.
-func (j *Controller) Advance(now time.Time) bool {
+func (c *Controller) Advance(now time.Time) bool {
 	changed := false
-	for a, t := range j.unhealthy {
+	for a, t := range c.unhealthy {
 		if next := t.next(now); next != t.phase {
 			t.phase = next
 			t.since = now
@@ -163,7 +163,7 @@
 		// The warmth of a warming target changes with time.
 		changed = changed || t.phase == PhaseWarming
 		if t.phase == PhaseHealthy {
-			delete(j.unhealthy, a)
+			delete(c.unhealthy, a)
 		}
 	}
 	return changed
