--- a/internal/outlier/controller.go
+++ b/internal/outlier/controller.go
@@ -199,8 +199,8 @@
 
 // State returns the state of a target, or the zero value with full warmth for an
 // unknown one.
-func (j *Controller) State(now time.Time, target string) State {
-	t := j.targets[target]
+func (c *Controller) State(now time.Time, target string) State {
+	t := c.targets[target]
 	if t == nil {
 		return State{
 			Warmth: 1,
