--- a/internal/outlier/collector.go
+++ b/internal/outlier/collector.go
@@ -107,14 +107,14 @@
 func (c *Collector) Begin(now time.Time, service, class, target string) *Attempt {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	f := &Attempt{
+	a := &Attempt{
 		collector: c,
 		counts:    c.target(service, target),
 		median:    c.median(service, class),
 		started:   now,
 	}
-	f.counts.inFlight[f] = struct{}{}
-	return f
+	a.counts.inFlight[a] = struct{}{}
+	return a
 }
 
 func (c *Collector) target(service, target string) *targetCounts {
