--- a/internal/outlier/collector.go
+++ b/internal/outlier/collector.go
@@ -167,26 +167,26 @@
 }
 
 // End records the end of the attempt.
-func (f *Attempt) End(now time.Time, e Result) {
-	c := f.collector
+func (a *Attempt) End(now time.Time, e Result) {
+	c := a.collector
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	delete(f.counts.inFlight, f)
-	f.counts.counts.Draining = f.counts.counts.Draining || e.Draining
-	if f.discarded {
+	delete(a.counts.inFlight, a)
+	a.counts.counts.Draining = a.counts.counts.Draining || e.Draining
+	if a.discarded {
 		return
 	}
-	took := now.Sub(f.started)
-	slow := took > f.median.slowAfter()
+	took := now.Sub(a.started)
+	slow := took > a.median.slowAfter()
 	if !e.Failed && !e.Ignored {
-		f.median.add(took)
+		a.median.add(took)
 	}
 	switch {
-	case f.stallCounts > 0:
+	case a.stallCounts > 0:
 	case slow || e.Failed && !e.Ignored:
-		f.counts.counts.Bad++
+		a.counts.counts.Bad++
 	case !e.Ignored:
-		f.counts.counts.Good++
+		a.counts.counts.Good++
 	}
 }
 
