--- a/internal/outlier/collector.go
+++ b/internal/outlier/collector.go
@@ -230,8 +230,8 @@
 // discard clears the counts and excludes the attempts in flight from later counts.
 func (v *targetCounts) discard() {
 	v.counts = Counts{}
-	for f := range v.inFlight {
-		f.discarded = true
+	for a := range v.inFlight {
+		a.discarded = true
 	}
 }
 
