--- a/internal/outlier/collector.go
+++ b/internal/outlier/collector.go
@@ -237,12 +237,12 @@
 
 // countStalled counts attempts in flight that are already slow as bad.
 func (v *targetCounts) countStalled(now time.Time) {
-	for f := range v.inFlight {
-		if f.discarded || f.stallCounts >= maxStallCounts {
+	for a := range v.inFlight {
+		if a.discarded || a.stallCounts >= maxStallCounts {
 			continue
 		}
-		if now.Sub(f.started) > f.median.slowAfter()+time.Duration(f.stallCounts)*stallCountInterval {
-			f.stallCounts++
+		if now.Sub(a.started) > a.median.slowAfter()+time.Duration(a.stallCounts)*stallCountInterval {
+			a.stallCounts++
 			v.counts.Bad++
 			v.counts.Stalled++
 		}
