--- a/internal/dispatch/backoff.go
+++ b/internal/dispatch/backoff.go
@@ -25,7 +25,7 @@
 }
 
 // active reports whether the target has accepted no request since it sent a backoff.
-func (r backoff) active() bool { return !r.since.IsZero() }
+func (b backoff) active() bool { return !b.since.IsZero() }
 
 // slots returns how many requests the target gets at a time.
 func (r backoff) slots(now time.Time) int {
