--- a/internal/dispatch/backoff.go
+++ b/internal/dispatch/backoff.go
@@ -28,8 +28,8 @@
 func (b backoff) active() bool { return !b.since.IsZero() }
 
 // slots returns how many requests the target gets at a time.
-func (r backoff) slots(now time.Time) int {
-	if now.Before(r.until) {
+func (b backoff) slots(now time.Time) int {
+	if now.Before(b.until) {
 		return 0
 	}
 	return 1
