--- a/internal/dispatch/ledger.go
+++ b/internal/dispatch/ledger.go
@@ -70,12 +70,12 @@
 // until the window has passed.
 type remoteGrants map[string]remoteReport
 
-func (e remoteGrants) record(now time.Time, node string, s AttemptCounts) {
+func (g remoteGrants) record(now time.Time, node string, s AttemptCounts) {
 	if s == (AttemptCounts{}) {
-		delete(e, node)
+		delete(g, node)
 		return
 	}
-	e[node] = remoteReport{
+	g[node] = remoteReport{
 		AttemptCounts: s,
 		at:            now,
 	}
