--- a/internal/dispatch/ledger.go
+++ b/internal/dispatch/ledger.go
@@ -82,10 +82,10 @@
 }
 
 // sums returns the first attempts and the retries that other dispatchers granted in the window.
-func (e remoteGrants) sums(now time.Time, b Budget) (firsts, retries float64) {
-	for node, t := range e {
+func (g remoteGrants) sums(now time.Time, b Budget) (firsts, retries float64) {
+	for node, t := range g {
 		if now.Sub(t.at) > b.Window {
-			delete(e, node)
+			delete(g, node)
 			continue
 		}
 		firsts += float64(t.Firsts)
