--- a/internal/dispatch/ledger.go
+++ b/internal/dispatch/ledger.go
@@ -30,14 +30,14 @@
 }
 
 // Record records an attempt that a dispatcher granted; again is set for a retry.
-func (l *Ledger) Record(now time.Time, dispatcher string, again bool) {
+func (l *Ledger) Record(now time.Time, dispatcher string, retry bool) {
 	w := l.windows[dispatcher]
 	if w == nil {
 		w = &window{}
 		l.windows[dispatcher] = w
 	}
 	w.advance(now, l.started, l.budget)
-	if again {
+	if retry {
 		w.addRetry(1)
 	} else {
 		w.addFirst(1)
