--- a/internal/dispatch/spread.go
+++ b/internal/dispatch/spread.go
@@ -45,14 +45,14 @@
 	lastSpread time.Time
 }
 
-func (e *outcomes) advance(now time.Time) {
-	if past := now.Sub(e.rotated); past >= outcomePeriod {
-		e.all[1], e.failed[1] = e.all[0], e.failed[0]
+func (o *outcomes) advance(now time.Time) {
+	if past := now.Sub(o.rotated); past >= outcomePeriod {
+		o.all[1], o.failed[1] = o.all[0], o.failed[0]
 		if past >= 2*outcomePeriod {
-			e.all[1], e.failed[1] = 0, 0
+			o.all[1], o.failed[1] = 0, 0
 		}
-		e.all[0], e.failed[0] = 0, 0
-		e.rotated = now
+		o.all[0], o.failed[0] = 0, 0
+		o.rotated = now
 	}
 }
 
