--- a/internal/dispatch/spread.go
+++ b/internal/dispatch/spread.go
@@ -58,11 +58,11 @@
 
 // record counts a request that was served or not: refused, failed at its final attempt, or abandoned
 // by its caller.
-func (e *outcomes) record(now time.Time, served bool) {
-	e.advance(now)
-	e.all[0]++
+func (o *outcomes) record(now time.Time, served bool) {
+	o.advance(now)
+	o.all[0]++
 	if !served {
-		e.failed[0]++
+		o.failed[0]++
 	}
 }
 
