--- a/internal/dispatch/spread.go
+++ b/internal/dispatch/spread.go
@@ -71,10 +71,10 @@
 
 // recordRefused counts requests that were refused before a target was requested, for example because
 // of workspace limits. Their callers are not served either, so they count like failures.
-func (e *outcomes) recordRefused(now time.Time, n int) {
-	e.advance(now)
-	e.all[0] += n
-	e.failed[0] += n
+func (o *outcomes) recordRefused(now time.Time, n int) {
+	o.advance(now)
+	o.all[0] += n
+	o.failed[0] += n
 }
 
 // failing reports whether so many requests fail that work must be spread.
