--- a/internal/dispatch/spread.go
+++ b/internal/dispatch/spread.go
@@ -78,9 +78,9 @@
 }
 
 // failing reports whether so many requests fail that work must be spread.
-func (e *outcomes) failing(now time.Time) bool {
-	e.advance(now)
-	all, bad := e.all[0]+e.all[1], e.failed[0]+e.failed[1]
+func (o *outcomes) failing(now time.Time) bool {
+	o.advance(now)
+	all, bad := o.all[0]+o.all[1], o.failed[0]+o.failed[1]
 	return all >= spreadMinRequests && float64(bad) >= spreadFailureShare*float64(all)
 }
 
