--- a/internal/dispatch/request.go
+++ b/internal/dispatch/request.go
@@ -92,8 +92,8 @@
 )
 
 // String returns the decision as logged.
-func (v Decision) String() string {
-	return [...]string{"granted", "queued", "refused", "spent", "full"}[v]
+func (d Decision) String() string {
+	return [...]string{"granted", "queued", "refused", "spent", "full"}[d]
 }
 
 // Grant is the answer to a grant request.
