--- a/internal/dispatch/scheduler.go
+++ b/internal/dispatch/scheduler.go
@@ -178,13 +178,13 @@
 
 // withoutTarget returns the answer to a request that gets no target. A non-queueing request gets
 // Full instead of a refusal.
-func (a *Request) withoutTarget(v Decision, wait time.Duration) Grant {
+func (a *Request) withoutTarget(decision Decision, wait time.Duration) Grant {
 	if a.NonQueueing {
-		v, wait = NoneFree, 0
+		decision, wait = NoneFree, 0
 	}
 	return Grant{
 		ID:         a.ID,
-		Decision:   v,
+		Decision:   decision,
 		RetryAfter: wait,
 	}
 }
