--- a/internal/outlier/detector.go
+++ b/internal/outlier/detector.go
@@ -275,13 +275,13 @@
 
 // Health returns the score as variables of a policy. threshold is the service's;
 // reporters and dataHalls count the sources of the evidence.
-func (r Score) Health(threshold float64, reporters, dataHalls int) policy.Health {
+func (s Score) Health(threshold float64, reporters, dataHalls int) policy.Health {
 	return policy.Health{
-		Score:     r.Score,
+		Score:     s.Score,
 		Threshold: threshold,
-		Good:      r.Good,
-		Bad:       r.Bad,
-		Stalled:   r.Stalled,
+		Good:      s.Good,
+		Bad:       s.Bad,
+		Stalled:   s.Stalled,
 		Reporters: reporters,
 		DataHalls: dataHalls,
 	}
