--- a/internal/outlier/observer.go
+++ b/internal/outlier/observer.go
@@ -225,6 +225,6 @@
 	}, true
 }
 
-func (o *Observer) sick(now time.Time, r Score) bool {
-	return o.service.Policy.Sick(r.Health(o.service.Threshold, countRecent(o.reporters, now), countRecent(o.halls, now)))
+func (o *Observer) sick(now time.Time, s Score) bool {
+	return o.service.Policy.Sick(s.Health(o.service.Threshold, countRecent(o.reporters, now), countRecent(o.halls, now)))
 }
