--- a/internal/outlier/observer.go
+++ b/internal/outlier/observer.go
@@ -199,11 +199,11 @@
 
 // decide ejects the target if the policy counts it as sick and it isn't ejected yet.
 func (o *Observer) decide(now time.Time, target string) (Decision, bool) {
-	r := o.hall.Score(target)
-	if all := o.all.Score(target); all.Score > r.Score {
-		r = all
+	s := o.hall.Score(target)
+	if all := o.all.Score(target); all.Score > s.Score {
+		s = all
 	}
-	if r.Score == 0 || !o.sick(now, r) {
+	if s.Score == 0 || !o.sick(now, s) {
 		return Decision{}, false
 	}
 	h := o.ejections[target]
@@ -220,7 +220,7 @@
 	return Decision{
 		Service: o.service.Name,
 		Target:  target,
-		Score:   r.Score,
+		Score:   s.Score,
 		Lease:   h.duration,
 	}, true
 }
