--- a/internal/outlier/observer.go
+++ b/internal/outlier/observer.go
@@ -206,22 +206,22 @@
 	if s.Score == 0 || !o.sick(now, s) {
 		return Decision{}, false
 	}
-	h := o.ejections[target]
-	if h == nil {
-		h = &ejection{}
-		o.ejections[target] = h
+	e := o.ejections[target]
+	if e == nil {
+		e = &ejection{}
+		o.ejections[target] = e
 	}
-	if h.active(now) {
+	if e.active(now) {
 		return Decision{}, false
 	}
-	h.start(now)
+	e.start(now)
 	o.hall.Reset(target)
 	o.all.Reset(target)
 	return Decision{
 		Service: o.service.Name,
 		Target:  target,
 		Score:   s.Score,
-		Lease:   h.duration,
+		Lease:   e.duration,
 	}, true
 }
 
