--- a/internal/outlier/observer.go
+++ b/internal/outlier/observer.go
@@ -181,8 +181,8 @@
 	o.all.Update(now, o.allEvidence.drain(now))
 	var out []Decision
 	for _, t := range o.service.Targets {
-		if v, ok := o.decide(now, t); ok {
-			out = append(out, v)
+		if decision, ok := o.decide(now, t); ok {
+			out = append(out, decision)
 		}
 	}
 	for t, until := range o.drainingUntil {
