--- a/internal/outlier/merge.go
+++ b/internal/outlier/merge.go
@@ -82,10 +82,10 @@
 
 // worst returns the source with the most bad requests, or "" if there are none.
 func (t *sourceCounts) worst() string {
-	name, most := "", 0.0
+	name, maxBad := "", 0.0
 	for source, bad := range t.bad {
-		if bad > most || bad == most && bad > 0 && source < name {
-			name, most = source, bad
+		if bad > maxBad || bad == maxBad && bad > 0 && source < name {
+			name, maxBad = source, bad
 		}
 	}
 	return name
