--- a/internal/health/latency.go
+++ b/internal/health/latency.go
@@ -50,18 +50,18 @@
 }
 
 // add records the latency of a good answer.
-func (t *latencies) add(took time.Duration) error {
-	if t.current.TotalCount() >= generationSize {
-		t.current, t.previous = t.previous, t.current
-		t.current.Reset()
+func (l *latencies) add(took time.Duration) error {
+	if l.current.TotalCount() >= generationSize {
+		l.current, l.previous = l.previous, l.current
+		l.current.Reset()
 	}
-	if err := t.current.RecordValue(min(max(took.Milliseconds(), 1), maxLatencyMs)); err != nil {
+	if err := l.current.RecordValue(min(max(took.Milliseconds(), 1), maxLatencyMs)); err != nil {
 		return err
 	}
-	t.sinceUpdate++
-	if t.sinceUpdate >= updateEvery || t.n < updateEvery {
-		t.sinceUpdate = 0
-		t.update()
+	l.sinceUpdate++
+	if l.sinceUpdate >= updateEvery || l.n < updateEvery {
+		l.sinceUpdate = 0
+		l.update()
 	}
 	return nil
 }
