--- a/internal/health/latency.go
+++ b/internal/health/latency.go
@@ -67,13 +67,13 @@
 }
 
 // update computes the table from both histograms.
-func (t *latencies) update() {
+func (l *latencies) update() {
 	merged := hdrhistogram.New(1, maxLatencyMs, histogramDigits)
-	merged.Merge(t.previous)
-	merged.Merge(t.current)
-	t.n = float64(merged.TotalCount())
+	merged.Merge(l.previous)
+	merged.Merge(l.current)
+	l.n = float64(merged.TotalCount())
 	for i, q := range quantiles {
-		t.table[i] = float64(merged.ValueAtQuantile(q))
+		l.table[i] = float64(merged.ValueAtQuantile(q))
 	}
 }
 
