--- a/internal/health/latency.go
+++ b/internal/health/latency.go
@@ -78,11 +78,11 @@
 }
 
 // median returns the median latency.
-func (t *latencies) median() time.Duration {
-	if t.n < updateEvery {
+func (l *latencies) median() time.Duration {
+	if l.n < updateEvery {
 		return defaultMedian
 	}
-	return time.Duration(t.table[medianIndex] * float64(time.Millisecond))
+	return time.Duration(l.table[medianIndex] * float64(time.Millisecond))
 }
 
 // medianIndex is the index of the median in the table.
