--- a/internal/health/latency.go
+++ b/internal/health/latency.go
@@ -90,13 +90,13 @@
 
 // within returns the latency within which a share of the good answers arrives,
 // rounded up to a quantile of the table, or 0 while there are too few answers.
-func (t *latencies) within(share float64) time.Duration {
-	if t.n < updateEvery {
+func (l *latencies) within(share float64) time.Duration {
+	if l.n < updateEvery {
 		return 0
 	}
 	for i, q := range quantiles {
 		if q >= 100*share {
-			return time.Duration(t.table[i] * float64(time.Millisecond))
+			return time.Duration(l.table[i] * float64(time.Millisecond))
 		}
 	}
 	return maxLatencyMs * time.Millisecond
