--- a/internal/health/latency.go
+++ b/internal/health/latency.go
@@ -103,13 +103,13 @@
 }
 
 // longer returns the share of good answers that take longer than age.
-func (t *latencies) longer(age time.Duration) float64 {
+func (l *latencies) longer(age time.Duration) float64 {
 	ms := float64(age) / float64(time.Millisecond)
 	prior := math.Exp2(-ms / float64(defaultMedian.Milliseconds()))
-	if t.n == 0 {
+	if l.n == 0 {
 		return prior
 	}
-	return (t.n*t.observedLonger(ms) + latencyPriorWeight*prior) / (t.n + latencyPriorWeight)
+	return (l.n*l.observedLonger(ms) + latencyPriorWeight*prior) / (l.n + latencyPriorWeight)
 }
 
 // observedLonger returns the share of the answers in the table that take longer than ms.
