--- a/internal/health/latency.go
+++ b/internal/health/latency.go
@@ -113,15 +113,15 @@
 }
 
 // observedLonger returns the share of the answers in the table that take longer than ms.
-func (t *latencies) observedLonger(ms float64) float64 {
-	if ms <= t.table[0] {
+func (l *latencies) observedLonger(ms float64) float64 {
+	if ms <= l.table[0] {
 		return 1
 	}
 	for i := 1; i < len(quantiles); i++ {
-		if ms > t.table[i] {
+		if ms > l.table[i] {
 			continue
 		}
-		fraction := (ms - t.table[i-1]) / max(t.table[i]-t.table[i-1], 1)
+		fraction := (ms - l.table[i-1]) / max(l.table[i]-l.table[i-1], 1)
 		percent := quantiles[i-1] + fraction*(quantiles[i]-quantiles[i-1])
 		return max(1-percent/100, tailShare)
 	}
