--- a/internal/health/model.go
+++ b/internal/health/model.go
@@ -65,8 +65,8 @@
 }
 
 // estimate returns the rate in 1/s, with a prior, between least and most.
-func (r *rate) estimate(prior, lower, most float64) float64 {
-	return min(max((r.events+ratePriorWeight)/(r.seconds+ratePriorWeight/prior), lower), most)
+func (r *rate) estimate(prior, lower, upper float64) float64 {
+	return min(max((r.events+ratePriorWeight)/(r.seconds+ratePriorWeight/prior), lower), upper)
 }
 
 // Model holds the learned behavior of the targets of one service.
