--- a/internal/health/model.go
+++ b/internal/health/model.go
@@ -119,8 +119,8 @@
 
 // bound limits the share of good answers to between least and most and scales the
 // others.
-func bound(s *shares, lower, most float64) {
-	good := min(max(s[Good], lower), most)
+func bound(s *shares, lower, upper float64) {
+	good := min(max(s[Good], lower), upper)
 	if good == s[Good] {
 		return
 	}
