--- a/internal/dispatch/coverage.go
+++ b/internal/dispatch/coverage.go
@@ -118,8 +118,8 @@
 	}
 	// allowed is the number of targets that may be missed for each one reached.
 	allowed := (1 - floor) / floor
-	most := int(min(float64(len(reached))*allowed, float64(len(idle)))) + 1
-	missed := distribution(idle, min(len(idle), most))
+	maxMissed := int(min(float64(len(reached))*allowed, float64(len(idle)))) + 1
+	missed := distribution(idle, min(len(idle), maxMissed))
 	few := 0.0
 	for n, p := range distribution(reached, len(reached)) {
 		few += p * probabilityAbove(missed, float64(n)*allowed)
