--- a/internal/dispatch/coverage.go
+++ b/internal/dispatch/coverage.go
@@ -148,11 +148,11 @@
 
 // distribution returns the probabilities that 0, 1 and so on up to most of the independent events
 // occur, given their probabilities.
-func distribution(events []float64, most int) []float64 {
-	out := make([]float64, most+1)
+func distribution(events []float64, limit int) []float64 {
+	out := make([]float64, limit+1)
 	out[0] = 1
 	for _, p := range events {
-		for n := most; n > 0; n-- {
+		for n := limit; n > 0; n-- {
 			out[n] += p * (out[n-1] - out[n])
 		}
 		out[0] *= 1 - p
