--- a/internal/dispatch/coverage.go
+++ b/internal/dispatch/coverage.go
@@ -161,10 +161,10 @@
 }
 
 // probabilityAbove returns the probability of more than most events.
-func probabilityAbove(distribution []float64, most float64) float64 {
+func probabilityAbove(distribution []float64, limit float64) float64 {
 	left := 1.0
 	for n, p := range distribution {
-		if float64(n) <= most {
+		if float64(n) <= limit {
 			left -= p
 		}
 	}
