--- a/internal/dispatch/choose.go
+++ b/internal/dispatch/choose.go
@@ -78,7 +78,7 @@
 // if there is no other.
 func (d *Scheduler) cheapest(now time.Time, a *Request, candidates []*target) *target {
 	var best *target
-	least, bestTried := 0.0, false
+	minCost, bestTried := 0.0, false
 	d.examined += len(candidates)
 	for _, t := range candidates {
 		if !t.open(now, a) || d.exhausted(now, t) {
@@ -89,8 +89,8 @@
 			continue
 		}
 		c := d.cost(now, t, a)
-		if best == nil || bestTried && !tried || c < least {
-			best, least, bestTried = t, c, tried
+		if best == nil || bestTried && !tried || c < minCost {
+			best, minCost, bestTried = t, c, tried
 		}
 	}
 	return best
