--- a/internal/dispatch/warmup_test.go
+++ b/internal/dispatch/warmup_test.go
@@ -76,16 +76,16 @@
 func TestWarmupRateIsUsedAndKept(t *testing.T) {
 	const left = 3 * time.Second
 	tests := []struct {
-		name string
-		desk func() *dispatch.Scheduler
+		name         string
+		newScheduler func() *dispatch.Scheduler
 	}{
 		{
-			name: "from the start",
-			desk: func() *dispatch.Scheduler { return newScheduler(warmingTargets(2, left)...) },
+			name:         "from the start",
+			newScheduler: func() *dispatch.Scheduler { return newScheduler(warmingTargets(2, left)...) },
 		},
 		{
 			name: "new warm-up",
-			desk: func() *dispatch.Scheduler {
+			newScheduler: func() *dispatch.Scheduler {
 				d := newScheduler(pool(2)...)
 				d.Update(start, warmingTargets(2, left), nil)
 				return d
@@ -93,7 +93,7 @@
 		},
 		{
 			name: "a third joins",
-			desk: func() *dispatch.Scheduler {
+			newScheduler: func() *dispatch.Scheduler {
 				d := newScheduler(warmingTargets(2, left)...)
 				d.Update(start, append(warmingTargets(3, left)[2:], warmingTargets(2, left)...), nil)
 				return d
@@ -101,7 +101,7 @@
 		},
 		{
 			name: "remaining time is updated",
-			desk: func() *dispatch.Scheduler {
+			newScheduler: func() *dispatch.Scheduler {
 				d := newScheduler(warmingTargets(2, left+time.Second)...)
 				d.Update(start, warmingTargets(2, left), nil)
 				return d
@@ -110,7 +110,7 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			d := tt.desk()
+			d := tt.newScheduler()
 			for key, times := range saturate(d, start, start.Add(left)) {
 				if n := maxPerSecond(times); float64(n) > 1.1*warmRate+1 {
 					t.Errorf("target %s got %d requests in a second", key, n)
