--- a/internal/health/model.go
+++ b/internal/health/model.go
@@ -34,9 +34,9 @@
 	memory = 60 * time.Second
 	// lateShare is the share of good answers that count as late: the slowest ones.
 	lateShare = 0.012
-	// quickFraction is the fraction of the median latency below which a failure counts
+	// immediateFraction is the fraction of the median latency below which a failure counts
 	// as Immediate.
-	quickFraction = 0.15
+	immediateFraction = 0.15
 	// maxRoutes bounds the number of routes with a distribution of their own.
 	maxRoutes = 256
 )
@@ -201,7 +201,7 @@
 		return Good
 	case late:
 		return Silent
-	case took < time.Duration(quickFraction*float64(r.latency.median())):
+	case took < time.Duration(immediateFraction*float64(r.latency.median())):
 		return Immediate
 	default:
 		return AfterWork
