--- a/internal/health/model.go
+++ b/internal/health/model.go
@@ -81,7 +81,7 @@
 	// leaveRate from the rates.
 	failingShares shares
 	workingShares shares
-	enterRate     float64
+	failureRate   float64
 	leaveRate     float64
 }
 
@@ -106,7 +106,7 @@
 
 // updateEstimates computes the shares and rates from the counts.
 func (m *Model) updateEstimates() {
-	m.enterRate = m.enter.estimate(enterPrior, minEnterRate, maxEnterRate)
+	m.failureRate = m.enter.estimate(enterPrior, minEnterRate, maxEnterRate)
 	m.leaveRate = m.leave.estimate(leavePrior, minLeaveRate, maxLeaveRate)
 	m.failingShares = m.failing.withPrior(&failingPrior, failingPriorWeight)
 	bound(&m.failingShares, 0, maxFailingGood)
@@ -209,10 +209,10 @@
 }
 
 // FailingShare returns the stationary probability that a target is failing.
-func (m *Model) FailingShare() float64 { return m.enterRate / (m.enterRate + m.leaveRate) }
+func (m *Model) FailingShare() float64 { return m.failureRate / (m.failureRate + m.leaveRate) }
 
 // Rates returns the rates, in 1/s, at which targets begin and stop failing.
-func (m *Model) Rates() (enter, leave float64) { return m.enterRate, m.leaveRate }
+func (m *Model) Rates() (enter, leave float64) { return m.failureRate, m.leaveRate }
 
 // LostFailing returns the share of requests that a failing target doesn't answer
 // well. A late answer counts half.
@@ -227,7 +227,7 @@
 		return p
 	}
 	share := m.FailingShare()
-	return share + (p-share)*math.Exp(-(m.enterRate+m.leaveRate)*elapsed.Seconds())
+	return share + (p-share)*math.Exp(-(m.failureRate+m.leaveRate)*elapsed.Seconds())
 }
 
 // Silent returns the probability that an attempt of a certain age gets no answer, if
--- a/internal/health/steady.go
+++ b/internal/health/steady.go
@@ -34,5 +34,5 @@
 
 // stay returns the probability that a working target doesn't begin to fail in a time.
 func (m *Model) stay(elapsed time.Duration) float64 {
-	return math.Exp(-m.enterRate * max(elapsed, 0).Seconds())
+	return math.Exp(-m.failureRate * max(elapsed, 0).Seconds())
 }
