--- a/internal/health/model.go
+++ b/internal/health/model.go
@@ -82,7 +82,7 @@
 	failingShares shares
 	workingShares shares
 	failureRate   float64
-	leaveRate     float64
+	recoveryRate  float64
 }
 
 // Route holds the learned behavior of one route of a service.
@@ -107,7 +107,7 @@
 // updateEstimates computes the shares and rates from the counts.
 func (m *Model) updateEstimates() {
 	m.failureRate = m.enter.estimate(enterPrior, minEnterRate, maxEnterRate)
-	m.leaveRate = m.leave.estimate(leavePrior, minLeaveRate, maxLeaveRate)
+	m.recoveryRate = m.leave.estimate(leavePrior, minLeaveRate, maxLeaveRate)
 	m.failingShares = m.failing.withPrior(&failingPrior, failingPriorWeight)
 	bound(&m.failingShares, 0, maxFailingGood)
 	m.workingShares = m.working.withPrior(&workingPrior, workingPriorWeight)
@@ -209,10 +209,10 @@
 }
 
 // FailingShare returns the stationary probability that a target is failing.
-func (m *Model) FailingShare() float64 { return m.failureRate / (m.failureRate + m.leaveRate) }
+func (m *Model) FailingShare() float64 { return m.failureRate / (m.failureRate + m.recoveryRate) }
 
 // Rates returns the rates, in 1/s, at which targets begin and stop failing.
-func (m *Model) Rates() (enter, leave float64) { return m.failureRate, m.leaveRate }
+func (m *Model) Rates() (enter, leave float64) { return m.failureRate, m.recoveryRate }
 
 // LostFailing returns the share of requests that a failing target doesn't answer
 // well. A late answer counts half.
@@ -227,7 +227,7 @@
 		return p
 	}
 	share := m.FailingShare()
-	return share + (p-share)*math.Exp(-(m.failureRate+m.leaveRate)*elapsed.Seconds())
+	return share + (p-share)*math.Exp(-(m.failureRate+m.recoveryRate)*elapsed.Seconds())
 }
 
 // Silent returns the probability that an attempt of a certain age gets no answer, if
