--- a/internal/health/estimation.go
+++ b/internal/health/estimation.go
@@ -80,9 +80,9 @@
 
 // learnTransition counts the expected changes of state and the time spent in each state.
 func (m *Model) learnTransition(c transition, elapsed time.Duration) {
-	m.enter.events += c.entered
+	m.failures.events += c.entered
 	m.leave.events += c.left
-	m.enter.seconds += (1 - c.failing()) * elapsed.Seconds()
+	m.failures.seconds += (1 - c.failing()) * elapsed.Seconds()
 	m.leave.seconds += c.failing() * elapsed.Seconds()
 }
 
--- a/internal/health/model.go
+++ b/internal/health/model.go
@@ -71,7 +71,7 @@
 
 // Model holds the learned behavior of the targets of one service.
 type Model struct {
-	enter     rate
+	failures  rate
 	leave     rate
 	failing   counts
 	working   counts
@@ -106,7 +106,7 @@
 
 // updateEstimates computes the shares and rates from the counts.
 func (m *Model) updateEstimates() {
-	m.failureRate = m.enter.estimate(enterPrior, minEnterRate, maxEnterRate)
+	m.failureRate = m.failures.estimate(enterPrior, minEnterRate, maxEnterRate)
 	m.recoveryRate = m.leave.estimate(leavePrior, minLeaveRate, maxLeaveRate)
 	m.failingShares = m.failing.withPrior(&failingPrior, failingPriorWeight)
 	bound(&m.failingShares, 0, maxFailingGood)
@@ -136,7 +136,7 @@
 	elapsed := now.Sub(m.decayedAt)
 	m.decayedAt = now
 	factor := math.Exp(-elapsed.Seconds() / memory.Seconds())
-	for _, r := range [...]*rate{&m.enter, &m.leave} {
+	for _, r := range [...]*rate{&m.failures, &m.leave} {
 		r.events *= factor
 		r.seconds *= factor
 	}
