--- a/internal/health/estimation.go
+++ b/internal/health/estimation.go
@@ -81,9 +81,9 @@
 // learnTransition counts the expected changes of state and the time spent in each state.
 func (m *Model) learnTransition(c transition, elapsed time.Duration) {
 	m.failures.events += c.entered
-	m.leave.events += c.left
+	m.recoveries.events += c.left
 	m.failures.seconds += (1 - c.failing()) * elapsed.Seconds()
-	m.leave.seconds += c.failing() * elapsed.Seconds()
+	m.recoveries.seconds += c.failing() * elapsed.Seconds()
 }
 
 // learnKind counts the kind of an event whose target was failing with probability q.
--- a/internal/health/model.go
+++ b/internal/health/model.go
@@ -71,12 +71,12 @@
 
 // Model holds the learned behavior of the targets of one service.
 type Model struct {
-	failures  rate
-	leave     rate
-	failing   counts
-	working   counts
-	routes    map[string]*Route
-	decayedAt time.Time
+	failures   rate
+	recoveries rate
+	failing    counts
+	working    counts
+	routes     map[string]*Route
+	decayedAt  time.Time
 	// failingShares and workingShares are computed from the counts, enterRate and
 	// leaveRate from the rates.
 	failingShares shares
@@ -107,7 +107,7 @@
 // updateEstimates computes the shares and rates from the counts.
 func (m *Model) updateEstimates() {
 	m.failureRate = m.failures.estimate(enterPrior, minEnterRate, maxEnterRate)
-	m.recoveryRate = m.leave.estimate(leavePrior, minLeaveRate, maxLeaveRate)
+	m.recoveryRate = m.recoveries.estimate(leavePrior, minLeaveRate, maxLeaveRate)
 	m.failingShares = m.failing.withPrior(&failingPrior, failingPriorWeight)
 	bound(&m.failingShares, 0, maxFailingGood)
 	m.workingShares = m.working.withPrior(&workingPrior, workingPriorWeight)
@@ -136,7 +136,7 @@
 	elapsed := now.Sub(m.decayedAt)
 	m.decayedAt = now
 	factor := math.Exp(-elapsed.Seconds() / memory.Seconds())
-	for _, r := range [...]*rate{&m.failures, &m.leave} {
+	for _, r := range [...]*rate{&m.failures, &m.recoveries} {
 		r.events *= factor
 		r.seconds *= factor
 	}
