--- a/internal/health/model.go
+++ b/internal/health/model.go
@@ -13,13 +13,13 @@
 	// failureRatePrior and leavePrior are the rates, in 1/s, at which targets begin and stop
 	// failing: between the phases of one second and of ten seconds that users'
 	// targets showed.
-	failureRatePrior = 0.03
-	leavePrior       = 0.15
-	ratePriorWeight  = 3
-	minEnterRate     = 0.002
-	maxEnterRate     = 0.4
-	minLeaveRate     = 0.08
-	maxLeaveRate     = 2
+	failureRatePrior  = 0.03
+	recoveryRatePrior = 0.15
+	ratePriorWeight   = 3
+	minEnterRate      = 0.002
+	maxEnterRate      = 0.4
+	minLeaveRate      = 0.08
+	maxLeaveRate      = 2
 	// failingPriorWeight and workingPriorWeight are the weights of failingPrior and
 	// workingPrior.
 	failingPriorWeight = 8
@@ -107,7 +107,7 @@
 // updateEstimates computes the shares and rates from the counts.
 func (m *Model) updateEstimates() {
 	m.failureRate = m.failures.estimate(failureRatePrior, minEnterRate, maxEnterRate)
-	m.recoveryRate = m.recoveries.estimate(leavePrior, minLeaveRate, maxLeaveRate)
+	m.recoveryRate = m.recoveries.estimate(recoveryRatePrior, minLeaveRate, maxLeaveRate)
 	m.failingShares = m.failing.withPrior(&failingPrior, failingPriorWeight)
 	bound(&m.failingShares, 0, maxFailingGood)
 	m.workingShares = m.working.withPrior(&workingPrior, workingPriorWeight)
