--- a/internal/health/model.go
+++ b/internal/health/model.go
@@ -16,7 +16,7 @@
 	failureRatePrior  = 0.03
 	recoveryRatePrior = 0.15
 	ratePriorWeight   = 3
-	minEnterRate      = 0.002
+	minFailureRate    = 0.002
 	maxEnterRate      = 0.4
 	minLeaveRate      = 0.08
 	maxLeaveRate      = 2
@@ -106,7 +106,7 @@
 
 // updateEstimates computes the shares and rates from the counts.
 func (m *Model) updateEstimates() {
-	m.failureRate = m.failures.estimate(failureRatePrior, minEnterRate, maxEnterRate)
+	m.failureRate = m.failures.estimate(failureRatePrior, minFailureRate, maxEnterRate)
 	m.recoveryRate = m.recoveries.estimate(recoveryRatePrior, minLeaveRate, maxLeaveRate)
 	m.failingShares = m.failing.withPrior(&failingPrior, failingPriorWeight)
 	bound(&m.failingShares, 0, maxFailingGood)
