--- a/internal/health/model.go
+++ b/internal/health/model.go
@@ -17,7 +17,7 @@
 	recoveryRatePrior = 0.15
 	ratePriorWeight   = 3
 	minFailureRate    = 0.002
-	maxEnterRate      = 0.4
+	maxFailureRate    = 0.4
 	minLeaveRate      = 0.08
 	maxLeaveRate      = 2
 	// failingPriorWeight and workingPriorWeight are the weights of failingPrior and
@@ -106,7 +106,7 @@
 
 // updateEstimates computes the shares and rates from the counts.
 func (m *Model) updateEstimates() {
-	m.failureRate = m.failures.estimate(failureRatePrior, minFailureRate, maxEnterRate)
+	m.failureRate = m.failures.estimate(failureRatePrior, minFailureRate, maxFailureRate)
 	m.recoveryRate = m.recoveries.estimate(recoveryRatePrior, minLeaveRate, maxLeaveRate)
 	m.failingShares = m.failing.withPrior(&failingPrior, failingPriorWeight)
 	bound(&m.failingShares, 0, maxFailingGood)
