--- a/internal/health/model.go
+++ b/internal/health/model.go
@@ -18,7 +18,7 @@
 	ratePriorWeight   = 3
 	minFailureRate    = 0.002
 	maxFailureRate    = 0.4
-	minLeaveRate      = 0.08
+	minRecoveryRate   = 0.08
 	maxLeaveRate      = 2
 	// failingPriorWeight and workingPriorWeight are the weights of failingPrior and
 	// workingPrior.
@@ -107,7 +107,7 @@
 // updateEstimates computes the shares and rates from the counts.
 func (m *Model) updateEstimates() {
 	m.failureRate = m.failures.estimate(failureRatePrior, minFailureRate, maxFailureRate)
-	m.recoveryRate = m.recoveries.estimate(recoveryRatePrior, minLeaveRate, maxLeaveRate)
+	m.recoveryRate = m.recoveries.estimate(recoveryRatePrior, minRecoveryRate, maxLeaveRate)
 	m.failingShares = m.failing.withPrior(&failingPrior, failingPriorWeight)
 	bound(&m.failingShares, 0, maxFailingGood)
 	m.workingShares = m.working.withPrior(&workingPrior, workingPriorWeight)
