--- a/internal/health/model.go
+++ b/internal/health/model.go
@@ -19,7 +19,7 @@
 	minFailureRate    = 0.002
 	maxFailureRate    = 0.4
 	minRecoveryRate   = 0.08
-	maxLeaveRate      = 2
+	maxRecoveryRate   = 2
 	// failingPriorWeight and workingPriorWeight are the weights of failingPrior and
 	// workingPrior.
 	failingPriorWeight = 8
@@ -107,7 +107,7 @@
 // updateEstimates computes the shares and rates from the counts.
 func (m *Model) updateEstimates() {
 	m.failureRate = m.failures.estimate(failureRatePrior, minFailureRate, maxFailureRate)
-	m.recoveryRate = m.recoveries.estimate(recoveryRatePrior, minRecoveryRate, maxLeaveRate)
+	m.recoveryRate = m.recoveries.estimate(recoveryRatePrior, minRecoveryRate, maxRecoveryRate)
 	m.failingShares = m.failing.withPrior(&failingPrior, failingPriorWeight)
 	bound(&m.failingShares, 0, maxFailingGood)
 	m.workingShares = m.working.withPrior(&workingPrior, workingPriorWeight)
