--- a/internal/dispatch/scheduler.go
+++ b/internal/dispatch/scheduler.go
@@ -238,7 +238,7 @@
 		}
 		if t := d.targets[key]; t != nil {
 			// The limit may have become known after the grant and then did not pay for it.
-			paid := t.flights[id].paid
+			paid := t.flights[id].limit
 			g.Limit, g.LimitAt = paid.Limit, paid.At
 		}
 		return g, true
@@ -295,7 +295,7 @@
 		until:         a.Deadline.Add(flightSlack),
 		previousGrant: before,
 		final:         a.final(),
-		paid: TargetLimit{
+		limit: TargetLimit{
 			Target: t.Key,
 			Limit:  t.limit.Limit,
 			At:     t.limit.at,
