--- a/internal/dispatch/partition_test.go
+++ b/internal/dispatch/partition_test.go
@@ -43,7 +43,7 @@
 	// []
 }
 
-func TestDivide(t *testing.T) {
+func TestPartition(t *testing.T) {
 	tests := []struct {
 		name   string
 		counts []int
