--- a/internal/dispatch/warmup_test.go
+++ b/internal/dispatch/warmup_test.go
@@ -73,7 +73,7 @@
 }
 
 // A target that warms up gets nearly all of its warm-up rate and no more, which would overload it.
-func TestWarmupRateIsUsedAndKept(t *testing.T) {
+func TestWarmupRateIsFullyUsedAndNeverExceeded(t *testing.T) {
 	const left = 3 * time.Second
 	tests := []struct {
 		name         string
