--- a/internal/dispatch/coverage.go
+++ b/internal/dispatch/coverage.go
@@ -146,7 +146,7 @@
 	return math.Erfc(-mean/math.Sqrt(2*variance)) / 2
 }
 
-// distribution returns the probabilities that 0, 1 and so on up to most of the independent events
+// distribution returns the probabilities that 0, 1 and so on up to limit of the independent events
 // occur, given their probabilities.
 func distribution(events []float64, limit int) []float64 {
 	out := make([]float64, limit+1)
@@ -160,7 +160,7 @@
 	return out
 }
 
-// probabilityAbove returns the probability of more than most events.
+// probabilityAbove returns the probability of more than limit events.
 func probabilityAbove(distribution []float64, limit float64) float64 {
 	left := 1.0
 	for n, p := range distribution {
--- a/internal/dispatch/ledger.go
+++ b/internal/dispatch/ledger.go
@@ -29,7 +29,7 @@
 	}
 }
 
-// Record records an attempt that a dispatcher granted; again is set for a retry.
+// Record records an attempt that a dispatcher granted; retry is set for a retry.
 func (l *Ledger) Record(now time.Time, dispatcher string, retry bool) {
 	w := l.windows[dispatcher]
 	if w == nil {
--- a/internal/dispatch/target.go
+++ b/internal/dispatch/target.go
@@ -17,8 +17,8 @@
 	previousGrant time.Time
 	// final is set where no other attempt can follow a failure.
 	final bool
-	// limit is the limit named by the target that paid for the grant; paced is set where any limit
-	// did, a warm-up limit included.
+	// limit is the limit, named by the target, that paid for the grant; paced is set where any
+	// limit did, a warm-up limit included.
 	limit TargetLimit
 	paced bool
 	// route holds the response times of the request's route, event the number of the attempt in the
--- a/internal/health/model.go
+++ b/internal/health/model.go
@@ -10,8 +10,8 @@
 // Parameters of the model of a service. Priors hold before any observation, weights
 // are the numbers of observations that they count for.
 const (
-	// failureRatePrior and leavePrior are the rates, in 1/s, at which targets begin and stop
-	// failing: between the phases of one second and of ten seconds that users'
+	// failureRatePrior and recoveryRatePrior are the rates, in 1/s, at which targets begin
+	// and stop failing: between the phases of one second and of ten seconds that users'
 	// targets showed.
 	failureRatePrior  = 0.03
 	recoveryRatePrior = 0.15
@@ -64,7 +64,7 @@
 	seconds float64
 }
 
-// estimate returns the rate in 1/s, with a prior, between least and most.
+// estimate returns the rate in 1/s, with a prior, between lower and upper.
 func (r *rate) estimate(prior, lower, upper float64) float64 {
 	return min(max((r.events+ratePriorWeight)/(r.seconds+ratePriorWeight/prior), lower), upper)
 }
@@ -77,8 +77,8 @@
 	working    counts
 	routes     map[string]*Route
 	decayedAt  time.Time
-	// failingShares and workingShares are computed from the counts, enterRate and
-	// leaveRate from the rates.
+	// failingShares and workingShares are computed from the counts, failureRate and
+	// recoveryRate from failures and recoveries.
 	failingShares shares
 	workingShares shares
 	failureRate   float64
@@ -117,7 +117,7 @@
 	}
 }
 
-// bound limits the share of good answers to between least and most and scales the
+// bound limits the share of good answers to between lower and upper and scales the
 // others.
 func bound(s *shares, lower, upper float64) {
 	good := min(max(s[Good], lower), upper)
