--- a/internal/health/model.go
+++ b/internal/health/model.go
@@ -212,7 +212,7 @@
 func (m *Model) FailingShare() float64 { return m.failureRate / (m.failureRate + m.recoveryRate) }
 
 // Rates returns the rates, in 1/s, at which targets begin and stop failing.
-func (m *Model) Rates() (failure, leave float64) { return m.failureRate, m.recoveryRate }
+func (m *Model) Rates() (failure, recovery float64) { return m.failureRate, m.recoveryRate }
 
 // LostFailing returns the share of requests that a failing target doesn't answer
 // well. A late answer counts half.
