--- a/internal/health/health_test.go
+++ b/internal/health/health_test.go
@@ -191,9 +191,9 @@
 // failing ones lose, are learned from the results of attempts.
 func TestRatesAreLearned(t *testing.T) {
 	const (
-		enter, leave = 0.06, 0.3
-		lost         = 0.75
-		step         = 100 * time.Millisecond
+		failureRate, leave = 0.06, 0.3
+		lost               = 0.75
+		step               = 100 * time.Millisecond
 	)
 	tests := []struct {
 		name string
@@ -223,7 +223,7 @@
 				now = now.Add(step)
 				for i := range channels {
 					c := &channels[i]
-					rate := enter
+					rate := failureRate
 					if c.failing {
 						rate = leave
 					}
@@ -242,8 +242,8 @@
 				m.Advance(now)
 			}
 			gotEnter, gotLeave := m.Rates()
-			if gotEnter < enter/2.5 || gotEnter > enter*2.5 || gotLeave < leave/2.5 || gotLeave > leave*2.5 {
-				t.Errorf("learned rates %.3f/s to begin and %.3f/s to stop failing, true are %v and %v", gotEnter, gotLeave, enter, leave)
+			if gotEnter < failureRate/2.5 || gotEnter > failureRate*2.5 || gotLeave < leave/2.5 || gotLeave > leave*2.5 {
+				t.Errorf("learned rates %.3f/s to begin and %.3f/s to stop failing, true are %v and %v", gotEnter, gotLeave, failureRate, leave)
 			}
 			if got := m.LostFailing(); got < lost-0.2 || got > lost+0.15 {
 				t.Errorf("learned that failing targets lose a share of %.2f, true is %v", got, lost)
