--- a/internal/health/health_test.go
+++ b/internal/health/health_test.go
@@ -241,9 +241,9 @@
 				}
 				m.Advance(now)
 			}
-			gotFailure, gotLeave := m.Rates()
-			if gotFailure < failureRate/2.5 || gotFailure > failureRate*2.5 || gotLeave < recoveryRate/2.5 || gotLeave > recoveryRate*2.5 {
-				t.Errorf("learned rates %.3f/s to begin and %.3f/s to stop failing, true are %v and %v", gotFailure, gotLeave, failureRate, recoveryRate)
+			gotFailure, gotRecovery := m.Rates()
+			if gotFailure < failureRate/2.5 || gotFailure > failureRate*2.5 || gotRecovery < recoveryRate/2.5 || gotRecovery > recoveryRate*2.5 {
+				t.Errorf("learned rates %.3f/s to begin and %.3f/s to stop failing, true are %v and %v", gotFailure, gotRecovery, failureRate, recoveryRate)
 			}
 			if got := m.LostFailing(); got < lost-0.2 || got > lost+0.15 {
 				t.Errorf("learned that failing targets lose a share of %.2f, true is %v", got, lost)
