--- a/internal/dispatch/scheduler.go
+++ b/internal/dispatch/scheduler.go
@@ -238,8 +238,8 @@
 		}
 		if t := d.targets[key]; t != nil {
 			// The limit may have become known after the grant and then did not pay for it.
-			paid := t.flights[id].limit
-			g.Limit, g.LimitAt = paid.Limit, paid.At
+			limit := t.flights[id].limit
+			g.Limit, g.LimitAt = limit.Limit, limit.At
 		}
 		return g, true
 	}
