--- a/internal/dispatch/floor_test.go
+++ b/internal/dispatch/floor_test.go
@@ -25,15 +25,15 @@
 // applies to the targets that worked in the 2 s before, so that requests must reach enough working
 // targets in every window, whether or not requests fail.
 func TestWorkingTargetsAreReached(t *testing.T) {
-	// mostLow is the greatest share of windows with too few targets: one in 500 losses of power.
-	const mostLow = 0.002
+	// maxLow is the greatest share of windows with too few targets: one in 500 losses of power.
+	const maxLow = 0.002
 	for _, s := range services {
 		t.Run(s.name, func(t *testing.T) {
 			t.Parallel()
 			low, lost, crossed := simulateSeeds(&s, 100)
 			t.Logf("%.2f%% of the windows with too few targets, %.2f%% of the requests lost, %.1f%% crossed", 100*low, 100*lost, 100*crossed)
-			if low > mostLow {
-				t.Errorf("%.2f%% of the windows with too few targets, want at most %.2f%%", 100*low, 100*mostLow)
+			if low > maxLow {
+				t.Errorf("%.2f%% of the windows with too few targets, want at most %.2f%%", 100*low, 100*maxLow)
 			}
 			if lost > s.maxLost {
 				t.Errorf("%.2f%% of the requests lost, want at most %.2f%%", 100*lost, 100*s.maxLost)
