--- a/internal/dispatch/spread_test.go
+++ b/internal/dispatch/spread_test.go
@@ -150,9 +150,9 @@
 func TestLargeAnswersReachOtherDataHalls(t *testing.T) {
 	const (
 		targets = 8
-		// farMost is how many requests may cross in the six seconds: two of the four targets each
+		// maxCrossed is how many requests may cross in the six seconds: two of the four targets each
 		// 1.5 s, and one more at the start.
-		farMost = 9
+		maxCrossed = 9
 	)
 	for _, abandon := range []bool{false, true} {
 		d := newScheduler(pool(targets)...)
@@ -180,8 +180,8 @@
 		if abandon && least != targets {
 			t.Errorf("callers leave: at times %d of %d targets got work within 2 s", least, targets)
 		}
-		if !abandon && (crossed > farMost || least < 6) {
-			t.Errorf("%d of 400 requests crossed, at times %d of %d targets got work within 2 s; want at most %d, at least 6", crossed, least, targets, farMost)
+		if !abandon && (crossed > maxCrossed || least < 6) {
+			t.Errorf("%d of 400 requests crossed, at times %d of %d targets got work within 2 s; want at most %d, at least 6", crossed, least, targets, maxCrossed)
 		}
 	}
 }
