--- a/internal/dispatch/coverage.go
+++ b/internal/dispatch/coverage.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Parameters of the coverage. The users judge windows of 2 s in which at least a tenth of the
+// Parameters of the coverage. The users evaluate windows of 2 s in which at least a tenth of the
 // requests was not served: requests must have reached a share of the targets, the floor, of those
 // that worked in the window and in the 2 s before it. A loss of power ends a tenth of the requests
 // without warning, so the floor must hold at any time.
--- a/internal/health/kind.go
+++ b/internal/health/kind.go
@@ -30,8 +30,8 @@
 const kinds = int(Open)
 
 // Likelihood ratios, failing to working, of kinds without learned shares. They are
-// low because a target that sheds may just be full, and a single node that cannot
-// reach a target avoids it by itself.
+// low because a target that sheds may just be full, and a single node whose own link
+// to a target is lost avoids it by itself.
 const (
 	oddsShed      = 2
 	oddsUnreached = 6
