--- a/internal/outlier/outlier_test.go
+++ b/internal/outlier/outlier_test.go
@@ -308,14 +308,14 @@
 }
 
 // phases advances j in steps of a second and returns the phases of target t in order.
-func phases(j *outlier.Controller, from time.Time, seconds int, evidence outlier.Counts) []outlier.Phase {
+func phases(controller *outlier.Controller, from time.Time, seconds int, evidence outlier.Counts) []outlier.Phase {
 	var out []outlier.Phase
 	evidence.Target = "t"
 	for i := range seconds {
 		now := from.Add(time.Duration(i) * time.Second)
-		j.Record(now, evidence)
-		j.Advance(now)
-		if p := j.State(now, "t").Phase; len(out) == 0 || out[len(out)-1] != p {
+		controller.Record(now, evidence)
+		controller.Advance(now)
+		if p := controller.State(now, "t").Phase; len(out) == 0 || out[len(out)-1] != p {
 			out = append(out, p)
 		}
 	}
