--- a/internal/outlier/outlier_test.go
+++ b/internal/outlier/outlier_test.go
@@ -323,10 +323,10 @@
 }
 
 func TestReinstatementPassesAllPhases(t *testing.T) {
-	j := outlier.NewController()
-	j.SetTargets(start, []string{"t", "u"})
-	j.EjectLocal(start, "t", threshold)
-	got := phases(j, start, 40, outlier.Counts{
+	controller := outlier.NewController()
+	controller.SetTargets(start, []string{"t", "u"})
+	controller.EjectLocal(start, "t", threshold)
+	got := phases(controller, start, 40, outlier.Counts{
 		Good: 1,
 	})
 	want := []outlier.Phase{outlier.PhaseEjected, outlier.PhaseTrial, outlier.PhaseWarming, outlier.PhaseHealthy}
