--- a/internal/outlier/outlier_test.go
+++ b/internal/outlier/outlier_test.go
@@ -336,16 +336,16 @@
 }
 
 func TestRelapseExtendsEjection(t *testing.T) {
-	j := outlier.NewController()
-	j.SetTargets(start, []string{"t"})
+	controller := outlier.NewController()
+	controller.SetTargets(start, []string{"t"})
 	now := start
 	var last time.Duration
 	for i := range 8 {
-		j.EjectLocal(now, "t", threshold)
+		controller.EjectLocal(now, "t", threshold)
 		ejectedAt := now
-		for j.State(now, "t").Phase == outlier.PhaseEjected {
+		for controller.State(now, "t").Phase == outlier.PhaseEjected {
 			now = now.Add(100 * time.Millisecond)
-			j.Advance(now)
+			controller.Advance(now)
 		}
 		ejectedFor := now.Sub(ejectedAt)
 		if ejectedFor < last || ejectedFor > outlier.MaxEjectionTime+time.Second {
@@ -353,11 +353,11 @@
 		}
 		last = ejectedFor
 		// A failed trial request counts as a relapse.
-		j.Record(now, outlier.Counts{
+		controller.Record(now, outlier.Counts{
 			Target: "t",
 			Bad:    1,
 		})
-		if p := j.State(now, "t").Phase; p != outlier.PhaseEjected {
+		if p := controller.State(now, "t").Phase; p != outlier.PhaseEjected {
 			t.Fatalf("phase after a failed trial request: %v", p)
 		}
 	}
