--- a/internal/outlier/outlier_test.go
+++ b/internal/outlier/outlier_test.go
@@ -367,21 +367,21 @@
 }
 
 func TestRemoteEjectionEndsWithItsLease(t *testing.T) {
-	j := outlier.NewController()
-	j.SetTargets(start, []string{"t"})
-	j.EjectForLease(start, "t", threshold, 3*time.Second)
-	j.Advance(start.Add(2 * time.Second))
-	if p := j.State(start.Add(2*time.Second), "t").Phase; p != outlier.PhaseEjected {
+	controller := outlier.NewController()
+	controller.SetTargets(start, []string{"t"})
+	controller.EjectForLease(start, "t", threshold, 3*time.Second)
+	controller.Advance(start.Add(2 * time.Second))
+	if p := controller.State(start.Add(2*time.Second), "t").Phase; p != outlier.PhaseEjected {
 		t.Fatalf("phase within the lease: %v", p)
 	}
-	j.Advance(start.Add(3 * time.Second))
-	if p := j.State(start.Add(3*time.Second), "t").Phase; p != outlier.PhaseTrial {
+	controller.Advance(start.Add(3 * time.Second))
+	if p := controller.State(start.Add(3*time.Second), "t").Phase; p != outlier.PhaseTrial {
 		t.Fatalf("phase after the lease: %v", p)
 	}
 	// A lease of hours, which a faulty observer could send, is limited to MaxEjectionTime.
-	j.EjectForLease(start, "t", threshold, 24*time.Hour)
-	j.Advance(start.Add(outlier.MaxEjectionTime))
-	if p := j.State(start.Add(outlier.MaxEjectionTime), "t").Phase; p == outlier.PhaseEjected {
+	controller.EjectForLease(start, "t", threshold, 24*time.Hour)
+	controller.Advance(start.Add(outlier.MaxEjectionTime))
+	if p := controller.State(start.Add(outlier.MaxEjectionTime), "t").Phase; p == outlier.PhaseEjected {
 		t.Fatal("lease is not limited to MaxHold")
 	}
 }
