--- a/internal/outlier/outlier_test.go
+++ b/internal/outlier/outlier_test.go
@@ -387,14 +387,14 @@
 }
 
 func TestDrainingOutlastsAStaleTargetList(t *testing.T) {
-	j := outlier.NewController()
-	j.SetTargets(start, []string{"t"})
-	j.SetDraining(start, "t")
-	j.SetTargets(start.Add(time.Second), []string{"t"})
-	if !j.State(start.Add(30*time.Second), "t").Draining {
+	controller := outlier.NewController()
+	controller.SetTargets(start, []string{"t"})
+	controller.SetDraining(start, "t")
+	controller.SetTargets(start.Add(time.Second), []string{"t"})
+	if !controller.State(start.Add(30*time.Second), "t").Draining {
 		t.Fatal("not draining while the target list is stale")
 	}
-	if j.State(start.Add(2*outlier.DrainingTime), "t").Draining {
+	if controller.State(start.Add(2*outlier.DrainingTime), "t").Draining {
 		t.Fatal("still draining after twice LeavingTime")
 	}
 }
