--- a/internal/outlier/outlier_test.go
+++ b/internal/outlier/outlier_test.go
@@ -307,7 +307,7 @@
 	}
 }
 
-// phases advances j in steps of a second and returns the phases of target t in order.
+// phases advances the controller in steps of a second and returns the phases of target t in order.
 func phases(controller *outlier.Controller, from time.Time, seconds int, evidence outlier.Counts) []outlier.Phase {
 	var out []outlier.Phase
 	evidence.Target = "t"
