--- a/internal/dispatch/hedge.go
+++ b/internal/dispatch/hedge.go
@@ -40,7 +40,7 @@
 	return d.model.Silent(route, p, a.Age)
 }
 
-// hedgeAfter returns the HedgeAfter of an attempt's grant.
+// hedgeAfter returns the HedgeAfter for a grant that is repeated, or 0 for an unknown attempt.
 func (t *target) hedgeAfter(id ID) time.Duration {
 	if t == nil || t.flights[id].route == nil {
 		return 0
