--- a/internal/dispatch/backoff.go
+++ b/internal/dispatch/backoff.go
@@ -25,11 +25,11 @@
 }
 
 // active reports whether the target has accepted no request since it sent a backoff.
-func (r backoff) active() bool { return !r.since.IsZero() }
+func (b backoff) active() bool { return !b.since.IsZero() }
 
 // slots returns how many requests the target gets at a time.
-func (r backoff) slots(now time.Time) int {
-	if now.Before(r.until) {
+func (b backoff) slots(now time.Time) int {
+	if now.Before(b.until) {
 		return 0
 	}
 	return 1
--- a/internal/dispatch/coverage.go
+++ b/internal/dispatch/coverage.go
@@ -7,12 +7,12 @@
 	"time"
 )
 
-// Parameters of the coverage. The users judge windows of 2 s in which at least a tenth of the
+// Parameters of the coverage. The users evaluate windows of 2 s in which at least a tenth of the
 // requests was not served: requests must have reached a share of the targets, the floor, of those
 // that worked in the window and in the 2 s before it. A loss of power ends a tenth of the requests
 // without warning, so the floor must hold at any time.
 const (
-	// defaultFloor is the users' floor.
+	// defaultFloor is the floor until SetFloor is called: the users' floor.
 	defaultFloor = 0.7
 	// coverSettled is how long a target must have worked to count: the window and the time before
 	// it.
@@ -118,8 +118,8 @@
 	}
 	// allowed is the number of targets that may be missed for each one reached.
 	allowed := (1 - floor) / floor
-	most := int(min(float64(len(reached))*allowed, float64(len(idle)))) + 1
-	missed := distribution(idle, min(len(idle), most))
+	maxMissed := int(min(float64(len(reached))*allowed, float64(len(idle)))) + 1
+	missed := distribution(idle, min(len(idle), maxMissed))
 	few := 0.0
 	for n, p := range distribution(reached, len(reached)) {
 		few += p * probabilityAbove(missed, float64(n)*allowed)
@@ -146,13 +146,13 @@
 	return math.Erfc(-mean/math.Sqrt(2*variance)) / 2
 }
 
-// distribution returns the probabilities that 0, 1 and so on up to most of the independent events
+// distribution returns the probabilities that 0, 1 and so on up to limit of the independent events
 // occur, given their probabilities.
-func distribution(events []float64, most int) []float64 {
-	out := make([]float64, most+1)
+func distribution(events []float64, limit int) []float64 {
+	out := make([]float64, limit+1)
 	out[0] = 1
 	for _, p := range events {
-		for n := most; n > 0; n-- {
+		for n := limit; n > 0; n-- {
 			out[n] += p * (out[n-1] - out[n])
 		}
 		out[0] *= 1 - p
@@ -160,11 +160,11 @@
 	return out
 }
 
-// probabilityAbove returns the probability of more than most events.
-func probabilityAbove(distribution []float64, most float64) float64 {
+// probabilityAbove returns the probability of more than limit events.
+func probabilityAbove(distribution []float64, limit float64) float64 {
 	left := 1.0
 	for n, p := range distribution {
-		if float64(n) <= most {
+		if float64(n) <= limit {
 			left -= p
 		}
 	}
--- a/internal/dispatch/ledger.go
+++ b/internal/dispatch/ledger.go
@@ -29,15 +29,15 @@
 	}
 }
 
-// Record records an attempt that a dispatcher granted; again is set for a retry.
-func (l *Ledger) Record(now time.Time, dispatcher string, again bool) {
+// Record records an attempt that a dispatcher granted; retry is set for a retry.
+func (l *Ledger) Record(now time.Time, dispatcher string, retry bool) {
 	w := l.windows[dispatcher]
 	if w == nil {
 		w = &window{}
 		l.windows[dispatcher] = w
 	}
 	w.advance(now, l.started, l.budget)
-	if again {
+	if retry {
 		w.addRetry(1)
 	} else {
 		w.addFirst(1)
@@ -70,22 +70,22 @@
 // until the window has passed.
 type remoteGrants map[string]remoteReport
 
-func (e remoteGrants) record(now time.Time, node string, s AttemptCounts) {
+func (g remoteGrants) record(now time.Time, node string, s AttemptCounts) {
 	if s == (AttemptCounts{}) {
-		delete(e, node)
+		delete(g, node)
 		return
 	}
-	e[node] = remoteReport{
+	g[node] = remoteReport{
 		AttemptCounts: s,
 		at:            now,
 	}
 }
 
 // sums returns the first attempts and the retries that other dispatchers granted in the window.
-func (e remoteGrants) sums(now time.Time, b Budget) (firsts, retries float64) {
-	for node, t := range e {
+func (g remoteGrants) sums(now time.Time, b Budget) (firsts, retries float64) {
+	for node, t := range g {
 		if now.Sub(t.at) > b.Window {
-			delete(e, node)
+			delete(g, node)
 			continue
 		}
 		firsts += float64(t.Firsts)
--- a/internal/dispatch/scheduler.go
+++ b/internal/dispatch/scheduler.go
@@ -91,7 +91,8 @@
 	}
 }
 
-// RequestGrant answers a grant request at once. A repeated request with the same ID gets the same answer.
+// RequestGrant answers a grant request at once. A repeated request with the same ID gets the same
+// answer.
 func (d *Scheduler) RequestGrant(now time.Time, a *Request) Grant {
 	d.recordSignals(now, a)
 	g := d.answer(now, a)
@@ -177,13 +178,13 @@
 
 // withoutTarget returns the answer to a request that gets no target. A non-queueing request gets
 // Full instead of a refusal.
-func (a *Request) withoutTarget(v Decision, wait time.Duration) Grant {
+func (a *Request) withoutTarget(decision Decision, wait time.Duration) Grant {
 	if a.NonQueueing {
-		v, wait = NoneFree, 0
+		decision, wait = NoneFree, 0
 	}
 	return Grant{
 		ID:         a.ID,
-		Decision:   v,
+		Decision:   decision,
 		RetryAfter: wait,
 	}
 }
@@ -237,8 +238,8 @@
 		}
 		if t := d.targets[key]; t != nil {
 			// The limit may have become known after the grant and then did not pay for it.
-			paid := t.flights[id].paid
-			g.Limit, g.LimitAt = paid.Limit, paid.At
+			limit := t.flights[id].limit
+			g.Limit, g.LimitAt = limit.Limit, limit.At
 		}
 		return g, true
 	}
@@ -254,8 +255,8 @@
 	}, d.queue.has(id)
 }
 
-// GrantIsolated answers a grant request on a node that reaches no dispatcher. It ignores slots, because
-// the attempts of other nodes are unknown. share is this node's share of the retry reserve.
+// GrantIsolated answers a grant request on a node that reaches no dispatcher. It ignores slots,
+// because the attempts of other nodes are unknown. share is this node's share of the retry reserve.
 func (d *Scheduler) GrantIsolated(now time.Time, a *Request, share float64) Grant {
 	d.recordSignals(now, a)
 	if !d.affords(now, a, share) {
@@ -294,7 +295,7 @@
 		until:         a.Deadline.Add(flightSlack),
 		previousGrant: before,
 		final:         a.final(),
-		paid: TargetLimit{
+		limit: TargetLimit{
 			Target: t.Key,
 			Limit:  t.limit.Limit,
 			At:     t.limit.at,
--- a/internal/dispatch/spread.go
+++ b/internal/dispatch/spread.go
@@ -45,24 +45,24 @@
 	lastSpread time.Time
 }
 
-func (e *outcomes) advance(now time.Time) {
-	if past := now.Sub(e.rotated); past >= outcomePeriod {
-		e.all[1], e.failed[1] = e.all[0], e.failed[0]
+func (o *outcomes) advance(now time.Time) {
+	if past := now.Sub(o.rotated); past >= outcomePeriod {
+		o.all[1], o.failed[1] = o.all[0], o.failed[0]
 		if past >= 2*outcomePeriod {
-			e.all[1], e.failed[1] = 0, 0
+			o.all[1], o.failed[1] = 0, 0
 		}
-		e.all[0], e.failed[0] = 0, 0
-		e.rotated = now
+		o.all[0], o.failed[0] = 0, 0
+		o.rotated = now
 	}
 }
 
 // record counts a request that was served or not: refused, failed at its final attempt, or abandoned
 // by its caller.
-func (e *outcomes) record(now time.Time, served bool) {
-	e.advance(now)
-	e.all[0]++
+func (o *outcomes) record(now time.Time, served bool) {
+	o.advance(now)
+	o.all[0]++
 	if !served {
-		e.failed[0]++
+		o.failed[0]++
 	}
 }
 
@@ -71,16 +71,16 @@
 
 // recordRefused counts requests that were refused before a target was requested, for example because
 // of workspace limits. Their callers are not served either, so they count like failures.
-func (e *outcomes) recordRefused(now time.Time, n int) {
-	e.advance(now)
-	e.all[0] += n
-	e.failed[0] += n
+func (o *outcomes) recordRefused(now time.Time, n int) {
+	o.advance(now)
+	o.all[0] += n
+	o.failed[0] += n
 }
 
 // failing reports whether so many requests fail that work must be spread.
-func (e *outcomes) failing(now time.Time) bool {
-	e.advance(now)
-	all, bad := e.all[0]+e.all[1], e.failed[0]+e.failed[1]
+func (o *outcomes) failing(now time.Time) bool {
+	o.advance(now)
+	all, bad := o.all[0]+o.all[1], o.failed[0]+o.failed[1]
 	return all >= spreadMinRequests && float64(bad) >= spreadFailureShare*float64(all)
 }
 
--- a/internal/dispatch/target.go
+++ b/internal/dispatch/target.go
@@ -17,9 +17,9 @@
 	previousGrant time.Time
 	// final is set where no other attempt can follow a failure.
 	final bool
-	// paid is the limit named by the target that paid for the grant; paced is set where any limit
-	// did, a warm-up limit included.
-	paid  TargetLimit
+	// limit is the limit, named by the target, that paid for the grant; paced is set where any
+	// limit did, a warm-up limit included.
+	limit TargetLimit
 	paced bool
 	// route holds the response times of the request's route, event the number of the attempt in the
 	// target's health.
@@ -90,8 +90,8 @@
 // usedRecently reports whether the target got work within spreadTime.
 func (t *target) usedRecently(now time.Time) bool { return now.Sub(t.lastGranted) < spreadTime }
 
-// settledProbability returns the estimated probability that the target has worked for coverSettled and so counts
-// for the floor.
+// settledProbability returns the estimated probability that the target has worked for coverSettled
+// and so counts for the floor.
 func (t *target) settledProbability(now time.Time) float64 {
 	if now.Before(t.goneUntil) || t.backoff.active() || t.limit.bounded(now) && t.limit.rate(now, 1)*spreadTime.Seconds() < 1 {
 		return 0
--- a/internal/health/health_test.go
+++ b/internal/health/health_test.go
@@ -191,9 +191,9 @@
 // failing ones lose, are learned from the results of attempts.
 func TestRatesAreLearned(t *testing.T) {
 	const (
-		enter, leave = 0.06, 0.3
-		lost         = 0.75
-		step         = 100 * time.Millisecond
+		failureRate, recoveryRate = 0.06, 0.3
+		lost                      = 0.75
+		step                      = 100 * time.Millisecond
 	)
 	tests := []struct {
 		name string
@@ -223,9 +223,9 @@
 				now = now.Add(step)
 				for i := range channels {
 					c := &channels[i]
-					rate := enter
+					rate := failureRate
 					if c.failing {
-						rate = leave
+						rate = recoveryRate
 					}
 					if rng.Float64() < rate*step.Seconds() {
 						c.failing = !c.failing
@@ -241,9 +241,9 @@
 				}
 				m.Advance(now)
 			}
-			gotEnter, gotLeave := m.Rates()
-			if gotEnter < enter/2.5 || gotEnter > enter*2.5 || gotLeave < leave/2.5 || gotLeave > leave*2.5 {
-				t.Errorf("learned rates %.3f/s to begin and %.3f/s to stop failing, true are %v and %v", gotEnter, gotLeave, enter, leave)
+			gotFailure, gotRecovery := m.Rates()
+			if gotFailure < failureRate/2.5 || gotFailure > failureRate*2.5 || gotRecovery < recoveryRate/2.5 || gotRecovery > recoveryRate*2.5 {
+				t.Errorf("learned rates %.3f/s to begin and %.3f/s to stop failing, true are %v and %v", gotFailure, gotRecovery, failureRate, recoveryRate)
 			}
 			if got := m.LostFailing(); got < lost-0.2 || got > lost+0.15 {
 				t.Errorf("learned that failing targets lose a share of %.2f, true is %v", got, lost)
--- a/internal/health/latency.go
+++ b/internal/health/latency.go
@@ -50,39 +50,39 @@
 }
 
 // add records the latency of a good answer.
-func (t *latencies) add(took time.Duration) error {
-	if t.current.TotalCount() >= generationSize {
-		t.current, t.previous = t.previous, t.current
-		t.current.Reset()
+func (l *latencies) add(took time.Duration) error {
+	if l.current.TotalCount() >= generationSize {
+		l.current, l.previous = l.previous, l.current
+		l.current.Reset()
 	}
-	if err := t.current.RecordValue(min(max(took.Milliseconds(), 1), maxLatencyMs)); err != nil {
+	if err := l.current.RecordValue(min(max(took.Milliseconds(), 1), maxLatencyMs)); err != nil {
 		return err
 	}
-	t.sinceUpdate++
-	if t.sinceUpdate >= updateEvery || t.n < updateEvery {
-		t.sinceUpdate = 0
-		t.update()
+	l.sinceUpdate++
+	if l.sinceUpdate >= updateEvery || l.n < updateEvery {
+		l.sinceUpdate = 0
+		l.update()
 	}
 	return nil
 }
 
 // update computes the table from both histograms.
-func (t *latencies) update() {
+func (l *latencies) update() {
 	merged := hdrhistogram.New(1, maxLatencyMs, histogramDigits)
-	merged.Merge(t.previous)
-	merged.Merge(t.current)
-	t.n = float64(merged.TotalCount())
+	merged.Merge(l.previous)
+	merged.Merge(l.current)
+	l.n = float64(merged.TotalCount())
 	for i, q := range quantiles {
-		t.table[i] = float64(merged.ValueAtQuantile(q))
+		l.table[i] = float64(merged.ValueAtQuantile(q))
 	}
 }
 
 // median returns the median latency.
-func (t *latencies) median() time.Duration {
-	if t.n < updateEvery {
+func (l *latencies) median() time.Duration {
+	if l.n < updateEvery {
 		return defaultMedian
 	}
-	return time.Duration(t.table[medianIndex] * float64(time.Millisecond))
+	return time.Duration(l.table[medianIndex] * float64(time.Millisecond))
 }
 
 // medianIndex is the index of the median in the table.
@@ -90,38 +90,38 @@
 
 // within returns the latency within which a share of the good answers arrives,
 // rounded up to a quantile of the table, or 0 while there are too few answers.
-func (t *latencies) within(share float64) time.Duration {
-	if t.n < updateEvery {
+func (l *latencies) within(share float64) time.Duration {
+	if l.n < updateEvery {
 		return 0
 	}
 	for i, q := range quantiles {
 		if q >= 100*share {
-			return time.Duration(t.table[i] * float64(time.Millisecond))
+			return time.Duration(l.table[i] * float64(time.Millisecond))
 		}
 	}
 	return maxLatencyMs * time.Millisecond
 }
 
 // longer returns the share of good answers that take longer than age.
-func (t *latencies) longer(age time.Duration) float64 {
+func (l *latencies) longer(age time.Duration) float64 {
 	ms := float64(age) / float64(time.Millisecond)
 	prior := math.Exp2(-ms / float64(defaultMedian.Milliseconds()))
-	if t.n == 0 {
+	if l.n == 0 {
 		return prior
 	}
-	return (t.n*t.observedLonger(ms) + latencyPriorWeight*prior) / (t.n + latencyPriorWeight)
+	return (l.n*l.observedLonger(ms) + latencyPriorWeight*prior) / (l.n + latencyPriorWeight)
 }
 
 // observedLonger returns the share of the answers in the table that take longer than ms.
-func (t *latencies) observedLonger(ms float64) float64 {
-	if ms <= t.table[0] {
+func (l *latencies) observedLonger(ms float64) float64 {
+	if ms <= l.table[0] {
 		return 1
 	}
 	for i := 1; i < len(quantiles); i++ {
-		if ms > t.table[i] {
+		if ms > l.table[i] {
 			continue
 		}
-		fraction := (ms - t.table[i-1]) / max(t.table[i]-t.table[i-1], 1)
+		fraction := (ms - l.table[i-1]) / max(l.table[i]-l.table[i-1], 1)
 		percent := quantiles[i-1] + fraction*(quantiles[i]-quantiles[i-1])
 		return max(1-percent/100, tailShare)
 	}
--- a/internal/health/model.go
+++ b/internal/health/model.go
@@ -10,16 +10,16 @@
 // Parameters of the model of a service. Priors hold before any observation, weights
 // are the numbers of observations that they count for.
 const (
-	// enterPrior and leavePrior are the rates, in 1/s, at which targets begin and stop
-	// failing: between the phases of one second and of ten seconds that users'
+	// failureRatePrior and recoveryRatePrior are the rates, in 1/s, at which targets begin
+	// and stop failing: between the phases of one second and of ten seconds that users'
 	// targets showed.
-	enterPrior      = 0.03
-	leavePrior      = 0.15
-	ratePriorWeight = 3
-	minEnterRate    = 0.002
-	maxEnterRate    = 0.4
-	minLeaveRate    = 0.08
-	maxLeaveRate    = 2
+	failureRatePrior  = 0.03
+	recoveryRatePrior = 0.15
+	ratePriorWeight   = 3
+	minFailureRate    = 0.002
+	maxFailureRate    = 0.4
+	minRecoveryRate   = 0.08
+	maxRecoveryRate   = 2
 	// failingPriorWeight and workingPriorWeight are the weights of failingPrior and
 	// workingPrior.
 	failingPriorWeight = 8
@@ -34,9 +34,9 @@
 	memory = 60 * time.Second
 	// lateShare is the share of good answers that count as late: the slowest ones.
 	lateShare = 0.012
-	// quickFraction is the fraction of the median latency below which a failure is
-	// quick.
-	quickFraction = 0.15
+	// immediateFraction is the fraction of the median latency below which a failure counts
+	// as Immediate.
+	immediateFraction = 0.15
 	// maxRoutes bounds the number of routes with a distribution of their own.
 	maxRoutes = 256
 )
@@ -64,25 +64,25 @@
 	seconds float64
 }
 
-// estimate returns the rate in 1/s, with a prior, between least and most.
-func (r *rate) estimate(prior, least, most float64) float64 {
-	return min(max((r.events+ratePriorWeight)/(r.seconds+ratePriorWeight/prior), least), most)
+// estimate returns the rate in 1/s, with a prior, between lower and upper.
+func (r *rate) estimate(prior, lower, upper float64) float64 {
+	return min(max((r.events+ratePriorWeight)/(r.seconds+ratePriorWeight/prior), lower), upper)
 }
 
 // Model holds the learned behavior of the targets of one service.
 type Model struct {
-	enter     rate
-	leave     rate
-	failing   counts
-	working   counts
-	routes    map[string]*Route
-	decayedAt time.Time
-	// failingShares and workingShares are computed from the counts, enterRate and
-	// leaveRate from the rates.
+	failures   rate
+	recoveries rate
+	failing    counts
+	working    counts
+	routes     map[string]*Route
+	decayedAt  time.Time
+	// failingShares and workingShares are computed from the counts, failureRate and
+	// recoveryRate from failures and recoveries.
 	failingShares shares
 	workingShares shares
-	enterRate     float64
-	leaveRate     float64
+	failureRate   float64
+	recoveryRate  float64
 }
 
 // Route holds the learned behavior of one route of a service.
@@ -106,8 +106,8 @@
 
 // updateEstimates computes the shares and rates from the counts.
 func (m *Model) updateEstimates() {
-	m.enterRate = m.enter.estimate(enterPrior, minEnterRate, maxEnterRate)
-	m.leaveRate = m.leave.estimate(leavePrior, minLeaveRate, maxLeaveRate)
+	m.failureRate = m.failures.estimate(failureRatePrior, minFailureRate, maxFailureRate)
+	m.recoveryRate = m.recoveries.estimate(recoveryRatePrior, minRecoveryRate, maxRecoveryRate)
 	m.failingShares = m.failing.withPrior(&failingPrior, failingPriorWeight)
 	bound(&m.failingShares, 0, maxFailingGood)
 	m.workingShares = m.working.withPrior(&workingPrior, workingPriorWeight)
@@ -117,10 +117,10 @@
 	}
 }
 
-// bound limits the share of good answers to between least and most and scales the
+// bound limits the share of good answers to between lower and upper and scales the
 // others.
-func bound(s *shares, least, most float64) {
-	good := min(max(s[Good], least), most)
+func bound(s *shares, lower, upper float64) {
+	good := min(max(s[Good], lower), upper)
 	if good == s[Good] {
 		return
 	}
@@ -136,7 +136,7 @@
 	elapsed := now.Sub(m.decayedAt)
 	m.decayedAt = now
 	factor := math.Exp(-elapsed.Seconds() / memory.Seconds())
-	for _, r := range [...]*rate{&m.enter, &m.leave} {
+	for _, r := range [...]*rate{&m.failures, &m.recoveries} {
 		r.events *= factor
 		r.seconds *= factor
 	}
@@ -201,7 +201,7 @@
 		return Good
 	case late:
 		return Silent
-	case took < time.Duration(quickFraction*float64(r.latency.median())):
+	case took < time.Duration(immediateFraction*float64(r.latency.median())):
 		return Immediate
 	default:
 		return AfterWork
@@ -209,10 +209,10 @@
 }
 
 // FailingShare returns the stationary probability that a target is failing.
-func (m *Model) FailingShare() float64 { return m.enterRate / (m.enterRate + m.leaveRate) }
+func (m *Model) FailingShare() float64 { return m.failureRate / (m.failureRate + m.recoveryRate) }
 
 // Rates returns the rates, in 1/s, at which targets begin and stop failing.
-func (m *Model) Rates() (enter, leave float64) { return m.enterRate, m.leaveRate }
+func (m *Model) Rates() (failure, recovery float64) { return m.failureRate, m.recoveryRate }
 
 // LostFailing returns the share of requests that a failing target doesn't answer
 // well. A late answer counts half.
@@ -227,7 +227,7 @@
 		return p
 	}
 	share := m.FailingShare()
-	return share + (p-share)*math.Exp(-(m.enterRate+m.leaveRate)*elapsed.Seconds())
+	return share + (p-share)*math.Exp(-(m.failureRate+m.recoveryRate)*elapsed.Seconds())
 }
 
 // Silent returns the probability that an attempt of a certain age gets no answer, if
--- a/internal/outlier/collector.go
+++ b/internal/outlier/collector.go
@@ -107,14 +107,14 @@
 func (c *Collector) Begin(now time.Time, service, class, target string) *Attempt {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	f := &Attempt{
+	a := &Attempt{
 		collector: c,
 		counts:    c.target(service, target),
 		median:    c.median(service, class),
 		started:   now,
 	}
-	f.counts.inFlight[f] = struct{}{}
-	return f
+	a.counts.inFlight[a] = struct{}{}
+	return a
 }
 
 func (c *Collector) target(service, target string) *targetCounts {
@@ -156,7 +156,7 @@
 	Ignored bool
 	// Draining is set when the target signaled that it is draining.
 	Draining bool
-	// Shed is set when the target refused the request before running it, Other
+	// Shed is set when the target refused the request before running it, Replaced
 	// when another process has the target's address.
 	Shed     bool
 	Replaced bool
@@ -167,26 +167,26 @@
 }
 
 // End records the end of the attempt.
-func (f *Attempt) End(now time.Time, e Result) {
-	c := f.collector
+func (a *Attempt) End(now time.Time, e Result) {
+	c := a.collector
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	delete(f.counts.inFlight, f)
-	f.counts.counts.Draining = f.counts.counts.Draining || e.Draining
-	if f.discarded {
+	delete(a.counts.inFlight, a)
+	a.counts.counts.Draining = a.counts.counts.Draining || e.Draining
+	if a.discarded {
 		return
 	}
-	took := now.Sub(f.started)
-	slow := took > f.median.slowAfter()
+	took := now.Sub(a.started)
+	slow := took > a.median.slowAfter()
 	if !e.Failed && !e.Ignored {
-		f.median.add(took)
+		a.median.add(took)
 	}
 	switch {
-	case f.stallCounts > 0:
+	case a.stallCounts > 0:
 	case slow || e.Failed && !e.Ignored:
-		f.counts.counts.Bad++
+		a.counts.counts.Bad++
 	case !e.Ignored:
-		f.counts.counts.Good++
+		a.counts.counts.Good++
 	}
 }
 
@@ -230,19 +230,19 @@
 // discard clears the counts and excludes the attempts in flight from later counts.
 func (v *targetCounts) discard() {
 	v.counts = Counts{}
-	for f := range v.inFlight {
-		f.discarded = true
+	for a := range v.inFlight {
+		a.discarded = true
 	}
 }
 
 // countStalled counts attempts in flight that are already slow as bad.
 func (v *targetCounts) countStalled(now time.Time) {
-	for f := range v.inFlight {
-		if f.discarded || f.stallCounts >= maxStallCounts {
+	for a := range v.inFlight {
+		if a.discarded || a.stallCounts >= maxStallCounts {
 			continue
 		}
-		if now.Sub(f.started) > f.median.slowAfter()+time.Duration(f.stallCounts)*stallCountInterval {
-			f.stallCounts++
+		if now.Sub(a.started) > a.median.slowAfter()+time.Duration(a.stallCounts)*stallCountInterval {
+			a.stallCounts++
 			v.counts.Bad++
 			v.counts.Stalled++
 		}
--- a/internal/outlier/controller.go
+++ b/internal/outlier/controller.go
@@ -59,7 +59,7 @@
 	initialized bool
 }
 
-// NewController returns a Judge without targets.
+// NewController returns a controller without targets.
 func NewController() *Controller {
 	return &Controller{
 		targets:   map[string]*targetState{},
@@ -69,57 +69,57 @@
 
 // SetTargets replaces the published targets. Targets of the first non-empty list
 // are healthy, later ones begin to warm up.
-func (j *Controller) SetTargets(now time.Time, addresses []string) {
+func (c *Controller) SetTargets(now time.Time, addresses []string) {
 	listed := map[string]bool{}
 	for _, a := range addresses {
 		listed[a] = true
-		if j.targets[a] != nil {
+		if c.targets[a] != nil {
 			continue
 		}
 		t := &targetState{
 			since: now,
 		}
-		if j.initialized {
+		if c.initialized {
 			t.phase = PhaseWarming
-			j.unhealthy[a] = t
+			c.unhealthy[a] = t
 		}
-		j.targets[a] = t
+		c.targets[a] = t
 	}
-	for a := range j.targets {
+	for a := range c.targets {
 		if !listed[a] {
-			delete(j.targets, a)
-			delete(j.unhealthy, a)
+			delete(c.targets, a)
+			delete(c.unhealthy, a)
 		}
 	}
-	j.initialized = j.initialized || len(addresses) > 0
+	c.initialized = c.initialized || len(addresses) > 0
 }
 
 // EjectLocal ejects a target on this node's own evidence.
-func (j *Controller) EjectLocal(now time.Time, target string, score float64) {
-	t := j.targets[target]
+func (c *Controller) EjectLocal(now time.Time, target string, score float64) {
+	t := c.targets[target]
 	if t == nil || t.phase == PhaseEjected {
 		return
 	}
 	t.ejection.start(now)
-	j.eject(now, target, score)
+	c.eject(now, target, score)
 }
 
 // EjectForLease ejects a target on an observer's decision until lease has passed, so that
 // decisions of an observer that hangs or is partitioned expire.
-func (j *Controller) EjectForLease(now time.Time, target string, score float64, lease time.Duration) {
-	t := j.targets[target]
+func (c *Controller) EjectForLease(now time.Time, target string, score float64, lease time.Duration) {
+	t := c.targets[target]
 	if t == nil {
 		return
 	}
 	if until := now.Add(min(lease, MaxEjectionTime)); until.After(t.leaseEnd) {
 		t.leaseEnd = until
 	}
-	j.eject(now, target, score)
+	c.eject(now, target, score)
 }
 
-func (j *Controller) eject(now time.Time, target string, score float64) {
-	t := j.targets[target]
-	j.unhealthy[target] = t
+func (c *Controller) eject(now time.Time, target string, score float64) {
+	t := c.targets[target]
+	c.unhealthy[target] = t
 	if t.phase != PhaseEjected {
 		t.since = now
 	}
@@ -129,32 +129,32 @@
 }
 
 // SetDraining records a target's signal that it is draining.
-func (j *Controller) SetDraining(now time.Time, target string) {
-	if t := j.targets[target]; t != nil {
+func (c *Controller) SetDraining(now time.Time, target string) {
+	if t := c.targets[target]; t != nil {
 		t.drainingUntil = now.Add(DrainingTime)
 	}
 }
 
 // Record records the requests to a target in one tick. Only those of a trial
 // count: a bad one ejects the target again.
-func (j *Controller) Record(now time.Time, c Counts) {
-	t := j.targets[c.Target]
+func (c *Controller) Record(now time.Time, counts Counts) {
+	t := c.targets[counts.Target]
 	if t == nil || t.phase != PhaseTrial {
 		return
 	}
-	if c.Bad > 0 {
+	if counts.Bad > 0 {
 		t.ejection.start(now)
-		j.eject(now, c.Target, t.score)
+		c.eject(now, counts.Target, t.score)
 		return
 	}
-	t.good += c.Good
+	t.good += counts.Good
 }
 
 // Advance moves targets to their next phase when it is due. It reports whether any
 // state changed, which is always so while a target warms up.
-func (j *Controller) Advance(now time.Time) bool {
+func (c *Controller) Advance(now time.Time) bool {
 	changed := false
-	for a, t := range j.unhealthy {
+	for a, t := range c.unhealthy {
 		if next := t.next(now); next != t.phase {
 			t.phase = next
 			t.since = now
@@ -163,7 +163,7 @@
 		// The warmth of a warming target changes with time.
 		changed = changed || t.phase == PhaseWarming
 		if t.phase == PhaseHealthy {
-			delete(j.unhealthy, a)
+			delete(c.unhealthy, a)
 		}
 	}
 	return changed
@@ -199,8 +199,8 @@
 
 // State returns the state of a target, or the zero value with full warmth for an
 // unknown one.
-func (j *Controller) State(now time.Time, target string) State {
-	t := j.targets[target]
+func (c *Controller) State(now time.Time, target string) State {
+	t := c.targets[target]
 	if t == nil {
 		return State{
 			Warmth: 1,
--- a/internal/outlier/detector.go
+++ b/internal/outlier/detector.go
@@ -273,21 +273,21 @@
 	Stalled float64
 }
 
-// Health returns the reading as variables of a policy. threshold is the service's;
+// Health returns the score as variables of a policy. threshold is the service's;
 // reporters and dataHalls count the sources of the evidence.
-func (r Score) Health(threshold float64, reporters, dataHalls int) policy.Health {
+func (s Score) Health(threshold float64, reporters, dataHalls int) policy.Health {
 	return policy.Health{
-		Score:     r.Score,
+		Score:     s.Score,
 		Threshold: threshold,
-		Good:      r.Good,
-		Bad:       r.Bad,
-		Stalled:   r.Stalled,
+		Good:      s.Good,
+		Bad:       s.Bad,
+		Stalled:   s.Stalled,
 		Reporters: reporters,
 		DataHalls: dataHalls,
 	}
 }
 
-// Score returns the reading of a target, or the zero value for an unknown one.
+// Score returns the score of a target, or the zero value for an unknown one.
 func (d *Detector) Score(target string) Score {
 	t := d.targets[target]
 	if t == nil {
--- a/internal/outlier/observer.go
+++ b/internal/outlier/observer.go
@@ -17,7 +17,7 @@
 }
 
 // Decision is an observer's decision on a target: to eject it for a lease or, with
-// Leaving set, that it is draining.
+// Draining set, that it is draining.
 type Decision struct {
 	Service  string
 	Target   string
@@ -181,8 +181,8 @@
 	o.all.Update(now, o.allEvidence.drain(now))
 	var out []Decision
 	for _, t := range o.service.Targets {
-		if v, ok := o.decide(now, t); ok {
-			out = append(out, v)
+		if decision, ok := o.decide(now, t); ok {
+			out = append(out, decision)
 		}
 	}
 	for t, until := range o.drainingUntil {
@@ -199,32 +199,32 @@
 
 // decide ejects the target if the policy counts it as sick and it isn't ejected yet.
 func (o *Observer) decide(now time.Time, target string) (Decision, bool) {
-	r := o.hall.Score(target)
-	if all := o.all.Score(target); all.Score > r.Score {
-		r = all
+	s := o.hall.Score(target)
+	if all := o.all.Score(target); all.Score > s.Score {
+		s = all
 	}
-	if r.Score == 0 || !o.sick(now, r) {
+	if s.Score == 0 || !o.sick(now, s) {
 		return Decision{}, false
 	}
-	h := o.ejections[target]
-	if h == nil {
-		h = &ejection{}
-		o.ejections[target] = h
+	e := o.ejections[target]
+	if e == nil {
+		e = &ejection{}
+		o.ejections[target] = e
 	}
-	if h.active(now) {
+	if e.active(now) {
 		return Decision{}, false
 	}
-	h.start(now)
+	e.start(now)
 	o.hall.Reset(target)
 	o.all.Reset(target)
 	return Decision{
 		Service: o.service.Name,
 		Target:  target,
-		Score:   r.Score,
-		Lease:   h.duration,
+		Score:   s.Score,
+		Lease:   e.duration,
 	}, true
 }
 
-func (o *Observer) sick(now time.Time, r Score) bool {
-	return o.service.Policy.Sick(r.Health(o.service.Threshold, countRecent(o.reporters, now), countRecent(o.halls, now)))
+func (o *Observer) sick(now time.Time, s Score) bool {
+	return o.service.Policy.Sick(s.Health(o.service.Threshold, countRecent(o.reporters, now), countRecent(o.halls, now)))
 }
--- a/internal/outlier/outlier_test.go
+++ b/internal/outlier/outlier_test.go
@@ -307,15 +307,15 @@
 	}
 }
 
-// phases advances j in steps of a second and returns the phases of target t in order.
-func phases(j *outlier.Controller, from time.Time, seconds int, evidence outlier.Counts) []outlier.Phase {
+// phases advances the controller in steps of a second and returns the phases of target t in order.
+func phases(controller *outlier.Controller, from time.Time, seconds int, evidence outlier.Counts) []outlier.Phase {
 	var out []outlier.Phase
 	evidence.Target = "t"
 	for i := range seconds {
 		now := from.Add(time.Duration(i) * time.Second)
-		j.Record(now, evidence)
-		j.Advance(now)
-		if p := j.State(now, "t").Phase; len(out) == 0 || out[len(out)-1] != p {
+		controller.Record(now, evidence)
+		controller.Advance(now)
+		if p := controller.State(now, "t").Phase; len(out) == 0 || out[len(out)-1] != p {
 			out = append(out, p)
 		}
 	}
@@ -323,10 +323,10 @@
 }
 
 func TestReinstatementPassesAllPhases(t *testing.T) {
-	j := outlier.NewController()
-	j.SetTargets(start, []string{"t", "u"})
-	j.EjectLocal(start, "t", threshold)
-	got := phases(j, start, 40, outlier.Counts{
+	controller := outlier.NewController()
+	controller.SetTargets(start, []string{"t", "u"})
+	controller.EjectLocal(start, "t", threshold)
+	got := phases(controller, start, 40, outlier.Counts{
 		Good: 1,
 	})
 	want := []outlier.Phase{outlier.PhaseEjected, outlier.PhaseTrial, outlier.PhaseWarming, outlier.PhaseHealthy}
@@ -336,16 +336,16 @@
 }
 
 func TestRelapseExtendsEjection(t *testing.T) {
-	j := outlier.NewController()
-	j.SetTargets(start, []string{"t"})
+	controller := outlier.NewController()
+	controller.SetTargets(start, []string{"t"})
 	now := start
 	var last time.Duration
 	for i := range 8 {
-		j.EjectLocal(now, "t", threshold)
+		controller.EjectLocal(now, "t", threshold)
 		ejectedAt := now
-		for j.State(now, "t").Phase == outlier.PhaseEjected {
+		for controller.State(now, "t").Phase == outlier.PhaseEjected {
 			now = now.Add(100 * time.Millisecond)
-			j.Advance(now)
+			controller.Advance(now)
 		}
 		ejectedFor := now.Sub(ejectedAt)
 		if ejectedFor < last || ejectedFor > outlier.MaxEjectionTime+time.Second {
@@ -353,11 +353,11 @@
 		}
 		last = ejectedFor
 		// A failed trial request counts as a relapse.
-		j.Record(now, outlier.Counts{
+		controller.Record(now, outlier.Counts{
 			Target: "t",
 			Bad:    1,
 		})
-		if p := j.State(now, "t").Phase; p != outlier.PhaseEjected {
+		if p := controller.State(now, "t").Phase; p != outlier.PhaseEjected {
 			t.Fatalf("phase after a failed trial request: %v", p)
 		}
 	}
@@ -367,34 +367,34 @@
 }
 
 func TestRemoteEjectionEndsWithItsLease(t *testing.T) {
-	j := outlier.NewController()
-	j.SetTargets(start, []string{"t"})
-	j.EjectForLease(start, "t", threshold, 3*time.Second)
-	j.Advance(start.Add(2 * time.Second))
-	if p := j.State(start.Add(2*time.Second), "t").Phase; p != outlier.PhaseEjected {
+	controller := outlier.NewController()
+	controller.SetTargets(start, []string{"t"})
+	controller.EjectForLease(start, "t", threshold, 3*time.Second)
+	controller.Advance(start.Add(2 * time.Second))
+	if p := controller.State(start.Add(2*time.Second), "t").Phase; p != outlier.PhaseEjected {
 		t.Fatalf("phase within the lease: %v", p)
 	}
-	j.Advance(start.Add(3 * time.Second))
-	if p := j.State(start.Add(3*time.Second), "t").Phase; p != outlier.PhaseTrial {
+	controller.Advance(start.Add(3 * time.Second))
+	if p := controller.State(start.Add(3*time.Second), "t").Phase; p != outlier.PhaseTrial {
 		t.Fatalf("phase after the lease: %v", p)
 	}
-	// A lease of hours, which a faulty observer could send, is limited to MaxHold.
-	j.EjectForLease(start, "t", threshold, 24*time.Hour)
-	j.Advance(start.Add(outlier.MaxEjectionTime))
-	if p := j.State(start.Add(outlier.MaxEjectionTime), "t").Phase; p == outlier.PhaseEjected {
+	// A lease of hours, which a faulty observer could send, is limited to MaxEjectionTime.
+	controller.EjectForLease(start, "t", threshold, 24*time.Hour)
+	controller.Advance(start.Add(outlier.MaxEjectionTime))
+	if p := controller.State(start.Add(outlier.MaxEjectionTime), "t").Phase; p == outlier.PhaseEjected {
 		t.Fatal("lease is not limited to MaxHold")
 	}
 }
 
 func TestDrainingOutlastsAStaleTargetList(t *testing.T) {
-	j := outlier.NewController()
-	j.SetTargets(start, []string{"t"})
-	j.SetDraining(start, "t")
-	j.SetTargets(start.Add(time.Second), []string{"t"})
-	if !j.State(start.Add(30*time.Second), "t").Draining {
+	controller := outlier.NewController()
+	controller.SetTargets(start, []string{"t"})
+	controller.SetDraining(start, "t")
+	controller.SetTargets(start.Add(time.Second), []string{"t"})
+	if !controller.State(start.Add(30*time.Second), "t").Draining {
 		t.Fatal("not draining while the target list is stale")
 	}
-	if j.State(start.Add(2*outlier.DrainingTime), "t").Draining {
+	if controller.State(start.Add(2*outlier.DrainingTime), "t").Draining {
 		t.Fatal("still draining after twice LeavingTime")
 	}
 }
