--- a/internal/attempt/attempt.go
+++ b/internal/attempt/attempt.go
@@ -52,7 +52,7 @@
 	ReasonTargets
 	// ReasonQuarantine means that targets crash under the request.
 	ReasonQuarantine
-	// ReasonBackoff means that all targets that do not drain back off.
+	// ReasonBackoff means that all targets that do not drain are backing off.
 	ReasonBackoff
 	// ReasonClosedDataHalls means that all targets are in closed data halls: evacuated ones, or those
 	// outside the request's regions.
@@ -76,7 +76,7 @@
 	runs       int
 }
 
-// NewTracker returns a Life without attempts.
+// NewTracker returns a Tracker without attempts.
 func NewTracker(repeatable bool, deadline time.Time) *Tracker {
 	return &Tracker{
 		repeatable: repeatable,
@@ -123,8 +123,8 @@
 }
 
 // Allow returns ReasonNone if another attempt may start at now, else the reason against
-// it. policy reports whether the service's policy allows it, and budget whether the retry
-// budget does, which it takes from; each is called only when needed. No policy can allow
+// it. policy reports whether the service's policy allows it; budget takes from the retry
+// budget, and reports whether that had enough. Each is called only when needed. No policy can allow
 // another attempt for a non-repeatable request that may have run.
 func (l *Tracker) Allow(now time.Time, policy, budget func() bool) Reason {
 	switch {
--- a/internal/quarantine/answers.go
+++ b/internal/quarantine/answers.go
@@ -11,7 +11,7 @@
 // Bounds of Answers.
 const (
 	// answerSlots is the number of slots, of 8 bytes each. At 210 requests a second, with two
-	// fingerprints each, seven in ten are kept for AnswerMemory; the others are overwritten by
+	// fingerprints each, seven in ten are kept for AnswerRetention; the others are overwritten by
 	// later ones.
 	answerSlots = 1 << 14
 	// AnswerRetention is how long an answer counts in favor of a request.
@@ -45,7 +45,7 @@
 	}
 }
 
-// Recent reports whether a request with a fingerprint was answered within AnswerMemory.
+// Recent reports whether a request with a fingerprint was answered within AnswerRetention.
 func (a *Answers) Recent(now time.Time, p Fingerprint) bool {
 	slot, tag := a.slot(p)
 	v := slot.Load()
--- a/internal/quarantine/answers_test.go
+++ b/internal/quarantine/answers_test.go
@@ -10,7 +10,7 @@
 	"ploverjunction.example/ploverjunction/internal/quarantine"
 )
 
-// An answer counts for its request for AnswerMemory, and for no other request.
+// An answer counts for its request for AnswerRetention, and for no other request.
 func TestAnswersExpire(t *testing.T) {
 	a := quarantine.NewAnswers(start)
 	at := start.Add(time.Hour)
@@ -57,7 +57,7 @@
 	}
 }
 
-// At the intended load seven in ten of the answers within AnswerMemory are kept.
+// At the intended load seven in ten of the answers within AnswerRetention are kept.
 func TestAnswersAreRetained(t *testing.T) {
 	const perSecond = 210
 	a := quarantine.NewAnswers(start)
--- a/internal/quarantine/fingerprint.go
+++ b/internal/quarantine/fingerprint.go
@@ -9,12 +9,12 @@
 	"hash"
 )
 
-// fingerprintSize is the size of a Print in bytes: large enough that fingerprints neither collide
+// fingerprintSize is the size of a fingerprint in bytes: large enough that fingerprints neither collide
 // by chance nor can be forged.
 const fingerprintSize = 16
 
-// FingerprintBody is how many bytes of a body count for a Print: more than most bodies have, and hashed
-// in some ten microseconds.
+// FingerprintBody is how many bytes of a body count for a fingerprint: more than most bodies
+// have, and hashed in some ten microseconds.
 const FingerprintBody = 16 << 10
 
 // Fingerprint is the fingerprint of a request: requests with the same one have the same content.
@@ -41,7 +41,7 @@
 	// Caller is the workspace of the caller, or its address without a workspace.
 	Caller string
 	// Body is the body, or the beginning of one, and Length the length of the whole body. At
-	// most PrintBody bytes count.
+	// most FingerprintBody bytes count.
 	Body   []byte
 	Length int64
 }
--- a/internal/quarantine/ledger.go
+++ b/internal/quarantine/ledger.go
@@ -92,8 +92,8 @@
 	return s
 }
 
-// releaseDelay returns how late this node releases a request, from 0 to 1, so that the other nodes
-// learn from the first one that does.
+// releaseDelay returns the fraction of the hold time, from 0 to 1, by which this node delays the
+// release of a request. It differs between nodes, so that the others learn from the first release.
 func (l *Ledger) releaseDelay(ends int) float64 {
 	b := binary.BigEndian.AppendUint64(make([]byte, 0, 16), l.salt)
 	b = binary.BigEndian.AppendUint64(b, uint64(ends))
--- a/internal/quarantine/record.go
+++ b/internal/quarantine/record.go
@@ -53,7 +53,7 @@
 	Answered bool
 }
 
-// TargetHash returns the hash that identifies a target in an End.
+// TargetHash returns the hash that identifies a target in a Crash.
 func TargetHash(key string) uint32 { return uint32(xxhash.Sum64String(key)) }
 
 // Record holds the crashes under one request. Records of one request can be merged in any order.
@@ -83,8 +83,8 @@
 // holdTime returns for how long the request is refused after its last crash.
 func (r *Record) holdTime(h *holdTimes) time.Duration { return h[min(r.Count(), maxHoldCrashes)] }
 
-// heldUntil returns until when the request is refused. delay, from 0 to 1, is the part of the hold
-// time by which the release is delayed.
+// heldUntil returns until when the request is refused. delay, from 0 to 1, is the fraction of the
+// hold time by which the release is delayed.
 func (r *Record) heldUntil(h *holdTimes, delay float64) time.Time {
 	hold := r.holdTime(h)
 	return r.lastCrash().Add(hold + time.Duration(delay*float64(hold)))
--- a/internal/ratelimit/allocator.go
+++ b/internal/ratelimit/allocator.go
@@ -69,7 +69,8 @@
 	Returned int64
 	// Isolated counts the requests that the node admitted while isolated.
 	Isolated int64
-	// Held is the number of tokens in reserve, Want the number to hold.
+	// Held is the number of tokens in reserve, Want how many the node requests
+	// to hold in all.
 	Held int
 	Want int
 	// Waiting is the number of requests that wait for a token.
@@ -78,8 +79,9 @@
 	Demand float64
 	// Interval is the longest time between two reports.
 	Interval time.Duration
-	// Level, Rate and Total repeat the last answer, By its allocator. Age is the time since then,
-	// 0 if there was none; Lately counts those of Alone since then.
+	// Level, Rate and RateSum repeat the last answer, Allocator is the incarnation that sent it.
+	// Age is the time since then, 0 if there was none; IsolatedRecent counts those of Isolated
+	// since then.
 	Level          float64
 	Rate           float64
 	RateSum        float64
@@ -103,7 +105,7 @@
 	Pace float64
 	Wait time.Duration
 	// Rate, in requests a second, and Depth are what the node may admit while it is isolated;
-	// Total is the sum of the rates of all nodes.
+	// RateSum is the sum of the rates of all nodes.
 	Rate    float64
 	Depth   float64
 	RateSum float64
--- a/internal/ratelimit/fleet_test.go
+++ b/internal/ratelimit/fleet_test.go
@@ -90,6 +90,7 @@
 	// off or killed.
 	cut              bool
 	unreachableSince time.Time
+	// unreachableUntil is until when it counts as isolated, after a failed request to the allocator.
 	unreachableUntil time.Time
 	// allocatorNode is the node that it uses as the allocator.
 	allocatorNode int
--- a/internal/ratelimit/limiter.go
+++ b/internal/ratelimit/limiter.go
@@ -77,7 +77,7 @@
 	returned int64
 	// isolated counts the requests that were admitted while the node was isolated.
 	isolated int64
-	// isolatedBefore counts those of them before the allocator's last answer.
+	// isolatedBefore is the value of isolated at the allocator's last answer.
 	isolatedBefore int64
 	demand         meter
 	// reportedAt is the time of the last report to an allocator.
--- a/internal/ratelimit/model_test.go
+++ b/internal/ratelimit/model_test.go
@@ -25,7 +25,8 @@
 	limit   ratelimit.Limit
 	nodes   int
 	callers int
-	spread  int
+	// spread is the number of nodes among which the callers choose theirs.
+	spread int
 	// load is what the callers send as a share of the limit, peakLoad the same from 15 s to
 	// 25 s; 0 means no peak.
 	load, peakLoad float64
--- a/internal/signal/ledger.go
+++ b/internal/signal/ledger.go
@@ -45,7 +45,7 @@
 // forIncarnation returns the record as that of an incarnation, and false if it is of another one. A
 // node that receives a new incarnation late records its signals as those of the previous one; signals
 // received after its start are its own. Within clockSkew after its start they may be of either, and
-// hold for drainingUnsure.
+// the target counts as draining for drainingUnsure only.
 func (r record) forIncarnation(i Incarnation) (record, bool) {
 	if r.incarnation.Key == i.Key {
 		return r, true
--- a/internal/signal/ledger_test.go
+++ b/internal/signal/ledger_test.go
@@ -223,7 +223,7 @@
 	}
 }
 
-// The response of an attempt at an incarnation that has ended was sent by the next one.
+// A response to an attempt at an earlier incarnation counts for the newest one, which sent it.
 func TestSignalsOfFormerIncarnation(t *testing.T) {
 	var l signal.Ledger
 	l.Observe(start, born(time.Second), signal.Signal{
