--- a/internal/signal/export_test.go
+++ b/internal/signal/export_test.go
@@ -7,7 +7,7 @@
 // Counts returns how many targets are draining and how many back off at now.
 func (l *Ledger) Counts(now time.Time) (draining, backingOff int) {
 	for _, r := range l.records.Range {
-		s := r.(record).standing(now)
+		s := r.(record).status(now)
 		if s.Draining {
 			draining++
 		}
--- a/internal/signal/ledger.go
+++ b/internal/signal/ledger.go
@@ -61,7 +61,7 @@
 	return r, true
 }
 
-func (r record) standing(now time.Time) Status {
+func (r record) status(now time.Time) Status {
 	s := Status{
 		Draining: r.draining && (r.drainingUntil.IsZero() || now.Before(r.drainingUntil)),
 		Limit:    r.limit,
@@ -122,7 +122,7 @@
 	// The attempt may have begun before this node received the incarnation that answered.
 	i = l.newest(i)
 	r := l.record(i)
-	before := r.standing(now)
+	before := r.status(now)
 	r.incarnation = i
 	r.observed = now
 	if s.Draining {
@@ -206,7 +206,7 @@
 }
 
 // Status returns the state of a target at now.
-func (l *Ledger) Status(now time.Time, i Incarnation) Status { return l.record(i).standing(now) }
+func (l *Ledger) Status(now time.Time, i Incarnation) Status { return l.record(i).status(now) }
 
 // Empty reports whether there is no record.
 func (l *Ledger) Empty() bool { return l.count.Load() == 0 }
@@ -218,7 +218,7 @@
 	defer l.mu.Unlock()
 	for _, value := range l.records.Range {
 		r := value.(record)
-		if !r.standing(now).Unavailable() && !r.limit.Set || !published(r.incarnation) && now.Sub(r.observed) >= unlistedRetention {
+		if !r.status(now).Unavailable() && !r.limit.Set || !published(r.incarnation) && now.Sub(r.observed) >= unlistedRetention {
 			l.drop(r.incarnation.targetKey())
 		}
 	}
