--- a/internal/signal/ledger_test.go
+++ b/internal/signal/ledger_test.go
@@ -352,9 +352,9 @@
 	}
 }
 
-// BenchmarkStanding measures the read of each attempt: it is free without signals, and allocates
+// BenchmarkStatus measures the read of each attempt: it is free without signals, and allocates
 // nothing with them.
-func BenchmarkStanding(b *testing.B) {
+func BenchmarkStatus(b *testing.B) {
 	for _, known := range []int{0, 720} {
 		b.Run(fmt.Sprint(known), func(b *testing.B) {
 			var l signal.Ledger
