--- a/internal/ratelimit/limiter.go
+++ b/internal/ratelimit/limiter.go
@@ -77,9 +77,9 @@
 	returned int64
 	// isolated counts the requests that were admitted while the node was isolated.
 	isolated int64
-	// isolatedBefore is the value of isolated at the allocator's last answer.
-	isolatedBefore int64
-	demand         meter
+	// isolatedAtShare is the value of isolated at the allocator's last answer.
+	isolatedAtShare int64
+	demand          meter
 	// reportedAt is the time of the last report to an allocator.
 	reportedAt time.Time
 	// share is the allocator's last answer, shareAt the time of its arrival, the zero time for none.
@@ -267,7 +267,7 @@
 		r.RateSum = a.share.RateSum
 		r.Allocator = a.share.Allocator
 		r.Age = max(now.Sub(a.shareAt), 1)
-		r.IsolatedRecent = a.isolated - a.isolatedBefore
+		r.IsolatedRecent = a.isolated - a.isolatedAtShare
 	}
 	return r, a.limit, true
 }
@@ -283,7 +283,7 @@
 	}
 	a.share = s
 	a.shareAt = now
-	a.isolatedBefore = a.isolated
+	a.isolatedAtShare = a.isolated
 	a.held += s.Reserve
 	if s.Admitted < waiting {
 		a.pausedUntil = now.Add(a.pauseFor(now))
