--- a/internal/ratelimit/fleet_test.go
+++ b/internal/ratelimit/fleet_test.go
@@ -90,8 +90,8 @@
 	// off or killed.
 	cut              bool
 	unreachableSince time.Time
-	// unreachableUntil is until when it counts as isolated, after a failed request to the allocator.
-	unreachableUntil time.Time
+	// isolatedUntil is until when it counts as isolated, after a failed request to the allocator.
+	isolatedUntil time.Time
 	// allocatorNode is the node that it uses as the allocator.
 	allocatorNode int
 }
@@ -177,7 +177,7 @@
 	n.started = at
 	n.equal = admission.NewLimiter()
 	n.allocator = ratelimit.NewAllocator(m.random.Uint64(), at, tolerance)
-	n.unreachableUntil = time.Time{}
+	n.isolatedUntil = time.Time{}
 }
 
 func (m *model) at(t time.Time, do func(time.Time)) {
@@ -273,7 +273,7 @@
 	for range n.limiter.Due(now) {
 		m.sendReport(now, i, 0, func(now time.Time, _ int, ok bool) {
 			if !ok {
-				n.unreachableUntil = now.Add(unreachableTime)
+				n.isolatedUntil = now.Add(unreachableTime)
 			}
 		})
 	}
@@ -307,7 +307,7 @@
 	switch {
 	case v == ratelimit.Admitted, v == ratelimit.Refused:
 		m.finish(now, v == ratelimit.Admitted)
-	case now.Before(n.unreachableUntil):
+	case now.Before(n.isolatedUntil):
 		m.decideIsolated(now, n)
 	default:
 		m.result.waited++
@@ -329,7 +329,7 @@
 				}
 			})
 		default:
-			n.unreachableUntil = now.Add(unreachableTime)
+			n.isolatedUntil = now.Add(unreachableTime)
 			m.decideIsolated(now, n)
 		}
 	})
