--- a/internal/ratelimit/model_test.go
+++ b/internal/ratelimit/model_test.go
@@ -25,8 +25,8 @@
 	limit   ratelimit.Limit
 	nodes   int
 	callers int
-	// spread is the number of nodes among which the callers choose theirs.
-	spread int
+	// usedNodes is the number of nodes among which the callers choose theirs.
+	usedNodes int
 	// load is what the callers send as a share of the limit, peakLoad the same from 15 s to
 	// 25 s; 0 means no peak.
 	load, peakLoad float64
@@ -66,7 +66,7 @@
 			limit:            middle,
 			nodes:            113,
 			callers:          19,
-			spread:           113,
+			usedNodes:        113,
 			load:             0.625,
 			maxFalseRefusals: 1e-5,
 		},
@@ -75,7 +75,7 @@
 			limit:            large,
 			nodes:            113,
 			callers:          150,
-			spread:           113,
+			usedNodes:        113,
 			load:             0.625,
 			maxFalseRefusals: 1e-5,
 		},
@@ -84,7 +84,7 @@
 			limit:            large,
 			nodes:            1000,
 			callers:          150,
-			spread:           1000,
+			usedNodes:        1000,
 			load:             0.625,
 			maxFalseRefusals: 1e-5,
 		},
@@ -93,7 +93,7 @@
 			limit:            small,
 			nodes:            113,
 			callers:          1,
-			spread:           113,
+			usedNodes:        113,
 			load:             0.5,
 			maxFalseRefusals: 1e-5,
 		},
@@ -102,7 +102,7 @@
 			limit:            middle,
 			nodes:            113,
 			callers:          19,
-			spread:           1,
+			usedNodes:        1,
 			load:             0.8,
 			maxFalseRefusals: 1e-5,
 		},
@@ -111,7 +111,7 @@
 			limit:            large,
 			nodes:            113,
 			callers:          150,
-			spread:           113,
+			usedNodes:        113,
 			load:             0.9,
 			maxFalseRefusals: 1e-3,
 		},
@@ -120,7 +120,7 @@
 			limit:            middle,
 			nodes:            113,
 			callers:          19,
-			spread:           113,
+			usedNodes:        113,
 			load:             0.625,
 			loss:             0.03,
 			maxFalseRefusals: 1e-3,
@@ -130,71 +130,71 @@
 			limit:            middle,
 			nodes:            113,
 			callers:          19,
-			spread:           113,
+			usedNodes:        113,
 			load:             0.625,
 			faults:           cutThird(10*time.Second, 22*time.Second),
 			maxFalseRefusals: 1.5e-2,
 		},
 		{
-			name:     "a third of the nodes cut off, large, at peak load",
-			limit:    large,
-			nodes:    113,
-			callers:  150,
-			spread:   113,
-			load:     0.625,
-			peakLoad: 4.7,
-			faults:   cutThird(10*time.Second, 22*time.Second),
+			name:      "a third of the nodes cut off, large, at peak load",
+			limit:     large,
+			nodes:     113,
+			callers:   150,
+			usedNodes: 113,
+			load:      0.625,
+			peakLoad:  4.7,
+			faults:    cutThird(10*time.Second, 22*time.Second),
 		},
 		{
-			name:     "a third of the nodes cut off for long before the peak load",
-			limit:    middle,
-			nodes:    113,
-			callers:  40,
-			spread:   113,
-			load:     0.625,
-			peakLoad: 4.7,
-			faults:   cutThird(time.Second, 30*time.Second),
+			name:      "a third of the nodes cut off for long before the peak load",
+			limit:     middle,
+			nodes:     113,
+			callers:   40,
+			usedNodes: 113,
+			load:      0.625,
+			peakLoad:  4.7,
+			faults:    cutThird(time.Second, 30*time.Second),
 		},
 		{
-			name:     "a third of the nodes cut off at the start of the peak load",
-			limit:    middle,
-			nodes:    113,
-			callers:  19,
-			spread:   113,
-			load:     0.625,
-			peakLoad: 4.7,
-			faults:   cutThird(15*time.Second, 27*time.Second),
+			name:      "a third of the nodes cut off at the start of the peak load",
+			limit:     middle,
+			nodes:     113,
+			callers:   19,
+			usedNodes: 113,
+			load:      0.625,
+			peakLoad:  4.7,
+			faults:    cutThird(15*time.Second, 27*time.Second),
 		},
 		{
 			name:             "the allocator is killed",
 			limit:            middle,
 			nodes:            113,
 			callers:          19,
-			spread:           113,
+			usedNodes:        113,
 			load:             0.625,
 			faults:           func(m *model) { m.fail(0, true, 10*time.Second, 13*time.Second) },
 			maxFalseRefusals: 3e-3,
 		},
 		{
-			name:     "the allocator is killed at peak load",
-			limit:    large,
-			nodes:    113,
-			callers:  150,
-			spread:   113,
-			load:     0.625,
-			peakLoad: 4.7,
+			name:      "the allocator is killed at peak load",
+			limit:     large,
+			nodes:     113,
+			callers:   150,
+			usedNodes: 113,
+			load:      0.625,
+			peakLoad:  4.7,
 			faults: func(m *model) {
 				m.fail(0, true, 18*time.Second, 21*time.Second)
 				m.move(0, 23*time.Second, 200*time.Millisecond)
 			},
 		},
 		{
-			name:    "nodes disagree on the allocator for seconds",
-			limit:   large,
-			nodes:   113,
-			callers: 150,
-			spread:  113,
-			load:    0.625,
+			name:      "nodes disagree on the allocator for seconds",
+			limit:     large,
+			nodes:     113,
+			callers:   150,
+			usedNodes: 113,
+			load:      0.625,
 			faults: func(m *model) {
 				for i := range 4 {
 					m.move(i%2, time.Duration(10+4*i)*time.Second, 3*time.Second)
@@ -203,13 +203,13 @@
 			maxFalseRefusals: 1e-3,
 		},
 		{
-			name:     "all nodes are killed and restarted three times at peak load",
-			limit:    middle,
-			nodes:    113,
-			callers:  19,
-			spread:   113,
-			load:     0.625,
-			peakLoad: 4.7,
+			name:      "all nodes are killed and restarted three times at peak load",
+			limit:     middle,
+			nodes:     113,
+			callers:   19,
+			usedNodes: 113,
+			load:      0.625,
+			peakLoad:  4.7,
 			faults: func(m *model) {
 				for _, at := range []time.Duration{16 * time.Second, 18 * time.Second, 20 * time.Second} {
 					for i := range m.nodes {
@@ -219,12 +219,12 @@
 			},
 		},
 		{
-			name:    "a third of the nodes cut off, a fifth loses power, the allocator among both",
-			limit:   middle,
-			nodes:   113,
-			callers: 19,
-			spread:  113,
-			load:    0.625,
+			name:      "a third of the nodes cut off, a fifth loses power, the allocator among both",
+			limit:     middle,
+			nodes:     113,
+			callers:   19,
+			usedNodes: 113,
+			load:      0.625,
 			faults: func(m *model) {
 				m.fail(0, false, 3*time.Second, 15*time.Second)
 				cutThird(3*time.Second, 15*time.Second)(m)
@@ -236,12 +236,12 @@
 			maxFalseRefusals: 4e-2,
 		},
 		{
-			name:    "all nodes lose power",
-			limit:   middle,
-			nodes:   113,
-			callers: 19,
-			spread:  113,
-			load:    0.625,
+			name:      "all nodes lose power",
+			limit:     middle,
+			nodes:     113,
+			callers:   19,
+			usedNodes: 113,
+			load:      0.625,
 			faults: func(m *model) {
 				for i := range m.nodes {
 					m.fail(i, true, 16*time.Second, 16*time.Second+700*time.Millisecond)
@@ -250,12 +250,12 @@
 			maxFalseRefusals: 4e-3,
 		},
 		{
-			name:    "a fifth of the nodes restarted in turn",
-			limit:   middle,
-			nodes:   113,
-			callers: 19,
-			spread:  113,
-			load:    0.625,
+			name:      "a fifth of the nodes restarted in turn",
+			limit:     middle,
+			nodes:     113,
+			callers:   19,
+			usedNodes: 113,
+			load:      0.625,
 			faults: func(m *model) {
 				for i := 1; i < len(m.nodes); i += 5 {
 					at := time.Duration(10+i/10) * time.Second
@@ -270,9 +270,9 @@
 func (p scenario) run(w method, seed uint64) *model {
 	m := newModel(w, p.limit, p.nodes, seed)
 	m.loss = p.loss
-	m.callers(p.callers, p.spread, p.load*p.limit.Rate, 0, duration)
+	m.callers(p.callers, p.usedNodes, p.load*p.limit.Rate, 0, duration)
 	if p.peakLoad > 0 {
-		m.callers(p.callers, p.spread, (p.peakLoad-p.load)*p.limit.Rate, 15*time.Second, 25*time.Second)
+		m.callers(p.callers, p.usedNodes, (p.peakLoad-p.load)*p.limit.Rate, 15*time.Second, 25*time.Second)
 	}
 	if p.faults != nil {
 		p.faults(m)
@@ -359,7 +359,7 @@
 		load:    0.2 + 0.7*r.Float64(),
 		loss:    0.05 * r.Float64(),
 	}
-	p.spread = 1 + r.IntN(p.nodes)
+	p.usedNodes = 1 + r.IntN(p.nodes)
 	if r.IntN(3) > 0 {
 		p.peakLoad = 1 + 6*r.Float64()
 	}
@@ -491,7 +491,7 @@
 	for _, factor := range []float64{0.25, 3} {
 		p := scenarios()[1]
 		m := newModel(reserving, p.limit, p.nodes, 7)
-		m.callers(p.callers, p.spread, p.load*p.limit.Rate, 0, duration)
+		m.callers(p.callers, p.usedNodes, p.load*p.limit.Rate, 0, duration)
 		m.run(change)
 		m.limit = ratelimit.Limit{
 			Rate:  factor * p.limit.Rate,
