--- a/internal/attempt/attempt.go
+++ b/internal/attempt/attempt.go
@@ -85,38 +85,38 @@
 }
 
 // Deadline returns the time after which no attempt may start or continue.
-func (l *Tracker) Deadline() time.Time { return l.deadline }
+func (t *Tracker) Deadline() time.Time { return t.deadline }
 
 // SetDeadline sets a new deadline for the rest of an interrupted answer: the first deadline
 // is that of the first byte, and a download may take longer.
-func (l *Tracker) SetDeadline(deadline time.Time) { l.deadline = deadline }
+func (t *Tracker) SetDeadline(deadline time.Time) { t.deadline = deadline }
 
 // Attempts returns the number of attempts that ended.
-func (l *Tracker) Attempts() int { return l.attempts }
+func (t *Tracker) Attempts() int { return t.attempts }
 
 // PossibleRuns returns the number of attempts that may have run.
-func (l *Tracker) PossibleRuns() int { return l.runs }
+func (t *Tracker) PossibleRuns() int { return t.runs }
 
 // Repeatable reports whether the request may run more than once.
-func (l *Tracker) Repeatable() bool { return l.repeatable }
+func (t *Tracker) Repeatable() bool { return t.repeatable }
 
 // Record records the outcome of an attempt.
-func (l *Tracker) Record(o Outcome) {
-	l.attempts++
+func (t *Tracker) Record(o Outcome) {
+	t.attempts++
 	if o != OutcomeNotRun {
-		l.mayHaveRun = true
-		l.runs++
+		t.mayHaveRun = true
+		t.runs++
 	}
 }
 
 // RecordCopy records a copy of the request whose outcome is not awaited: the request may have
 // run from then on.
-func (l *Tracker) RecordCopy() { l.mayHaveRun = true }
+func (t *Tracker) RecordCopy() { t.mayHaveRun = true }
 
 // Outcome returns the outcome of all attempts together: OutcomeNotRun only if that is
 // proved for each one.
-func (l *Tracker) Outcome() Outcome {
-	if l.mayHaveRun {
+func (t *Tracker) Outcome() Outcome {
+	if t.mayHaveRun {
 		return OutcomeUnknown
 	}
 	return OutcomeNotRun
@@ -126,13 +126,13 @@
 // it. policy reports whether the service's policy allows it; budget takes from the retry
 // budget, and reports whether that had enough. Each is called only when needed. No policy can allow
 // another attempt for a non-repeatable request that may have run.
-func (l *Tracker) Allow(now time.Time, policy, budget func() bool) Reason {
+func (t *Tracker) Allow(now time.Time, policy, budget func() bool) Reason {
 	switch {
-	case !now.Before(l.deadline):
+	case !now.Before(t.deadline):
 		return ReasonDeadline
-	case l.attempts == 0:
+	case t.attempts == 0:
 		return ReasonNone
-	case l.mayHaveRun && !l.repeatable:
+	case t.mayHaveRun && !t.repeatable:
 		return ReasonMayHaveRun
 	case !policy():
 		return ReasonPolicy
--- a/internal/attempt/attempt_test.go
+++ b/internal/attempt/attempt_test.go
@@ -168,8 +168,8 @@
 					ran++
 				}
 			}
-			told := l.Outcome()
-			return ran <= 1 && (told == attempt.OutcomeNotRun) == (ran == 0)
+			outcome := l.Outcome()
+			return ran <= 1 && (outcome == attempt.OutcomeNotRun) == (ran == 0)
 		},
 		gen.SliceOfN(10, gen.IntRange(0, 2)),
 	))
--- a/internal/order/order.go
+++ b/internal/order/order.go
@@ -99,35 +99,35 @@
 	}
 }
 
-// At returns the version with the store's last position p for the key.
-func (m Version) At(p Position) Version {
-	m.position = p
-	return m
+// At returns v with p as the last position of the store for the key.
+func (v Version) At(p Position) Version {
+	v.position = p
+	return v
 }
 
 // Removed returns the version of the removal of the value.
-func (m Version) Removed() Version {
-	m.gone = true
-	return m
+func (v Version) Removed() Version {
+	v.gone = true
+	return v
 }
 
 // IsRemoved reports whether the writer's last value was removed.
-func (m Version) IsRemoved() bool { return m.gone }
+func (v Version) IsRemoved() bool { return v.gone }
 
 // Position returns the store's last position for the key.
-func (m Version) Position() Position { return m.position }
+func (v Version) Position() Position { return v.position }
 
 // Stamp returns the stamp of the writer's last value.
-func (m Version) Stamp() Stamp { return m.stamp }
+func (v Version) Stamp() Stamp { return v.stamp }
 
 // WrittenAt returns where the store held the writer's last value.
-func (m Version) WrittenAt() Position { return m.written }
+func (v Version) WrittenAt() Position { return v.written }
 
-// CompareValues returns -1, 0 or 1 as the writer wrote the value of m before, with or after
-// that of n. A removal comes after the value that it removed. Values with equal stamps are ordered
+// CompareValues returns -1, 0 or 1 as the writer wrote the value of v before, with or after
+// that of w. A removal comes after the value that it removed. Values with equal stamps are ordered
 // by where the store held them.
-func (m Version) CompareValues(n Version) int {
-	return cmp.Or(m.stamp.Compare(n.stamp), cmp.Compare(removalRank(m.gone), removalRank(n.gone)), m.written.Compare(n.written))
+func (v Version) CompareValues(w Version) int {
+	return cmp.Or(v.stamp.Compare(w.stamp), cmp.Compare(removalRank(v.gone), removalRank(w.gone)), v.written.Compare(w.written))
 }
 
 func removalRank(gone bool) int {
@@ -137,7 +137,7 @@
 	return 0
 }
 
-// Covers reports whether m is at least as recent as n in both orders.
-func (m Version) Covers(n Version) bool {
-	return m.position.Compare(n.position) >= 0 && m.CompareValues(n) >= 0
+// Covers reports whether v is at least as recent as w in both orders.
+func (v Version) Covers(w Version) bool {
+	return v.position.Compare(w.position) >= 0 && v.CompareValues(w) >= 0
 }
--- a/internal/quarantine/fingerprint_test.go
+++ b/internal/quarantine/fingerprint_test.go
@@ -89,8 +89,8 @@
 // BenchmarkAnswered measures what each answered request costs a node: 0.8 us and 216 bytes. At
 // 210 requests a second that is 0.02% of a core.
 func BenchmarkAnswered(b *testing.B) {
-	begun := time.Unix(0, 0)
-	answers := quarantine.NewAnswers(begun)
+	started := time.Unix(0, 0)
+	answers := quarantine.NewAnswers(started)
 	body := bytes.Repeat([]byte("a"), 300)
 	b.ReportAllocs()
 	for i := range b.N {
@@ -102,6 +102,6 @@
 			Body:   body,
 			Length: int64(len(body)),
 		})
-		answers.Record(begun.Add(time.Duration(i)*time.Millisecond), p)
+		answers.Record(started.Add(time.Duration(i)*time.Millisecond), p)
 	}
 }
--- a/internal/quarantine/ledger.go
+++ b/internal/quarantine/ledger.go
@@ -94,9 +94,9 @@
 
 // releaseDelay returns the fraction of the hold time, from 0 to 1, by which this node delays the
 // release of a request. It differs between nodes, so that the others learn from the first release.
-func (l *Ledger) releaseDelay(ends int) float64 {
+func (l *Ledger) releaseDelay(crashes int) float64 {
 	b := binary.BigEndian.AppendUint64(make([]byte, 0, 16), l.salt)
-	b = binary.BigEndian.AppendUint64(b, uint64(ends))
+	b = binary.BigEndian.AppendUint64(b, uint64(crashes))
 	const span = 1 << 53
 	return float64(xxhash.Sum64(b)%span) / span
 }
@@ -196,18 +196,18 @@
 	l.enforceBound(maxSingle, func(r *Record) bool { return !r.Shared() })
 }
 
-func (l *Ledger) enforceBound(most int, kind func(r *Record) bool) {
+func (l *Ledger) enforceBound(bound int, kind func(r *Record) bool) {
 	var records []*Record
 	for _, r := range l.records {
 		if kind(r) {
 			records = append(records, r)
 		}
 	}
-	if len(records) <= most {
+	if len(records) <= bound {
 		return
 	}
 	slices.SortFunc(records, func(a, b *Record) int { return a.lastCrash().Compare(b.lastCrash()) })
-	for _, r := range records[:len(records)-most] {
+	for _, r := range records[:len(records)-bound] {
 		l.drop(r)
 	}
 }
--- a/internal/quarantine/record.go
+++ b/internal/quarantine/record.go
@@ -66,8 +66,8 @@
 // Count returns how many targets crashed under the request since it was last answered.
 func (r *Record) Count() int {
 	n := 0
-	for _, e := range r.Crashes {
-		if !e.Answered {
+	for _, c := range r.Crashes {
+		if !c.Answered {
 			n++
 		}
 	}
@@ -96,44 +96,44 @@
 // merge adds the crashes of another record, and reports whether that changed anything. Two of
 // these crashes are never merged into one: else the records of nodes whose times differ by a few
 // milliseconds would not converge, and be exchanged until they expire.
-func (r *Record) merge(ends []Crash) bool {
+func (r *Record) merge(crashes []Crash) bool {
 	changed := false
 	var matched []Crash
-	for _, e := range ends {
-		if known := r.matching(e, matched); known != nil {
-			changed = changed || e.Answered && !known.Answered
-			known.Answered = known.Answered || e.Answered
+	for _, c := range crashes {
+		if known := r.matching(c, matched); known != nil {
+			changed = changed || c.Answered && !known.Answered
+			known.Answered = known.Answered || c.Answered
 			matched = append(matched, *known)
 			continue
 		}
-		if r.add(e) {
+		if r.add(c) {
 			changed = true
-			matched = append(matched, e)
+			matched = append(matched, c)
 		}
 	}
 	return changed
 }
 
-// matching returns the recorded crash that e reports, or nil; matched are those that are matched
+// matching returns the recorded crash that c reports, or nil; matched are those that are matched
 // already.
-func (r *Record) matching(e Crash, matched []Crash) *Crash {
+func (r *Record) matching(c Crash, matched []Crash) *Crash {
 	for i := range r.Crashes {
 		known := &r.Crashes[i]
 		other := slices.ContainsFunc(matched, func(t Crash) bool { return t.Target == known.Target && t.At.Equal(known.At) })
-		if !other && known.Target == e.Target && e.At.Sub(known.At).Abs() < sameCrashTime {
+		if !other && known.Target == c.Target && c.At.Sub(known.At).Abs() < sameCrashTime {
 			return known
 		}
 	}
 	return nil
 }
 
-// add inserts a crash, and reports false if the record is full and e is older than all in it.
-func (r *Record) add(e Crash) bool {
-	if len(r.Crashes) == maxCrashes && e.At.Before(r.Crashes[0].At) {
+// add inserts a crash, and reports false if the record is full and c is older than all in it.
+func (r *Record) add(c Crash) bool {
+	if len(r.Crashes) == maxCrashes && c.At.Before(r.Crashes[0].At) {
 		return false
 	}
-	at, _ := slices.BinarySearchFunc(r.Crashes, e, func(a, b Crash) int { return a.At.Compare(b.At) })
-	r.Crashes = slices.Insert(r.Crashes, at, e)
+	at, _ := slices.BinarySearchFunc(r.Crashes, c, func(a, b Crash) int { return a.At.Compare(b.At) })
+	r.Crashes = slices.Insert(r.Crashes, at, c)
 	if len(r.Crashes) > maxCrashes {
 		r.Crashes = slices.Delete(r.Crashes, 0, 1)
 	}
@@ -152,17 +152,17 @@
 
 // digest returns a hash of the record without its times, which differ by the delays of updates.
 func (r *Record) digest() uint64 {
-	ends := make([]uint64, 0, maxCrashes)
-	for _, e := range r.Crashes {
-		n := uint64(e.Target) << 1
-		if e.Answered {
+	crashes := make([]uint64, 0, maxCrashes)
+	for _, c := range r.Crashes {
+		n := uint64(c.Target) << 1
+		if c.Answered {
 			n |= 1
 		}
-		ends = append(ends, n)
+		crashes = append(crashes, n)
 	}
-	slices.Sort(ends)
+	slices.Sort(crashes)
 	b := append(make([]byte, 0, fingerprintSize+8*maxCrashes), r.Fingerprint[:]...)
-	for _, n := range ends {
+	for _, n := range crashes {
 		b = binary.BigEndian.AppendUint64(b, n)
 	}
 	return xxhash.Sum64(b)
--- a/internal/ratelimit/bucket.go
+++ b/internal/ratelimit/bucket.go
@@ -125,27 +125,27 @@
 	if fraction > 0 {
 		unreachable = lostFactor*fraction + lostFewNodesShare/math.Sqrt(float64(max(len(b.nodes), 1)))
 	}
-	most := 0.0
+	largest := 0.0
 	for _, f := range b.former {
 		share := unreachable
 		if now.Sub(f.firstSeen) <= handoverTime {
 			share = max(unreachable, handoverShare)
 		}
-		most = max(most, min(f.rateSum-f.arrivedRate, share*l.Rate))
+		largest = max(largest, min(f.rateSum-f.arrivedRate, share*l.Rate))
 	}
-	return most
+	return largest
 }
 
 // missingNodesTokens returns how many tokens a former allocator may still grant to its nodes that
 // have not reported here: their share of the last level that it sent.
 func (b *bucket) missingNodesTokens(now time.Time) float64 {
-	most := 0.0
+	largest := 0.0
 	for _, f := range b.former {
 		if now.Sub(f.firstSeen) <= handoverTime && f.rateSum > 0 {
-			most = max(most, f.level*max(1-f.arrivedRate/f.rateSum, 0))
+			largest = max(largest, f.level*max(1-f.arrivedRate/f.rateSum, 0))
 		}
 	}
-	return most
+	return largest
 }
 
 // drop subtracts a node from the sums.
@@ -223,8 +223,8 @@
 
 // reserve grants a node tokens to hold, up to want in all, and returns their number.
 func (b *bucket) reserve(l Limit, t Tolerance, m *nodeState, want int) int {
-	most := reserveBurstShare*l.Burst + reserveToleranceShare*t.requests(l)
-	left := min(most-float64(b.held), b.level-reserveMinLevel*l.Burst)
+	maxHeld := reserveBurstShare*l.Burst + reserveToleranceShare*t.requests(l)
+	left := min(maxHeld-float64(b.held), b.level-reserveMinLevel*l.Burst)
 	n := min(want-m.held, int(math.Floor(left)))
 	if n <= 0 {
 		return 0
--- a/internal/ratelimit/limiter.go
+++ b/internal/ratelimit/limiter.go
@@ -198,9 +198,9 @@
 	}
 }
 
-// trimReserve returns the tokens held beyond most to the allocator.
-func (a *account) trimReserve(most int) {
-	if spare := a.held - most; spare > 0 {
+// trimReserve returns the tokens held beyond limit to the allocator.
+func (a *account) trimReserve(limit int) {
+	if spare := a.held - limit; spare > 0 {
 		a.held -= spare
 		a.returned += int64(spare)
 	}
@@ -216,7 +216,7 @@
 func (l *Limiter) Due(now time.Time) []string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	every := l.interval()
+	interval := l.interval()
 	var out []string
 	for workspace, a := range l.accounts {
 		idle := now.Sub(a.demand.last)
@@ -224,7 +224,7 @@
 		case idle > accountLifetime:
 			delete(l.accounts, workspace)
 		case a.reportedAt.Sub(a.demand.last) > quietAfter:
-		case now.Sub(a.reportedAt) >= every:
+		case now.Sub(a.reportedAt) >= interval:
 			out = append(out, workspace)
 		}
 	}
@@ -241,10 +241,10 @@
 	if a == nil {
 		return Report{}, Limit{}, false
 	}
-	every := l.interval()
+	interval := l.interval()
 	a.reportedAt = now
 	demand := a.demand.rate(now)
-	want := int(math.Ceil(demand * every.Seconds()))
+	want := int(math.Ceil(demand * interval.Seconds()))
 	switch idle := now.Sub(a.demand.last); {
 	case idle > quietAfter:
 		want, demand = 0, 0
@@ -259,7 +259,7 @@
 		Want:     want,
 		Waiting:  waiting,
 		Demand:   demand,
-		Interval: every,
+		Interval: interval,
 	}
 	if !a.shareAt.IsZero() {
 		r.Level = a.share.Level
--- a/internal/ratelimit/limiter_test.go
+++ b/internal/ratelimit/limiter_test.go
@@ -59,16 +59,16 @@
 // A report counts the requests admitted while isolated since the last answer.
 func TestReportCountsRecentIsolatedRequests(t *testing.T) {
 	p := newPair()
-	alone := func(at time.Duration) {
+	admitIsolated := func(at time.Duration) {
 		p.limiter.Take(start.Add(at), "w", ten)
 		if v, _ := p.limiter.DecideIsolated(start.Add(at), "w", ten, 2); v != ratelimit.Admitted {
 			t.Fatalf("%v after the start: not admitted", at)
 		}
 	}
-	alone(0)
+	admitIsolated(0)
 	r, l, _ := p.limiter.Report(start, "w", 0)
 	p.limiter.Apply(start, "w", p.allocator.Report(start, "w", l, "n", 1, r), 0)
-	alone(time.Second)
+	admitIsolated(time.Second)
 	if r, _, _ := p.limiter.Report(start.Add(time.Second), "w", 0); r.Isolated != 2 || r.IsolatedRecent != 1 {
 		t.Errorf("of 2 requests admitted while isolated, one of them since the last answer, %d and %d are reported", r.Isolated, r.IsolatedRecent)
 	}
