--- a/internal/node/decisions.go
+++ b/internal/node/decisions.go
@@ -12,8 +12,8 @@
 	"ploverjunction.example/ploverjunction/internal/wire"
 )
 
-// broadcastDecisions sends new ejection decisions to all nodes of the data hall. They are rare; a node that
-// misses one ejects the target on its own evidence.
+// broadcastDecisions sends new ejection decisions to all nodes of the data hall. They are rare; a
+// node that misses one ejects the target on its own evidence.
 func (o *evidenceController) broadcastDecisions(ctx context.Context, calls *task.Group, now time.Time, decisions []outlier.Decision) {
 	if len(decisions) == 0 {
 		return
--- a/internal/node/ejection.go
+++ b/internal/node/ejection.go
@@ -129,7 +129,8 @@
 	}
 }
 
-// newServiceState returns the state of a service. Of an old state all but the detector is kept.
+// newServiceState returns the state of a service. It keeps all of old, which may be nil, but the
+// detector, which depends on the configured threshold.
 func newServiceState(old *serviceState, sc *fleetconfig.Service) *serviceState {
 	s := &serviceState{
 		detector: outlier.NewDetector(sc.Threshold()),
--- a/internal/node/export_quarantine_test.go
+++ b/internal/node/export_quarantine_test.go
@@ -69,7 +69,7 @@
 	})
 }
 
-// Check returns the node's standing of a request.
+// Check returns the quarantine status of a request on the node.
 func (n *QuarantineNode) Check(p quarantine.Fingerprints) quarantine.Status {
 	return n.quarantine.check(p)
 }
--- a/internal/node/export_targetlimits_test.go
+++ b/internal/node/export_targetlimits_test.go
@@ -44,7 +44,7 @@
 	Send func(peer string, d *wire.Datagram)
 }
 
-// NewFleetNode returns a node that knows its seeds only.
+// NewFleetNode returns a node whose only known peers are its seeds.
 func NewFleetNode(cfg FleetNodeConfig) *FleetNode {
 	n := &FleetNode{
 		board:   &Board{},
--- a/internal/node/export_test.go
+++ b/internal/node/export_test.go
@@ -327,7 +327,7 @@
 	freshness *freshness
 }
 
-// NewFreshness returns the currency of a node that usually receives an answer of the platform within
+// NewFreshness returns the freshness of a node that usually receives an answer of the platform within
 // platformTimeout; platformAge is the time since the last one, agreementAge the time since a peer
 // had the same values. maxKeyAge is the age up to which keys are trusted, 0 for always. compare is
 // called to request a comparison with peers.
--- a/internal/node/failuredetector.go
+++ b/internal/node/failuredetector.go
@@ -78,7 +78,7 @@
 
 func (p *failureDetector) tick(ctx context.Context, pings *task.Group, now time.Time, late bool) {
 	if late {
-		// Missing answers during that time were caused by this node's pause.
+		// The missing answers were caused by a pause of this node, not by its peers.
 		p.unanswered = 0
 		for len(p.failed) > 0 {
 			<-p.failed
--- a/internal/node/members.go
+++ b/internal/node/members.go
@@ -76,7 +76,7 @@
 	}
 }
 
-// renew publishes changes that are due to time alone.
+// renew publishes the view: it also changes when timers expire or minViewInterval has passed.
 func (m *members) renew() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/node/quarantine.go
+++ b/internal/node/quarantine.go
@@ -68,7 +68,7 @@
 	}
 }
 
-// check returns the standing of a request.
+// check returns the quarantine status of a request.
 func (q *quarantineController) check(fingerprints quarantine.Fingerprints) quarantine.Status {
 	if q.count.Load() == 0 {
 		return quarantine.Status{}
@@ -91,7 +91,8 @@
 	q.digest.Store(q.ledger.Digest())
 }
 
-// recordCrash records that a target crashed under a request, and returns the standing of the request.
+// recordCrash records that a target crashed under a request, and returns the quarantine status of
+// the request.
 func (q *quarantineController) recordCrash(fingerprints quarantine.Fingerprints, target string) quarantine.Status {
 	now := time.Now()
 	for _, p := range fingerprints.All() {
--- a/internal/node/signals.go
+++ b/internal/node/signals.go
@@ -25,7 +25,7 @@
 	}
 }
 
-// standing returns the standing of a target by the signals that this node received.
+// standing returns the status of a target according to the signals that this node received.
 func (b *Board) standing(now time.Time, t *fleetconfig.Target) signal.Status {
 	return b.signals.Status(now, incarnationOf(t))
 }
@@ -61,7 +61,7 @@
 }
 
 // allBackingOff reports whether all targets of a service that are not draining back off, and
-// returns the standing of the first to accept requests again. It is false if all are draining:
+// returns the status of the first to accept requests again. It is false if all are draining:
 // others may appear at any moment.
 func (b *Board) allBackingOff(now time.Time, s *fleetconfig.Service) (first signal.Status, all bool) {
 	if b.signals.Empty() {
