--- a/internal/node/fallback.go
+++ b/internal/node/fallback.go
@@ -67,7 +67,7 @@
 		number: a.ID.Number,
 	}
 	c := choiceOf(t, byThisNode, func(end outlier.Result, took time.Duration) {
-		d.recordDone(a.ID.Node, doneOf(p, own, end, d.board.standing(time.Now(), t), took))
+		d.recordDone(a.ID.Node, doneOf(p, own, end, d.board.targetStatus(time.Now(), t), took))
 	})
 	c.Permit = permit
 	return c, nil
--- a/internal/node/grant.go
+++ b/internal/node/grant.go
@@ -74,7 +74,7 @@
 		permit.Paced = true
 		d.board.learnLimits(now, d.currentService(q.Service), l)
 	}
-	if standing := d.board.standing(now, t); !standing.Permits(now, permit) {
+	if standing := d.board.targetStatus(now, t); !standing.Permits(now, permit) {
 		// This node received the signal from the target; the dispatcher may not have.
 		done := newDone(p, g, wire.Done_IGNORED, 0)
 		done.Leaving = standing.Draining
@@ -87,7 +87,7 @@
 		}
 	}
 	c := choiceOf(t, peer, func(end outlier.Result, took time.Duration) {
-		done := doneOf(p, g, end, d.board.standing(time.Now(), t), took)
+		done := doneOf(p, g, end, d.board.targetStatus(time.Now(), t), took)
 		d.reportDone(peer, done)
 		d.recordResult(peer, q, p, done, end)
 	})
--- a/internal/node/limitstatus.go
+++ b/internal/node/limitstatus.go
@@ -27,7 +27,7 @@
 	}
 	for _, s := range c.Services() {
 		for _, t := range s.Targets() {
-			standing := n.board.standing(now, t)
+			standing := n.board.targetStatus(now, t)
 			if !standing.Limit.Set || granting[t.Key()] {
 				continue
 			}
--- a/internal/node/prober.go
+++ b/internal/node/prober.go
@@ -82,7 +82,7 @@
 		}
 		for _, t := range s.Targets() {
 			now := time.Now()
-			standing := p.board.standing(now, t)
+			standing := p.board.targetStatus(now, t)
 			if standing.Backoff > 0 || !p.board.shares.take(now, t.Key(), standing.Limit, p.board.nodes()) {
 				continue
 			}
--- a/internal/node/signals.go
+++ b/internal/node/signals.go
@@ -25,8 +25,8 @@
 	}
 }
 
-// standing returns the status of a target according to the signals that this node received.
-func (b *Board) standing(now time.Time, t *fleetconfig.Target) signal.Status {
+// targetStatus returns the status of a target according to the signals that this node received.
+func (b *Board) targetStatus(now time.Time, t *fleetconfig.Target) signal.Status {
 	return b.signals.Status(now, incarnationOf(t))
 }
 
@@ -50,7 +50,7 @@
 		if s.Draining(t) || hall != "" && t.DataHall() != hall {
 			continue
 		}
-		switch standing := b.standing(now, t); {
+		switch standing := b.targetStatus(now, t); {
 		case standing.Draining && !standing.Uncertain:
 			out.draining = append(out.draining, t.Key())
 		case standing.Unavailable():
@@ -71,7 +71,7 @@
 		if s.Draining(t) {
 			continue
 		}
-		standing := b.standing(now, t)
+		standing := b.targetStatus(now, t)
 		switch {
 		case standing.Draining:
 		case !standing.Unavailable():
@@ -101,7 +101,7 @@
 	var out []operator.SignalStatus
 	for _, s := range c.Services() {
 		for _, t := range s.Targets() {
-			if standing := b.standing(now, t); standing.Unavailable() {
+			if standing := b.targetStatus(now, t); standing.Unavailable() {
 				out = append(out, operator.SignalStatus{
 					Service: s.Name(),
 					Target:  t.Key(),
--- a/internal/node/targetlimits.go
+++ b/internal/node/targetlimits.go
@@ -107,7 +107,7 @@
 		if hall != "" && t.DataHall() != hall {
 			continue
 		}
-		if standing := b.standing(now, t); standing.Limit.Set {
+		if standing := b.targetStatus(now, t); standing.Limit.Set {
 			out = append(out, wireLimit(now, limitOfStanding(t.Key(), standing)))
 		}
 	}
@@ -231,7 +231,7 @@
 		Paced: true,
 		At:    now,
 	}
-	standing := b.standing(now, t)
+	standing := b.targetStatus(now, t)
 	return permit, !standing.Unavailable() && b.shares.take(now, t.Key(), standing.Limit, b.nodes())
 }
 
@@ -245,7 +245,7 @@
 		if hall != "" && t.DataHall() != hall {
 			continue
 		}
-		if b.shares.wait(now, t.Key(), b.standing(now, t).Limit, b.nodes()) > 0 {
+		if b.shares.wait(now, t.Key(), b.targetStatus(now, t).Limit, b.nodes()) > 0 {
 			out = append(out, t.Key())
 		}
 	}
@@ -266,7 +266,7 @@
 func (b *Board) shareWait(now time.Time, s *fleetconfig.Service) time.Duration {
 	least := time.Duration(0)
 	for _, t := range s.Targets() {
-		standing := b.standing(now, t)
+		standing := b.targetStatus(now, t)
 		if s.Draining(t) || standing.Draining {
 			continue
 		}
