--- a/internal/node/done.go
+++ b/internal/node/done.go
@@ -29,7 +29,7 @@
 	done := newDone(p, g, wireResult(end), took)
 	done.Lost = end.RequestFailed
 	done.Leaving = standing.Draining
-	done.Limit = wireLimit(time.Now(), limitOfStanding(done.GetTarget(), standing))
+	done.Limit = wireLimit(time.Now(), limitOfStatus(done.GetTarget(), standing))
 	if end.Shed && (standing.Backoff > 0 || standing.Limit.Set) {
 		done.Result = wire.Done_RESTING
 		done.RestMs = uint32(standing.Backoff.Milliseconds())
--- a/internal/node/targetlimits.go
+++ b/internal/node/targetlimits.go
@@ -57,8 +57,8 @@
 	}
 }
 
-// limitOfStanding returns this node's record of a target's limit.
-func limitOfStanding(key string, s signal.Status) dispatch.TargetLimit {
+// limitOfStatus returns this node's record of a target's limit.
+func limitOfStatus(key string, s signal.Status) dispatch.TargetLimit {
 	return dispatch.TargetLimit{
 		Target: key,
 		Limit:  s.Limit,
@@ -108,7 +108,7 @@
 			continue
 		}
 		if standing := b.targetStatus(now, t); standing.Limit.Set {
-			out = append(out, wireLimit(now, limitOfStanding(t.Key(), standing)))
+			out = append(out, wireLimit(now, limitOfStatus(t.Key(), standing)))
 		}
 	}
 	if len(out) > dispatch.MaxLimits {
