--- a/internal/node/ejection.go
+++ b/internal/node/ejection.go
@@ -20,11 +20,11 @@
 
 // serviceState is the ejection controller's state of one service.
 type serviceState struct {
-	config   *fleetconfig.Service
-	detector *outlier.Detector
-	judge    *outlier.Controller
-	gauges   map[string]*balance.Gauge
-	byKey    map[uint32]string
+	config     *fleetconfig.Service
+	detector   *outlier.Detector
+	controller *outlier.Controller
+	gauges     map[string]*balance.Gauge
+	byKey      map[uint32]string
 }
 
 // ejectionController builds pools from evidence and ejection decisions. One goroutine runs it;
@@ -133,12 +133,12 @@
 // detector, which depends on the configured threshold.
 func newServiceState(old *serviceState, sc *fleetconfig.Service) *serviceState {
 	s := &serviceState{
-		detector: outlier.NewDetector(sc.Threshold()),
-		judge:    outlier.NewController(),
-		gauges:   map[string]*balance.Gauge{},
+		detector:   outlier.NewDetector(sc.Threshold()),
+		controller: outlier.NewController(),
+		gauges:     map[string]*balance.Gauge{},
 	}
 	if old != nil {
-		s.judge = old.judge
+		s.controller = old.controller
 		s.gauges = old.gauges
 	}
 	return s
@@ -157,7 +157,7 @@
 			s.gauges[t.Key()] = &balance.Gauge{}
 		}
 	}
-	s.judge.SetTargets(now, keys)
+	s.controller.SetTargets(now, keys)
 	s.detector.Retain(published)
 	for a, g := range s.gauges {
 		if !published[a] && g.InFlight() == 0 {
@@ -175,7 +175,7 @@
 	j.mu.Lock()
 	j.addEvidence(now, evidence)
 	for _, s := range j.services {
-		if s.judge.Advance(now) {
+		if s.controller.Advance(now) {
 			j.dirty = true
 		}
 	}
@@ -191,10 +191,10 @@
 			continue
 		}
 		if e.Counts.Draining {
-			s.judge.SetDraining(now, e.Counts.Target)
+			s.controller.SetDraining(now, e.Counts.Target)
 			j.dirty = true
 		}
-		s.judge.Record(now, e.Counts)
+		s.controller.Record(now, e.Counts)
 		ticks[e.Service] = append(ticks[e.Service], e.Counts)
 	}
 	for name, s := range j.services {
@@ -217,7 +217,7 @@
 	if !s.config.Policy().Sick(r.Health(s.config.Threshold(), 1, 1)) {
 		return
 	}
-	s.judge.EjectLocal(now, target, r.Score)
+	s.controller.EjectLocal(now, target, r.Score)
 	s.detector.Reset(target)
 	j.dirty = true
 	j.log.WithField("service", s.config.Name()).WithField("target", target).
@@ -238,10 +238,10 @@
 	}
 	j.dirty = true
 	if v.Draining {
-		s.judge.SetDraining(now, target)
+		s.controller.SetDraining(now, target)
 		return
 	}
-	s.judge.EjectForLease(now, target, v.Score, v.Lease)
+	s.controller.EjectForLease(now, target, v.Score, v.Lease)
 	j.log.WithField("service", v.Service).WithField("target", target).
 		WithField("score", v.Score).Info("target ejected by an observer")
 }
@@ -264,7 +264,7 @@
 	var members []balance.Member
 	capacity := 0
 	for _, t := range s.config.Targets() {
-		st := s.judge.State(now, t.Key())
+		st := s.controller.State(now, t.Key())
 		inst := j.config.Instances()[t.Address()]
 		listed := s.config.Draining(t) || inst != nil && inst.Draining()
 		members = append(members, balance.Member{
