--- a/internal/node/grant.go
+++ b/internal/node/grant.go
@@ -74,14 +74,14 @@
 		permit.Paced = true
 		d.board.learnLimits(now, d.currentService(q.Service), l)
 	}
-	if standing := d.board.targetStatus(now, t); !standing.Permits(now, permit) {
+	if status := d.board.targetStatus(now, t); !status.Permits(now, permit) {
 		// This node received the signal from the target; the dispatcher may not have.
 		done := newDone(p, g, wire.Done_IGNORED, 0)
-		done.Leaving = standing.Draining
+		done.Leaving = status.Draining
 		d.reportDone(peer, done)
 		d.log.WithField("service", p.service).WithField("target", t.Key()).WithField("by", peer).
-			WithField("leaving", standing.Draining).WithField("rest_ms", standing.Backoff.Milliseconds()).
-			WithField("limited", standing.Limit.Set).Info("granted target wants no request")
+			WithField("leaving", status.Draining).WithField("rest_ms", status.Backoff.Milliseconds()).
+			WithField("limited", status.Limit.Set).Info("granted target wants no request")
 		return reply{
 			unavailable: true,
 		}
