--- a/internal/node/limitstatus.go
+++ b/internal/node/limitstatus.go
@@ -27,16 +27,16 @@
 	}
 	for _, s := range c.Services() {
 		for _, t := range s.Targets() {
-			standing := n.board.targetStatus(now, t)
-			if !standing.Limit.Set || granting[t.Key()] {
+			status := n.board.targetStatus(now, t)
+			if !status.Limit.Set || granting[t.Key()] {
 				continue
 			}
 			out = append(out, operator.TargetLimitStatus{
 				Service: s.Name(),
 				Target:  t.Key(),
-				Rate:    standing.Limit.Rate,
+				Rate:    status.Limit.Rate,
 				By:      n.address(),
-				AgeMS:   now.Sub(standing.LimitAt).Milliseconds(),
+				AgeMS:   now.Sub(status.LimitAt).Milliseconds(),
 			})
 		}
 	}
