--- a/internal/node/prober.go
+++ b/internal/node/prober.go
@@ -82,8 +82,8 @@
 		}
 		for _, t := range s.Targets() {
 			now := time.Now()
-			standing := p.board.targetStatus(now, t)
-			if standing.Backoff > 0 || !p.board.shares.take(now, t.Key(), standing.Limit, p.board.nodes()) {
+			status := p.board.targetStatus(now, t)
+			if status.Backoff > 0 || !p.board.shares.take(now, t.Key(), status.Limit, p.board.nodes()) {
 				continue
 			}
 			slots <- struct{}{}
