--- a/internal/node/signals.go
+++ b/internal/node/signals.go
@@ -50,10 +50,10 @@
 		if s.Draining(t) || hall != "" && t.DataHall() != hall {
 			continue
 		}
-		switch standing := b.targetStatus(now, t); {
-		case standing.Draining && !standing.Uncertain:
+		switch status := b.targetStatus(now, t); {
+		case status.Draining && !status.Uncertain:
 			out.draining = append(out.draining, t.Key())
-		case standing.Unavailable():
+		case status.Unavailable():
 			out.backingOff = append(out.backingOff, t.Key())
 		}
 	}
