--- a/internal/node/signals.go
+++ b/internal/node/signals.go
@@ -71,13 +71,13 @@
 		if s.Draining(t) {
 			continue
 		}
-		standing := b.targetStatus(now, t)
+		status := b.targetStatus(now, t)
 		switch {
-		case standing.Draining:
-		case !standing.Unavailable():
+		case status.Draining:
+		case !status.Unavailable():
 			return first, false
-		case !all || standing.Backoff < first.Backoff:
-			first, all = standing, true
+		case !all || status.Backoff < first.Backoff:
+			first, all = status, true
 		}
 	}
 	return first, all
