--- a/internal/node/signals.go
+++ b/internal/node/signals.go
@@ -101,12 +101,12 @@
 	var out []operator.SignalStatus
 	for _, s := range c.Services() {
 		for _, t := range s.Targets() {
-			if standing := b.targetStatus(now, t); standing.Unavailable() {
+			if status := b.targetStatus(now, t); status.Unavailable() {
 				out = append(out, operator.SignalStatus{
 					Service: s.Name(),
 					Target:  t.Key(),
-					Leaving: standing.Draining,
-					RestMS:  standing.Backoff.Milliseconds(),
+					Leaving: status.Draining,
+					RestMS:  status.Backoff.Milliseconds(),
 				})
 			}
 		}
