--- a/internal/node/targetlimits.go
+++ b/internal/node/targetlimits.go
@@ -107,8 +107,8 @@
 		if hall != "" && t.DataHall() != hall {
 			continue
 		}
-		if standing := b.targetStatus(now, t); standing.Limit.Set {
-			out = append(out, wireLimit(now, limitOfStatus(t.Key(), standing)))
+		if status := b.targetStatus(now, t); status.Limit.Set {
+			out = append(out, wireLimit(now, limitOfStatus(t.Key(), status)))
 		}
 	}
 	if len(out) > dispatch.MaxLimits {
