--- a/internal/node/targetlimits.go
+++ b/internal/node/targetlimits.go
@@ -231,8 +231,8 @@
 		Paced: true,
 		At:    now,
 	}
-	standing := b.targetStatus(now, t)
-	return permit, !standing.Unavailable() && b.shares.take(now, t.Key(), standing.Limit, b.nodes())
+	status := b.targetStatus(now, t)
+	return permit, !status.Unavailable() && b.shares.take(now, t.Key(), status.Limit, b.nodes())
 }
 
 // targetsOverShare returns the keys of a partition's targets for which this node's share is used up now.
