--- a/internal/node/targetlimits.go
+++ b/internal/node/targetlimits.go
@@ -266,12 +266,12 @@
 func (b *Board) shareWait(now time.Time, s *fleetconfig.Service) time.Duration {
 	least := time.Duration(0)
 	for _, t := range s.Targets() {
-		standing := b.targetStatus(now, t)
-		if s.Draining(t) || standing.Draining {
+		status := b.targetStatus(now, t)
+		if s.Draining(t) || status.Draining {
 			continue
 		}
-		wait := min(b.shares.wait(now, t.Key(), standing.Limit, b.nodes()), b.shares.turn(standing.Limit))
-		wait = max(wait, standing.Backoff)
+		wait := min(b.shares.wait(now, t.Key(), status.Limit, b.nodes()), b.shares.turn(status.Limit))
+		wait = max(wait, status.Backoff)
 		if least == 0 || wait < least {
 			least = wait
 		}
