--- a/internal/node/failuredetector.go
+++ b/internal/node/failuredetector.go
@@ -22,7 +22,7 @@
 	pingTimeout = 100 * time.Millisecond
 	// indirectPingTimeout is the same for two round trips.
 	indirectPingTimeout = 150 * time.Millisecond
-	// helpers is how many nodes ping on behalf of one that got no answer.
+	// helpers is how many nodes ping on behalf of one that received no answer.
 	helpers = 2
 	// farPingRatio is the ratio of all pings to those sent to another data hall.
 	farPingRatio = 4
--- a/internal/node/limits.go
+++ b/internal/node/limits.go
@@ -129,7 +129,7 @@
 		return nil
 	}
 	if l.messenger == nil {
-		// A node that has just started knows few others.
+		// A node that has just started has few others in its view.
 		nodes := max(l.board.nodes(), l.seeds+1)
 		if wait := l.equalShares.Admit(time.Now(), w.ID(), limit.Rate, limit.Burst, nodes); wait > 0 {
 			return l.limitError(w, limit, wait, byEqualShares)
--- a/internal/node/partition.go
+++ b/internal/node/partition.go
@@ -118,7 +118,8 @@
 }
 
 // partitionsFor returns the partition to try first and those that may be tried for a free target
-// after it. A hedge is requested from the home partition only, which has the first attempt.
+// after it. A hedge is requested from the home partition only: it is decided where the first
+// attempt was.
 func (d *dispatchController) partitionsFor(now time.Time, q *entry.Query) (home partition, others []partition) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/node/quarantine_test.go
+++ b/internal/node/quarantine_test.go
@@ -181,7 +181,8 @@
 	}
 }
 
-// A restarted node must receive the records of the others within two seconds.
+// A restarted node must receive the records of the others within two seconds: until then it would
+// let a quarantined request crash further targets.
 func TestNewNodeReceivesCrashes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newQuarantineFleet(t.Context(), 40)
--- a/internal/node/targetlimits.go
+++ b/internal/node/targetlimits.go
@@ -22,14 +22,15 @@
 const (
 	// standbyShare is the share of a dispatcher, as a fraction of that of the one ranked before it.
 	standbyShare = 0.25
-	// lossThreshold is the fraction of the fleet that must be lost before the rest uses only its
-	// own share of the limit.
+	// lossThreshold is the fraction of the fleet that must be lost before the remaining nodes
+	// use only their own share of the limit.
 	lossThreshold = 0.4
 	// joinShare is the share of a node that has been connected for less than joinTime: some nodes
 	// may not have received that it is back, and request grants from another one.
 	joinShare = 0.4
 	joinTime  = 5 * time.Second
-	// isolatedShare is the maximum share of a node that no other answers: it may know few of them.
+	// isolatedShare is the maximum share of a node that no other answers: it may have few of them in
+	// its view.
 	isolatedShare = 0.05
 	// fallbackShare is the share of all nodes' fallbacks while dispatchers grant, independentShare
 	// that of all nodes in the independent mode.
