--- a/internal/node/ejection.go
+++ b/internal/node/ejection.go
@@ -55,18 +55,18 @@
 }
 
 // run evaluates the targets at each tick and at each change of the configuration.
-func (j *ejectionController) run(ctx context.Context) error {
+func (ec *ejectionController) run(ctx context.Context) error {
 	tick := time.NewTicker(ejectionInterval)
 	defer tick.Stop()
 	for {
-		changed := j.board.config.Watch()
-		j.refresh(time.Now())
+		changed := ec.board.config.Watch()
+		ec.refresh(time.Now())
 		select {
 		case <-ctx.Done():
 			return nil
 		case <-changed:
 		case <-tick.C:
-			j.tick(time.Now())
+			ec.tick(time.Now())
 		}
 	}
 }
