--- a/internal/node/ejection.go
+++ b/internal/node/ejection.go
@@ -72,13 +72,13 @@
 }
 
 // refresh applies a new configuration or view and rebuilds the pools if anything changed.
-func (j *ejectionController) refresh(now time.Time) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	if !j.passive {
-		j.rebuild(now)
-	} else if j.board.currentConfig() != nil && j.board.pools.Load() == nil {
-		j.board.pools.Store(&pools{})
+func (ec *ejectionController) refresh(now time.Time) {
+	ec.mu.Lock()
+	defer ec.mu.Unlock()
+	if !ec.passive {
+		ec.rebuild(now)
+	} else if ec.board.currentConfig() != nil && ec.board.pools.Load() == nil {
+		ec.board.pools.Store(&pools{})
 	}
 }
 
