--- a/internal/node/ejection.go
+++ b/internal/node/ejection.go
@@ -83,13 +83,13 @@
 }
 
 // rebuild applies what changed and rebuilds the pools. j.mu is held.
-func (j *ejectionController) rebuild(now time.Time) {
-	if c := j.board.currentConfig(); c != nil && c != j.config {
-		j.configure(now, c)
+func (ec *ejectionController) rebuild(now time.Time) {
+	if c := ec.board.currentConfig(); c != nil && c != ec.config {
+		ec.configure(now, c)
 	}
-	j.refreshView()
-	if j.dirty {
-		j.publish(now)
+	ec.refreshView()
+	if ec.dirty {
+		ec.publish(now)
 	}
 }
 
