--- a/internal/node/ejection.go
+++ b/internal/node/ejection.go
@@ -94,10 +94,10 @@
 }
 
 // refreshView applies the newest view if its number of nodes differs. j.mu is held.
-func (j *ejectionController) refreshView() {
-	if v := j.board.view.Load(); j.view == nil || v.Nodes() != j.view.Nodes() {
-		j.view = v
-		j.dirty = true
+func (ec *ejectionController) refreshView() {
+	if v := ec.board.view.Load(); ec.view == nil || v.Nodes() != ec.view.Nodes() {
+		ec.view = v
+		ec.dirty = true
 	}
 }
 
