--- a/internal/node/ejection.go
+++ b/internal/node/ejection.go
@@ -102,13 +102,13 @@
 }
 
 // pools returns the current pools, or nil before the first ones.
-func (j *ejectionController) pools(now time.Time) *pools {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	if j.passive && j.board.currentConfig() != nil {
-		j.rebuild(now)
+func (ec *ejectionController) pools(now time.Time) *pools {
+	ec.mu.Lock()
+	defer ec.mu.Unlock()
+	if ec.passive && ec.board.currentConfig() != nil {
+		ec.rebuild(now)
 	}
-	return j.board.pools.Load()
+	return ec.board.pools.Load()
 }
 
 func (j *ejectionController) configure(now time.Time, c *fleetconfig.Config) {
