--- a/internal/node/ejection.go
+++ b/internal/node/ejection.go
@@ -111,20 +111,20 @@
 	return ec.board.pools.Load()
 }
 
-func (j *ejectionController) configure(now time.Time, c *fleetconfig.Config) {
-	j.config = c
-	j.dirty = true
+func (ec *ejectionController) configure(now time.Time, c *fleetconfig.Config) {
+	ec.config = c
+	ec.dirty = true
 	for name, sc := range c.Services() {
-		s := j.services[name]
+		s := ec.services[name]
 		if s == nil || s.detector.Threshold() != sc.Threshold() {
 			s = newServiceState(s, sc)
-			j.services[name] = s
+			ec.services[name] = s
 		}
 		s.configure(now, sc)
 	}
-	for name := range j.services {
+	for name := range ec.services {
 		if c.Service(name) == nil {
-			delete(j.services, name)
+			delete(ec.services, name)
 		}
 	}
 }
