--- a/internal/node/ejection.go
+++ b/internal/node/ejection.go
@@ -167,20 +167,20 @@
 }
 
 // tick evaluates the evidence of the last tick.
-func (j *ejectionController) tick(now time.Time) {
-	evidence := j.collector.Drain(now)
-	if j.passive {
+func (ec *ejectionController) tick(now time.Time) {
+	evidence := ec.collector.Drain(now)
+	if ec.passive {
 		return
 	}
-	j.mu.Lock()
-	j.addEvidence(now, evidence)
-	for _, s := range j.services {
+	ec.mu.Lock()
+	ec.addEvidence(now, evidence)
+	for _, s := range ec.services {
 		if s.controller.Advance(now) {
-			j.dirty = true
+			ec.dirty = true
 		}
 	}
-	j.mu.Unlock()
-	j.report(now, evidence)
+	ec.mu.Unlock()
+	ec.report(now, evidence)
 }
 
 func (j *ejectionController) addEvidence(now time.Time, evidence []outlier.Evidence) {
