--- a/internal/node/ejection.go
+++ b/internal/node/ejection.go
@@ -183,27 +183,27 @@
 	ec.report(now, evidence)
 }
 
-func (j *ejectionController) addEvidence(now time.Time, evidence []outlier.Evidence) {
+func (ec *ejectionController) addEvidence(now time.Time, evidence []outlier.Evidence) {
 	ticks := map[string][]outlier.Counts{}
 	for _, e := range evidence {
-		s := j.services[e.Service]
+		s := ec.services[e.Service]
 		if s == nil {
 			continue
 		}
 		if e.Counts.Draining {
 			s.controller.SetDraining(now, e.Counts.Target)
-			j.dirty = true
+			ec.dirty = true
 		}
 		s.controller.Record(now, e.Counts)
 		ticks[e.Service] = append(ticks[e.Service], e.Counts)
 	}
-	for name, s := range j.services {
+	for name, s := range ec.services {
 		if len(ticks[name]) == 0 && s.detector.Idle() {
 			continue
 		}
 		s.detector.Update(now, ticks[name])
 		for _, t := range s.config.Targets() {
-			j.ejectIfSick(now, s, t.Key())
+			ec.ejectIfSick(now, s, t.Key())
 		}
 	}
 }
