--- a/internal/node/ejection.go
+++ b/internal/node/ejection.go
@@ -209,7 +209,7 @@
 }
 
 // ejectIfSick ejects a target on this node's own evidence, for this node only.
-func (j *ejectionController) ejectIfSick(now time.Time, s *serviceState, target string) {
+func (ec *ejectionController) ejectIfSick(now time.Time, s *serviceState, target string) {
 	r := s.detector.Score(target)
 	if r.Score == 0 {
 		return
@@ -219,8 +219,8 @@
 	}
 	s.controller.EjectLocal(now, target, r.Score)
 	s.detector.Reset(target)
-	j.dirty = true
-	j.log.WithField("service", s.config.Name()).WithField("target", target).
+	ec.dirty = true
+	ec.log.WithField("service", s.config.Name()).WithField("target", target).
 		WithField("score", r.Score).Info("target ejected on evidence of this node")
 }
 
