--- a/internal/node/ejection.go
+++ b/internal/node/ejection.go
@@ -225,10 +225,10 @@
 }
 
 // applyDecision applies an observer's ejection decision.
-func (j *ejectionController) applyDecision(now time.Time, v outlier.Decision, key uint32) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	s := j.services[v.Service]
+func (ec *ejectionController) applyDecision(now time.Time, v outlier.Decision, key uint32) {
+	ec.mu.Lock()
+	defer ec.mu.Unlock()
+	s := ec.services[v.Service]
 	if s == nil {
 		return
 	}
@@ -236,13 +236,13 @@
 	if !ok {
 		return
 	}
-	j.dirty = true
+	ec.dirty = true
 	if v.Draining {
 		s.controller.SetDraining(now, target)
 		return
 	}
 	s.controller.EjectForLease(now, target, v.Score, v.Lease)
-	j.log.WithField("service", v.Service).WithField("target", target).
+	ec.log.WithField("service", v.Service).WithField("target", target).
 		WithField("score", v.Score).Info("target ejected by an observer")
 }
 
