--- a/internal/node/ejection.go
+++ b/internal/node/ejection.go
@@ -248,15 +248,15 @@
 
 // publish stores the pools. The floor is enforced here, at the last step on each node, whatever the
 // ejection decisions are.
-func (j *ejectionController) publish(now time.Time) {
-	j.dirty = false
+func (ec *ejectionController) publish(now time.Time) {
+	ec.dirty = false
 	out := &pools{
 		services: map[string]*poolState{},
 	}
-	for name, s := range j.services {
-		out.services[name] = j.poolOf(now, s)
+	for name, s := range ec.services {
+		out.services[name] = ec.poolOf(now, s)
 	}
-	j.board.pools.Store(out)
+	ec.board.pools.Store(out)
 }
 
 func (j *ejectionController) poolOf(now time.Time, s *serviceState) *poolState {
