--- a/internal/node/ejection.go
+++ b/internal/node/ejection.go
@@ -259,13 +259,13 @@
 	ec.board.pools.Store(out)
 }
 
-func (j *ejectionController) poolOf(now time.Time, s *serviceState) *poolState {
+func (ec *ejectionController) poolOf(now time.Time, s *serviceState) *poolState {
 	p := &poolState{}
 	var members []balance.Member
 	capacity := 0
 	for _, t := range s.config.Targets() {
 		st := s.controller.State(now, t.Key())
-		inst := j.config.Instances()[t.Address()]
+		inst := ec.config.Instances()[t.Address()]
 		listed := s.config.Draining(t) || inst != nil && inst.Draining()
 		members = append(members, balance.Member{
 			Key:         t.Key(),
@@ -289,6 +289,6 @@
 		}
 	}
 	floor := s.config.Policy().Floor(float64(capacity), len(members))
-	p.pool = balance.NewPool(members, floor, j.view.Self().Address(), j.view.Nodes())
+	p.pool = balance.NewPool(members, floor, ec.view.Self().Address(), ec.view.Nodes())
 	return p
 }
