--- a/internal/node/failuredetector.go
+++ b/internal/node/failuredetector.go
@@ -53,24 +53,24 @@
 }
 
 // run pings a peer at each tick until the context ends.
-func (p *failureDetector) run(ctx context.Context) error {
-	p.failed = make(chan string, 8)
-	p.answered = make(chan struct{}, 8)
+func (fd *failureDetector) run(ctx context.Context) error {
+	fd.failed = make(chan string, 8)
+	fd.answered = make(chan struct{}, 8)
 	var pings task.Group
 	tick := time.NewTicker(pingInterval)
 	defer tick.Stop()
-	last := p.elapsed(time.Now())
+	last := fd.elapsed(time.Now())
 	for {
 		select {
 		case <-ctx.Done():
 			return pings.Wait()
-		case <-p.answered:
-			p.unanswered = 0
-		case peer := <-p.failed:
-			p.recordFailure(peer)
+		case <-fd.answered:
+			fd.unanswered = 0
+		case peer := <-fd.failed:
+			fd.recordFailure(peer)
 		case <-tick.C:
-			now := p.elapsed(time.Now())
-			p.tick(ctx, &pings, time.Now(), now-last > pingInterval+lateTickTolerance)
+			now := fd.elapsed(time.Now())
+			fd.tick(ctx, &pings, time.Now(), now-last > pingInterval+lateTickTolerance)
 			last = now
 		}
 	}
