--- a/internal/node/failuredetector.go
+++ b/internal/node/failuredetector.go
@@ -76,27 +76,27 @@
 	}
 }
 
-func (p *failureDetector) tick(ctx context.Context, pings *task.Group, now time.Time, late bool) {
+func (fd *failureDetector) tick(ctx context.Context, pings *task.Group, now time.Time, late bool) {
 	if late {
 		// The missing answers were caused by a pause of this node, not by its peers.
-		p.unanswered = 0
-		for len(p.failed) > 0 {
-			<-p.failed
+		fd.unanswered = 0
+		for len(fd.failed) > 0 {
+			<-fd.failed
 		}
-		p.members.clearSuspicions()
+		fd.members.clearSuspicions()
 	}
-	for _, n := range p.members.advance(now) {
-		p.log.WithField("peer", n.Address()).WithField("data_hall", n.DataHall()).Warn("node taken for dead")
+	for _, n := range fd.members.advance(now) {
+		fd.log.WithField("peer", n.Address()).WithField("data_hall", n.DataHall()).Warn("node taken for dead")
 	}
 	if err := pings.Reap(); err != nil {
-		p.log.WithError(err).Debug("ping ended")
+		fd.log.WithError(err).Debug("ping ended")
 	}
-	peer := p.nextPeer()
+	peer := fd.nextPeer()
 	if peer == "" {
 		return
 	}
 	pings.Go(ctx, "ping", func(ctx context.Context) error {
-		p.pingPeer(ctx, peer)
+		fd.pingPeer(ctx, peer)
 		return nil
 	})
 }
