--- a/internal/node/failuredetector.go
+++ b/internal/node/failuredetector.go
@@ -102,22 +102,22 @@
 }
 
 // pingPeer pings a peer, and has other nodes ping it if it does not answer.
-func (p *failureDetector) pingPeer(ctx context.Context, peer string) {
-	started := p.elapsed(time.Now())
-	if p.messenger.ping(ctx, peer, pingTimeout) {
-		p.answered <- struct{}{}
+func (fd *failureDetector) pingPeer(ctx context.Context, peer string) {
+	started := fd.elapsed(time.Now())
+	if fd.messenger.ping(ctx, peer, pingTimeout) {
+		fd.answered <- struct{}{}
 		return
 	}
-	if p.elapsed(time.Now())-started > pingTimeout+lateTickTolerance {
+	if fd.elapsed(time.Now())-started > pingTimeout+lateTickTolerance {
 		// This node was suspended or slow itself.
 		return
 	}
-	if p.messenger.pingVia(ctx, p.helpers(peer), peer, indirectPingTimeout) {
-		p.answered <- struct{}{}
+	if fd.messenger.pingVia(ctx, fd.helpers(peer), peer, indirectPingTimeout) {
+		fd.answered <- struct{}{}
 		return
 	}
-	if ctx.Err() == nil && p.elapsed(time.Now())-started <= pingTimeout+indirectPingTimeout+2*lateTickTolerance {
-		p.failed <- peer
+	if ctx.Err() == nil && fd.elapsed(time.Now())-started <= pingTimeout+indirectPingTimeout+2*lateTickTolerance {
+		fd.failed <- peer
 	}
 }
 
