--- a/internal/node/failuredetector.go
+++ b/internal/node/failuredetector.go
@@ -121,13 +121,13 @@
 	}
 }
 
-func (p *failureDetector) recordFailure(peer string) {
-	p.unanswered++
-	if p.unanswered >= suspectSelfAfter {
+func (fd *failureDetector) recordFailure(peer string) {
+	fd.unanswered++
+	if fd.unanswered >= suspectSelfAfter {
 		// The cause is more likely this node's link than all of these peers.
 		return
 	}
-	p.members.suspect(peer)
+	fd.members.suspect(peer)
 }
 
 // helpers returns random live nodes other than peer.
