--- a/internal/node/failuredetector.go
+++ b/internal/node/failuredetector.go
@@ -131,12 +131,12 @@
 }
 
 // helpers returns random live nodes other than peer.
-func (p *failureDetector) helpers(peer string) []string {
-	live := p.board.view.Load().Live()
+func (fd *failureDetector) helpers(peer string) []string {
+	live := fd.board.view.Load().Live()
 	var out []string
 	for range 3 * helpers {
 		n := live[rand.IntN(len(live))]
-		if n != p.board.view.Load().Self() && n.Address() != peer && len(out) < helpers {
+		if n != fd.board.view.Load().Self() && n.Address() != peer && len(out) < helpers {
 			out = append(out, n.Address())
 		}
 	}
