--- a/internal/node/failuredetector.go
+++ b/internal/node/failuredetector.go
@@ -144,14 +144,14 @@
 }
 
 // nextPeer returns the peer to ping, mostly one of the same data hall.
-func (p *failureDetector) nextPeer() string {
-	view := p.board.view.Load()
-	if dead := p.members.declaredDead(); len(dead) > 0 && rand.IntN(deadPingRatio) == 0 {
+func (fd *failureDetector) nextPeer() string {
+	view := fd.board.view.Load()
+	if dead := fd.members.declaredDead(); len(dead) > 0 && rand.IntN(deadPingRatio) == 0 {
 		return dead[rand.IntN(len(dead))].Address()
 	}
 	near, far := view.Halls()
 	if len(near)+len(far) == 0 {
-		return p.randomSeed(view.Self().Address())
+		return fd.randomSeed(view.Self().Address())
 	}
 	if len(near) == 0 || len(far) > 0 && rand.IntN(farPingRatio) == 0 {
 		near = far
