--- a/internal/node/failuredetector.go
+++ b/internal/node/failuredetector.go
@@ -159,8 +159,8 @@
 	return near[rand.IntN(len(near))].Address()
 }
 
-func (p *failureDetector) randomSeed(self string) string {
-	seeds := p.seeds()
+func (fd *failureDetector) randomSeed(self string) string {
+	seeds := fd.seeds()
 	if len(seeds) == 0 {
 		return ""
 	}
