--- a/internal/node/freshness.go
+++ b/internal/node/freshness.go
@@ -35,12 +35,12 @@
 
 // current reports whether this node can have the newest configuration: the fleet received an answer
 // of the platform recently, and this node has the same values as a peer.
-func (c *freshness) current() bool {
-	if c.maxAge == 0 {
+func (f *freshness) current() bool {
+	if f.maxAge == 0 {
 		return true
 	}
 	now := time.Now()
-	return c.platformAge(now) <= c.maxAge && (c.noPeers() || c.agreementAge(now) <= c.maxAge)
+	return f.platformAge(now) <= f.maxAge && (f.noPeers() || f.agreementAge(now) <= f.maxAge)
 }
 
 // await compares with peers and waits until this node can have the newest configuration. It returns
