--- a/internal/node/freshness.go
+++ b/internal/node/freshness.go
@@ -45,11 +45,11 @@
 
 // await compares with peers and waits until this node can have the newest configuration. It returns
 // false if the context ended before.
-func (c *freshness) await(ctx context.Context) bool {
+func (f *freshness) await(ctx context.Context) bool {
 	tick := time.NewTicker(awaitInterval)
 	defer tick.Stop()
-	for !c.current() {
-		c.compareSoon()
+	for !f.current() {
+		f.compareSoon()
 		select {
 		case <-ctx.Done():
 			return false
