--- a/internal/node/freshness.go
+++ b/internal/node/freshness.go
@@ -61,8 +61,8 @@
 
 // trusted reports whether the local keys may be trusted: after too long this node could have missed
 // the removal of a key.
-func (c *freshness) trusted() bool {
-	return c.maxKeyAge == 0 || c.platformAge(time.Now()) <= c.maxKeyAge
+func (f *freshness) trusted() bool {
+	return f.maxKeyAge == 0 || f.platformAge(time.Now()) <= f.maxKeyAge
 }
 
 func (n *Node) newFreshness() *freshness {
