--- a/internal/node/freshness.go
+++ b/internal/node/freshness.go
@@ -66,17 +66,17 @@
 }
 
 func (n *Node) newFreshness() *freshness {
-	c := &freshness{
+	f := &freshness{
 		platformAge:  n.gossip.PlatformAge,
 		agreementAge: n.gossip.AgreementAge,
 		noPeers:      func() bool { return len(n.board.view.Load().Peers()) == 0 },
 		compareSoon:  n.gossip.CompareSoon,
 	}
 	if n.directory == nil {
-		c.maxAge = time.Duration(maxAgeFactor * float64(n.platformTimeout()))
+		f.maxAge = time.Duration(maxAgeFactor * float64(n.platformTimeout()))
 	}
 	if after, strict := n.set.Workspaces().Strict(); strict && n.directory == nil {
-		c.maxKeyAge = after
+		f.maxKeyAge = after
 	}
-	return c
+	return f
 }
