--- a/internal/node/targetlimits.go
+++ b/internal/node/targetlimits.go
@@ -131,15 +131,15 @@
 }
 
 // share returns the share of targets' limits that a node may grant as a dispatcher.
-func (p holderRank) share() float64 {
-	if p.isolated {
-		return min(isolatedShare, 1/float64(p.nodes))
+func (r holderRank) share() float64 {
+	if r.isolated {
+		return min(isolatedShare, 1/float64(r.nodes))
 	}
-	share := math.Pow(standbyShare, float64(p.rank))
-	if p.connectedFor < joinTime {
+	share := math.Pow(standbyShare, float64(r.rank))
+	if r.connectedFor < joinTime {
 		share *= joinShare
 	}
-	if live := float64(p.live) / float64(p.nodes); 1-live > lossThreshold {
+	if live := float64(r.live) / float64(r.nodes); 1-live > lossThreshold {
 		share *= live
 	}
 	return share
