--- a/internal/node/targetlimits.go
+++ b/internal/node/targetlimits.go
@@ -147,20 +147,20 @@
 
 // holderRank returns the rank of this node among the holders of a dispatcher's role.
 func (d *dispatchController) holderRank(now time.Time, view *membership.View, holders []membership.Node) holderRank {
-	p := holderRank{
+	r := holderRank{
 		nodes:        view.Nodes(),
 		live:         len(view.Live()),
 		rank:         slices.Index(holders, view.Self()),
 		connectedFor: joinTime,
 	}
-	if p.rank < 0 {
-		p.rank = len(holders)
+	if r.rank < 0 {
+		r.rank = len(holders)
 	}
-	if p.nodes > 1 || d.seeds > 0 {
-		p.isolated = d.messenger.isolated(now)
-		p.connectedFor = d.messenger.connectedFor(now)
+	if r.nodes > 1 || d.seeds > 0 {
+		r.isolated = d.messenger.isolated(now)
+		r.connectedFor = d.messenger.connectedFor(now)
 	}
-	return p
+	return r
 }
 
 // shares pace what this node sends to targets with a limit when it chooses without a dispatcher.
