--- a/internal/node/decisions.go
+++ b/internal/node/decisions.go
@@ -21,14 +21,14 @@
 	batch := &wire.VerdictBatch{
 		From: o.link.self(),
 	}
-	for _, v := range decisions {
-		o.deliver(now, v, outlier.Key(v.Target))
+	for _, decision := range decisions {
+		o.deliver(now, decision, outlier.Key(decision.Target))
 		batch.Verdicts = append(batch.Verdicts, &wire.Verdict{
-			Service: v.Service,
-			Target:  outlier.Key(v.Target),
-			Score:   float32(v.Score),
-			LeaseMs: uint32(v.Lease.Milliseconds()),
-			Leaving: v.Draining,
+			Service: decision.Service,
+			Target:  outlier.Key(decision.Target),
+			Score:   float32(decision.Score),
+			LeaseMs: uint32(decision.Lease.Milliseconds()),
+			Leaving: decision.Draining,
 		})
 	}
 	o.sendDecisions(ctx, calls, batch)
