--- a/internal/node/ejection.go
+++ b/internal/node/ejection.go
@@ -225,10 +225,10 @@
 }
 
 // applyDecision applies an observer's ejection decision.
-func (ec *ejectionController) applyDecision(now time.Time, v outlier.Decision, key uint32) {
+func (ec *ejectionController) applyDecision(now time.Time, decision outlier.Decision, key uint32) {
 	ec.mu.Lock()
 	defer ec.mu.Unlock()
-	s := ec.services[v.Service]
+	s := ec.services[decision.Service]
 	if s == nil {
 		return
 	}
@@ -237,13 +237,13 @@
 		return
 	}
 	ec.dirty = true
-	if v.Draining {
+	if decision.Draining {
 		s.controller.SetDraining(now, target)
 		return
 	}
-	s.controller.EjectForLease(now, target, v.Score, v.Lease)
-	ec.log.WithField("service", v.Service).WithField("target", target).
-		WithField("score", v.Score).Info("target ejected by an observer")
+	s.controller.EjectForLease(now, target, decision.Score, decision.Lease)
+	ec.log.WithField("service", decision.Service).WithField("target", target).
+		WithField("score", decision.Score).Info("target ejected by an observer")
 }
 
 // publish stores the pools. The floor is enforced here, at the last step on each node, whatever the
