--- a/internal/node/evidence.go
+++ b/internal/node/evidence.go
@@ -55,7 +55,7 @@
 type evidenceController struct {
 	board            *Board
 	link             observerLink
-	deliver          func(now time.Time, v outlier.Decision, key uint32)
+	deliver          func(now time.Time, decision outlier.Decision, key uint32)
 	log              *logrus.Entry
 	mu               sync.Mutex
 	pending          map[string]*pendingEvidence
