--- a/internal/node/done.go
+++ b/internal/node/done.go
@@ -25,14 +25,14 @@
 // doneOf returns the message about the end of an attempt that was sent, with the signals that this
 // node received from its target. A target that backs off or limits its requests is healthy: the
 // requests that it sheds do not count against it.
-func doneOf(p partition, g numberedGrant, end outlier.Result, standing signal.Status, took time.Duration) *wire.Done {
+func doneOf(p partition, g numberedGrant, end outlier.Result, status signal.Status, took time.Duration) *wire.Done {
 	done := newDone(p, g, wireResult(end), took)
 	done.Lost = end.RequestFailed
-	done.Leaving = standing.Draining
-	done.Limit = wireLimit(time.Now(), limitOfStatus(done.GetTarget(), standing))
-	if end.Shed && (standing.Backoff > 0 || standing.Limit.Set) {
+	done.Leaving = status.Draining
+	done.Limit = wireLimit(time.Now(), limitOfStatus(done.GetTarget(), status))
+	if end.Shed && (status.Backoff > 0 || status.Limit.Set) {
 		done.Result = wire.Done_RESTING
-		done.RestMs = uint32(standing.Backoff.Milliseconds())
+		done.RestMs = uint32(status.Backoff.Milliseconds())
 	}
 	return done
 }
