--- a/internal/node/quarantine.go
+++ b/internal/node/quarantine.go
@@ -95,11 +95,11 @@
 // the request.
 func (q *quarantineController) recordCrash(fingerprints quarantine.Fingerprints, target string) quarantine.Status {
 	now := time.Now()
-	for _, p := range fingerprints.All() {
-		if q.answers.Recent(now, p) {
+	for _, fingerprint := range fingerprints.All() {
+		if q.answers.Recent(now, fingerprint) {
 			continue
 		}
-		q.change(now, "", func() []quarantine.Record { return q.ledger.RecordCrash(now, p, target) })
+		q.change(now, "", func() []quarantine.Record { return q.ledger.RecordCrash(now, fingerprint, target) })
 	}
 	return q.check(fingerprints)
 }
