--- a/internal/node/quarantine.go
+++ b/internal/node/quarantine.go
@@ -111,8 +111,8 @@
 	if q.count.Load() == 0 {
 		return
 	}
-	for _, p := range fingerprints.All() {
-		q.change(now, "", func() []quarantine.Record { return q.ledger.RecordAnswer(p) })
+	for _, fingerprint := range fingerprints.All() {
+		q.change(now, "", func() []quarantine.Record { return q.ledger.RecordAnswer(fingerprint) })
 	}
 }
 
