--- a/internal/node/quarantine.go
+++ b/internal/node/quarantine.go
@@ -153,8 +153,8 @@
 }
 
 // holders returns the nodes that count the crashes of a request.
-func (q *quarantineController) holders(p quarantine.Fingerprint) []membership.Node {
-	role := "quarantine/" + strconv.Itoa(int(p[0])%quarantineRoles)
+func (q *quarantineController) holders(fingerprint quarantine.Fingerprint) []membership.Node {
+	role := "quarantine/" + strconv.Itoa(int(fingerprint[0])%quarantineRoles)
 	return q.board.view.Load().Role(role, "", quarantineHolders)
 }
 
