--- a/internal/node/quarantine.go
+++ b/internal/node/quarantine.go
@@ -225,11 +225,11 @@
 	w := &wire.QuarantineRecord{
 		Print: r.Fingerprint[:],
 	}
-	for _, e := range r.Crashes {
+	for _, crash := range r.Crashes {
 		w.Ends = append(w.Ends, &wire.TargetEnd{
-			Target:   e.Target,
-			AgeMs:    uint32(max(now.Sub(e.At), 0).Milliseconds()),
-			Answered: e.Answered,
+			Target:   crash.Target,
+			AgeMs:    uint32(max(now.Sub(crash.At), 0).Milliseconds()),
+			Answered: crash.Answered,
 		})
 	}
 	return w
