--- a/internal/node/dispatcher.go
+++ b/internal/node/dispatcher.go
@@ -189,7 +189,7 @@
 func (d *dispatchController) handleGrantRequest(in *wire.Datagram) {
 	now := time.Now()
 	w := in.GetAsk()
-	a := &dispatch.Request{
+	r := &dispatch.Request{
 		ID: dispatch.ID{
 			Node:   in.GetFrom().GetAddress(),
 			Number: in.GetCall(),
@@ -216,7 +216,7 @@
 		},
 	}
 	for _, l := range w.GetLimits() {
-		a.Limits = append(a.Limits, limitOfWire(now, l))
+		r.Limits = append(r.Limits, limitOfWire(now, l))
 	}
 	p := partition{
 		service: w.GetService(),
@@ -226,7 +226,7 @@
 	s := d.touchScheduler(now, p)
 	var g dispatch.Grant
 	if s != nil {
-		g = s.RequestGrant(now, a)
+		g = s.RequestGrant(now, r)
 	}
 	d.mu.Unlock()
 	d.notify()
@@ -236,7 +236,7 @@
 		})
 		return
 	}
-	d.answer(a.ID.Node, a.ID.Number, wireGrant(g))
+	d.answer(r.ID.Node, r.ID.Number, wireGrant(g))
 }
 
 // wireDecisions maps decisions of schedulers to their values in messages.
