--- a/internal/node/targetlimits.go
+++ b/internal/node/targetlimits.go
@@ -265,7 +265,7 @@
 // shares are used up, 0 if no limit is the reason. The retry may reach another node, whose turn
 // comes before this one's.
 func (b *Board) shareWait(now time.Time, s *fleetconfig.Service) time.Duration {
-	least := time.Duration(0)
+	shortest := time.Duration(0)
 	for _, t := range s.Targets() {
 		status := b.targetStatus(now, t)
 		if s.Draining(t) || status.Draining {
@@ -273,9 +273,9 @@
 		}
 		wait := min(b.shares.wait(now, t.Key(), status.Limit, b.nodes()), b.shares.turn(status.Limit))
 		wait = max(wait, status.Backoff)
-		if least == 0 || wait < least {
-			least = wait
+		if shortest == 0 || wait < shortest {
+			shortest = wait
 		}
 	}
-	return least
+	return shortest
 }
