--- a/internal/node/limits.go
+++ b/internal/node/limits.go
@@ -136,12 +136,12 @@
 		}
 		return nil
 	}
-	v, wait := l.limiter.Take(time.Now(), w.ID(), limit)
+	decision, wait := l.limiter.Take(time.Now(), w.ID(), limit)
 	by := byCachedAnswer
-	if v == ratelimit.NeedsAllocator {
-		v, wait, by = l.requestToken(ctx, w.ID(), limit, time.Now().Add(maxWait))
+	if decision == ratelimit.NeedsAllocator {
+		decision, wait, by = l.requestToken(ctx, w.ID(), limit, time.Now().Add(maxWait))
 	}
-	if v == ratelimit.Admitted {
+	if decision == ratelimit.Admitted {
 		return nil
 	}
 	return l.limitError(w, limit, wait, by)
