--- a/internal/node/limits.go
+++ b/internal/node/limits.go
@@ -179,7 +179,7 @@
 
 // requestToken requests a token from the allocator, and decides on this node if that does not
 // answer; while this node starts it retries until the given time. by names who decided.
-func (l *limitController) requestToken(ctx context.Context, workspace string, limit ratelimit.Limit, until time.Time) (v ratelimit.Decision, wait time.Duration, by string) {
+func (l *limitController) requestToken(ctx context.Context, workspace string, limit ratelimit.Limit, until time.Time) (decision ratelimit.Decision, wait time.Duration, by string) {
 	for {
 		holder := l.holder(workspace)
 		admitted, answered := l.requestTokens(ctx, holder, l.combinable(workspace, holder), 1)
@@ -191,8 +191,8 @@
 			return ratelimit.Refused, l.limiter.Refuse(now, workspace), byAllocator
 		case l.limiter.Joining(now, workspace) && now.Before(until) && l.pause(ctx):
 		default:
-			v, wait = l.limiter.DecideIsolated(now, workspace, limit, l.board.nodes())
-			return v, wait, byIsolatedNode
+			decision, wait = l.limiter.DecideIsolated(now, workspace, limit, l.board.nodes())
+			return decision, wait, byIsolatedNode
 		}
 	}
 }
