--- a/internal/node/open.go
+++ b/internal/node/open.go
@@ -13,7 +13,7 @@
 	"ploverjunction.example/ploverjunction/internal/settings"
 )
 
-// bodyMemoryDivisor is which fraction of its memory, 1/8, a node holds of bodies in each direction:
+// bodyMemoryDivisor bounds the bodies that a node holds in each direction to 1/8 of its memory:
 // the rest is for the kernel's buffers of the same connections, the tables and the slack of the
 // garbage collector.
 const bodyMemoryDivisor = 8
