--- a/internal/node/decisions.go
+++ b/internal/node/decisions.go
@@ -12,8 +12,8 @@
 	"ploverjunction.example/ploverjunction/internal/wire"
 )
 
-// broadcastDecisions sends new ejection decisions to all nodes of the data hall. They are rare; a node that
-// misses one ejects the target on its own evidence.
+// broadcastDecisions sends new ejection decisions to all nodes of the data hall. They are rare; a
+// node that misses one ejects the target on its own evidence.
 func (o *evidenceController) broadcastDecisions(ctx context.Context, calls *task.Group, now time.Time, decisions []outlier.Decision) {
 	if len(decisions) == 0 {
 		return
@@ -21,14 +21,14 @@
 	batch := &wire.VerdictBatch{
 		From: o.link.self(),
 	}
-	for _, v := range decisions {
-		o.deliver(now, v, outlier.Key(v.Target))
+	for _, decision := range decisions {
+		o.deliver(now, decision, outlier.Key(decision.Target))
 		batch.Verdicts = append(batch.Verdicts, &wire.Verdict{
-			Service: v.Service,
-			Target:  outlier.Key(v.Target),
-			Score:   float32(v.Score),
-			LeaseMs: uint32(v.Lease.Milliseconds()),
-			Leaving: v.Draining,
+			Service: decision.Service,
+			Target:  outlier.Key(decision.Target),
+			Score:   float32(decision.Score),
+			LeaseMs: uint32(decision.Lease.Milliseconds()),
+			Leaving: decision.Draining,
 		})
 	}
 	o.sendDecisions(ctx, calls, batch)
--- a/internal/node/ejection.go
+++ b/internal/node/ejection.go
@@ -20,11 +20,11 @@
 
 // serviceState is the ejection controller's state of one service.
 type serviceState struct {
-	config   *fleetconfig.Service
-	detector *outlier.Detector
-	judge    *outlier.Controller
-	gauges   map[string]*balance.Gauge
-	byKey    map[uint32]string
+	config     *fleetconfig.Service
+	detector   *outlier.Detector
+	controller *outlier.Controller
+	gauges     map[string]*balance.Gauge
+	byKey      map[uint32]string
 }
 
 // ejectionController builds pools from evidence and ejection decisions. One goroutine runs it;
@@ -55,89 +55,90 @@
 }
 
 // run evaluates the targets at each tick and at each change of the configuration.
-func (j *ejectionController) run(ctx context.Context) error {
+func (ec *ejectionController) run(ctx context.Context) error {
 	tick := time.NewTicker(ejectionInterval)
 	defer tick.Stop()
 	for {
-		changed := j.board.config.Watch()
-		j.refresh(time.Now())
+		changed := ec.board.config.Watch()
+		ec.refresh(time.Now())
 		select {
 		case <-ctx.Done():
 			return nil
 		case <-changed:
 		case <-tick.C:
-			j.tick(time.Now())
+			ec.tick(time.Now())
 		}
 	}
 }
 
 // refresh applies a new configuration or view and rebuilds the pools if anything changed.
-func (j *ejectionController) refresh(now time.Time) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	if !j.passive {
-		j.rebuild(now)
-	} else if j.board.currentConfig() != nil && j.board.pools.Load() == nil {
-		j.board.pools.Store(&pools{})
+func (ec *ejectionController) refresh(now time.Time) {
+	ec.mu.Lock()
+	defer ec.mu.Unlock()
+	if !ec.passive {
+		ec.rebuild(now)
+	} else if ec.board.currentConfig() != nil && ec.board.pools.Load() == nil {
+		ec.board.pools.Store(&pools{})
 	}
 }
 
 // rebuild applies what changed and rebuilds the pools. j.mu is held.
-func (j *ejectionController) rebuild(now time.Time) {
-	if c := j.board.currentConfig(); c != nil && c != j.config {
-		j.configure(now, c)
+func (ec *ejectionController) rebuild(now time.Time) {
+	if c := ec.board.currentConfig(); c != nil && c != ec.config {
+		ec.configure(now, c)
 	}
-	j.refreshView()
-	if j.dirty {
-		j.publish(now)
+	ec.refreshView()
+	if ec.dirty {
+		ec.publish(now)
 	}
 }
 
 // refreshView applies the newest view if its number of nodes differs. j.mu is held.
-func (j *ejectionController) refreshView() {
-	if v := j.board.view.Load(); j.view == nil || v.Nodes() != j.view.Nodes() {
-		j.view = v
-		j.dirty = true
+func (ec *ejectionController) refreshView() {
+	if v := ec.board.view.Load(); ec.view == nil || v.Nodes() != ec.view.Nodes() {
+		ec.view = v
+		ec.dirty = true
 	}
 }
 
 // pools returns the current pools, or nil before the first ones.
-func (j *ejectionController) pools(now time.Time) *pools {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	if j.passive && j.board.currentConfig() != nil {
-		j.rebuild(now)
+func (ec *ejectionController) pools(now time.Time) *pools {
+	ec.mu.Lock()
+	defer ec.mu.Unlock()
+	if ec.passive && ec.board.currentConfig() != nil {
+		ec.rebuild(now)
 	}
-	return j.board.pools.Load()
+	return ec.board.pools.Load()
 }
 
-func (j *ejectionController) configure(now time.Time, c *fleetconfig.Config) {
-	j.config = c
-	j.dirty = true
+func (ec *ejectionController) configure(now time.Time, c *fleetconfig.Config) {
+	ec.config = c
+	ec.dirty = true
 	for name, sc := range c.Services() {
-		s := j.services[name]
+		s := ec.services[name]
 		if s == nil || s.detector.Threshold() != sc.Threshold() {
 			s = newServiceState(s, sc)
-			j.services[name] = s
+			ec.services[name] = s
 		}
 		s.configure(now, sc)
 	}
-	for name := range j.services {
+	for name := range ec.services {
 		if c.Service(name) == nil {
-			delete(j.services, name)
+			delete(ec.services, name)
 		}
 	}
 }
 
-// newServiceState returns the state of a service. Of an old state all but the detector is kept.
+// newServiceState returns the state of a service. It keeps all of old, which may be nil, but the
+// detector, which depends on the configured threshold.
 func newServiceState(old *serviceState, sc *fleetconfig.Service) *serviceState {
 	s := &serviceState{
-		detector: outlier.NewDetector(sc.Threshold()),
-		judge:    outlier.NewController(),
-		gauges:   map[string]*balance.Gauge{},
+		detector:   outlier.NewDetector(sc.Threshold()),
+		controller: outlier.NewController(),
+		gauges:     map[string]*balance.Gauge{},
 	}
 	if old != nil {
-		s.judge = old.judge
+		s.controller = old.controller
 		s.gauges = old.gauges
 	}
 	return s
@@ -156,7 +157,7 @@
 			s.gauges[t.Key()] = &balance.Gauge{}
 		}
 	}
-	s.judge.SetTargets(now, keys)
+	s.controller.SetTargets(now, keys)
 	s.detector.Retain(published)
 	for a, g := range s.gauges {
 		if !published[a] && g.InFlight() == 0 {
@@ -166,49 +167,49 @@
 }
 
 // tick evaluates the evidence of the last tick.
-func (j *ejectionController) tick(now time.Time) {
-	evidence := j.collector.Drain(now)
-	if j.passive {
+func (ec *ejectionController) tick(now time.Time) {
+	evidence := ec.collector.Drain(now)
+	if ec.passive {
 		return
 	}
-	j.mu.Lock()
-	j.addEvidence(now, evidence)
-	for _, s := range j.services {
-		if s.judge.Advance(now) {
-			j.dirty = true
+	ec.mu.Lock()
+	ec.addEvidence(now, evidence)
+	for _, s := range ec.services {
+		if s.controller.Advance(now) {
+			ec.dirty = true
 		}
 	}
-	j.mu.Unlock()
-	j.report(now, evidence)
+	ec.mu.Unlock()
+	ec.report(now, evidence)
 }
 
-func (j *ejectionController) addEvidence(now time.Time, evidence []outlier.Evidence) {
+func (ec *ejectionController) addEvidence(now time.Time, evidence []outlier.Evidence) {
 	ticks := map[string][]outlier.Counts{}
 	for _, e := range evidence {
-		s := j.services[e.Service]
+		s := ec.services[e.Service]
 		if s == nil {
 			continue
 		}
 		if e.Counts.Draining {
-			s.judge.SetDraining(now, e.Counts.Target)
-			j.dirty = true
+			s.controller.SetDraining(now, e.Counts.Target)
+			ec.dirty = true
 		}
-		s.judge.Record(now, e.Counts)
+		s.controller.Record(now, e.Counts)
 		ticks[e.Service] = append(ticks[e.Service], e.Counts)
 	}
-	for name, s := range j.services {
+	for name, s := range ec.services {
 		if len(ticks[name]) == 0 && s.detector.Idle() {
 			continue
 		}
 		s.detector.Update(now, ticks[name])
 		for _, t := range s.config.Targets() {
-			j.ejectIfSick(now, s, t.Key())
+			ec.ejectIfSick(now, s, t.Key())
 		}
 	}
 }
 
 // ejectIfSick ejects a target on this node's own evidence, for this node only.
-func (j *ejectionController) ejectIfSick(now time.Time, s *serviceState, target string) {
+func (ec *ejectionController) ejectIfSick(now time.Time, s *serviceState, target string) {
 	r := s.detector.Score(target)
 	if r.Score == 0 {
 		return
@@ -216,18 +217,18 @@
 	if !s.config.Policy().Sick(r.Health(s.config.Threshold(), 1, 1)) {
 		return
 	}
-	s.judge.EjectLocal(now, target, r.Score)
+	s.controller.EjectLocal(now, target, r.Score)
 	s.detector.Reset(target)
-	j.dirty = true
-	j.log.WithField("service", s.config.Name()).WithField("target", target).
+	ec.dirty = true
+	ec.log.WithField("service", s.config.Name()).WithField("target", target).
 		WithField("score", r.Score).Info("target ejected on evidence of this node")
 }
 
 // applyDecision applies an observer's ejection decision.
-func (j *ejectionController) applyDecision(now time.Time, v outlier.Decision, key uint32) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	s := j.services[v.Service]
+func (ec *ejectionController) applyDecision(now time.Time, decision outlier.Decision, key uint32) {
+	ec.mu.Lock()
+	defer ec.mu.Unlock()
+	s := ec.services[decision.Service]
 	if s == nil {
 		return
 	}
@@ -235,36 +236,36 @@
 	if !ok {
 		return
 	}
-	j.dirty = true
-	if v.Draining {
-		s.judge.SetDraining(now, target)
+	ec.dirty = true
+	if decision.Draining {
+		s.controller.SetDraining(now, target)
 		return
 	}
-	s.judge.EjectForLease(now, target, v.Score, v.Lease)
-	j.log.WithField("service", v.Service).WithField("target", target).
-		WithField("score", v.Score).Info("target ejected by an observer")
+	s.controller.EjectForLease(now, target, decision.Score, decision.Lease)
+	ec.log.WithField("service", decision.Service).WithField("target", target).
+		WithField("score", decision.Score).Info("target ejected by an observer")
 }
 
 // publish stores the pools. The floor is enforced here, at the last step on each node, whatever the
 // ejection decisions are.
-func (j *ejectionController) publish(now time.Time) {
-	j.dirty = false
+func (ec *ejectionController) publish(now time.Time) {
+	ec.dirty = false
 	out := &pools{
 		services: map[string]*poolState{},
 	}
-	for name, s := range j.services {
-		out.services[name] = j.poolOf(now, s)
+	for name, s := range ec.services {
+		out.services[name] = ec.poolOf(now, s)
 	}
-	j.board.pools.Store(out)
+	ec.board.pools.Store(out)
 }
 
-func (j *ejectionController) poolOf(now time.Time, s *serviceState) *poolState {
+func (ec *ejectionController) poolOf(now time.Time, s *serviceState) *poolState {
 	p := &poolState{}
 	var members []balance.Member
 	capacity := 0
 	for _, t := range s.config.Targets() {
-		st := s.judge.State(now, t.Key())
-		inst := j.config.Instances()[t.Address()]
+		st := s.controller.State(now, t.Key())
+		inst := ec.config.Instances()[t.Address()]
 		listed := s.config.Draining(t) || inst != nil && inst.Draining()
 		members = append(members, balance.Member{
 			Key:         t.Key(),
@@ -288,6 +289,6 @@
 		}
 	}
 	floor := s.config.Policy().Floor(float64(capacity), len(members))
-	p.pool = balance.NewPool(members, floor, j.view.Self().Address(), j.view.Nodes())
+	p.pool = balance.NewPool(members, floor, ec.view.Self().Address(), ec.view.Nodes())
 	return p
 }
--- a/internal/node/failuredetector.go
+++ b/internal/node/failuredetector.go
@@ -22,7 +22,7 @@
 	pingTimeout = 100 * time.Millisecond
 	// indirectPingTimeout is the same for two round trips.
 	indirectPingTimeout = 150 * time.Millisecond
-	// helpers is how many nodes ping on behalf of one that got no answer.
+	// helpers is how many nodes ping on behalf of one that received no answer.
 	helpers = 2
 	// farPingRatio is the ratio of all pings to those sent to another data hall.
 	farPingRatio = 4
@@ -53,90 +53,90 @@
 }
 
 // run pings a peer at each tick until the context ends.
-func (p *failureDetector) run(ctx context.Context) error {
-	p.failed = make(chan string, 8)
-	p.answered = make(chan struct{}, 8)
+func (fd *failureDetector) run(ctx context.Context) error {
+	fd.failed = make(chan string, 8)
+	fd.answered = make(chan struct{}, 8)
 	var pings task.Group
 	tick := time.NewTicker(pingInterval)
 	defer tick.Stop()
-	last := p.elapsed(time.Now())
+	last := fd.elapsed(time.Now())
 	for {
 		select {
 		case <-ctx.Done():
 			return pings.Wait()
-		case <-p.answered:
-			p.unanswered = 0
-		case peer := <-p.failed:
-			p.recordFailure(peer)
+		case <-fd.answered:
+			fd.unanswered = 0
+		case peer := <-fd.failed:
+			fd.recordFailure(peer)
 		case <-tick.C:
-			now := p.elapsed(time.Now())
-			p.tick(ctx, &pings, time.Now(), now-last > pingInterval+lateTickTolerance)
+			now := fd.elapsed(time.Now())
+			fd.tick(ctx, &pings, time.Now(), now-last > pingInterval+lateTickTolerance)
 			last = now
 		}
 	}
 }
 
-func (p *failureDetector) tick(ctx context.Context, pings *task.Group, now time.Time, late bool) {
+func (fd *failureDetector) tick(ctx context.Context, pings *task.Group, now time.Time, late bool) {
 	if late {
-		// Missing answers during that time were caused by this node's pause.
-		p.unanswered = 0
-		for len(p.failed) > 0 {
-			<-p.failed
+		// The missing answers were caused by a pause of this node, not by its peers.
+		fd.unanswered = 0
+		for len(fd.failed) > 0 {
+			<-fd.failed
 		}
-		p.members.clearSuspicions()
+		fd.members.clearSuspicions()
 	}
-	for _, n := range p.members.advance(now) {
-		p.log.WithField("peer", n.Address()).WithField("data_hall", n.DataHall()).Warn("node taken for dead")
+	for _, n := range fd.members.advance(now) {
+		fd.log.WithField("peer", n.Address()).WithField("data_hall", n.DataHall()).Warn("node taken for dead")
 	}
 	if err := pings.Reap(); err != nil {
-		p.log.WithError(err).Debug("ping ended")
+		fd.log.WithError(err).Debug("ping ended")
 	}
-	peer := p.nextPeer()
+	peer := fd.nextPeer()
 	if peer == "" {
 		return
 	}
 	pings.Go(ctx, "ping", func(ctx context.Context) error {
-		p.pingPeer(ctx, peer)
+		fd.pingPeer(ctx, peer)
 		return nil
 	})
 }
 
 // pingPeer pings a peer, and has other nodes ping it if it does not answer.
-func (p *failureDetector) pingPeer(ctx context.Context, peer string) {
-	started := p.elapsed(time.Now())
-	if p.messenger.ping(ctx, peer, pingTimeout) {
-		p.answered <- struct{}{}
+func (fd *failureDetector) pingPeer(ctx context.Context, peer string) {
+	started := fd.elapsed(time.Now())
+	if fd.messenger.ping(ctx, peer, pingTimeout) {
+		fd.answered <- struct{}{}
 		return
 	}
-	if p.elapsed(time.Now())-started > pingTimeout+lateTickTolerance {
+	if fd.elapsed(time.Now())-started > pingTimeout+lateTickTolerance {
 		// This node was suspended or slow itself.
 		return
 	}
-	if p.messenger.pingVia(ctx, p.helpers(peer), peer, indirectPingTimeout) {
-		p.answered <- struct{}{}
+	if fd.messenger.pingVia(ctx, fd.helpers(peer), peer, indirectPingTimeout) {
+		fd.answered <- struct{}{}
 		return
 	}
-	if ctx.Err() == nil && p.elapsed(time.Now())-started <= pingTimeout+indirectPingTimeout+2*lateTickTolerance {
-		p.failed <- peer
+	if ctx.Err() == nil && fd.elapsed(time.Now())-started <= pingTimeout+indirectPingTimeout+2*lateTickTolerance {
+		fd.failed <- peer
 	}
 }
 
-func (p *failureDetector) recordFailure(peer string) {
-	p.unanswered++
-	if p.unanswered >= suspectSelfAfter {
+func (fd *failureDetector) recordFailure(peer string) {
+	fd.unanswered++
+	if fd.unanswered >= suspectSelfAfter {
 		// The cause is more likely this node's link than all of these peers.
 		return
 	}
-	p.members.suspect(peer)
+	fd.members.suspect(peer)
 }
 
 // helpers returns random live nodes other than peer.
-func (p *failureDetector) helpers(peer string) []string {
-	live := p.board.view.Load().Live()
+func (fd *failureDetector) helpers(peer string) []string {
+	live := fd.board.view.Load().Live()
 	var out []string
 	for range 3 * helpers {
 		n := live[rand.IntN(len(live))]
-		if n != p.board.view.Load().Self() && n.Address() != peer && len(out) < helpers {
+		if n != fd.board.view.Load().Self() && n.Address() != peer && len(out) < helpers {
 			out = append(out, n.Address())
 		}
 	}
@@ -144,14 +144,14 @@
 }
 
 // nextPeer returns the peer to ping, mostly one of the same data hall.
-func (p *failureDetector) nextPeer() string {
-	view := p.board.view.Load()
-	if dead := p.members.declaredDead(); len(dead) > 0 && rand.IntN(deadPingRatio) == 0 {
+func (fd *failureDetector) nextPeer() string {
+	view := fd.board.view.Load()
+	if dead := fd.members.declaredDead(); len(dead) > 0 && rand.IntN(deadPingRatio) == 0 {
 		return dead[rand.IntN(len(dead))].Address()
 	}
 	near, far := view.Halls()
 	if len(near)+len(far) == 0 {
-		return p.randomSeed(view.Self().Address())
+		return fd.randomSeed(view.Self().Address())
 	}
 	if len(near) == 0 || len(far) > 0 && rand.IntN(farPingRatio) == 0 {
 		near = far
@@ -159,8 +159,8 @@
 	return near[rand.IntN(len(near))].Address()
 }
 
-func (p *failureDetector) randomSeed(self string) string {
-	seeds := p.seeds()
+func (fd *failureDetector) randomSeed(self string) string {
+	seeds := fd.seeds()
 	if len(seeds) == 0 {
 		return ""
 	}
--- a/internal/node/freshness.go
+++ b/internal/node/freshness.go
@@ -35,21 +35,21 @@
 
 // current reports whether this node can have the newest configuration: the fleet received an answer
 // of the platform recently, and this node has the same values as a peer.
-func (c *freshness) current() bool {
-	if c.maxAge == 0 {
+func (f *freshness) current() bool {
+	if f.maxAge == 0 {
 		return true
 	}
 	now := time.Now()
-	return c.platformAge(now) <= c.maxAge && (c.noPeers() || c.agreementAge(now) <= c.maxAge)
+	return f.platformAge(now) <= f.maxAge && (f.noPeers() || f.agreementAge(now) <= f.maxAge)
 }
 
 // await compares with peers and waits until this node can have the newest configuration. It returns
 // false if the context ended before.
-func (c *freshness) await(ctx context.Context) bool {
+func (f *freshness) await(ctx context.Context) bool {
 	tick := time.NewTicker(awaitInterval)
 	defer tick.Stop()
-	for !c.current() {
-		c.compareSoon()
+	for !f.current() {
+		f.compareSoon()
 		select {
 		case <-ctx.Done():
 			return false
@@ -61,22 +61,22 @@
 
 // trusted reports whether the local keys may be trusted: after too long this node could have missed
 // the removal of a key.
-func (c *freshness) trusted() bool {
-	return c.maxKeyAge == 0 || c.platformAge(time.Now()) <= c.maxKeyAge
+func (f *freshness) trusted() bool {
+	return f.maxKeyAge == 0 || f.platformAge(time.Now()) <= f.maxKeyAge
 }
 
 func (n *Node) newFreshness() *freshness {
-	c := &freshness{
+	f := &freshness{
 		platformAge:  n.gossip.PlatformAge,
 		agreementAge: n.gossip.AgreementAge,
 		noPeers:      func() bool { return len(n.board.view.Load().Peers()) == 0 },
 		compareSoon:  n.gossip.CompareSoon,
 	}
 	if n.directory == nil {
-		c.maxAge = time.Duration(maxAgeFactor * float64(n.platformTimeout()))
+		f.maxAge = time.Duration(maxAgeFactor * float64(n.platformTimeout()))
 	}
 	if after, strict := n.set.Workspaces().Strict(); strict && n.directory == nil {
-		c.maxKeyAge = after
+		f.maxKeyAge = after
 	}
-	return c
+	return f
 }
--- a/internal/node/grant.go
+++ b/internal/node/grant.go
@@ -74,20 +74,20 @@
 		permit.Paced = true
 		d.board.learnLimits(now, d.currentService(q.Service), l)
 	}
-	if standing := d.board.standing(now, t); !standing.Permits(now, permit) {
+	if status := d.board.targetStatus(now, t); !status.Permits(now, permit) {
 		// This node received the signal from the target; the dispatcher may not have.
 		done := newDone(p, g, wire.Done_IGNORED, 0)
-		done.Leaving = standing.Draining
+		done.Leaving = status.Draining
 		d.reportDone(peer, done)
 		d.log.WithField("service", p.service).WithField("target", t.Key()).WithField("by", peer).
-			WithField("leaving", standing.Draining).WithField("rest_ms", standing.Backoff.Milliseconds()).
-			WithField("limited", standing.Limit.Set).Info("granted target wants no request")
+			WithField("leaving", status.Draining).WithField("rest_ms", status.Backoff.Milliseconds()).
+			WithField("limited", status.Limit.Set).Info("granted target wants no request")
 		return reply{
 			unavailable: true,
 		}
 	}
 	c := choiceOf(t, peer, func(end outlier.Result, took time.Duration) {
-		done := doneOf(p, g, end, d.board.standing(time.Now(), t), took)
+		done := doneOf(p, g, end, d.board.targetStatus(time.Now(), t), took)
 		d.reportDone(peer, done)
 		d.recordResult(peer, q, p, done, end)
 	})
--- a/internal/node/limits.go
+++ b/internal/node/limits.go
@@ -129,19 +129,19 @@
 		return nil
 	}
 	if l.messenger == nil {
-		// A node that has just started knows few others.
+		// A node that has just started has few others in its view.
 		nodes := max(l.board.nodes(), l.seeds+1)
 		if wait := l.equalShares.Admit(time.Now(), w.ID(), limit.Rate, limit.Burst, nodes); wait > 0 {
 			return l.limitError(w, limit, wait, byEqualShares)
 		}
 		return nil
 	}
-	v, wait := l.limiter.Take(time.Now(), w.ID(), limit)
+	decision, wait := l.limiter.Take(time.Now(), w.ID(), limit)
 	by := byCachedAnswer
-	if v == ratelimit.NeedsAllocator {
-		v, wait, by = l.requestToken(ctx, w.ID(), limit, time.Now().Add(maxWait))
+	if decision == ratelimit.NeedsAllocator {
+		decision, wait, by = l.requestToken(ctx, w.ID(), limit, time.Now().Add(maxWait))
 	}
-	if v == ratelimit.Admitted {
+	if decision == ratelimit.Admitted {
 		return nil
 	}
 	return l.limitError(w, limit, wait, by)
@@ -179,7 +179,7 @@
 
 // requestToken requests a token from the allocator, and decides on this node if that does not
 // answer; while this node starts it retries until the given time. by names who decided.
-func (l *limitController) requestToken(ctx context.Context, workspace string, limit ratelimit.Limit, until time.Time) (v ratelimit.Decision, wait time.Duration, by string) {
+func (l *limitController) requestToken(ctx context.Context, workspace string, limit ratelimit.Limit, until time.Time) (decision ratelimit.Decision, wait time.Duration, by string) {
 	for {
 		holder := l.holder(workspace)
 		admitted, answered := l.requestTokens(ctx, holder, l.combinable(workspace, holder), 1)
@@ -191,8 +191,8 @@
 			return ratelimit.Refused, l.limiter.Refuse(now, workspace), byAllocator
 		case l.limiter.Joining(now, workspace) && now.Before(until) && l.pause(ctx):
 		default:
-			v, wait = l.limiter.DecideIsolated(now, workspace, limit, l.board.nodes())
-			return v, wait, byIsolatedNode
+			decision, wait = l.limiter.DecideIsolated(now, workspace, limit, l.board.nodes())
+			return decision, wait, byIsolatedNode
 		}
 	}
 }
--- a/internal/node/quarantine.go
+++ b/internal/node/quarantine.go
@@ -68,7 +68,7 @@
 	}
 }
 
-// check returns the standing of a request.
+// check returns the quarantine status of a request.
 func (q *quarantineController) check(fingerprints quarantine.Fingerprints) quarantine.Status {
 	if q.count.Load() == 0 {
 		return quarantine.Status{}
@@ -91,14 +91,15 @@
 	q.digest.Store(q.ledger.Digest())
 }
 
-// recordCrash records that a target crashed under a request, and returns the standing of the request.
+// recordCrash records that a target crashed under a request, and returns the quarantine status of
+// the request.
 func (q *quarantineController) recordCrash(fingerprints quarantine.Fingerprints, target string) quarantine.Status {
 	now := time.Now()
-	for _, p := range fingerprints.All() {
-		if q.answers.Recent(now, p) {
+	for _, fingerprint := range fingerprints.All() {
+		if q.answers.Recent(now, fingerprint) {
 			continue
 		}
-		q.change(now, "", func() []quarantine.Record { return q.ledger.RecordCrash(now, p, target) })
+		q.change(now, "", func() []quarantine.Record { return q.ledger.RecordCrash(now, fingerprint, target) })
 	}
 	return q.check(fingerprints)
 }
@@ -110,8 +111,8 @@
 	if q.count.Load() == 0 {
 		return
 	}
-	for _, p := range fingerprints.All() {
-		q.change(now, "", func() []quarantine.Record { return q.ledger.RecordAnswer(p) })
+	for _, fingerprint := range fingerprints.All() {
+		q.change(now, "", func() []quarantine.Record { return q.ledger.RecordAnswer(fingerprint) })
 	}
 }
 
@@ -152,8 +153,8 @@
 }
 
 // holders returns the nodes that count the crashes of a request.
-func (q *quarantineController) holders(p quarantine.Fingerprint) []membership.Node {
-	role := "quarantine/" + strconv.Itoa(int(p[0])%quarantineRoles)
+func (q *quarantineController) holders(fingerprint quarantine.Fingerprint) []membership.Node {
+	role := "quarantine/" + strconv.Itoa(int(fingerprint[0])%quarantineRoles)
 	return q.board.view.Load().Role(role, "", quarantineHolders)
 }
 
@@ -224,11 +225,11 @@
 	w := &wire.QuarantineRecord{
 		Print: r.Fingerprint[:],
 	}
-	for _, e := range r.Crashes {
+	for _, crash := range r.Crashes {
 		w.Ends = append(w.Ends, &wire.TargetEnd{
-			Target:   e.Target,
-			AgeMs:    uint32(max(now.Sub(e.At), 0).Milliseconds()),
-			Answered: e.Answered,
+			Target:   crash.Target,
+			AgeMs:    uint32(max(now.Sub(crash.At), 0).Milliseconds()),
+			Answered: crash.Answered,
 		})
 	}
 	return w
--- a/internal/node/signals.go
+++ b/internal/node/signals.go
@@ -25,8 +25,8 @@
 	}
 }
 
-// standing returns the standing of a target by the signals that this node received.
-func (b *Board) standing(now time.Time, t *fleetconfig.Target) signal.Status {
+// targetStatus returns the status of a target according to the signals that this node received.
+func (b *Board) targetStatus(now time.Time, t *fleetconfig.Target) signal.Status {
 	return b.signals.Status(now, incarnationOf(t))
 }
 
@@ -50,10 +50,10 @@
 		if s.Draining(t) || hall != "" && t.DataHall() != hall {
 			continue
 		}
-		switch standing := b.standing(now, t); {
-		case standing.Draining && !standing.Uncertain:
+		switch status := b.targetStatus(now, t); {
+		case status.Draining && !status.Uncertain:
 			out.draining = append(out.draining, t.Key())
-		case standing.Unavailable():
+		case status.Unavailable():
 			out.backingOff = append(out.backingOff, t.Key())
 		}
 	}
@@ -61,7 +61,7 @@
 }
 
 // allBackingOff reports whether all targets of a service that are not draining back off, and
-// returns the standing of the first to accept requests again. It is false if all are draining:
+// returns the status of the first to accept requests again. It is false if all are draining:
 // others may appear at any moment.
 func (b *Board) allBackingOff(now time.Time, s *fleetconfig.Service) (first signal.Status, all bool) {
 	if b.signals.Empty() {
@@ -71,13 +71,13 @@
 		if s.Draining(t) {
 			continue
 		}
-		standing := b.standing(now, t)
+		status := b.targetStatus(now, t)
 		switch {
-		case standing.Draining:
-		case !standing.Unavailable():
+		case status.Draining:
+		case !status.Unavailable():
 			return first, false
-		case !all || standing.Backoff < first.Backoff:
-			first, all = standing, true
+		case !all || status.Backoff < first.Backoff:
+			first, all = status, true
 		}
 	}
 	return first, all
@@ -101,12 +101,12 @@
 	var out []operator.SignalStatus
 	for _, s := range c.Services() {
 		for _, t := range s.Targets() {
-			if standing := b.standing(now, t); standing.Unavailable() {
+			if status := b.targetStatus(now, t); status.Unavailable() {
 				out = append(out, operator.SignalStatus{
 					Service: s.Name(),
 					Target:  t.Key(),
-					Leaving: standing.Draining,
-					RestMS:  standing.Backoff.Milliseconds(),
+					Leaving: status.Draining,
+					RestMS:  status.Backoff.Milliseconds(),
 				})
 			}
 		}
--- a/internal/node/targetlimits.go
+++ b/internal/node/targetlimits.go
@@ -22,14 +22,15 @@
 const (
 	// standbyShare is the share of a dispatcher, as a fraction of that of the one ranked before it.
 	standbyShare = 0.25
-	// lossThreshold is the fraction of the fleet that must be lost before the rest uses only its
-	// own share of the limit.
+	// lossThreshold is the fraction of the fleet that must be lost before the remaining nodes
+	// use only their own share of the limit.
 	lossThreshold = 0.4
 	// joinShare is the share of a node that has been connected for less than joinTime: some nodes
 	// may not have received that it is back, and request grants from another one.
 	joinShare = 0.4
 	joinTime  = 5 * time.Second
-	// isolatedShare is the maximum share of a node that no other answers: it may know few of them.
+	// isolatedShare is the maximum share of a node that no other answers: it may have few of them in
+	// its view.
 	isolatedShare = 0.05
 	// fallbackShare is the share of all nodes' fallbacks while dispatchers grant, independentShare
 	// that of all nodes in the independent mode.
@@ -57,8 +58,8 @@
 	}
 }
 
-// limitOfStanding returns this node's record of a target's limit.
-func limitOfStanding(key string, s signal.Status) dispatch.TargetLimit {
+// limitOfStatus returns this node's record of a target's limit.
+func limitOfStatus(key string, s signal.Status) dispatch.TargetLimit {
 	return dispatch.TargetLimit{
 		Target: key,
 		Limit:  s.Limit,
@@ -107,8 +108,8 @@
 		if hall != "" && t.DataHall() != hall {
 			continue
 		}
-		if standing := b.standing(now, t); standing.Limit.Set {
-			out = append(out, wireLimit(now, limitOfStanding(t.Key(), standing)))
+		if status := b.targetStatus(now, t); status.Limit.Set {
+			out = append(out, wireLimit(now, limitOfStatus(t.Key(), status)))
 		}
 	}
 	if len(out) > dispatch.MaxLimits {
@@ -130,15 +131,15 @@
 }
 
 // share returns the share of targets' limits that a node may grant as a dispatcher.
-func (p holderRank) share() float64 {
-	if p.isolated {
-		return min(isolatedShare, 1/float64(p.nodes))
+func (r holderRank) share() float64 {
+	if r.isolated {
+		return min(isolatedShare, 1/float64(r.nodes))
 	}
-	share := math.Pow(standbyShare, float64(p.rank))
-	if p.connectedFor < joinTime {
+	share := math.Pow(standbyShare, float64(r.rank))
+	if r.connectedFor < joinTime {
 		share *= joinShare
 	}
-	if live := float64(p.live) / float64(p.nodes); 1-live > lossThreshold {
+	if live := float64(r.live) / float64(r.nodes); 1-live > lossThreshold {
 		share *= live
 	}
 	return share
@@ -146,20 +147,20 @@
 
 // holderRank returns the rank of this node among the holders of a dispatcher's role.
 func (d *dispatchController) holderRank(now time.Time, view *membership.View, holders []membership.Node) holderRank {
-	p := holderRank{
+	r := holderRank{
 		nodes:        view.Nodes(),
 		live:         len(view.Live()),
 		rank:         slices.Index(holders, view.Self()),
 		connectedFor: joinTime,
 	}
-	if p.rank < 0 {
-		p.rank = len(holders)
+	if r.rank < 0 {
+		r.rank = len(holders)
 	}
-	if p.nodes > 1 || d.seeds > 0 {
-		p.isolated = d.messenger.isolated(now)
-		p.connectedFor = d.messenger.connectedFor(now)
+	if r.nodes > 1 || d.seeds > 0 {
+		r.isolated = d.messenger.isolated(now)
+		r.connectedFor = d.messenger.connectedFor(now)
 	}
-	return p
+	return r
 }
 
 // shares pace what this node sends to targets with a limit when it chooses without a dispatcher.
@@ -231,8 +232,8 @@
 		Paced: true,
 		At:    now,
 	}
-	standing := b.standing(now, t)
-	return permit, !standing.Unavailable() && b.shares.take(now, t.Key(), standing.Limit, b.nodes())
+	status := b.targetStatus(now, t)
+	return permit, !status.Unavailable() && b.shares.take(now, t.Key(), status.Limit, b.nodes())
 }
 
 // targetsOverShare returns the keys of a partition's targets for which this node's share is used up now.
@@ -245,7 +246,7 @@
 		if hall != "" && t.DataHall() != hall {
 			continue
 		}
-		if b.shares.wait(now, t.Key(), b.standing(now, t).Limit, b.nodes()) > 0 {
+		if b.shares.wait(now, t.Key(), b.targetStatus(now, t).Limit, b.nodes()) > 0 {
 			out = append(out, t.Key())
 		}
 	}
@@ -264,17 +265,17 @@
 // shares are used up, 0 if no limit is the reason. The retry may reach another node, whose turn
 // comes before this one's.
 func (b *Board) shareWait(now time.Time, s *fleetconfig.Service) time.Duration {
-	least := time.Duration(0)
+	shortest := time.Duration(0)
 	for _, t := range s.Targets() {
-		standing := b.standing(now, t)
-		if s.Draining(t) || standing.Draining {
+		status := b.targetStatus(now, t)
+		if s.Draining(t) || status.Draining {
 			continue
 		}
-		wait := min(b.shares.wait(now, t.Key(), standing.Limit, b.nodes()), b.shares.turn(standing.Limit))
-		wait = max(wait, standing.Backoff)
-		if least == 0 || wait < least {
-			least = wait
+		wait := min(b.shares.wait(now, t.Key(), status.Limit, b.nodes()), b.shares.turn(status.Limit))
+		wait = max(wait, status.Backoff)
+		if shortest == 0 || wait < shortest {
+			shortest = wait
 		}
 	}
-	return least
+	return shortest
 }
