--- a/internal/dissemination/exchange.go
+++ b/internal/dissemination/exchange.go
@@ -137,7 +137,7 @@
 	}
 	ahead := g.replica.ReadTo().Compare(fleetconfig.PositionOf(reply.GetReadTo()))
 	if reply.GetDigest() == g.replica.Digest() || reply.GetReadTo() != nil && ahead > 0 {
-		// A peer that is behind pulls what it lacks itself.
+		// The peer is behind and pulls the values that it lacks.
 		g.recordCompared(peer)
 		return true
 	}
--- a/internal/dissemination/gossip.go
+++ b/internal/dissemination/gossip.go
@@ -77,11 +77,11 @@
 	// Seeds returns peers to contact when no others are known.
 	Seeds func() []string
 	// Announce sends a peer, without an answer, this node's digest and ReadTo, which the peer
-	// passes to Differs; nil sends nothing.
+	// passes to ObserveDigestMismatch if its digest differs; nil sends nothing.
 	Announce func(peer string)
 	// Call sends a request to a peer.
 	Call func(ctx context.Context, peer string, in *wire.SyncRequest) (*wire.SyncReply, error)
-	// Received is called with each node that sent a message, Mentioned with each that a
+	// Received is called with each node that sent a message, Discovered with each that a
 	// peer names, Failed with each peer that didn't answer.
 	Received   func(*wire.Node)
 	Discovered func(*wire.Node)
@@ -98,7 +98,7 @@
 	fresh     chan update
 	startedAt time.Time
 	// lastContact is when any node last received an answer of the platform, as uptime; 0 if
-	// this node has received of none.
+	// no contact was reported to this node.
 	lastContact atomic.Int64
 	// lastAgreement is when a peer last had the same values, as uptime.
 	lastAgreement atomic.Int64
@@ -136,9 +136,9 @@
 	}
 }
 
-// ObserveDigestMismatch receives that a peer has another digest, and the position up to which it is complete. The
-// nodes compare unless a comparison has just begun, the peer is behind, or comparing is left to peers
-// of the own data hall.
+// ObserveDigestMismatch records that a peer has another digest; readTo is the position up to which
+// the peer is complete. The nodes compare unless a comparison has just begun, the peer is behind, or
+// comparing is left to peers of the own data hall.
 func (g *Gossip) ObserveDigestMismatch(peer string, readTo *wire.Position) {
 	behind := g.pullsByPosition() && readTo != nil && g.replica.ReadTo().Compare(fleetconfig.PositionOf(readTo)) > 0
 	if !behind && g.pullsFrom(peer) {
--- a/internal/dissemination/pull.go
+++ b/internal/dissemination/pull.go
@@ -34,7 +34,7 @@
 	}
 }
 
-// pullsFrom reports whether this node pulls from a peer as soon as it receives that the two differ.
+// pullsFrom reports whether this node pulls from a peer as soon as a digest shows that the two differ.
 // Traffic between data halls is expensive: a few nodes of each data hall fetch new values, and the
 // others get them from those.
 func (g *Gossip) pullsFrom(peer string) bool {
--- a/internal/dissemination/replica.go
+++ b/internal/dissemination/replica.go
@@ -76,7 +76,7 @@
 	for _, e := range entries {
 		v, err := unpack(e)
 		if err != nil {
-			// The comparisons fetch it again, from another peer.
+			// A later comparison fetches the value again, from another peer.
 			r.broken.Add(1)
 			continue
 		}
--- a/internal/fleetconfig/refusal.go
+++ b/internal/fleetconfig/refusal.go
@@ -17,5 +17,5 @@
 // Position returns the position of the refused value.
 func (r Refusal) Position() order.Position { return r.position }
 
-// Err returns the reason.
+// Err returns the reason for the refusal.
 func (r Refusal) Err() error { return r.err }
--- a/internal/membership/table.go
+++ b/internal/membership/table.go
@@ -92,7 +92,7 @@
 }
 
 // List applies the platform's list of nodes: live and draining ones. A node that
-// reported itself that it drains stays draining, even if the list is older.
+// reported itself as draining stays draining, however old the list is.
 func (t *Table) List(live, draining []Node) {
 	t.changed = true
 	for _, s := range t.nodes {
