--- a/internal/membership/view.go
+++ b/internal/membership/view.go
@@ -184,13 +184,13 @@
 
 // minRoleWeight returns the least weight of nodes that get roles.
 func (v *View) minRoleWeight(dataHall string) uint32 {
-	most := uint32(0)
+	maxWeight := uint32(0)
 	for i, node := range v.live {
 		if dataHall == "" || node.dataHall == dataHall {
-			most = max(most, v.weightAt(i))
+			maxWeight = max(maxWeight, v.weightAt(i))
 		}
 	}
-	return most / minWeightDivisor
+	return maxWeight / minWeightDivisor
 }
 
 // Capable returns the live nodes whose weight suffices for roles.
