--- a/internal/membership/view.go
+++ b/internal/membership/view.go
@@ -143,9 +143,9 @@
 		rank float64
 	}
 	var all []ranked
-	least := v.minRoleWeight(dataHall)
+	minWeight := v.minRoleWeight(dataHall)
 	for i, node := range v.live {
-		if w := v.weightAt(i); (dataHall == "" || node.dataHall == dataHall) && w >= least {
+		if w := v.weightAt(i); (dataHall == "" || node.dataHall == dataHall) && w >= minWeight {
 			all = append(all, ranked{
 				node: node,
 				rank: score(role, node, w),
