--- a/internal/membership/view.go
+++ b/internal/membership/view.go
@@ -196,9 +196,9 @@
 // Capable returns the live nodes whose weight suffices for roles.
 func (v *View) Capable() []Node {
 	var out []Node
-	least := v.minRoleWeight("")
+	minWeight := v.minRoleWeight("")
 	for i, node := range v.live {
-		if v.weightAt(i) >= least {
+		if v.weightAt(i) >= minWeight {
 			out = append(out, node)
 		}
 	}
