--- a/internal/membership/view.go
+++ b/internal/membership/view.go
@@ -127,8 +127,8 @@
 		dataHall: dataHall,
 		n:        n,
 	}
-	if known, ok := v.roles.Load(k); ok {
-		return known.([]Node)
+	if cached, ok := v.roles.Load(k); ok {
+		return cached.([]Node)
 	}
 	out := v.rank(role, dataHall, n)
 	v.roles.Store(k, out)
