--- a/internal/membership/rumor.go
+++ b/internal/membership/rumor.go
@@ -60,9 +60,9 @@
 	}
 }
 
-func (n *rumorQueues) drop(address string) {
-	delete(n.urgent, address)
-	delete(n.joins, address)
+func (q *rumorQueues) drop(address string) {
+	delete(q.urgent, address)
+	delete(q.joins, address)
 }
 
 // setWeight changes the weight in queued updates on a node, and sends them from the start:
