--- a/internal/membership/rumor.go
+++ b/internal/membership/rumor.go
@@ -67,8 +67,8 @@
 
 // setWeight changes the weight in queued updates on a node, and sends them from the start:
 // those sent so far carried the old weight, or none.
-func (n *rumorQueues) setWeight(address string, weight uint32) {
-	for _, r := range [...]rumors{n.urgent, n.joins} {
+func (q *rumorQueues) setWeight(address string, weight uint32) {
+	for _, r := range [...]rumors{q.urgent, q.joins} {
 		if rumor := r[address]; rumor != nil {
 			rumor.update.Weight = weight
 			rumor.sent = 0
