--- a/internal/membership/rumor_test.go
+++ b/internal/membership/rumor_test.go
@@ -66,10 +66,10 @@
 	}
 }
 
-// BenchmarkTell measures the choice of updates with as many rumors as a starting fleet of 443
+// BenchmarkNextUpdates measures the choice of updates with as many rumors as a starting fleet of 443
 // nodes has. Two queues examined once, instead of one that is sorted, reduced it from 85 to
 // 13 us for a datagram of a probe, and from 85 us to 20 ns for one of a request.
-func BenchmarkTell(b *testing.B) {
+func BenchmarkNextUpdates(b *testing.B) {
 	for _, joins := range []bool{true, false} {
 		b.Run(fmt.Sprintf("joins=%v", joins), func(b *testing.B) {
 			tab := tableOf(443)
--- a/internal/membership/update_test.go
+++ b/internal/membership/update_test.go
@@ -34,8 +34,8 @@
 	return false
 }
 
-// Guards against a node that keeps its roles although a suspicion was not refuted within
-// RefuteTime, or loses them before.
+// Guards against a node that keeps its roles when a suspicion was not refuted within
+// RefuteTimeout, so for more than a second, or loses them before.
 func TestUnrefutedSuspicionDeclaresDead(t *testing.T) {
 	tab := tableOf(3)
 	tab.Suspect(begin, peer(1).Address())
--- a/internal/source/follow.go
+++ b/internal/source/follow.go
@@ -16,7 +16,7 @@
 	// Reader reports whether this process currently has the role to read the platform.
 	Reader func() bool
 	// Deliver is called with values, and the position of the source up to which everything has
-	// been delivered with them; Heard is called on each good answer.
+	// been delivered with them; Answered is called on each good answer.
 	Deliver  func([]*wire.Entry, order.Position)
 	Answered func()
 	// Newest returns the newest entry of a key in the local copy, which may be a removal, or
