--- a/internal/membership/view.go
+++ b/internal/membership/view.go
@@ -127,8 +127,8 @@
 		dataHall: dataHall,
 		n:        n,
 	}
-	if known, ok := v.roles.Load(k); ok {
-		return known.([]Node)
+	if cached, ok := v.roles.Load(k); ok {
+		return cached.([]Node)
 	}
 	out := v.rank(role, dataHall, n)
 	v.roles.Store(k, out)
@@ -143,9 +143,9 @@
 		rank float64
 	}
 	var all []ranked
-	least := v.minRoleWeight(dataHall)
+	minWeight := v.minRoleWeight(dataHall)
 	for i, node := range v.live {
-		if w := v.weightAt(i); (dataHall == "" || node.dataHall == dataHall) && w >= least {
+		if w := v.weightAt(i); (dataHall == "" || node.dataHall == dataHall) && w >= minWeight {
 			all = append(all, ranked{
 				node: node,
 				rank: score(role, node, w),
@@ -184,21 +184,21 @@
 
 // minRoleWeight returns the least weight of nodes that get roles.
 func (v *View) minRoleWeight(dataHall string) uint32 {
-	most := uint32(0)
+	maxWeight := uint32(0)
 	for i, node := range v.live {
 		if dataHall == "" || node.dataHall == dataHall {
-			most = max(most, v.weightAt(i))
+			maxWeight = max(maxWeight, v.weightAt(i))
 		}
 	}
-	return most / minWeightDivisor
+	return maxWeight / minWeightDivisor
 }
 
 // Capable returns the live nodes whose weight suffices for roles.
 func (v *View) Capable() []Node {
 	var out []Node
-	least := v.minRoleWeight("")
+	minWeight := v.minRoleWeight("")
 	for i, node := range v.live {
-		if v.weightAt(i) >= least {
+		if v.weightAt(i) >= minWeight {
 			out = append(out, node)
 		}
 	}
