--- a/internal/entry/refusal.go
+++ b/internal/entry/refusal.go
@@ -81,7 +81,7 @@
 	}
 	h.Set("Content-Length", strconv.Itoa(len(body)))
 	w.WriteHeader(e.status)
-	// The caller may be gone.
+	// An error means that the caller is gone and needs no answer.
 	_, _ = w.Write(body)
 }
 
--- a/internal/entry/server.go
+++ b/internal/entry/server.go
@@ -79,9 +79,9 @@
 	GiveBack func(w *fleetconfig.Workspace)
 	// Quarantined returns the quarantine status of a request. Ended records that a target crashed
 	// under a request and returns the new status; Answered records that a target answered one.
-	Quarantined func(prints quarantine.Fingerprints) quarantine.Status
-	Ended       func(prints quarantine.Fingerprints, target string) quarantine.Status
-	Answered    func(prints quarantine.Fingerprints)
+	Quarantined func(fingerprints quarantine.Fingerprints) quarantine.Status
+	Ended       func(fingerprints quarantine.Fingerprints, target string) quarantine.Status
+	Answered    func(fingerprints quarantine.Fingerprints)
 	// Signals records the signals in targets' answers.
 	Signals *signal.Ledger
 	// Collector records the results of attempts per target.
--- a/internal/entry/workspace.go
+++ b/internal/entry/workspace.go
@@ -15,7 +15,7 @@
 	// maxAwaitingConfig bounds the requests of a node that wait for a configuration with their
 	// key. Anyone can send keys that do not exist; they must not exhaust its memory.
 	maxAwaitingConfig = 64
-	// rankSpan is the number of route priorities between two workspace priorities.
+	// rankSpan is the number of ranks for routes within one workspace priority.
 	rankSpan = 1 << 8
 )
 
--- a/internal/link/link.go
+++ b/internal/link/link.go
@@ -23,7 +23,7 @@
 	// CallTimeout is how long a call to a peer may take.
 	CallTimeout = 2 * time.Second
 	dialTimeout = time.Second
-	// idleClose is after how long an unused connection is closed.
+	// idleClose is the idle time after which a connection is closed.
 	idleClose = 30 * time.Second
 )
 
@@ -68,7 +68,7 @@
 // Received returns the bytes received.
 func (t *Traffic) Received() int64 { return t.received.Load() }
 
-// Calls returns the calls made to peers.
+// Calls returns the number of calls made to peers.
 func (t *Traffic) Calls() int64 { return t.calls.Load() }
 
 type countedConn struct {
--- a/internal/operator/status.go
+++ b/internal/operator/status.go
@@ -114,7 +114,7 @@
 
 // QuarantineStatus is a request under which targets crashed.
 type QuarantineStatus struct {
-	// Fingerprint identifies the request, or the request of one caller, as in the logs.
+	// Fingerprint identifies the request content, or that of one caller, as in the logs.
 	Fingerprint string `json:"fingerprint"`
 	// Ends is how many targets crashed since the request was last answered, AgeMS how many
 	// milliseconds ago the last one did.
