--- a/internal/entry/error.go
+++ b/internal/entry/error.go
@@ -77,11 +77,11 @@
 
 // newFinalError returns the final answer of a request whose attempts all failed. retryAfter is
 // when the caller may retry; 0 means retryAfterDefault.
-func newFinalError(l *attempt.Tracker, reason attempt.Reason, retryAfter time.Duration, cause error) *Error {
+func newFinalError(tracker *attempt.Tracker, reason attempt.Reason, retryAfter time.Duration, cause error) *Error {
 	e := &Error{
 		code:       CodeFailed,
 		status:     http.StatusBadGateway,
-		outcome:    l.Outcome(),
+		outcome:    tracker.Outcome(),
 		retryAfter: retryAfter,
 		cause:      cause,
 	}
@@ -95,7 +95,7 @@
 	case e.outcome == attempt.OutcomeNotRun:
 		e.code = CodeNoTarget
 		e.status = http.StatusServiceUnavailable
-	case !l.Repeatable():
+	case !tracker.Repeatable():
 		e.code = CodeOutcomeUnsure
 	}
 	return e
