--- a/internal/membership/update_test.go
+++ b/internal/membership/update_test.go
@@ -35,7 +35,7 @@
 }
 
 // Guards against a node that keeps its roles when a suspicion was not refuted within
-// RefuteTimeout, so for more than a second, or loses them before.
+// RefuteTimeout, or loses them before. A suspicion is to be decided within a second.
 func TestUnrefutedSuspicionDeclaresDead(t *testing.T) {
 	tab := tableOf(3)
 	tab.Suspect(begin, peer(1).Address())
