--- a/internal/entry/choice.go
+++ b/internal/entry/choice.go
@@ -21,10 +21,10 @@
 	Priority int
 	// Route names the route: requests of one route take similar time.
 	Route string
-	// Aim is the soft deadline, after which an answer is worth less; after Deadline it is worth
+	// SoftDeadline is the soft deadline, after which an answer is worth less; after Deadline it is worth
 	// nothing.
-	Aim      time.Time
-	Deadline time.Time
+	SoftDeadline time.Time
+	Deadline     time.Time
 	// Regions restrict where the request may be served: all of them must allow a region.
 	Regions []fleetconfig.Regions
 	// Tried are the keys of the targets that the request was sent to before.
--- a/internal/node/export_targetlimits_test.go
+++ b/internal/node/export_targetlimits_test.go
@@ -111,13 +111,13 @@
 func (n *FleetNode) Choose(ctx context.Context, again bool, tried []string, within time.Duration) (entry.Choice, error) {
 	now := time.Now()
 	return n.dispatcher.choose(ctx, &entry.Query{
-		Service:    n.service,
-		Repeatable: true,
-		Again:      again,
-		Tried:      tried,
-		Route:      "read",
-		Aim:        now.Add(within / 3),
-		Deadline:   now.Add(within),
+		Service:      n.service,
+		Repeatable:   true,
+		Again:        again,
+		Tried:        tried,
+		Route:        "read",
+		SoftDeadline: now.Add(within / 3),
+		Deadline:     now.Add(within),
 	})
 }
 
--- a/internal/node/export_test.go
+++ b/internal/node/export_test.go
@@ -258,10 +258,10 @@
 // Choose returns a target for one attempt, in regions that all lists allow.
 func (c *Chooser) Choose(ctx context.Context, regions ...fleetconfig.Regions) (entry.Choice, error) {
 	return c.dispatcher.choose(ctx, &entry.Query{
-		Service:  c.service,
-		Regions:  regions,
-		Aim:      time.Now().Add(time.Second),
-		Deadline: time.Now().Add(time.Second),
+		Service:      c.service,
+		Regions:      regions,
+		SoftDeadline: time.Now().Add(time.Second),
+		Deadline:     time.Now().Add(time.Second),
 	})
 }
 
--- a/internal/node/fallback.go
+++ b/internal/node/fallback.go
@@ -29,7 +29,7 @@
 		Age:          q.Age,
 		Kilobytes:    q.Kilobytes,
 		Priority:     q.Priority,
-		SoftDeadline: q.Aim,
+		SoftDeadline: q.SoftDeadline,
 		Deadline:     q.Deadline,
 		Tried:        q.Tried,
 		Unavailable:  append(unavailable.backingOff, d.board.targetsOverShare(now, d.currentService(q.Service), p.hall)...),
--- a/internal/node/grantrequest.go
+++ b/internal/node/grantrequest.go
@@ -269,7 +269,7 @@
 				AgeMs:       uint32(q.Age.Milliseconds()),
 				Kilobytes:   uint32(q.Kilobytes),
 				Priority:    uint32(q.Priority),
-				AimMs:       uint32(max(q.Aim.Sub(now).Milliseconds(), 0)),
+				AimMs:       uint32(max(q.SoftDeadline.Sub(now).Milliseconds(), 0)),
 				DeadlineMs:  uint32(max(q.Deadline.Sub(now).Milliseconds(), 0)),
 				Tried:       q.Tried,
 				Barred:      unavailable.backingOff[:min(len(unavailable.backingOff), maxTried)],
