--- a/internal/entry/choice.go
+++ b/internal/entry/choice.go
@@ -29,8 +29,8 @@
 	Regions []fleetconfig.Regions
 	// Tried are the keys of the targets that the request was sent to before.
 	Tried []string
-	// Again is set for attempts after the first one.
-	Again bool
+	// Retry is set for attempts after the first one.
+	Retry bool
 	// Hedge is set where an earlier attempt is still running; Age is how long that has waited for
 	// its answer.
 	Hedge bool
--- a/internal/entry/closed_test.go
+++ b/internal/entry/closed_test.go
@@ -36,7 +36,7 @@
 	if n := evacuated.arrived.Load(); n != 0 {
 		t.Errorf("%d requests reached the evacuated data hall", n)
 	}
-	if len(c.queries) != 2 || c.queries[1].Again {
+	if len(c.queries) != 2 || c.queries[1].Retry {
 		t.Errorf("%d choices, or the second one is a retry", len(c.queries))
 	}
 }
--- a/internal/entry/try.go
+++ b/internal/entry/try.go
@@ -88,7 +88,7 @@
 		Route:        r.Name(),
 		SoftDeadline: x.softDeadline(),
 		Deadline:     x.tracker.Deadline(),
-		Again:        t.retry,
+		Retry:        t.retry,
 		Hedge:        t.hedge,
 		Age:          t.age,
 		Regions:      x.admission.regions(),
--- a/internal/node/export_targetlimits_test.go
+++ b/internal/node/export_targetlimits_test.go
@@ -113,7 +113,7 @@
 	return n.dispatcher.choose(ctx, &entry.Query{
 		Service:      n.service,
 		Repeatable:   true,
-		Again:        again,
+		Retry:        again,
 		Tried:        tried,
 		Route:        "read",
 		SoftDeadline: now.Add(within / 3),
--- a/internal/node/fallback.go
+++ b/internal/node/fallback.go
@@ -24,7 +24,7 @@
 		},
 		DataHall:     self.DataHall(),
 		Repeatable:   q.Repeatable,
-		Retry:        q.Again,
+		Retry:        q.Retry,
 		Hedge:        q.Hedge,
 		Age:          q.Age,
 		Kilobytes:    q.Kilobytes,
@@ -49,7 +49,7 @@
 	if g.Decision == dispatch.OverBudget {
 		return entry.Choice{}, entry.NewNoTargetError(attempt.ReasonBudget, 0)
 	}
-	ledger.Record(now, self.Address(), q.Again)
+	ledger.Record(now, self.Address(), q.Retry)
 	d.notify()
 	t := s.config.Target(g.Target)
 	if t == nil {
--- a/internal/node/grantrequest.go
+++ b/internal/node/grantrequest.go
@@ -232,7 +232,7 @@
 func (d *dispatchController) recordGrant(by string, q *entry.Query, p partition) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.ledger(p).Record(time.Now(), by, q.Again)
+	d.ledger(p).Record(time.Now(), by, q.Retry)
 }
 
 // remoteGrants returns what dispatchers other than by granted to this node.
@@ -264,7 +264,7 @@
 				DataHall:    p.hall,
 				Passing:     nonQueueing,
 				Repeatable:  q.Repeatable,
-				Again:       q.Again,
+				Again:       q.Retry,
 				Hedge:       q.Hedge,
 				AgeMs:       uint32(q.Age.Milliseconds()),
 				Kilobytes:   uint32(q.Kilobytes),
