--- a/internal/entry/choice.go
+++ b/internal/entry/choice.go
@@ -33,8 +33,8 @@
 	Retry bool
 	// Hedge is set where an earlier attempt is still running; Age is how long that has waited for
 	// its answer.
-	Hedge bool
-	Age   time.Duration
+	Hedge           bool
+	FirstAttemptAge time.Duration
 }
 
 // Choice is the target chosen for one attempt.
--- a/internal/entry/try.go
+++ b/internal/entry/try.go
@@ -81,17 +81,17 @@
 func (x *relay) choose(ctx context.Context, t *try) (Choice, error) {
 	r := x.admission.route
 	q := &Query{
-		Service:      x.service,
-		Repeatable:   r.Repeatable(),
-		Kilobytes:    x.server.sizes.expected(r) + int(x.body.length>>10),
-		Priority:     x.admission.rank,
-		Route:        r.Name(),
-		SoftDeadline: x.softDeadline(),
-		Deadline:     x.tracker.Deadline(),
-		Retry:        t.retry,
-		Hedge:        t.hedge,
-		Age:          t.age,
-		Regions:      x.admission.regions(),
+		Service:         x.service,
+		Repeatable:      r.Repeatable(),
+		Kilobytes:       x.server.sizes.expected(r) + int(x.body.length>>10),
+		Priority:        x.admission.rank,
+		Route:           r.Name(),
+		SoftDeadline:    x.softDeadline(),
+		Deadline:        x.tracker.Deadline(),
+		Retry:           t.retry,
+		Hedge:           t.hedge,
+		FirstAttemptAge: t.age,
+		Regions:         x.admission.regions(),
 	}
 	x.mu.Lock()
 	q.Tried = slices.Clone(x.tried)
--- a/internal/node/fallback.go
+++ b/internal/node/fallback.go
@@ -26,7 +26,7 @@
 		Repeatable:   q.Repeatable,
 		Retry:        q.Retry,
 		Hedge:        q.Hedge,
-		Age:          q.Age,
+		Age:          q.FirstAttemptAge,
 		Kilobytes:    q.Kilobytes,
 		Priority:     q.Priority,
 		SoftDeadline: q.SoftDeadline,
--- a/internal/node/grantrequest.go
+++ b/internal/node/grantrequest.go
@@ -266,7 +266,7 @@
 				Repeatable:  q.Repeatable,
 				Again:       q.Retry,
 				Hedge:       q.Hedge,
-				AgeMs:       uint32(q.Age.Milliseconds()),
+				AgeMs:       uint32(q.FirstAttemptAge.Milliseconds()),
 				Kilobytes:   uint32(q.Kilobytes),
 				Priority:    uint32(q.Priority),
 				AimMs:       uint32(max(q.SoftDeadline.Sub(now).Milliseconds(), 0)),
