--- a/internal/entry/choice.go
+++ b/internal/entry/choice.go
@@ -56,8 +56,8 @@
 	// HedgeAfter is the time without an answer after which a second target may be requested, 0 if
 	// the node that chose does not know.
 	HedgeAfter time.Duration
-	// Doubt is the failure probability of the target, estimated by the node that chose.
-	Doubt float64
+	// LossProbability is the failure probability of the target, estimated by the node that chose.
+	LossProbability float64
 	// Trial is set for a trial request: the target gets no other requests.
 	Trial bool
 	// Done must be called once, when the attempt has ended.
--- a/internal/entry/log.go
+++ b/internal/entry/log.go
@@ -29,7 +29,7 @@
 		"waited_ms": t.chosen.Sub(t.started).Milliseconds(),
 		"took_ms":   time.Since(t.chosen).Milliseconds(),
 		"again":     t.retry,
-		"doubt":     t.choice.Doubt,
+		"doubt":     t.choice.LossProbability,
 		"trial":     t.choice.Trial,
 	})
 	if err == nil {
@@ -77,7 +77,7 @@
 			"target":    x.winner.choice.Key,
 			"hall":      x.winner.choice.DataHall,
 			"by":        x.winner.choice.By,
-			"doubt":     x.winner.choice.Doubt,
+			"doubt":     x.winner.choice.LossProbability,
 			"trial":     x.winner.choice.Trial,
 			"waited_ms": x.winner.chosen.Sub(x.winner.started).Milliseconds(),
 		})
--- a/internal/node/grant.go
+++ b/internal/node/grant.go
@@ -91,7 +91,7 @@
 		d.reportDone(peer, done)
 		d.recordResult(peer, q, p, done, end)
 	})
-	c.Doubt = float64(g.grant.GetDoubt()) / 1000
+	c.LossProbability = float64(g.grant.GetDoubt()) / 1000
 	c.Trial = g.grant.GetTrial()
 	c.Permit = permit
 	c.HedgeAfter = time.Duration(g.grant.GetHedgeAfterMs()) * time.Millisecond
