--- a/internal/entry/error.go
+++ b/internal/entry/error.go
@@ -22,7 +22,7 @@
 	CodeWorkspace     Code = "unknown-workspace"
 	CodeNoKey         Code = "no-key"
 	CodeKey           Code = "unknown-key"
-	CodeKeyUnsure     Code = "key-not-checked"
+	CodeKeyNotChecked Code = "key-not-checked"
 	CodeRate          Code = "rate-limit"
 	CodeBodySize      Code = "body-too-large"
 	CodeBody          Code = "body-broken"
--- a/internal/entry/workspace.go
+++ b/internal/entry/workspace.go
@@ -68,7 +68,7 @@
 // keyNotChecked returns the refusal of a request that the newest configuration may allow, where
 // this node cannot have that configuration.
 func keyNotChecked(cause *Error) *Error {
-	e := refuse(CodeKeyUnsure, http.StatusServiceUnavailable)
+	e := refuse(CodeKeyNotChecked, http.StatusServiceUnavailable)
 	e.retryAfter = keyRetryAfter
 	e.cause = cause
 	return e
