--- a/internal/entry/error.go
+++ b/internal/entry/error.go
@@ -15,24 +15,24 @@
 
 // Codes of refusals and failures.
 const (
-	CodeBadRequest    Code = "bad-request"
-	CodeBadPath       Code = "bad-path"
-	CodeNoRoute       Code = "no-route"
-	CodeMethod        Code = "method-not-allowed"
-	CodeWorkspace     Code = "unknown-workspace"
-	CodeNoKey         Code = "no-key"
-	CodeKey           Code = "unknown-key"
-	CodeKeyNotChecked Code = "key-not-checked"
-	CodeRate          Code = "rate-limit"
-	CodeBodySize      Code = "body-too-large"
-	CodeBody          Code = "body-broken"
-	CodeNotReady      Code = "not-ready"
-	CodeNoTarget      Code = "no-target"
-	CodeDeadline      Code = "deadline"
-	CodeFailed        Code = "target-failed"
-	CodeOutcomeUnsure Code = "outcome-unknown"
-	CodeQuarantine    Code = "targets-end"
-	CodeMemory        Code = "no-memory"
+	CodeBadRequest     Code = "bad-request"
+	CodeBadPath        Code = "bad-path"
+	CodeNoRoute        Code = "no-route"
+	CodeMethod         Code = "method-not-allowed"
+	CodeWorkspace      Code = "unknown-workspace"
+	CodeNoKey          Code = "no-key"
+	CodeKey            Code = "unknown-key"
+	CodeKeyNotChecked  Code = "key-not-checked"
+	CodeRate           Code = "rate-limit"
+	CodeBodySize       Code = "body-too-large"
+	CodeBody           Code = "body-broken"
+	CodeNotReady       Code = "not-ready"
+	CodeNoTarget       Code = "no-target"
+	CodeDeadline       Code = "deadline"
+	CodeFailed         Code = "target-failed"
+	CodeOutcomeUnknown Code = "outcome-unknown"
+	CodeQuarantine     Code = "targets-end"
+	CodeMemory         Code = "no-memory"
 )
 
 // Error is the final answer to a request that was not answered by a target.
@@ -96,7 +96,7 @@
 		e.code = CodeNoTarget
 		e.status = http.StatusServiceUnavailable
 	case !tracker.Repeatable():
-		e.code = CodeOutcomeUnsure
+		e.code = CodeOutcomeUnknown
 	}
 	return e
 }
