--- a/internal/entry/error.go
+++ b/internal/entry/error.go
@@ -31,7 +31,7 @@
 	CodeDeadline       Code = "deadline"
 	CodeFailed         Code = "target-failed"
 	CodeOutcomeUnknown Code = "outcome-unknown"
-	CodeQuarantine     Code = "targets-end"
+	CodeQuarantined    Code = "targets-end"
 	CodeMemory         Code = "no-memory"
 )
 
--- a/internal/entry/quarantine.go
+++ b/internal/entry/quarantine.go
@@ -28,7 +28,7 @@
 	if !s.Held() {
 		return nil
 	}
-	e := refuse(CodeQuarantine, http.StatusServiceUnavailable)
+	e := refuse(CodeQuarantined, http.StatusServiceUnavailable)
 	e.retryAfter = s.Wait
 	e.cause = &QuarantineError{
 		status: s,
