--- a/internal/entry/relay.go
+++ b/internal/entry/relay.go
@@ -83,7 +83,7 @@
 // answer makes attempts until one answers or no other may follow. The answer's target stays in use
 // until release is called.
 func (x *relay) answer() (a *forward.Answer, release func(), fail *Error) {
-	x.server.cfg.First(x.service.Name())
+	x.server.cfg.DepositRetry(x.service.Name())
 	x.sendTrial()
 	for {
 		reason := x.launch()
--- a/internal/entry/server.go
+++ b/internal/entry/server.go
@@ -68,10 +68,10 @@
 	// Trial returns a target that should get a copy of a repeatable request as a trial request, if
 	// there is one.
 	Trial func(service *fleetconfig.Service) (Choice, bool)
-	// First deposits into a service's retry budget; Retry withdraws one retry and reports whether
+	// DepositRetry deposits into a service's retry budget; Retry withdraws one retry and reports whether
 	// there was one.
-	First func(service string)
-	Retry func(service string) bool
+	DepositRetry func(service string)
+	Retry        func(service string) bool
 	// Limit charges a request to its workspace's limit and returns nil if it may proceed. It takes
 	// some milliseconds, and up to maxWait on a node that is starting. GiveBack returns the
 	// tokens of a request that was not run.
--- a/internal/node/open.go
+++ b/internal/node/open.go
@@ -58,7 +58,7 @@
 		Choose:          choose,
 		Trial:           trial,
 		Unserved:        unserved,
-		First:           a.first,
+		DepositRetry:    a.first,
 		Retry:           retry,
 		Limit:           n.limits.admit,
 		GiveBack:        n.limits.giveBack,
