--- a/internal/entry/relay.go
+++ b/internal/entry/relay.go
@@ -242,7 +242,7 @@
 				Class:      x.admission.route.Class(),
 			})
 		},
-		func() bool { return x.server.cfg.Retry(x.service.Name()) },
+		func() bool { return x.server.cfg.WithdrawRetry(x.service.Name()) },
 	)
 }
 
--- a/internal/entry/server.go
+++ b/internal/entry/server.go
@@ -70,8 +70,8 @@
 	Trial func(service *fleetconfig.Service) (Choice, bool)
 	// DepositRetry deposits into a service's retry budget; Retry withdraws one retry and reports whether
 	// there was one.
-	DepositRetry func(service string)
-	Retry        func(service string) bool
+	DepositRetry  func(service string)
+	WithdrawRetry func(service string) bool
 	// Limit charges a request to its workspace's limit and returns nil if it may proceed. It takes
 	// some milliseconds, and up to maxWait on a node that is starting. GiveBack returns the
 	// tokens of a request that was not run.
--- a/internal/entry/workspace_test.go
+++ b/internal/entry/workspace_test.go
@@ -209,11 +209,11 @@
 			}
 			return choice, nil
 		},
-		Trial:        func(*fleetconfig.Service) (entry.Choice, bool) { return choice, s.trial.Load() },
-		DepositRetry: func(string) {},
-		Retry:        func(string) bool { return true },
-		Limit:        s.limit,
-		GiveBack:     s.giveBack,
+		Trial:         func(*fleetconfig.Service) (entry.Choice, bool) { return choice, s.trial.Load() },
+		DepositRetry:  func(string) {},
+		WithdrawRetry: func(string) bool { return true },
+		Limit:         s.limit,
+		GiveBack:      s.giveBack,
 
 		Quarantined: func(quarantine.Fingerprints) quarantine.Status { return quarantine.Status{} },
 		Answered:    func(quarantine.Fingerprints) {},
--- a/internal/node/open.go
+++ b/internal/node/open.go
@@ -59,7 +59,7 @@
 		Trial:           trial,
 		Unserved:        unserved,
 		DepositRetry:    a.first,
-		Retry:           retry,
+		WithdrawRetry:   retry,
 		Limit:           n.limits.admit,
 		GiveBack:        n.limits.giveBack,
 		Quarantined:     n.quarantine.check,
