--- a/internal/entry/crash.go
+++ b/internal/entry/crash.go
@@ -64,7 +64,7 @@
 
 // recordCrash records that the target of an attempt crashed under the request.
 func (x *relay) recordCrash(t *try) {
-	s := x.server.cfg.Ended(x.fingerprints, t.choice.Key)
+	s := x.server.cfg.RecordCrash(x.fingerprints, t.choice.Key)
 	x.suspect.Store(s.Suspect())
 	if s.Held() {
 		x.quarantineWait.Store(int64(s.Wait))
--- a/internal/entry/server.go
+++ b/internal/entry/server.go
@@ -80,7 +80,7 @@
 	// Quarantined returns the quarantine status of a request. Ended records that a target crashed
 	// under a request and returns the new status; Answered records that a target answered one.
 	Quarantined func(fingerprints quarantine.Fingerprints) quarantine.Status
-	Ended       func(fingerprints quarantine.Fingerprints, target string) quarantine.Status
+	RecordCrash func(fingerprints quarantine.Fingerprints, target string) quarantine.Status
 	Answered    func(fingerprints quarantine.Fingerprints)
 	// Signals records the signals in targets' answers.
 	Signals *signal.Ledger
--- a/internal/node/open.go
+++ b/internal/node/open.go
@@ -63,7 +63,7 @@
 		Limit:           n.limits.admit,
 		GiveBack:        n.limits.giveBack,
 		Quarantined:     n.quarantine.check,
-		Ended:           n.quarantine.recordCrash,
+		RecordCrash:     n.quarantine.recordCrash,
 		Answered:        n.quarantine.recordAnswer,
 		Signals:         &n.board.signals,
 		Collector:       n.ejection.collector,
