--- a/internal/entry/server.go
+++ b/internal/entry/server.go
@@ -79,9 +79,9 @@
 	GiveBack func(w *fleetconfig.Workspace)
 	// Quarantined returns the quarantine status of a request. Ended records that a target crashed
 	// under a request and returns the new status; Answered records that a target answered one.
-	Quarantined func(fingerprints quarantine.Fingerprints) quarantine.Status
-	RecordCrash func(fingerprints quarantine.Fingerprints, target string) quarantine.Status
-	Answered    func(fingerprints quarantine.Fingerprints)
+	Quarantined  func(fingerprints quarantine.Fingerprints) quarantine.Status
+	RecordCrash  func(fingerprints quarantine.Fingerprints, target string) quarantine.Status
+	RecordAnswer func(fingerprints quarantine.Fingerprints)
 	// Signals records the signals in targets' answers.
 	Signals *signal.Ledger
 	// Collector records the results of attempts per target.
@@ -301,7 +301,7 @@
 	x.logEnd(a.Status(), attempt.OutcomeDone, nil)
 	x.deliver(w, a, release)
 	if a.Status() < http.StatusInternalServerError {
-		s.cfg.Answered(x.fingerprints)
+		s.cfg.RecordAnswer(x.fingerprints)
 	}
 	return a.Status(), attempt.OutcomeDone
 }
--- a/internal/entry/workspace_test.go
+++ b/internal/entry/workspace_test.go
@@ -215,11 +215,11 @@
 		Limit:         s.limit,
 		GiveBack:      s.giveBack,
 
-		Quarantined: func(quarantine.Fingerprints) quarantine.Status { return quarantine.Status{} },
-		Answered:    func(quarantine.Fingerprints) {},
-		Collector:   outlier.NewCollector(time.Second),
-		Served:      func(string, string, int, string, time.Duration) {},
-		Log:         logrus.NewEntry(log),
+		Quarantined:  func(quarantine.Fingerprints) quarantine.Status { return quarantine.Status{} },
+		RecordAnswer: func(quarantine.Fingerprints) {},
+		Collector:    outlier.NewCollector(time.Second),
+		Served:       func(string, string, int, string, time.Duration) {},
+		Log:          logrus.NewEntry(log),
 	}
 	for _, c := range change {
 		c(&cfg)
--- a/internal/node/open.go
+++ b/internal/node/open.go
@@ -64,7 +64,7 @@
 		GiveBack:        n.limits.giveBack,
 		Quarantined:     n.quarantine.check,
 		RecordCrash:     n.quarantine.recordCrash,
-		Answered:        n.quarantine.recordAnswer,
+		RecordAnswer:    n.quarantine.recordAnswer,
 		Signals:         &n.board.signals,
 		Collector:       n.ejection.collector,
 		Served:          n.metrics.Served,
