--- a/internal/entry/server.go
+++ b/internal/entry/server.go
@@ -36,9 +36,9 @@
 	MaxBody   int64
 	MaxHeader int64
 	HoldBody  int64
-	// Unserved is called with the service of each request that is refused for a limit; nil
+	// OnLimited is called with the service of each request that is refused for a limit; nil
 	// disables it.
-	Unserved func(service string)
+	OnLimited func(service string)
 	// Memory bounds the bytes of bodies held in each direction; 0 means unlimited.
 	Memory   int64
 	Deadline time.Duration
@@ -246,8 +246,8 @@
 
 // notifyUnserved reports a request that was refused only for a limit.
 func (s *Server) notifyUnserved(in *admission, fail *Error) {
-	if fail.code == CodeRate && s.cfg.Unserved != nil {
-		s.cfg.Unserved(in.route.Service().Name())
+	if fail.code == CodeRate && s.cfg.OnLimited != nil {
+		s.cfg.OnLimited(in.route.Service().Name())
 	}
 }
 
--- a/internal/node/open.go
+++ b/internal/node/open.go
@@ -57,7 +57,7 @@
 		Contract:        n.adapter.Contract,
 		Choose:          choose,
 		Trial:           trial,
-		Unserved:        unserved,
+		OnLimited:       unserved,
 		DepositRetry:    a.first,
 		WithdrawRetry:   retry,
 		Limit:           n.limits.admit,
