--- a/internal/entry/header.go
+++ b/internal/entry/header.go
@@ -67,7 +67,7 @@
 	c := s.cfg.Contract
 	h := endToEnd(c, r.Header)
 	h.Del("Expect")
-	if s.cfg.Keyed {
+	if s.cfg.KeyIdentity {
 		setWorkspace(h, s.cfg.WorkspaceHeader, in.workspace, in.config.Workspaces() > 0)
 	}
 	if !c.Forwarded {
--- a/internal/entry/server.go
+++ b/internal/entry/server.go
@@ -47,8 +47,8 @@
 	// WorkspaceHeader names the header with a request's workspace. Callers set it or, if Keyed is
 	// set, the server sets it for targets.
 	WorkspaceHeader string
-	// Keyed is set where callers authenticate with keys of their workspaces.
-	Keyed bool
+	// KeyIdentity is set where callers authenticate with keys of their workspaces.
+	KeyIdentity bool
 	// Trusted reports whether the local copy of the keys is still valid; nil means always.
 	Trusted func() bool
 	// Current reports whether this node can have the newest configuration. AwaitCurrent waits
--- a/internal/entry/workspace.go
+++ b/internal/entry/workspace.go
@@ -25,7 +25,7 @@
 	if a.config.Workspaces() == 0 {
 		return nil, nil
 	}
-	if !s.cfg.Keyed {
+	if !s.cfg.KeyIdentity {
 		a.workspace = r.Header.Get(s.cfg.WorkspaceHeader)
 		owner := a.config.Workspace(a.workspace)
 		if owner == nil {
--- a/internal/entry/workspace_test.go
+++ b/internal/entry/workspace_test.go
@@ -193,7 +193,7 @@
 		Deadline:        5 * time.Second,
 		Stall:           5 * time.Second,
 		WorkspaceHeader: header,
-		Keyed:           true,
+		KeyIdentity:     true,
 		Trusted:         s.trusted.Load,
 		Current:         s.current.Load,
 		AwaitCurrent:    func(ctx context.Context) bool { return s.await(ctx) },
--- a/internal/node/open.go
+++ b/internal/node/open.go
@@ -48,7 +48,7 @@
 		Stall:           n.set.Stall(),
 		Outgoing:        n.set.Outgoing(),
 		WorkspaceHeader: n.set.WorkspaceHeader(),
-		Keyed:           n.set.Workspaces().Identity() == settings.IdentityKey,
+		KeyIdentity:     n.set.Workspaces().Identity() == settings.IdentityKey,
 		Trusted:         currency.trusted,
 		Current:         currency.current,
 		AwaitCurrent:    currency.await,
