--- a/internal/entry/server.go
+++ b/internal/entry/server.go
@@ -86,9 +86,9 @@
 	Signals *signal.Ledger
 	// Collector records the results of attempts per target.
 	Collector *outlier.Collector
-	// Served records the final answer to a request.
-	Served func(class, workspace string, status int, outcome string, took time.Duration)
-	Log    *logrus.Entry
+	// RecordServed records the final answer to a request.
+	RecordServed func(class, workspace string, status int, outcome string, took time.Duration)
+	Log          *logrus.Entry
 }
 
 // Bounds of callers' connections.
@@ -233,7 +233,7 @@
 	in, fail := s.admit(r, started)
 	if fail != nil {
 		s.refuse(w, id, in, fail)
-		s.cfg.Served("refused", in.workspaceID(), fail.status, fail.outcome.String(), time.Since(started))
+		s.cfg.RecordServed("refused", in.workspaceID(), fail.status, fail.outcome.String(), time.Since(started))
 		s.notifyUnserved(in, fail)
 		return
 	}
@@ -241,7 +241,7 @@
 	if outcome == attempt.OutcomeNotRun && in.owner != nil {
 		s.cfg.GiveBack(in.owner)
 	}
-	s.cfg.Served(in.route.Class(), in.workspace, status, outcome.String(), time.Since(started))
+	s.cfg.RecordServed(in.route.Class(), in.workspace, status, outcome.String(), time.Since(started))
 }
 
 // notifyUnserved reports a request that was refused only for a limit.
--- a/internal/entry/workspace_test.go
+++ b/internal/entry/workspace_test.go
@@ -218,7 +218,7 @@
 		Quarantined:  func(quarantine.Fingerprints) quarantine.Status { return quarantine.Status{} },
 		RecordAnswer: func(quarantine.Fingerprints) {},
 		Collector:    outlier.NewCollector(time.Second),
-		Served:       func(string, string, int, string, time.Duration) {},
+		RecordServed: func(string, string, int, string, time.Duration) {},
 		Log:          logrus.NewEntry(log),
 	}
 	for _, c := range change {
