--- a/internal/entry/refusal.go
+++ b/internal/entry/refusal.go
@@ -47,7 +47,7 @@
 			"by":     limitErr.By,
 			"limit":  limitErr.Rate,
 			"kept":   math.Round(10*limitErr.Withheld) / 10,
-			"tokens": math.Round(10*limitErr.Level) / 10,
+			"tokens": math.Round(10*limitErr.TokensLeft) / 10,
 			"age_ms": limitErr.Age.Milliseconds(),
 		})
 	}
--- a/internal/entry/workspace.go
+++ b/internal/entry/workspace.go
@@ -113,10 +113,10 @@
 	By string
 	// Rate is the limit in requests per second. Level are the tokens left for all nodes and Kept
 	// the share of the rate withheld for unreachable nodes, as the allocator reported Age ago.
-	Rate     float64
-	Level    float64
-	Withheld float64
-	Age      time.Duration
+	Rate       float64
+	TokensLeft float64
+	Withheld   float64
+	Age        time.Duration
 }
 
 // Error names who decided.
--- a/internal/node/limits.go
+++ b/internal/node/limits.go
@@ -158,11 +158,11 @@
 func (l *limitController) limitError(w *fleetconfig.Workspace, limit ratelimit.Limit, wait time.Duration, by string) *entry.LimitError {
 	share, at := l.limiter.LastShare(w.ID())
 	e := &entry.LimitError{
-		Wait:     wait,
-		By:       by,
-		Rate:     limit.Rate,
-		Level:    share.Level,
-		Withheld: share.Withheld,
+		Wait:       wait,
+		By:         by,
+		Rate:       limit.Rate,
+		TokensLeft: share.Level,
+		Withheld:   share.Withheld,
 	}
 	if !at.IsZero() {
 		e.Age = time.Since(at)
