--- a/internal/entry/server.go
+++ b/internal/entry/server.go
@@ -183,9 +183,9 @@
 // InFlight returns the number of requests in flight.
 func (s *Server) InFlight() int64 { return s.inFlight.Load() }
 
-// Closing makes each answer close its connection, so that callers and the load balancer open their
+// CloseConnections makes each answer close its connection, so that callers and the load balancer open their
 // next connection to another node.
-func (s *Server) Closing() { s.closing.Store(true) }
+func (s *Server) CloseConnections() { s.closing.Store(true) }
 
 // Drain stops accepting connections and waits until all requests in flight have ended, however
 // long they take, or the context ends. Then it closes all connections.
--- a/internal/node/stop.go
+++ b/internal/node/stop.go
@@ -28,7 +28,7 @@
 	log := logging.Part(n.log, "node")
 	log.Info("leaving")
 	n.lifecycle.draining.Store(true)
-	n.entry.Closing()
+	n.entry.CloseConnections()
 	n.announceDraining(ctx)
 	wait := time.NewTimer(n.live.Load().DrainWait())
 	defer wait.Stop()
