--- a/internal/entry/relay.go
+++ b/internal/entry/relay.go
@@ -264,7 +264,7 @@
 		Length:     x.body.length,
 		Deadline:   x.tracker.Deadline(),
 		Observe:    func(n signal.Signal, err error) { x.observe(c, n, err) },
-		Barred: func(now time.Time) bool {
+		Unavailable: func(now time.Time) bool {
 			return x.server.cfg.Config().Evacuated(c.DataHall) ||
 				!x.server.cfg.Signals.Status(now, c.Incarnation).Permits(now, c.Permit)
 		},
--- a/internal/forward/client.go
+++ b/internal/forward/client.go
@@ -118,15 +118,15 @@
 	// Observe is called with the target's signal in its answer, however the attempt ends, and the
 	// error of a signal that cannot be read. It may be nil.
 	Observe func(n signal.Signal, err error)
-	// Barred reports whether the target is unavailable. The last call is made
+	// Unavailable reports whether the target is unavailable. The last call is made
 	// immediately before the first byte is sent. nil means never.
-	Barred func(now time.Time) bool
+	Unavailable func(now time.Time) bool
 }
 
 // Do makes one attempt. It returns the answer, whose Close must be called, or an *Error. ctx is
 // the caller's: its end cancels the attempt and the answer.
 func (c *Client) Do(ctx context.Context, r *Request) (*Answer, error) {
-	if r.Barred != nil && r.Barred(time.Now()) {
+	if r.Unavailable != nil && r.Unavailable(time.Now()) {
 		// The claim would close the connection, which is of use once the target's backoff is over.
 		return nil, &Error{
 			kind:    KindBarred,
@@ -136,7 +136,7 @@
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	watch := newWatchdog(time.Until(r.Deadline), cancel)
-	cl := newClaim(r.Deadline, r.Barred)
+	cl := newClaim(r.Deadline, r.Unavailable)
 	res, err := c.send(ctx, cl, r)
 	if err != nil {
 		e := roundTripError(ctx, r.Target, cl, watch, err)
