--- a/internal/entry/failure.go
+++ b/internal/entry/failure.go
@@ -45,7 +45,7 @@
 // chosen.
 func unsent(err error) bool {
 	var fe *forward.Error
-	return errors.As(err, &fe) && fe.Kind() == forward.KindBarred
+	return errors.As(err, &fe) && fe.Kind() == forward.KindUnavailable
 }
 
 // discountUnsent takes back an attempt whose target became unavailable before it was sent: the
--- a/internal/forward/client.go
+++ b/internal/forward/client.go
@@ -129,7 +129,7 @@
 	if r.Unavailable != nil && r.Unavailable(time.Now()) {
 		// The claim would close the connection, which is of use once the target's backoff is over.
 		return nil, &Error{
-			kind:    KindBarred,
+			kind:    KindUnavailable,
 			target:  r.Target,
 			outcome: attempt.OutcomeNotRun,
 		}
--- a/internal/forward/error.go
+++ b/internal/forward/error.go
@@ -25,8 +25,8 @@
 	KindReset Kind = "connection broken"
 	// KindShed means that the target refused the request before running it.
 	KindShed Kind = "refused by the target"
-	// KindBarred means that the target was unavailable, so that nothing was sent.
-	KindBarred Kind = "target wants no request now"
+	// KindUnavailable means that the target was unavailable, so that nothing was sent.
+	KindUnavailable Kind = "target wants no request now"
 	// KindForeign means that the answer belongs to another request.
 	KindForeign Kind = "answer to another request"
 	// KindOther means that another process has the target's address.
@@ -71,7 +71,7 @@
 // start or a caller that is gone is not the target's fault.
 func (e *Error) Against() bool {
 	switch e.kind {
-	case KindShed, KindOther, KindLate, KindSealed, KindCaller, KindBarred:
+	case KindShed, KindOther, KindLate, KindSealed, KindCaller, KindUnavailable:
 		return false
 	default:
 		return true
--- a/internal/forward/guard.go
+++ b/internal/forward/guard.go
@@ -62,7 +62,7 @@
 	if !c.written && c.unavailable != nil && c.unavailable(now) {
 		c.sealed = true
 		return &Error{
-			kind: KindBarred,
+			kind: KindUnavailable,
 		}
 	}
 	c.written = true
