--- a/internal/forward/error.go
+++ b/internal/forward/error.go
@@ -15,8 +15,8 @@
 const (
 	// KindConnect means that no connection could be opened.
 	KindConnect Kind = "no connection"
-	// KindLate means that the deadline passed before the first byte was sent.
-	KindLate Kind = "deadline before sending"
+	// KindExpired means that the deadline passed before the first byte was sent.
+	KindExpired Kind = "deadline before sending"
 	// KindSealed means that a connection was used after its attempt ended.
 	KindSealed Kind = "attempt has ended"
 	// KindTimeout means that no answer came before the deadline.
@@ -71,7 +71,7 @@
 // start or a caller that is gone is not the target's fault.
 func (e *Error) Against() bool {
 	switch e.kind {
-	case KindShed, KindOther, KindLate, KindSealed, KindCaller, KindUnavailable:
+	case KindShed, KindOther, KindExpired, KindSealed, KindCaller, KindUnavailable:
 		return false
 	default:
 		return true
--- a/internal/forward/guard.go
+++ b/internal/forward/guard.go
@@ -56,7 +56,7 @@
 	if !c.written && !now.Before(c.deadline) {
 		c.sealed = true
 		return &Error{
-			kind: KindLate,
+			kind: KindExpired,
 		}
 	}
 	if !c.written && c.unavailable != nil && c.unavailable(now) {
