--- a/internal/forward/error.go
+++ b/internal/forward/error.go
@@ -17,8 +17,8 @@
 	KindConnect Kind = "no connection"
 	// KindExpired means that the deadline passed before the first byte was sent.
 	KindExpired Kind = "deadline before sending"
-	// KindSealed means that a connection was used after its attempt ended.
-	KindSealed Kind = "attempt has ended"
+	// KindEnded means that a connection was used after its attempt ended.
+	KindEnded Kind = "attempt has ended"
 	// KindTimeout means that no answer came before the deadline.
 	KindTimeout Kind = "deadline"
 	// KindReset means that the connection broke before the answer's end.
@@ -71,7 +71,7 @@
 // start or a caller that is gone is not the target's fault.
 func (e *Error) Against() bool {
 	switch e.kind {
-	case KindShed, KindOther, KindExpired, KindSealed, KindCaller, KindUnavailable:
+	case KindShed, KindOther, KindExpired, KindEnded, KindCaller, KindUnavailable:
 		return false
 	default:
 		return true
--- a/internal/forward/guard.go
+++ b/internal/forward/guard.go
@@ -50,7 +50,7 @@
 	defer c.mu.Unlock()
 	if c.sealed {
 		return &Error{
-			kind: KindSealed,
+			kind: KindEnded,
 		}
 	}
 	if !c.written && !now.Before(c.deadline) {
@@ -89,7 +89,7 @@
 	c := g.claim.Load()
 	if c == nil {
 		return 0, &Error{
-			kind: KindSealed,
+			kind: KindEnded,
 		}
 	}
 	if err := c.allowWrite(time.Now()); err != nil {
