--- a/internal/entry/failure.go
+++ b/internal/entry/failure.go
@@ -108,7 +108,7 @@
 		Ignored:  !fe.Against(),
 		Draining: fe.Leaving(),
 		Shed:     fe.Kind() == forward.KindShed,
-		Replaced: fe.Kind() == forward.KindOther,
+		Replaced: fe.Kind() == forward.KindOtherTarget,
 
 		Unreached: fe.Kind() == forward.KindConnect,
 	}
--- a/internal/forward/answer.go
+++ b/internal/forward/answer.go
@@ -83,7 +83,7 @@
 		e.outcome = attempt.OutcomeNotRun
 		return e
 	case contract.RefusalOtherTarget:
-		e := a.newError(KindOther, nil)
+		e := a.newError(KindOtherTarget, nil)
 		e.outcome = attempt.OutcomeNotRun
 		return e
 	default:
--- a/internal/forward/error.go
+++ b/internal/forward/error.go
@@ -29,8 +29,8 @@
 	KindUnavailable Kind = "target wants no request now"
 	// KindForeign means that the answer belongs to another request.
 	KindForeign Kind = "answer to another request"
-	// KindOther means that another process has the target's address.
-	KindOther Kind = "another target at the address"
+	// KindOtherTarget means that another process has the target's address.
+	KindOtherTarget Kind = "another target at the address"
 	// KindStall means that the answer's body made no progress.
 	KindStall Kind = "answer stalled"
 	// KindCaller means that the caller is gone or its body broke.
@@ -71,7 +71,7 @@
 // start or a caller that is gone is not the target's fault.
 func (e *Error) Against() bool {
 	switch e.kind {
-	case KindShed, KindOther, KindExpired, KindEnded, KindCaller, KindUnavailable:
+	case KindShed, KindOtherTarget, KindExpired, KindEnded, KindCaller, KindUnavailable:
 		return false
 	default:
 		return true
