--- a/internal/entry/failure.go
+++ b/internal/entry/failure.go
@@ -94,7 +94,7 @@
 	if a != nil {
 		return outlier.Result{
 			Failed:   a.Status() >= http.StatusInternalServerError,
-			Draining: a.Leaving(),
+			Draining: a.Draining(),
 		}
 	}
 	var fe *forward.Error
--- a/internal/forward/answer.go
+++ b/internal/forward/answer.go
@@ -48,8 +48,8 @@
 // Whole reports whether the body was read to its verified end.
 func (a *Answer) Whole() bool { return a.whole }
 
-// Leaving reports whether the target signalled that it is draining.
-func (a *Answer) Leaving() bool { return a.draining }
+// Draining reports whether the target signalled that it is draining.
+func (a *Answer) Draining() bool { return a.draining }
 
 // Close releases the answer. If the body was not read to its end, the connection is closed and
 // never reused.
