--- a/internal/entry/failure.go
+++ b/internal/entry/failure.go
@@ -106,7 +106,7 @@
 	return outlier.Result{
 		Failed:   true,
 		Ignored:  !fe.Against(),
-		Draining: fe.Leaving(),
+		Draining: fe.Draining(),
 		Shed:     fe.Kind() == forward.KindShed,
 		Replaced: fe.Kind() == forward.KindOtherTarget,
 
--- a/internal/forward/error.go
+++ b/internal/forward/error.go
@@ -64,8 +64,8 @@
 // Outcome returns what is known about whether the request ran.
 func (e *Error) Outcome() attempt.Outcome { return e.outcome }
 
-// Leaving reports whether the target signalled that it is draining.
-func (e *Error) Leaving() bool { return e.draining }
+// Draining reports whether the target signalled that it is draining.
+func (e *Error) Draining() bool { return e.draining }
 
 // Against reports whether the failure counts against the target. Load shedding is healthy; a late
 // start or a caller that is gone is not the target's fault.
