--- a/internal/entry/failure.go
+++ b/internal/entry/failure.go
@@ -105,7 +105,7 @@
 	}
 	return outlier.Result{
 		Failed:   true,
-		Ignored:  !fe.Against(),
+		Ignored:  !fe.CountsAgainstTarget(),
 		Draining: fe.Draining(),
 		Shed:     fe.Kind() == forward.KindShed,
 		Replaced: fe.Kind() == forward.KindOtherTarget,
--- a/internal/forward/error.go
+++ b/internal/forward/error.go
@@ -67,9 +67,9 @@
 // Draining reports whether the target signalled that it is draining.
 func (e *Error) Draining() bool { return e.draining }
 
-// Against reports whether the failure counts against the target. Load shedding is healthy; a late
+// CountsAgainstTarget reports whether the failure counts against the target. Load shedding is healthy; a late
 // start or a caller that is gone is not the target's fault.
-func (e *Error) Against() bool {
+func (e *Error) CountsAgainstTarget() bool {
 	switch e.kind {
 	case KindShed, KindOtherTarget, KindExpired, KindEnded, KindCaller, KindUnavailable:
 		return false
