--- a/internal/entry/crash.go
+++ b/internal/entry/crash.go
@@ -37,7 +37,7 @@
 // in ten of a service's may break while its targets keep running.
 func (x *relay) startCrashCheck(t *try, err error) <-chan struct{} {
 	var fe *forward.Error
-	if !errors.As(err, &fe) || !fe.Broke() {
+	if !errors.As(err, &fe) || !fe.ConnectionBroken() {
 		return closedChannel
 	}
 	if fe.Refused() {
--- a/internal/forward/crash.go
+++ b/internal/forward/crash.go
@@ -10,9 +10,9 @@
 	"ploverjunction.example/ploverjunction/internal/attempt"
 )
 
-// Broke reports whether an attempt broke as it does when its target crashes: the connection ended
+// ConnectionBroken reports whether an attempt broke as it does when its target crashes: the connection ended
 // after bytes of the request were sent. The target may still be running.
-func (e *Error) Broke() bool {
+func (e *Error) ConnectionBroken() bool {
 	return e.kind == KindReset || e.kind == KindConnect && e.outcome == attempt.OutcomeUnknown
 }
 
