--- a/internal/entry/crash.go
+++ b/internal/entry/crash.go
@@ -40,7 +40,7 @@
 	if !errors.As(err, &fe) || !fe.ConnectionBroken() {
 		return closedChannel
 	}
-	if fe.Refused() {
+	if fe.ConnectionRefused() {
 		x.recordCrash(t)
 		return closedChannel
 	}
--- a/internal/forward/crash.go
+++ b/internal/forward/crash.go
@@ -16,9 +16,9 @@
 	return e.kind == KindReset || e.kind == KindConnect && e.outcome == attempt.OutcomeUnknown
 }
 
-// Refused reports whether a failure shows that nothing listens at the target's address: the
+// ConnectionRefused reports whether a failure shows that nothing listens at the target's address: the
 // request was sent on a connection that broke, and the next connection was refused.
-func (e *Error) Refused() bool { return connectionRefused(e.cause) }
+func (e *Error) ConnectionRefused() bool { return connectionRefused(e.cause) }
 
 func connectionRefused(err error) bool { return errors.Is(err, syscall.ECONNREFUSED) }
 
