--- a/internal/entry/crash.go
+++ b/internal/entry/crash.go
@@ -54,7 +54,7 @@
 	x.server.track(task.Go(ctx, "look", func(ctx context.Context) error {
 		defer close(done)
 		defer x.server.crashChecks.Add(-1)
-		if x.server.client.Ended(ctx, t.choice.Address) {
+		if x.server.client.Crashed(ctx, t.choice.Address) {
 			x.recordCrash(t)
 		}
 		return nil
--- a/internal/forward/crash.go
+++ b/internal/forward/crash.go
@@ -22,10 +22,10 @@
 
 func connectionRefused(err error) bool { return errors.Is(err, syscall.ECONNREFUSED) }
 
-// Ended reports whether a target's process has crashed: nothing listens at its address. It opens a
+// Crashed reports whether a target's process has crashed: nothing listens at its address. It opens a
 // connection for that and takes up to connectTimeout. An unreachable target is not known to have
 // crashed.
-func (c *Client) Ended(ctx context.Context, target string) bool {
+func (c *Client) Crashed(ctx context.Context, target string) bool {
 	conn, err := c.dial(ctx, "tcp", target)
 	if err != nil {
 		return connectionRefused(err)
