--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -25,9 +25,9 @@
 
 // Modes of choosing targets.
 const (
-	// ChoiceAlone is the independent mode: each node chooses by its own measurements and
+	// ChoiceIndependent is the independent mode: each node chooses by its own measurements and
 	// the ejection decisions of observers.
-	ChoiceAlone ChoiceMode = "alone"
+	ChoiceIndependent ChoiceMode = "alone"
 	// ChoiceJoint means that one node, the dispatcher, chooses for all requests of a service.
 	ChoiceJoint ChoiceMode = "joint"
 )
