--- a/internal/node/open.go
+++ b/internal/node/open.go
@@ -45,7 +45,7 @@
 		HoldBody:        n.set.HoldBody(),
 		Memory:          n.set.Memory() / bodyMemoryDivisor,
 		Deadline:        n.set.Deadline(),
-		Stall:           n.set.Stall(),
+		Stall:           n.set.StallTimeout(),
 		Outgoing:        n.set.Outgoing(),
 		WorkspaceHeader: n.set.WorkspaceHeader(),
 		KeyIdentity:     n.set.Workspaces().Identity() == settings.IdentityKey,
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -114,9 +114,9 @@
 // Deadline returns the default deadline of routes.
 func (s *Settings) Deadline() time.Duration { return s.deadline }
 
-// Stall returns how long the body of an answer may make no progress before it counts as
+// StallTimeout returns how long the body of an answer may make no progress before it counts as
 // broken.
-func (s *Settings) Stall() time.Duration { return s.stall }
+func (s *Settings) StallTimeout() time.Duration { return s.stall }
 
 // WorkspaceHeader returns the header that names the workspace of a request.
 func (s *Settings) WorkspaceHeader() string { return s.workspaceHeader }
