--- a/internal/node/open.go
+++ b/internal/node/open.go
@@ -42,7 +42,7 @@
 		Listen:          n.set.EntryListen(),
 		MaxBody:         n.set.MaxBody(),
 		MaxHeader:       n.set.MaxHeader(),
-		HoldBody:        n.set.HoldBody(),
+		HoldBody:        n.set.MaxBufferedBody(),
 		Memory:          n.set.Memory() / bodyMemoryDivisor,
 		Deadline:        n.set.Deadline(),
 		Stall:           n.set.StallTimeout(),
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -105,8 +105,8 @@
 // MaxHeader returns the maximum size of request headers in bytes.
 func (s *Settings) MaxHeader() int64 { return s.maxHeader }
 
-// HoldBody returns the size in bytes up to which answers are buffered whole.
-func (s *Settings) HoldBody() int64 { return s.holdBody }
+// MaxBufferedBody returns the size in bytes up to which answers are buffered whole.
+func (s *Settings) MaxBufferedBody() int64 { return s.holdBody }
 
 // Memory returns the bytes that this process may use, 0 if unknown.
 func (s *Settings) Memory() int64 { return s.memory }
