--- a/internal/node/freshness.go
+++ b/internal/node/freshness.go
@@ -75,7 +75,7 @@
 	if n.directory == nil {
 		f.maxAge = time.Duration(maxAgeFactor * float64(n.platformTimeout()))
 	}
-	if after, strict := n.set.Workspaces().Strict(); strict && n.directory == nil {
+	if after, strict := n.set.Workspaces().KeyExpiry(); strict && n.directory == nil {
 		f.maxKeyAge = after
 	}
 	return f
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -247,7 +247,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	after, strict := s.Workspaces().Strict()
+	after, strict := s.Workspaces().KeyExpiry()
 	window, excess, slack := s.Workspaces().Tolerance()
 	if s.Workspaces().Identity() != settings.IdentityKey || !strict || after != 4*time.Second ||
 		window != 2*time.Second || excess != 0.1 || slack != 7.5 {
@@ -257,7 +257,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	_, strict = s.Workspaces().Strict()
+	_, strict = s.Workspaces().KeyExpiry()
 	_, excess, slack = s.Workspaces().Tolerance()
 	if !strict || excess != 0 || slack != 0 || len(s.Warnings()) != 3 {
 		t.Errorf("got %+v, warnings %v", s.Workspaces(), s.Warnings())
--- a/internal/settings/workspaces.go
+++ b/internal/settings/workspaces.go
@@ -30,9 +30,9 @@
 // Identity returns how the workspace of a request is identified.
 func (w *Workspaces) Identity() Identity { return w.identity }
 
-// Strict returns the time without an answer of the platform after which requests with a
+// KeyExpiry returns the time without an answer of the platform after which requests with a
 // key are refused, because the key may have been revoked; false means never.
-func (w *Workspaces) Strict() (after time.Duration, strict bool) { return w.keyAge, w.strict }
+func (w *Workspaces) KeyExpiry() (after time.Duration, strict bool) { return w.keyAge, w.strict }
 
 // Tolerance returns by how much admitted requests may exceed a workspace's limit in any
 // window: by excess, a fraction of the limit, plus slack requests.
