--- a/internal/node/socket.go
+++ b/internal/node/socket.go
@@ -40,7 +40,7 @@
 	m.onTokenRequest, m.onReceive, m.onIncarnation = n.limits.handleTokenRequest, n.limits.recordReceived, n.limits.recordIncarnation
 	n.quarantine.messenger = m
 	m.quarantineDigest, m.onQuarantine, m.onQuarantineDigest = n.quarantine.digest.Load, n.quarantine.merge, n.quarantine.compare
-	share, reserve, window := n.set.Retries()
+	share, reserve, window := n.set.RetryBudget()
 	d := newDispatchController(n.board, m, dispatch.Budget{
 		Share:   share,
 		Reserve: reserve,
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -163,9 +163,9 @@
 // requests within the last 1.5 s, whether or not requests fail.
 func (s *Settings) Floor() float64 { return s.floor }
 
-// Retries returns how many retries the whole fleet may send to one service in each window:
+// RetryBudget returns how many retries the whole fleet may send to one service in each window:
 // share, a fraction of the requests, plus reserve retries.
-func (s *Settings) Retries() (share, reserve float64, window time.Duration) {
+func (s *Settings) RetryBudget() (share, reserve float64, window time.Duration) {
 	return s.retryShare, s.retryReserve, s.retryWindow
 }
 
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -231,7 +231,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			share, reserve, window := s.Retries()
+			share, reserve, window := s.RetryBudget()
 			if share != c.share || reserve != c.reserve || window != 10*time.Second || s.Floor() != 0.7 {
 				t.Errorf("share %v, reserve %v, window %v, floor %v", share, reserve, window, s.Floor())
 			}
@@ -273,7 +273,7 @@
 		if err != nil {
 			return
 		}
-		if share, reserve, window := s.Retries(); !(share >= 0 && reserve >= 0) || window <= 0 {
+		if share, reserve, window := s.RetryBudget(); !(share >= 0 && reserve >= 0) || window <= 0 {
 			t.Errorf("share %v, reserve %v, window %v", share, reserve, window)
 		}
 		if window, excess, slack := s.Workspaces().Tolerance(); window <= 0 || !(excess >= 0 && slack >= 0) {
