--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -80,8 +80,8 @@
 	return nil
 }
 
-// Served records the final answer to a request.
-func (m *Metrics) Served(class, workspace string, status int, outcome string, took time.Duration) {
+// RecordRequest records the final answer to a request.
+func (m *Metrics) RecordRequest(class, workspace string, status int, outcome string, took time.Duration) {
 	s := m.class(classKey{
 		class:   class,
 		status:  status,
--- a/internal/node/open.go
+++ b/internal/node/open.go
@@ -67,7 +67,7 @@
 		RecordAnswer:    n.quarantine.recordAnswer,
 		Signals:         &n.board.signals,
 		Collector:       n.ejection.collector,
-		RecordServed:    n.metrics.Served,
+		RecordServed:    n.metrics.RecordRequest,
 		Log:             logging.Part(n.log, "entry"),
 	})
 	if err != nil {
