--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -136,8 +136,8 @@
 // Gauge sets an untagged gauge.
 func (m *Metrics) Gauge(name string, v float64) { m.scope.Gauge(name).Update(v) }
 
-// PartGauge sets the gauge of a partition, the targets of a service in one data hall, or of
+// PartitionGauge sets the gauge of a partition, the targets of a service in one data hall, or of
 // all its targets if hall is empty.
-func (m *Metrics) PartGauge(name, service, hall string, v float64) {
+func (m *Metrics) PartitionGauge(name, service, hall string, v float64) {
 	m.scope.Tagged(map[string]string{"service": service, "hall": hall}).Gauge(name).Update(v)
 }
--- a/internal/node/socket.go
+++ b/internal/node/socket.go
@@ -47,10 +47,10 @@
 		Window:  window,
 	}, logging.Part(n.log, "dispatch"))
 	d.floor = n.set.Floor()
-	d.setCoverageShort = func(p partition, short float64) { n.metrics.PartGauge("coverage_short", p.service, p.hall, short) }
+	d.setCoverageShort = func(p partition, short float64) { n.metrics.PartitionGauge("coverage_short", p.service, p.hall, short) }
 	d.seeds = n.limits.seeds
 	d.setLimitedTargets = func(p partition, targets int) {
-		n.metrics.PartGauge("limited_targets", p.service, p.hall, float64(targets))
+		n.metrics.PartitionGauge("limited_targets", p.service, p.hall, float64(targets))
 	}
 	if n.set.Choice() == settings.ChoiceJoint {
 		n.board.shares.withDispatchers = true
