--- a/internal/node/status.go
+++ b/internal/node/status.go
@@ -135,7 +135,7 @@
 }
 
 // explain returns how a request would be routed.
-func (n *Node) explain(q operator.Question) *operator.Explanation {
+func (n *Node) explain(q operator.ExplainRequest) *operator.Explanation {
 	c := n.board.currentConfig()
 	if c == nil {
 		return &operator.Explanation{
--- a/internal/operator/server.go
+++ b/internal/operator/server.go
@@ -29,7 +29,7 @@
 	Ready func() (bool, string)
 	// Status describes the node; brief omits members, services and revisions.
 	Status  func(brief bool) *Status
-	Explain func(Question) *Explanation
+	Explain func(ExplainRequest) *Explanation
 	// Drain begins a planned stop.
 	Drain   func()
 	Metrics http.Handler
@@ -115,7 +115,7 @@
 
 func (s *Server) explain(w http.ResponseWriter, r *http.Request) {
 	q := r.URL.Query()
-	writeJSON(w, s.cfg.Explain(Question{
+	writeJSON(w, s.cfg.Explain(ExplainRequest{
 		Host:   q.Get("host"),
 		Path:   q.Get("path"),
 		Method: q.Get("method"),
--- a/internal/operator/status.go
+++ b/internal/operator/status.go
@@ -149,8 +149,8 @@
 	Granted    int  `json:"granted"`
 }
 
-// Question describes a request to explain.
-type Question struct {
+// ExplainRequest describes a request to explain.
+type ExplainRequest struct {
 	Host   string
 	Path   string
 	Method string
