--- a/cmd/ploverctl/status.go
+++ b/cmd/ploverctl/status.go
@@ -206,7 +206,7 @@
 		return err
 	}
 	var b strings.Builder
-	for key, rev := range s.Revision {
+	for key, rev := range s.Revisions {
 		fmt.Fprintf(&b, "%s at revision %d\n", key, rev)
 	}
 	for _, r := range s.Config.Refused {
@@ -214,7 +214,7 @@
 	}
 	return out.print(configView{
 		Config:    s.Config,
-		Revisions: s.Revision,
+		Revisions: s.Revisions,
 	}, "%s", b.String())
 }
 
--- a/internal/integration/config_test.go
+++ b/internal/integration/config_test.go
@@ -26,7 +26,7 @@
 	if s == nil {
 		return 0
 	}
-	return s.Revision[key]
+	return s.Revisions[key]
 }
 
 func routesDoc(version int) string {
--- a/internal/node/status.go
+++ b/internal/node/status.go
@@ -46,9 +46,9 @@
 		return s
 	}
 	s.Members = n.memberStatus()
-	s.Revision = map[string]uint64{}
+	s.Revisions = map[string]uint64{}
 	for key, position := range n.replica.InForce() {
-		s.Revision[key] = position.Revision()
+		s.Revisions[key] = position.Revision()
 	}
 	s.Limits = n.limits.status(time.Now())
 	s.Quarantine = n.quarantine.status(time.Now())
--- a/internal/operator/status.go
+++ b/internal/operator/status.go
@@ -25,7 +25,7 @@
 	// received by this node.
 	TargetLimits []TargetLimitStatus `json:"target_limits"`
 	Control      ControlStatus       `json:"control"`
-	Revision     map[string]uint64   `json:"revisions"`
+	Revisions    map[string]uint64   `json:"revisions"`
 }
 
 // ConfigStatus describes the configuration in force.
