--- a/cmd/ploverctl/status.go
+++ b/cmd/ploverctl/status.go
@@ -135,7 +135,7 @@
 
 func writeService(b *strings.Builder, s *operator.ServiceStatus) {
 	fmt.Fprintf(b, "  service %s: %.1f of %.1f slots serve, floor %.1f, %d kept by the floor, %d targets used here\n",
-		s.Name, s.Serving, s.Capacity, s.Floor, s.Kept, s.Used)
+		s.Name, s.Serving, s.Capacity, s.Floor, s.KeptByFloor, s.Used)
 	for _, t := range s.Targets {
 		if t.Phase == "healthy" && !t.Leaving {
 			continue
--- a/internal/integration/outlier_test.go
+++ b/internal/integration/outlier_test.go
@@ -179,7 +179,7 @@
 	if svc.Serving < svc.Floor {
 		s.t.Fatalf("%v slots in service, the floor is %v", svc.Serving, svc.Floor)
 	}
-	return svc.Kept
+	return svc.KeptByFloor
 }
 
 // Guards against a cut between one node, or one data hall, and a target that ejects the
--- a/internal/node/status.go
+++ b/internal/node/status.go
@@ -112,12 +112,12 @@
 	}
 	p := all.services[name]
 	s := &operator.ServiceStatus{
-		Name:     name,
-		Capacity: p.pool.Capacity(),
-		Serving:  p.pool.Serving(),
-		Floor:    p.pool.Floor(),
-		Kept:     p.pool.KeptByFloor(),
-		Used:     p.pool.Len(),
+		Name:        name,
+		Capacity:    p.pool.Capacity(),
+		Serving:     p.pool.Serving(),
+		Floor:       p.pool.Floor(),
+		KeptByFloor: p.pool.KeptByFloor(),
+		Used:        p.pool.Len(),
 	}
 	used := p.pool.Keys()
 	for _, t := range p.targets {
--- a/internal/operator/status.go
+++ b/internal/operator/status.go
@@ -64,13 +64,13 @@
 
 // ServiceStatus is one service as this node sees it.
 type ServiceStatus struct {
-	Name     string         `json:"name"`
-	Capacity float64        `json:"capacity"`
-	Serving  float64        `json:"serving"`
-	Floor    float64        `json:"floor"`
-	Kept     int            `json:"kept_by_floor"`
-	Used     int            `json:"used_targets"`
-	Targets  []TargetStatus `json:"targets"`
+	Name        string         `json:"name"`
+	Capacity    float64        `json:"capacity"`
+	Serving     float64        `json:"serving"`
+	Floor       float64        `json:"floor"`
+	KeptByFloor int            `json:"kept_by_floor"`
+	Used        int            `json:"used_targets"`
+	Targets     []TargetStatus `json:"targets"`
 }
 
 // TargetStatus is one target as this node sees it.
