--- a/cmd/ploverctl/follow.go
+++ b/cmd/ploverctl/follow.go
@@ -75,7 +75,7 @@
 	for _, svc := range s.Services {
 		for _, t := range svc.Targets {
 			state := t.Phase
-			if t.Leaving {
+			if t.Draining {
 				state += ", leaving"
 			}
 			out[svc.Name+" "+t.Address] = state
--- a/cmd/ploverctl/status.go
+++ b/cmd/ploverctl/status.go
@@ -137,11 +137,11 @@
 	fmt.Fprintf(b, "  service %s: %.1f of %.1f slots serve, floor %.1f, %d kept by the floor, %d targets used here\n",
 		s.Name, s.Serving, s.Capacity, s.Floor, s.KeptByFloor, s.Used)
 	for _, t := range s.Targets {
-		if t.Phase == "healthy" && !t.Leaving {
+		if t.Phase == "healthy" && !t.Draining {
 			continue
 		}
 		state := t.Phase
-		if t.Leaving {
+		if t.Draining {
 			state += ", leaving"
 		}
 		fmt.Fprintf(b, "    target %s: %s, score %.1f, warmth %.2f\n", t.Address, state, t.Score, t.Warmth)
--- a/internal/integration/stop_test.go
+++ b/internal/integration/stop_test.go
@@ -201,7 +201,7 @@
 	})
 	started := time.Now()
 	for _, n := range s.nodes {
-		eventually(t, "the draining signal on all nodes", func() bool { return n.phase(draining).Leaving })
+		eventually(t, "the draining signal on all nodes", func() bool { return n.phase(draining).Draining })
 	}
 	took := time.Since(started)
 	t.Logf("received by all nodes after %v", took)
--- a/internal/node/status.go
+++ b/internal/node/status.go
@@ -124,7 +124,7 @@
 		s.Targets = append(s.Targets, operator.TargetStatus{
 			Address:  t.address,
 			Phase:    t.state.Phase.String(),
-			Leaving:  t.state.Draining || t.listedDraining,
+			Draining: t.state.Draining || t.listedDraining,
 			Score:    t.state.Score,
 			Warmth:   t.state.Warmth,
 			InFlight: t.inFlight,
--- a/internal/operator/status.go
+++ b/internal/operator/status.go
@@ -77,7 +77,7 @@
 type TargetStatus struct {
 	Address  string  `json:"address"`
 	Phase    string  `json:"phase"`
-	Leaving  bool    `json:"leaving"`
+	Draining bool    `json:"leaving"`
 	Score    float64 `json:"score"`
 	Warmth   float64 `json:"warmth"`
 	InFlight int     `json:"in_flight"`
