--- a/internal/operator/status.go
+++ b/internal/operator/status.go
@@ -128,10 +128,10 @@
 type SignalStatus struct {
 	Service string `json:"service"`
 	Target  string `json:"target"`
-	// Leaving is set if the target is draining; RestMS is the remaining backoff of this
+	// Draining is set if the target is draining; RestMS is the remaining backoff of this
 	// node in milliseconds.
-	Leaving bool  `json:"leaving"`
-	RestMS  int64 `json:"rest_ms"`
+	Draining bool  `json:"leaving"`
+	RestMS   int64 `json:"rest_ms"`
 }
 
 // TargetLimitStatus is a target with a limit for the whole fleet.
