--- a/cmd/ploverctl/status.go
+++ b/cmd/ploverctl/status.go
@@ -114,7 +114,7 @@
 func writeSignal(b *strings.Builder, n *operator.SignalStatus) {
 	state := "leaves"
 	if !n.Draining {
-		state = "wants nothing for " + (time.Duration(n.RestMS) * time.Millisecond).String()
+		state = "wants nothing for " + (time.Duration(n.BackoffMS) * time.Millisecond).String()
 	}
 	fmt.Fprintf(b, "  target %s of %s told this node that it %s\n", n.Target, n.Service, state)
 }
--- a/internal/integration/signal_test.go
+++ b/internal/integration/signal_test.go
@@ -323,7 +323,7 @@
 		}
 	}
 	for i, n := range s.nodes {
-		if got := n.status().Signals; len(got) != len(quotes) || got[0].Service != "quotes" || got[0].RestMS <= 0 {
+		if got := n.status().Signals; len(got) != len(quotes) || got[0].Service != "quotes" || got[0].BackoffMS <= 0 {
 			t.Errorf("node %d has signals %+v", i, got)
 		}
 		if _, out := ctl(t, "status", "--node", n.proc.Load().Operator()); strings.Count(out, "told this node that it wants nothing") != len(quotes) {
--- a/internal/node/signals.go
+++ b/internal/node/signals.go
@@ -103,10 +103,10 @@
 		for _, t := range s.Targets() {
 			if status := b.targetStatus(now, t); status.Unavailable() {
 				out = append(out, operator.SignalStatus{
-					Service:  s.Name(),
-					Target:   t.Key(),
-					Draining: status.Draining,
-					RestMS:   status.Backoff.Milliseconds(),
+					Service:   s.Name(),
+					Target:    t.Key(),
+					Draining:  status.Draining,
+					BackoffMS: status.Backoff.Milliseconds(),
 				})
 			}
 		}
--- a/internal/operator/status.go
+++ b/internal/operator/status.go
@@ -130,8 +130,8 @@
 	Target  string `json:"target"`
 	// Draining is set if the target is draining; RestMS is the remaining backoff of this
 	// node in milliseconds.
-	Draining bool  `json:"leaving"`
-	RestMS   int64 `json:"rest_ms"`
+	Draining  bool  `json:"leaving"`
+	BackoffMS int64 `json:"rest_ms"`
 }
 
 // TargetLimitStatus is a target with a limit for the whole fleet.
