--- a/internal/node/usage.go
+++ b/internal/node/usage.go
@@ -17,15 +17,15 @@
 	var out []operator.LimitStatus
 	for _, s := range l.limiter.Statuses(now) {
 		w := operator.LimitStatus{
-			Workspace: s.Workspace,
-			Rate:      s.Limit.Rate,
-			Burst:     s.Limit.Burst,
-			Asked:     s.Demand,
-			Reserve:   s.Held,
-			Allocator: l.holder(s.Workspace).Address(),
-			Tokens:    s.Share.Level,
-			Kept:      s.Share.Withheld,
-			AgeMS:     -1,
+			Workspace:   s.Workspace,
+			Rate:        s.Limit.Rate,
+			Burst:       s.Limit.Burst,
+			RequestRate: s.Demand,
+			Reserve:     s.Held,
+			Allocator:   l.holder(s.Workspace).Address(),
+			Tokens:      s.Share.Level,
+			Kept:        s.Share.Withheld,
+			AgeMS:       -1,
 		}
 		if !s.At.IsZero() {
 			w.AgeMS = now.Sub(s.At).Milliseconds()
--- a/internal/operator/status.go
+++ b/internal/operator/status.go
@@ -99,10 +99,10 @@
 	// Rate and Burst are the limit of the whole fleet, in requests per second and at once.
 	Rate  float64 `json:"rate"`
 	Burst float64 `json:"burst"`
-	// Asked is how many requests per second arrive at this node, Reserve how many it may
+	// RequestRate is how many requests per second arrive at this node, Reserve how many it may
 	// admit without a token request.
-	Asked   float64 `json:"asked"`
-	Reserve int     `json:"reserve"`
+	RequestRate float64 `json:"asked"`
+	Reserve     int     `json:"reserve"`
 	// Allocator is the node that holds the workspace's bucket. Tokens are those left in it,
 	// Kept the share of the rate withheld for unreachable nodes, as it reported AgeMS
 	// milliseconds ago; -1 means never.
