--- a/cmd/ploverctl/status.go
+++ b/cmd/ploverctl/status.go
@@ -130,7 +130,7 @@
 
 func writeLimit(b *strings.Builder, l *operator.LimitStatus) {
 	fmt.Fprintf(b, "  workspace %s: limit %.1f a second, %.1f asked here, %d in reserve, %.1f tokens and %.1f kept back at %s, %s\n",
-		l.Workspace, l.Rate, l.RequestRate, l.Reserve, l.Tokens, l.Kept, l.Allocator, age(l.AgeMS))
+		l.Workspace, l.Rate, l.RequestRate, l.Reserve, l.Tokens, l.Withheld, l.Allocator, age(l.AgeMS))
 }
 
 func writeService(b *strings.Builder, s *operator.ServiceStatus) {
--- a/internal/node/usage.go
+++ b/internal/node/usage.go
@@ -24,7 +24,7 @@
 			Reserve:     s.Held,
 			Allocator:   l.holder(s.Workspace).Address(),
 			Tokens:      s.Share.Level,
-			Kept:        s.Share.Withheld,
+			Withheld:    s.Share.Withheld,
 			AgeMS:       -1,
 		}
 		if !s.At.IsZero() {
--- a/internal/operator/status.go
+++ b/internal/operator/status.go
@@ -108,7 +108,7 @@
 	// milliseconds ago; -1 means never.
 	Allocator string  `json:"allocator"`
 	Tokens    float64 `json:"tokens"`
-	Kept      float64 `json:"kept"`
+	Withheld  float64 `json:"kept"`
 	AgeMS     int64   `json:"age_ms"`
 }
 
