--- a/cmd/ploverctl/status.go
+++ b/cmd/ploverctl/status.go
@@ -125,7 +125,7 @@
 	if q.WaitMS > 0 {
 		state = "refused for " + (time.Duration(q.WaitMS) * time.Millisecond).Round(time.Second).String()
 	}
-	fmt.Fprintf(b, "  request %s: %d targets ended under it, the last %s ago, %s\n", q.Fingerprint, q.Ends, since, state)
+	fmt.Fprintf(b, "  request %s: %d targets ended under it, the last %s ago, %s\n", q.Fingerprint, q.Crashes, since, state)
 }
 
 func writeLimit(b *strings.Builder, l *operator.LimitStatus) {
--- a/internal/node/quarantine.go
+++ b/internal/node/quarantine.go
@@ -277,7 +277,7 @@
 		s := q.ledger.Status(now, r.Fingerprint)
 		out = append(out, operator.QuarantineStatus{
 			Fingerprint: r.Fingerprint.String(),
-			Ends:        s.Crashes,
+			Crashes:     s.Crashes,
 			AgeMS:       now.Sub(s.Last).Milliseconds(),
 			WaitMS:      s.Wait.Milliseconds(),
 		})
--- a/internal/operator/status.go
+++ b/internal/operator/status.go
@@ -116,10 +116,10 @@
 type QuarantineStatus struct {
 	// Fingerprint identifies the request content, or that of one caller, as in the logs.
 	Fingerprint string `json:"fingerprint"`
-	// Ends is how many targets crashed since the request was last answered, AgeMS how many
+	// Crashes is how many targets crashed since the request was last answered, AgeMS how many
 	// milliseconds ago the last one did.
-	Ends  int   `json:"ends"`
-	AgeMS int64 `json:"age_ms"`
+	Crashes int   `json:"ends"`
+	AgeMS   int64 `json:"age_ms"`
 	// WaitMS is for how many milliseconds this node refuses the request; 0 means that it may run.
 	WaitMS int64 `json:"wait_ms"`
 }
