--- a/internal/soak/schedule.go
+++ b/internal/soak/schedule.go
@@ -84,8 +84,8 @@
 	Keyed bool
 	// Harmful reports whether a request that crashes every target is sent repeatedly.
 	Harmful bool
-	// Saying reports whether targets signal in their answers that they drain or back off.
-	Saying bool
+	// Signaling reports whether targets signal in their answers that they drain or back off.
+	Signaling bool
 	// Limiting reports whether targets signal limits.
 	Limiting bool
 	// Restoring reports whether the platform is restored from copies.
--- a/internal/soak/signals.go
+++ b/internal/soak/signals.go
@@ -21,8 +21,8 @@
 // source, so that the other steps of a seed do not change.
 func (p *Plan) addSignals() {
 	rng := rand.New(rand.NewPCG(p.Seed, 0x5a7))
-	p.Saying = rng.IntN(2) == 0
-	if !p.Saying {
+	p.Signaling = rng.IntN(2) == 0
+	if !p.Signaling {
 		return
 	}
 	for i := range signalSteps {
