--- a/internal/soak/crash.go
+++ b/internal/soak/crash.go
@@ -51,7 +51,7 @@
 // request after three in all, but each process may forward it once more just after its start;
 // in the independent mode each process learns from three of its own.
 func (f *fleet) checkCrashes() {
-	if !f.plan.Harmful {
+	if !f.plan.Crashing {
 		return
 	}
 	processes := f.processes.Load()
--- a/internal/soak/fleet.go
+++ b/internal/soak/fleet.go
@@ -107,7 +107,7 @@
 		}
 		b.SetMode(healthy())
 		b.born.Store(f.started.UnixMilli())
-		if plan.Harmful {
+		if plan.Crashing {
 			f.crashOnRequest(b)
 		}
 		b.server = httptest.NewServer(b.Handler())
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -83,7 +83,7 @@
 		group.Go(func() { f.sendOverLimit(ctx) })
 		group.Go(func() { f.sendRevokedKeys(ctx) })
 	}
-	if f.plan.Harmful {
+	if f.plan.Crashing {
 		group.Go(func() { f.sendHarmful(ctx) })
 	}
 	go func() {
--- a/internal/soak/schedule.go
+++ b/internal/soak/schedule.go
@@ -82,8 +82,8 @@
 	Joint bool
 	// Keyed reports whether callers authenticate with keys of their workspaces.
 	Keyed bool
-	// Harmful reports whether a request that crashes every target is sent repeatedly.
-	Harmful bool
+	// Crashing reports whether a request that crashes every target is sent repeatedly.
+	Crashing bool
 	// Signaling reports whether targets signal in their answers that they drain or back off.
 	Signaling bool
 	// Limiting reports whether targets signal limits.
@@ -138,7 +138,7 @@
 	p.addLimits()
 	p.addRestores()
 	// A separate random source keeps the other steps of a seed unchanged.
-	p.Harmful = rand.New(rand.NewPCG(seed, 0x4a21)).IntN(2) == 0
+	p.Crashing = rand.New(rand.NewPCG(seed, 0x4a21)).IntN(2) == 0
 	slices.SortStableFunc(p.Steps, func(a, b Step) int { return int(a.At - b.At) })
 	return p
 }
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -67,7 +67,7 @@
 	if err != nil {
 		t.Errorf("seed %d: %v", seed, err)
 	}
-	t.Logf("seed %d: joint %t, harmful %t, saying %t, limiting %t, restoring %t, %d steps, %d calls %v, %d runs", seed, plan.Joint, plan.Harmful, plan.Signaling, plan.Limiting, plan.Restoring, len(plan.Steps), report.Calls, report.Counts, report.Runs)
+	t.Logf("seed %d: joint %t, harmful %t, saying %t, limiting %t, restoring %t, %d steps, %d calls %v, %d runs", seed, plan.Joint, plan.Crashing, plan.Signaling, plan.Limiting, plan.Restoring, len(plan.Steps), report.Calls, report.Counts, report.Runs)
 	for _, b := range report.Broken {
 		t.Errorf("seed %d: %s", seed, b)
 	}
