--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -34,8 +34,8 @@
 	Calls  int
 	Runs   int
 	Counts map[string]int
-	// Broken lists the violations.
-	Broken []string
+	// Violations lists the violations.
+	Violations []string
 }
 
 // Run executes a plan with processes of the program daemon, whose files are written
@@ -57,7 +57,7 @@
 	cancel()
 	report := f.check(<-records)
 	f.checkRecovery()
-	report.Broken = f.violations
+	report.Violations = f.violations
 	return report, err
 }
 
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -68,10 +68,10 @@
 		t.Errorf("seed %d: %v", seed, err)
 	}
 	t.Logf("seed %d: joint %t, harmful %t, saying %t, limiting %t, restoring %t, %d steps, %d calls %v, %d runs", seed, plan.Joint, plan.Crashing, plan.Signaling, plan.Limiting, plan.Restoring, len(plan.Steps), report.Calls, report.Counts, report.Runs)
-	for _, b := range report.Broken {
+	for _, b := range report.Violations {
 		t.Errorf("seed %d: %s", seed, b)
 	}
-	if len(report.Broken) > 0 {
+	if len(report.Violations) > 0 {
 		for _, s := range plan.Steps {
 			t.Logf("seed %d: %6.2fs for %4.2fs %s %d", seed, s.At.Seconds(), s.For.Seconds(), s.Kind, s.Index)
 		}
