--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -40,7 +40,7 @@
 		f.restore(s)
 	case KindPublish:
 		f.publishRoute()
-	case KindLeave:
+	case KindDrain:
 		f.drain(s.Index)
 	case KindKeys:
 		f.rotateKeys()
--- a/internal/soak/schedule.go
+++ b/internal/soak/schedule.go
@@ -32,7 +32,7 @@
 	KindPlatformRestore Kind = "platform restored"
 	// KindPublish publishes one more route, KindLeave publishes a target as draining.
 	KindPublish Kind = "publish"
-	KindLeave   Kind = "leave"
+	KindDrain   Kind = "leave"
 	// The following kinds act on a target or on the links of all nodes to it.
 	KindTargetCut    Kind = "target cut"
 	KindTargetDeaf   Kind = "target deaf"
@@ -63,7 +63,7 @@
 	KindStop, KindStop, KindStop, KindKill, KindKill, KindPause, KindPause,
 	KindPeersCut, KindPeersDeaf,
 	KindPlatformCut, KindPlatformDeaf, KindPlatformSlow, KindPlatformReset, KindPlatformDown,
-	KindPublish, KindPublish, KindPublish, KindLeave,
+	KindPublish, KindPublish, KindPublish, KindDrain,
 	KindTargetCut, KindTargetDeaf, KindTargetSlow, KindTargetReset, KindTargetStall,
 	KindTargetErrors, KindTargetSheds, KindTargetAborts, KindTargetShort, KindTargetSwaps,
 }
