--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -46,7 +46,7 @@
 		f.rotateKeys()
 	case KindSaysLeaving:
 		f.signalDraining(s.Index)
-	case KindReborn:
+	case KindTargetRestart:
 		f.restartTarget(s.Index)
 	case KindNamesLimit:
 		f.signalLimit(f.targets[s.Index], s)
--- a/internal/soak/schedule.go
+++ b/internal/soak/schedule.go
@@ -46,8 +46,8 @@
 	KindTargetSwaps  Kind = "target swaps ids"
 	// The following kinds occur in keyed plans. KindKeys revokes a key and issues another one,
 	// KindReborn publishes a new incarnation of a target under the same ID.
-	KindKeys   Kind = "keys change"
-	KindReborn Kind = "target starts again"
+	KindKeys          Kind = "keys change"
+	KindTargetRestart Kind = "target starts again"
 	// The following kinds occur in plans in which targets send signals in their answers.
 	// KindSaysLeaving lasts until the end of the run or the target's next incarnation; the
 	// target is not published as draining.
@@ -157,7 +157,7 @@
 	for range keyedSteps {
 		kind := KindKeys
 		if rng.IntN(2) == 0 {
-			kind = KindReborn
+			kind = KindTargetRestart
 		}
 		p.Steps = append(p.Steps, Step{
 			At:    time.Duration(rng.Int64N(int64(faultTime))),
