--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -44,7 +44,7 @@
 		f.drain(s.Index)
 	case KindKeys:
 		f.rotateKeys()
-	case KindSaysLeaving:
+	case KindSignalsDraining:
 		f.signalDraining(s.Index)
 	case KindTargetRestart:
 		f.restartTarget(s.Index)
--- a/internal/soak/schedule.go
+++ b/internal/soak/schedule.go
@@ -51,8 +51,8 @@
 	// The following kinds occur in plans in which targets send signals in their answers.
 	// KindSaysLeaving lasts until the end of the run or the target's next incarnation; the
 	// target is not published as draining.
-	KindSaysLeaving Kind = "target says it leaves"
-	KindWantsRest   Kind = "target wants rest"
+	KindSignalsDraining Kind = "target says it leaves"
+	KindWantsRest       Kind = "target wants rest"
 	// KindNamesLimit makes a target signal a limit for the whole fleet.
 	KindNamesLimit Kind = "target names a limit"
 )
--- a/internal/soak/signals.go
+++ b/internal/soak/signals.go
@@ -28,7 +28,7 @@
 	for i := range signalSteps {
 		kind := KindWantsRest
 		if i%3 == 0 {
-			kind = KindSaysLeaving
+			kind = KindSignalsDraining
 		}
 		p.Steps = append(p.Steps, Step{
 			At:    time.Duration(rng.Int64N(int64(faultTime))),
