--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -105,7 +105,7 @@
 		m.ErrorShare = 0.7
 	case KindTargetSheds:
 		m.Shed = true
-	case KindWantsRest:
+	case KindRequestsBackoff:
 		m.Shed = true
 		m.Rest = backoffRequested
 	case KindTargetAborts:
--- a/internal/soak/schedule.go
+++ b/internal/soak/schedule.go
@@ -52,7 +52,7 @@
 	// KindSaysLeaving lasts until the end of the run or the target's next incarnation; the
 	// target is not published as draining.
 	KindSignalsDraining Kind = "target says it leaves"
-	KindWantsRest       Kind = "target wants rest"
+	KindRequestsBackoff Kind = "target wants rest"
 	// KindNamesLimit makes a target signal a limit for the whole fleet.
 	KindNamesLimit Kind = "target names a limit"
 )
--- a/internal/soak/signals.go
+++ b/internal/soak/signals.go
@@ -26,7 +26,7 @@
 		return
 	}
 	for i := range signalSteps {
-		kind := KindWantsRest
+		kind := KindRequestsBackoff
 		if i%3 == 0 {
 			kind = KindSignalsDraining
 		}
