--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -48,7 +48,7 @@
 		f.signalDraining(s.Index)
 	case KindTargetRestart:
 		f.restartTarget(s.Index)
-	case KindNamesLimit:
+	case KindSignalsLimit:
 		f.signalLimit(f.targets[s.Index], s)
 	default:
 		f.targetStep(f.targets[s.Index], s)
--- a/internal/soak/limits.go
+++ b/internal/soak/limits.go
@@ -42,7 +42,7 @@
 		p.Steps = append(p.Steps, Step{
 			At:    time.Duration(rng.Int64N(int64(faultTime / 2))),
 			For:   minLimitTime + time.Duration(rng.Int64N(int64(maxLimitTime-minLimitTime))),
-			Kind:  KindNamesLimit,
+			Kind:  KindSignalsLimit,
 			Index: rng.IntN(p.Targets),
 		})
 	}
--- a/internal/soak/schedule.go
+++ b/internal/soak/schedule.go
@@ -53,8 +53,8 @@
 	// target is not published as draining.
 	KindSignalsDraining Kind = "target says it leaves"
 	KindRequestsBackoff Kind = "target wants rest"
-	// KindNamesLimit makes a target signal a limit for the whole fleet.
-	KindNamesLimit Kind = "target names a limit"
+	// KindSignalsLimit makes a target signal a limit for the whole fleet.
+	KindSignalsLimit Kind = "target names a limit"
 )
 
 // kinds are the kinds to draw from in every plan. Those listed more than once are drawn
