--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -42,7 +42,7 @@
 		f.publishRoute()
 	case KindDrain:
 		f.drain(s.Index)
-	case KindKeys:
+	case KindRotateKeys:
 		f.rotateKeys()
 	case KindSignalsDraining:
 		f.signalDraining(s.Index)
--- a/internal/soak/schedule.go
+++ b/internal/soak/schedule.go
@@ -46,7 +46,7 @@
 	KindTargetSwaps  Kind = "target swaps ids"
 	// The following kinds occur in keyed plans. KindKeys revokes a key and issues another one,
 	// KindReborn publishes a new incarnation of a target under the same ID.
-	KindKeys          Kind = "keys change"
+	KindRotateKeys    Kind = "keys change"
 	KindTargetRestart Kind = "target starts again"
 	// The following kinds occur in plans in which targets send signals in their answers.
 	// KindSaysLeaving lasts until the end of the run or the target's next incarnation; the
@@ -155,7 +155,7 @@
 		return
 	}
 	for range keyedSteps {
-		kind := KindKeys
+		kind := KindRotateKeys
 		if rng.IntN(2) == 0 {
 			kind = KindTargetRestart
 		}
