--- a/internal/integration/crash_test.go
+++ b/internal/integration/crash_test.go
@@ -34,7 +34,7 @@
 		b.SetMode(target.Mode{
 			Latency: 20 * time.Millisecond,
 		})
-		b.SetEnd(func() {
+		b.SetCrash(func() {
 			crashes.Add(1)
 			b.crash(t, back)
 		})
--- a/internal/soak/crash.go
+++ b/internal/soak/crash.go
@@ -23,7 +23,7 @@
 
 // crashOnRequest makes a target crash on a request that asks for it.
 func (f *fleet) crashOnRequest(b *backend) {
-	b.SetEnd(func() {
+	b.SetCrash(func() {
 		f.crashes.Add(1)
 		b.proxy.Down()
 		time.AfterFunc(restartDelay, func() {
--- a/internal/standin/target/target.go
+++ b/internal/standin/target/target.go
@@ -116,9 +116,9 @@
 // SetMode sets the behavior from the next request on.
 func (t *Target) SetMode(m Mode) { t.mode.Store(&m) }
 
-// SetEnd sets the function that crashes the target: a request whose query has "ends" calls
+// SetCrash sets the function that crashes the target: a request whose query has "ends" calls
 // it as soon as it runs.
-func (t *Target) SetEnd(crash func()) { t.crash.Store(&crash) }
+func (t *Target) SetCrash(crash func()) { t.crash.Store(&crash) }
 
 // Requests returns the number of requests received, run or not.
 func (t *Target) Requests() int64 { return t.requests.Load() }
