--- a/internal/integration/signal_test.go
+++ b/internal/integration/signal_test.go
@@ -230,8 +230,8 @@
 			stop := s.load(tt.remaining...)
 			eventually(t, "work at the target", func() bool { return len(b.Arrivals()) > 40 })
 			b.SetMode(target.Mode{
-				Shed: true,
-				Rest: backoff,
+				Shed:    true,
+				Backoff: backoff,
 			})
 			eventually(t, "a request refused with a backoff", func() bool { return requestedBackoff(b, tt.remaining) })
 			b.SetMode(target.Mode{
@@ -293,8 +293,8 @@
 	quotes := s.targets[:3]
 	for _, b := range quotes {
 		b.SetMode(target.Mode{
-			Shed: true,
-			Rest: backoff,
+			Shed:    true,
+			Backoff: backoff,
 		})
 	}
 	request := func(i int) reply { return s.nodes[i].do(http.MethodGet, "/quotes/1", fmt.Sprintf("%d-q", i), "") }
--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -107,7 +107,7 @@
 		m.Shed = true
 	case KindRequestsBackoff:
 		m.Shed = true
-		m.Rest = backoffRequested
+		m.Backoff = backoffRequested
 	case KindTargetAborts:
 		m.ResetAfter = true
 	case KindTargetShort:
--- a/internal/standin/target/target.go
+++ b/internal/standin/target/target.go
@@ -39,8 +39,8 @@
 	ErrorShare float64 `json:"error_share"`
 	// Shed refuses requests before running them.
 	Shed bool `json:"shed"`
-	// Rest is the backoff sent with the refusals of Shed.
-	Rest time.Duration `json:"rest"`
+	// Backoff is the backoff sent with the refusals of Shed.
+	Backoff time.Duration `json:"rest"`
 	// Leaving signals draining in all answers; the target still runs requests.
 	Leaving bool `json:"leaving"`
 	// Limit is sent in all answers as the requests per second that the target accepts from
@@ -146,7 +146,7 @@
 		Limit:   m.Limit,
 	}
 	if m.Shed {
-		a.Rest = m.Rest
+		a.Rest = m.Backoff
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -207,8 +207,8 @@
 	if m.ResetBefore {
 		panic(http.ErrAbortHandler)
 	}
-	if m.Shed && m.Rest > 0 {
-		w.Header().Set("Retry-After", strconv.FormatFloat(m.Rest.Seconds(), 'f', -1, 64))
+	if m.Shed && m.Backoff > 0 {
+		w.Header().Set("Retry-After", strconv.FormatFloat(m.Backoff.Seconds(), 'f', -1, 64))
 	}
 	if m.Shed || pastDeadline(r) {
 		refuse(w)
