--- a/internal/integration/signal_test.go
+++ b/internal/integration/signal_test.go
@@ -163,8 +163,8 @@
 			stop := s.load(tt.remaining...)
 			eventually(t, "work at the target", func() bool { return len(b.Arrivals()) > 40 })
 			b.SetMode(target.Mode{
-				Latency: signalLatency,
-				Leaving: true,
+				Latency:  signalLatency,
+				Draining: true,
 			})
 			for _, i := range tt.remaining {
 				eventually(t, "the draining signal", func() bool { return signaledDraining(b, i) || tt.choice == "joint" && idle(b) })
--- a/internal/integration/stop_test.go
+++ b/internal/integration/stop_test.go
@@ -196,8 +196,8 @@
 	eventually(t, "work on the target", func() bool { return len(draining.Runs()) > 20 })
 	// The platform's list keeps the target as live.
 	draining.SetMode(target.Mode{
-		Latency: 3 * time.Millisecond,
-		Leaving: true,
+		Latency:  3 * time.Millisecond,
+		Draining: true,
 	})
 	started := time.Now()
 	for _, n := range s.nodes {
--- a/internal/soak/signals.go
+++ b/internal/soak/signals.go
@@ -42,7 +42,7 @@
 // mode returns the mode of a target without faults, including its current signals.
 func (b *backend) mode() target.Mode {
 	m := healthy()
-	m.Leaving = b.signalsDraining.Load()
+	m.Draining = b.signalsDraining.Load()
 	if b.limits.Load() > 0 {
 		m.Limit = limitText
 	}
--- a/internal/standin/target/target.go
+++ b/internal/standin/target/target.go
@@ -41,8 +41,8 @@
 	Shed bool `json:"shed"`
 	// Backoff is the backoff sent with the refusals of Shed.
 	Backoff time.Duration `json:"rest"`
-	// Leaving signals draining in all answers; the target still runs requests.
-	Leaving bool `json:"leaving"`
+	// Draining signals draining in all answers; the target still runs requests.
+	Draining bool `json:"leaving"`
 	// Limit is sent in all answers as the requests per second that the target accepts from
 	// the whole fleet; "" sends none. The target doesn't enforce it.
 	Limit string `json:"limit"`
@@ -142,7 +142,7 @@
 	a := Arrival{
 		Key:     r.Header.Get(HeaderKey),
 		At:      time.Now(),
-		Leaving: m.Leaving,
+		Leaving: m.Draining,
 		Limit:   m.Limit,
 	}
 	if m.Shed {
@@ -179,7 +179,7 @@
 }
 
 func (t *Target) setState(w http.ResponseWriter, m *Mode) {
-	if m.Leaving {
+	if m.Draining {
 		w.Header().Set(headerState, "leaving")
 	}
 	if m.Limit != "" {
