--- a/internal/integration/signal_test.go
+++ b/internal/integration/signal_test.go
@@ -252,7 +252,7 @@
 func requestedBackoff(b *backend, nodes []int) bool {
 	for _, i := range nodes {
 		for _, a := range b.from(i) {
-			if a.Rest > 0 {
+			if a.Backoff > 0 {
 				return true
 			}
 		}
@@ -272,12 +272,12 @@
 	for _, refusal := range all {
 		n := 0
 		for _, a := range all {
-			if after := a.At.Sub(refusal.At); refusal.Rest > 0 && after > slack && after < refusal.Rest {
+			if after := a.At.Sub(refusal.At); refusal.Backoff > 0 && after > slack && after < refusal.Backoff {
 				n++
 			}
 		}
 		if n > maxRequests {
-			t.Errorf("node %d sent %d requests during the requested backoff of %v", node, n, refusal.Rest)
+			t.Errorf("node %d sent %d requests during the requested backoff of %v", node, n, refusal.Backoff)
 			return
 		}
 	}
--- a/internal/soak/signals.go
+++ b/internal/soak/signals.go
@@ -134,19 +134,19 @@
 	all := b.Arrivals()
 	for i, refusal := range all {
 		c := calls[refusal.Key]
-		if refusal.Rest == 0 || c == nil || c.err != nil || c.Repeatable || c.Status != http.StatusOK && c.Outcome != "not-run" {
+		if refusal.Backoff == 0 || c == nil || c.err != nil || c.Repeatable || c.Status != http.StatusOK && c.Outcome != "not-run" {
 			continue
 		}
 		for _, a := range all[i+1:] {
 			o := calls[a.Key]
 			at := a.At.Sub(f.started)
-			if o == nil || o.process != c.process || o.started < c.ended || a.At.Sub(refusal.At) >= refusal.Rest {
+			if o == nil || o.process != c.process || o.started < c.ended || a.At.Sub(refusal.At) >= refusal.Backoff {
 				continue
 			}
 			if f.incarnationBefore(b, at) > refusal.At.Sub(f.started) {
 				break
 			}
-			f.violation("%s requested of node %d a backoff of %v at %.2fs and got %s from it at %.2fs", b.Name(), c.node, refusal.Rest, refusal.At.Sub(f.started).Seconds(), a.Key, at.Seconds())
+			f.violation("%s requested of node %d a backoff of %v at %.2fs and got %s from it at %.2fs", b.Name(), c.node, refusal.Backoff, refusal.At.Sub(f.started).Seconds(), a.Key, at.Seconds())
 		}
 	}
 }
--- a/internal/standin/target/target.go
+++ b/internal/standin/target/target.go
@@ -82,7 +82,7 @@
 	Key     string
 	At      time.Time
 	Leaving bool
-	Rest    time.Duration
+	Backoff time.Duration
 	Limit   string
 }
 
@@ -146,7 +146,7 @@
 		Limit:   m.Limit,
 	}
 	if m.Shed {
-		a.Rest = m.Backoff
+		a.Backoff = m.Backoff
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
