--- a/internal/integration/signal_test.go
+++ b/internal/integration/signal_test.go
@@ -183,7 +183,7 @@
 // signaledDraining reports whether the target signaled to a node that it is draining.
 func signaledDraining(b *backend, node int) bool {
 	for _, a := range b.from(node) {
-		if a.Leaving {
+		if a.Draining {
 			return true
 		}
 	}
@@ -205,7 +205,7 @@
 		switch {
 		case !received.IsZero() && a.At.Sub(received) > within:
 			late++
-		case a.Leaving && received.IsZero():
+		case a.Draining && received.IsZero():
 			received = a.At.Add(signalLatency)
 		}
 	}
--- a/internal/soak/signals.go
+++ b/internal/soak/signals.go
@@ -121,7 +121,7 @@
 		switch {
 		case known && c.started > when:
 			f.violation("%s signaled that it is draining; node %d relayed that at %.2fs and sent it %s at %.2fs", b.Name(), c.node, when.Seconds(), a.Key, at.Seconds())
-		case !known && a.Leaving && c.arrivals == 1 && c.err == nil && c.Status == http.StatusOK:
+		case !known && a.Draining && c.arrivals == 1 && c.err == nil && c.Status == http.StatusOK:
 			received[c.process] = c.ended
 		}
 	}
--- a/internal/standin/target/target.go
+++ b/internal/standin/target/target.go
@@ -79,11 +79,11 @@
 
 // Arrival is one request that reached a target, run or not, and the signals in its answer.
 type Arrival struct {
-	Key     string
-	At      time.Time
-	Leaving bool
-	Backoff time.Duration
-	Limit   string
+	Key      string
+	At       time.Time
+	Draining bool
+	Backoff  time.Duration
+	Limit    string
 }
 
 // Target is the stand-in. It may be used concurrently.
@@ -140,10 +140,10 @@
 // recordArrival records a request that reached the target.
 func (t *Target) recordArrival(r *http.Request, m *Mode) {
 	a := Arrival{
-		Key:     r.Header.Get(HeaderKey),
-		At:      time.Now(),
-		Leaving: m.Draining,
-		Limit:   m.Limit,
+		Key:      r.Header.Get(HeaderKey),
+		At:       time.Now(),
+		Draining: m.Draining,
+		Limit:    m.Limit,
 	}
 	if m.Shed {
 		a.Backoff = m.Backoff
