--- a/internal/integration/outlier_test.go
+++ b/internal/integration/outlier_test.go
@@ -224,7 +224,7 @@
 			l := startLoad(s.nodes, 24, 10*time.Millisecond)
 			eventually(t, "work on the target", func() bool { return len(bad.Runs()) > 200 })
 			for _, i := range c.cut {
-				bad.proxy.From(s.nodes[i].outgoing, c.forward, c.backward)
+				bad.proxy.SetSource(s.nodes[i].outgoing, c.forward, c.backward)
 			}
 			for _, i := range c.cut {
 				eventually(t, "the cut nodes avoid the target", func() bool { return s.nodes[i].phase(bad).Phase != "healthy" })
--- a/internal/standin/faultproxy/faultproxy.go
+++ b/internal/standin/faultproxy/faultproxy.go
@@ -124,9 +124,9 @@
 	return l.(*sourceFaults)
 }
 
-// From sets the faults of the connections from one IP address, in addition to
+// SetSource sets the faults of the connections from one IP address, in addition to
 // those of all connections.
-func (p *Proxy) From(ip string, forward, backward Fault) {
+func (p *Proxy) SetSource(ip string, forward, backward Fault) {
 	l := p.sourceFaultsOf(ip)
 	l.forward.set(forward)
 	l.backward.set(backward)
@@ -175,7 +175,7 @@
 	p.Forward(Fault{})
 	p.Backward(Fault{})
 	p.bySource.Range(func(ip, _ any) bool {
-		p.From(ip.(string), Fault{}, Fault{})
+		p.SetSource(ip.(string), Fault{}, Fault{})
 		return true
 	})
 	p.Reset()
