--- a/internal/integration/config_test.go
+++ b/internal/integration/config_test.go
@@ -213,14 +213,14 @@
 			name: "a third cannot be reached",
 			fault: func() {
 				for i := 0; i < len(s.nodes); i += 3 {
-					s.nodes[i].peerProxy.Forward(faultproxy.Fault{
+					s.nodes[i].peerProxy.SetForward(faultproxy.Fault{
 						Cut: true,
 					})
 				}
 			},
 			heal: func() {
 				for _, n := range s.nodes {
-					n.peerProxy.Forward(faultproxy.Fault{})
+					n.peerProxy.SetForward(faultproxy.Fault{})
 				}
 			},
 		},
@@ -274,10 +274,10 @@
 		s.platform.SetModeAt(platform.ModeStale, rev-1)
 		defer s.platform.SetMode(platform.ModeGood)
 		for i := 0; i < len(s.nodes); i += 3 {
-			s.nodes[i].peerProxy.Forward(faultproxy.Fault{
+			s.nodes[i].peerProxy.SetForward(faultproxy.Fault{
 				Cut: true,
 			})
-			defer s.nodes[i].peerProxy.Forward(faultproxy.Fault{})
+			defer s.nodes[i].peerProxy.SetForward(faultproxy.Fault{})
 		}
 		s.checkSpread(t, rev, s.nodes)
 	})
@@ -395,7 +395,7 @@
 	s.platform.SetModeAt(platform.ModeStale, old)
 	last := s.nodes[3]
 	for _, n := range s.nodes[:3] {
-		n.peerProxy.Forward(faultproxy.Fault{
+		n.peerProxy.SetForward(faultproxy.Fault{
 			Delay: 300 * time.Millisecond,
 		})
 	}
--- a/internal/integration/load_test.go
+++ b/internal/integration/load_test.go
@@ -138,12 +138,12 @@
 	l := startLoad(s.nodes, 16, 5*time.Millisecond)
 	b := s.targets[0]
 	eventually(t, "work on the target", func() bool { return len(b.Runs()) > 50 })
-	b.proxy.Forward(faultproxy.Fault{
+	b.proxy.SetForward(faultproxy.Fault{
 		Cut: true,
 	})
 	ran := len(s.targets[1].Runs())
 	eventually(t, "work elsewhere", func() bool { return len(s.targets[1].Runs()) > ran+100 })
-	b.proxy.Forward(faultproxy.Fault{})
+	b.proxy.SetForward(faultproxy.Fault{})
 	maxConns := 0
 	ran = len(s.targets[1].Runs())
 	eventually(t, "more work", func() bool {
--- a/internal/integration/retry_test.go
+++ b/internal/integration/retry_test.go
@@ -292,7 +292,7 @@
 	}} {
 		for _, b := range s.targets {
 			b.SetMode(m)
-			b.proxy.Forward(faultproxy.Fault{})
+			b.proxy.SetForward(faultproxy.Fault{})
 			b.proxy.Backward(faultproxy.Fault{})
 		}
 		calls = append(calls, recordCalls(n, fmt.Sprintf("calm-%d", i), 1)...)
@@ -355,7 +355,7 @@
 		case 0, 1:
 			b.SetMode(modes[rng.IntN(len(modes))])
 		case 2:
-			b.proxy.Forward(faultproxy.Fault{
+			b.proxy.SetForward(faultproxy.Fault{
 				Cut: rng.IntN(3) == 0,
 			})
 			b.proxy.Backward(faultproxy.Fault{
--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -60,19 +60,19 @@
 func (f *fleet) link(p *faultproxy.Proxy, s Step) {
 	switch s.Kind {
 	case KindPeersCut, KindPlatformCut, KindTargetCut:
-		p.Forward(cut)
+		p.SetForward(cut)
 		p.Backward(cut)
 	case KindPeersDeaf, KindPlatformDeaf, KindTargetDeaf:
 		p.Backward(cut)
 	case KindPlatformSlow, KindTargetSlow:
-		p.Forward(slow)
+		p.SetForward(slow)
 		p.Backward(slow)
 	case KindPlatformReset, KindTargetReset:
 		p.Reset()
 		return
 	}
 	time.Sleep(s.For)
-	p.Forward(none)
+	p.SetForward(none)
 	p.Backward(none)
 }
 
--- a/internal/standin/faultproxy/faultproxy.go
+++ b/internal/standin/faultproxy/faultproxy.go
@@ -135,8 +135,8 @@
 // SetUpstream sets the address to which new connections are forwarded.
 func (p *Proxy) SetUpstream(address string) { p.upstream.Store(&address) }
 
-// Forward sets the fault of the direction to the upstream.
-func (p *Proxy) Forward(f Fault) { p.forward.set(f) }
+// SetForward sets the fault of the direction to the upstream.
+func (p *Proxy) SetForward(f Fault) { p.forward.set(f) }
 
 // Backward sets the fault of the direction from the upstream.
 func (p *Proxy) Backward(f Fault) { p.backward.set(f) }
@@ -172,7 +172,7 @@
 	p.closed = true
 	p.mu.Unlock()
 	p.Down()
-	p.Forward(Fault{})
+	p.SetForward(Fault{})
 	p.Backward(Fault{})
 	p.bySource.Range(func(ip, _ any) bool {
 		p.SetSource(ip.(string), Fault{}, Fault{})
