--- a/internal/integration/config_test.go
+++ b/internal/integration/config_test.go
@@ -228,14 +228,14 @@
 			name: "answers of a third are cut",
 			fault: func() {
 				for i := 0; i < len(s.nodes); i += 3 {
-					s.nodes[i].peerProxy.Backward(faultproxy.Fault{
+					s.nodes[i].peerProxy.SetBackward(faultproxy.Fault{
 						Cut: true,
 					})
 				}
 			},
 			heal: func() {
 				for _, n := range s.nodes {
-					n.peerProxy.Backward(faultproxy.Fault{})
+					n.peerProxy.SetBackward(faultproxy.Fault{})
 				}
 			},
 		},
--- a/internal/integration/retry_test.go
+++ b/internal/integration/retry_test.go
@@ -293,7 +293,7 @@
 		for _, b := range s.targets {
 			b.SetMode(m)
 			b.proxy.SetForward(faultproxy.Fault{})
-			b.proxy.Backward(faultproxy.Fault{})
+			b.proxy.SetBackward(faultproxy.Fault{})
 		}
 		calls = append(calls, recordCalls(n, fmt.Sprintf("calm-%d", i), 1)...)
 	}
@@ -358,7 +358,7 @@
 			b.proxy.SetForward(faultproxy.Fault{
 				Cut: rng.IntN(3) == 0,
 			})
-			b.proxy.Backward(faultproxy.Fault{
+			b.proxy.SetBackward(faultproxy.Fault{
 				Cut: rng.IntN(3) == 0,
 			})
 		case 3:
--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -61,19 +61,19 @@
 	switch s.Kind {
 	case KindPeersCut, KindPlatformCut, KindTargetCut:
 		p.SetForward(cut)
-		p.Backward(cut)
+		p.SetBackward(cut)
 	case KindPeersDeaf, KindPlatformDeaf, KindTargetDeaf:
-		p.Backward(cut)
+		p.SetBackward(cut)
 	case KindPlatformSlow, KindTargetSlow:
 		p.SetForward(slow)
-		p.Backward(slow)
+		p.SetBackward(slow)
 	case KindPlatformReset, KindTargetReset:
 		p.Reset()
 		return
 	}
 	time.Sleep(s.For)
 	p.SetForward(none)
-	p.Backward(none)
+	p.SetBackward(none)
 }
 
 func (f *fleet) platformStep(s Step) {
--- a/internal/standin/faultproxy/faultproxy.go
+++ b/internal/standin/faultproxy/faultproxy.go
@@ -138,8 +138,8 @@
 // SetForward sets the fault of the direction to the upstream.
 func (p *Proxy) SetForward(f Fault) { p.forward.set(f) }
 
-// Backward sets the fault of the direction from the upstream.
-func (p *Proxy) Backward(f Fault) { p.backward.set(f) }
+// SetBackward sets the fault of the direction from the upstream.
+func (p *Proxy) SetBackward(f Fault) { p.backward.set(f) }
 
 // Refuse sets whether the proxy closes new connections immediately.
 func (p *Proxy) Refuse(on bool) { p.refuse.Store(on) }
@@ -173,7 +173,7 @@
 	p.mu.Unlock()
 	p.Down()
 	p.SetForward(Fault{})
-	p.Backward(Fault{})
+	p.SetBackward(Fault{})
 	p.bySource.Range(func(ip, _ any) bool {
 		p.SetSource(ip.(string), Fault{}, Fault{})
 		return true
