--- a/internal/standin/faultproxy/faultproxy.go
+++ b/internal/standin/faultproxy/faultproxy.go
@@ -141,8 +141,8 @@
 // SetBackward sets the fault of the direction from the upstream.
 func (p *Proxy) SetBackward(f Fault) { p.backward.set(f) }
 
-// Refuse sets whether the proxy closes new connections immediately.
-func (p *Proxy) Refuse(on bool) { p.refuse.Store(on) }
+// SetRefuse sets whether the proxy closes new connections immediately.
+func (p *Proxy) SetRefuse(on bool) { p.refuse.Store(on) }
 
 // Sent returns the number of bytes forwarded to the upstream.
 func (p *Proxy) Sent() int64 { return p.forward.bytes.Load() }
