--- a/internal/standin/faultproxy/faultproxy.go
+++ b/internal/standin/faultproxy/faultproxy.go
@@ -144,8 +144,8 @@
 // SetRefuse sets whether the proxy closes new connections immediately.
 func (p *Proxy) SetRefuse(on bool) { p.refuse.Store(on) }
 
-// Sent returns the number of bytes forwarded to the upstream.
-func (p *Proxy) Sent() int64 { return p.forward.bytes.Load() }
+// BytesSent returns the number of bytes forwarded to the upstream.
+func (p *Proxy) BytesSent() int64 { return p.forward.bytes.Load() }
 
 // Conns returns the number of proxied connections.
 func (p *Proxy) Conns() int {
