--- a/internal/standin/platform/platform.go
+++ b/internal/standin/platform/platform.go
@@ -86,17 +86,17 @@
 	return p.versions[key]
 }
 
-// Copy is a snapshot of a platform.
-type Copy struct {
+// Snapshot is a snapshot of a platform.
+type Snapshot struct {
 	revision uint64
 	changes  []change
 }
 
 // Copy returns a snapshot of all values.
-func (p *Platform) Copy() Copy {
+func (p *Platform) Copy() Snapshot {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return Copy{
+	return Snapshot{
 		revision: p.revision,
 		changes:  slices.Clone(p.changes),
 	}
@@ -105,7 +105,7 @@
 // Restore resets the platform to a snapshot and begins a new era: later changes are lost,
 // and their revisions are assigned again. Waiting watches end. It returns the last lost value
 // of each key, for operators to publish again.
-func (p *Platform) Restore(c Copy) []*wire.Value {
+func (p *Platform) Restore(c Snapshot) []*wire.Value {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var lost []*wire.Value
