--- a/internal/integration/restore_test.go
+++ b/internal/integration/restore_test.go
@@ -26,7 +26,7 @@
 	s.publishTargets(nil)
 	s.platform.Publish("routes", numberedRoutes(1))
 	s.fleet(4)
-	copied := s.platform.Copy()
+	copied := s.platform.Snapshot()
 	for _, version := range []int{2, 3, 4} {
 		s.platform.Publish("routes", numberedRoutes(version))
 	}
--- a/internal/soak/restores.go
+++ b/internal/soak/restores.go
@@ -37,7 +37,7 @@
 
 // restore makes the platform lose the values published during a step.
 func (f *fleet) restore(s Step) {
-	copied := f.platform.Copy()
+	copied := f.platform.Snapshot()
 	time.Sleep(s.For)
 	f.platform.SetMode(platform.ModeDown)
 	time.Sleep(restoreDowntime)
--- a/internal/source/source_test.go
+++ b/internal/source/source_test.go
@@ -189,7 +189,7 @@
 func TestFullReadAfterPlatformRestore(t *testing.T) {
 	p, url := serve(t)
 	p.Publish("a", "1")
-	copied := p.Copy()
+	copied := p.Snapshot()
 	p.Publish("b", "1")
 	last := p.Publish("a", "2")
 	f := follow(t, url)
--- a/internal/standin/platform/platform.go
+++ b/internal/standin/platform/platform.go
@@ -92,8 +92,8 @@
 	changes  []change
 }
 
-// Copy returns a snapshot of all values.
-func (p *Platform) Copy() Snapshot {
+// Snapshot returns a snapshot of all values.
+func (p *Platform) Snapshot() Snapshot {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return Snapshot{
