--- a/internal/soak/restores.go
+++ b/internal/soak/restores.go
@@ -45,7 +45,7 @@
 	f.platform.SetMode(platform.ModeGood)
 	time.Sleep(republishDelay)
 	for _, v := range lost {
-		f.platform.PublishAgain(v)
+		f.platform.Republish(v)
 	}
 	f.platformDisturbed.Store(int64(time.Since(f.started)))
 }
--- a/internal/standin/platform/platform.go
+++ b/internal/standin/platform/platform.go
@@ -123,9 +123,9 @@
 	return lost
 }
 
-// PublishAgain publishes a lost value with its former version, unless the key has that version
+// Republish publishes a lost value with its former version, unless the key has that version
 // or a later one.
-func (p *Platform) PublishAgain(v *wire.Value) {
+func (p *Platform) Republish(v *wire.Value) {
 	p.mu.Lock()
 	later := slices.ContainsFunc(p.changes, func(c change) bool {
 		return c.value.GetKey() == v.GetKey() && c.value.GetVersion() >= v.GetVersion()
