--- a/internal/capacity/restart.go
+++ b/internal/capacity/restart.go
@@ -64,7 +64,7 @@
 	}
 	f.procs[i] = p
 	for time.Since(started) < readyTimeout {
-		if s := p.Brief(); s != nil && s.Ready {
+		if s := p.BriefStatus(); s != nil && s.Ready {
 			return restartRow{
 				Ready:    time.Since(started),
 				Received: s.Control.BytesReceived,
--- a/internal/capacity/sample.go
+++ b/internal/capacity/sample.go
@@ -132,7 +132,7 @@
 		c.cpu += cpu
 	}
 	for _, p := range f.procs {
-		s := p.Brief()
+		s := p.BriefStatus()
 		if s == nil {
 			return c, &notReadyError{
 				want: len(f.procs),
--- a/internal/standin/process/process.go
+++ b/internal/standin/process/process.go
@@ -172,8 +172,8 @@
 // Status returns the status of the process, or nil if it doesn't answer.
 func (p *Process) Status() *operator.Status { return p.status("") }
 
-// Brief returns Status without members, services and revisions.
-func (p *Process) Brief() *operator.Status { return p.status("?brief") }
+// BriefStatus returns Status without members, services and revisions.
+func (p *Process) BriefStatus() *operator.Status { return p.status("?brief") }
 
 func (p *Process) status(query string) *operator.Status {
 	res, err := http.Get("http://" + p.operatorAddr + "/status" + query)
