--- a/internal/history/history.go
+++ b/internal/history/history.go
@@ -47,27 +47,27 @@
 	Runs  []Run
 }
 
-// Promise is a guarantee of the fleet.
-type Promise string
+// Guarantee is a guarantee of the fleet.
+type Guarantee string
 
 // Guarantees that Check checks.
 const (
-	PromiseAtMostOnce Promise = "at most once"
-	PromiseNotRun     Promise = "not run"
-	PromiseDone       Promise = "done"
-	PromiseWhole      Promise = "whole answer"
-	PromiseDeadline   Promise = "no run after the deadline"
+	PromiseAtMostOnce Guarantee = "at most once"
+	PromiseNotRun     Guarantee = "not run"
+	PromiseDone       Guarantee = "done"
+	PromiseWhole      Guarantee = "whole answer"
+	PromiseDeadline   Guarantee = "no run after the deadline"
 )
 
 // Violation is one violated guarantee.
 type Violation struct {
-	promise Promise
+	promise Guarantee
 	key     string
 	detail  string
 }
 
 // Promise returns the violated guarantee.
-func (v Violation) Promise() Promise { return v.promise }
+func (v Violation) Promise() Guarantee { return v.promise }
 
 // Key returns the key of the request.
 func (v Violation) Key() string { return v.key }
@@ -93,7 +93,7 @@
 
 func checkCall(c *Call, runs []Run, slack time.Duration) []Violation {
 	var out []Violation
-	report := func(p Promise, format string, args ...any) {
+	report := func(p Guarantee, format string, args ...any) {
 		out = append(out, Violation{
 			promise: p,
 			key:     c.Key,
--- a/internal/history/history_test.go
+++ b/internal/history/history_test.go
@@ -28,7 +28,7 @@
 		name string
 		call func(*history.Call)
 		runs []history.Run
-		want history.Promise
+		want history.Guarantee
 	}{
 		{
 			name: "good",
