--- a/internal/history/history.go
+++ b/internal/history/history.go
@@ -52,11 +52,11 @@
 
 // Guarantees that Check checks.
 const (
-	PromiseAtMostOnce Guarantee = "at most once"
-	PromiseNotRun     Guarantee = "not run"
-	PromiseDone       Guarantee = "done"
-	PromiseWhole      Guarantee = "whole answer"
-	PromiseDeadline   Guarantee = "no run after the deadline"
+	GuaranteeAtMostOnce Guarantee = "at most once"
+	PromiseNotRun       Guarantee = "not run"
+	PromiseDone         Guarantee = "done"
+	PromiseWhole        Guarantee = "whole answer"
+	PromiseDeadline     Guarantee = "no run after the deadline"
 )
 
 // Violation is one violated guarantee.
@@ -101,7 +101,7 @@
 		})
 	}
 	if !c.Repeatable && len(runs) > 1 {
-		report(PromiseAtMostOnce, "ran %d times", len(runs))
+		report(GuaranteeAtMostOnce, "ran %d times", len(runs))
 	}
 	if c.Outcome == OutcomeNotRun && len(runs) > 0 {
 		report(PromiseNotRun, "ran %d times", len(runs))
--- a/internal/history/history_test.go
+++ b/internal/history/history_test.go
@@ -46,7 +46,7 @@
 			name: "not repeatable, run twice",
 			call: func(*history.Call) {},
 			runs: twice,
-			want: history.PromiseAtMostOnce,
+			want: history.GuaranteeAtMostOnce,
 		},
 		{
 			name: "outcome not-run, but run",
