--- a/internal/history/history.go
+++ b/internal/history/history.go
@@ -53,7 +53,7 @@
 // Guarantees that Check checks.
 const (
 	GuaranteeAtMostOnce Guarantee = "at most once"
-	PromiseNotRun       Guarantee = "not run"
+	GuaranteeNotRun     Guarantee = "not run"
 	PromiseDone         Guarantee = "done"
 	PromiseWhole        Guarantee = "whole answer"
 	PromiseDeadline     Guarantee = "no run after the deadline"
@@ -104,7 +104,7 @@
 		report(GuaranteeAtMostOnce, "ran %d times", len(runs))
 	}
 	if c.Outcome == OutcomeNotRun && len(runs) > 0 {
-		report(PromiseNotRun, "ran %d times", len(runs))
+		report(GuaranteeNotRun, "ran %d times", len(runs))
 	}
 	if c.Outcome == OutcomeDone && len(runs) == 0 {
 		report(PromiseDone, "never ran")
--- a/internal/history/history_test.go
+++ b/internal/history/history_test.go
@@ -52,7 +52,7 @@
 			name: "outcome not-run, but run",
 			call: func(c *history.Call) { c.Outcome = history.OutcomeNotRun },
 			runs: once,
-			want: history.PromiseNotRun,
+			want: history.GuaranteeNotRun,
 		},
 		{
 			name: "outcome unknown, run",
