--- a/internal/history/history.go
+++ b/internal/history/history.go
@@ -54,7 +54,7 @@
 const (
 	GuaranteeAtMostOnce Guarantee = "at most once"
 	GuaranteeNotRun     Guarantee = "not run"
-	PromiseDone         Guarantee = "done"
+	GuaranteeDone       Guarantee = "done"
 	PromiseWhole        Guarantee = "whole answer"
 	PromiseDeadline     Guarantee = "no run after the deadline"
 )
@@ -107,7 +107,7 @@
 		report(GuaranteeNotRun, "ran %d times", len(runs))
 	}
 	if c.Outcome == OutcomeDone && len(runs) == 0 {
-		report(PromiseDone, "never ran")
+		report(GuaranteeDone, "never ran")
 	}
 	if c.Outcome == OutcomeDone && c.Whole && !c.Right {
 		report(PromiseWhole, "a complete answer with wrong bytes")
--- a/internal/history/history_test.go
+++ b/internal/history/history_test.go
@@ -64,7 +64,7 @@
 			name: "outcome done, never run",
 			call: func(*history.Call) {},
 			runs: nil,
-			want: history.PromiseDone,
+			want: history.GuaranteeDone,
 		},
 		{
 			name: "wrong bytes",
