--- a/internal/history/history.go
+++ b/internal/history/history.go
@@ -55,7 +55,7 @@
 	GuaranteeAtMostOnce Guarantee = "at most once"
 	GuaranteeNotRun     Guarantee = "not run"
 	GuaranteeDone       Guarantee = "done"
-	PromiseWhole        Guarantee = "whole answer"
+	GuaranteeComplete   Guarantee = "whole answer"
 	PromiseDeadline     Guarantee = "no run after the deadline"
 )
 
@@ -110,7 +110,7 @@
 		report(GuaranteeDone, "never ran")
 	}
 	if c.Outcome == OutcomeDone && c.Whole && !c.Right {
-		report(PromiseWhole, "a complete answer with wrong bytes")
+		report(GuaranteeComplete, "a complete answer with wrong bytes")
 	}
 	for _, r := range runs {
 		if !r.Deadline.IsZero() && r.At.After(r.Deadline.Add(slack)) {
--- a/internal/history/history_test.go
+++ b/internal/history/history_test.go
@@ -70,7 +70,7 @@
 			name: "wrong bytes",
 			call: func(c *history.Call) { c.Right = false },
 			runs: once,
-			want: history.PromiseWhole,
+			want: history.GuaranteeComplete,
 		},
 		{
 			name: "incomplete answer",
