--- a/internal/history/history.go
+++ b/internal/history/history.go
@@ -56,7 +56,7 @@
 	GuaranteeNotRun     Guarantee = "not run"
 	GuaranteeDone       Guarantee = "done"
 	GuaranteeComplete   Guarantee = "whole answer"
-	PromiseDeadline     Guarantee = "no run after the deadline"
+	GuaranteeDeadline   Guarantee = "no run after the deadline"
 )
 
 // Violation is one violated guarantee.
@@ -114,7 +114,7 @@
 	}
 	for _, r := range runs {
 		if !r.Deadline.IsZero() && r.At.After(r.Deadline.Add(slack)) {
-			report(PromiseDeadline, "run %v after the deadline on %s", r.At.Sub(r.Deadline), r.Target)
+			report(GuaranteeDeadline, "run %v after the deadline on %s", r.At.Sub(r.Deadline), r.Target)
 		}
 	}
 	return out
--- a/internal/history/history_test.go
+++ b/internal/history/history_test.go
@@ -86,7 +86,7 @@
 				At:       at,
 				Deadline: at.Add(-time.Second),
 			}},
-			want: history.PromiseDeadline,
+			want: history.GuaranteeDeadline,
 		},
 	}
 	for _, c := range cases {
