--- a/internal/history/history.go
+++ b/internal/history/history.go
@@ -66,8 +66,8 @@
 	detail  string
 }
 
-// Promise returns the violated guarantee.
-func (v Violation) Promise() Guarantee { return v.promise }
+// Guarantee returns the violated guarantee.
+func (v Violation) Guarantee() Guarantee { return v.promise }
 
 // Key returns the key of the request.
 func (v Violation) Key() string { return v.key }
--- a/internal/history/history_test.go
+++ b/internal/history/history_test.go
@@ -100,7 +100,7 @@
 			if c.want == "" && len(got) > 0 {
 				t.Fatalf("found %v", got)
 			}
-			if c.want != "" && (len(got) != 1 || got[0].Promise() != c.want || got[0].Key() != "k") {
+			if c.want != "" && (len(got) != 1 || got[0].Guarantee() != c.want || got[0].Key() != "k") {
 				t.Fatalf("found %v, want %s", got, c.want)
 			}
 		})
