--- a/internal/history/history.go
+++ b/internal/history/history.go
@@ -26,10 +26,10 @@
 	Outcome string
 	// Status is the HTTP status that the caller received.
 	Status int
-	// Whole is set if the answer is complete, Right if its bytes are those of this
+	// Complete is set if the answer is complete, Right if its bytes are those of this
 	// request.
-	Whole bool
-	Right bool
+	Complete bool
+	Right    bool
 }
 
 // Run is one run of a request on a target.
@@ -109,7 +109,7 @@
 	if c.Outcome == OutcomeDone && len(runs) == 0 {
 		report(GuaranteeDone, "never ran")
 	}
-	if c.Outcome == OutcomeDone && c.Whole && !c.Right {
+	if c.Outcome == OutcomeDone && c.Complete && !c.Right {
 		report(GuaranteeComplete, "a complete answer with wrong bytes")
 	}
 	for _, r := range runs {
--- a/internal/history/history_test.go
+++ b/internal/history/history_test.go
@@ -19,10 +19,10 @@
 	}}
 	twice := append(once, once...)
 	good := history.Call{
-		Key:     "k",
-		Outcome: history.OutcomeDone,
-		Whole:   true,
-		Right:   true,
+		Key:      "k",
+		Outcome:  history.OutcomeDone,
+		Complete: true,
+		Right:    true,
 	}
 	cases := []struct {
 		name string
@@ -74,7 +74,7 @@
 		},
 		{
 			name: "incomplete answer",
-			call: func(c *history.Call) { c.Right, c.Whole = false, false },
+			call: func(c *history.Call) { c.Right, c.Complete = false, false },
 			runs: once,
 			want: "",
 		},
--- a/internal/integration/retry_test.go
+++ b/internal/integration/retry_test.go
@@ -209,11 +209,11 @@
 		key := fmt.Sprintf("%s-%d", name, i)
 		r := send(client, http.MethodPost, "http://"+n.entry+"/quotes/1", key, key, "Idempotency-Key", key, "Plover-Timeout", "300ms")
 		calls = append(calls, history.Call{
-			Key:     key,
-			Outcome: r.outcome,
-			Status:  r.status,
-			Whole:   r.err == nil,
-			Right:   string(r.body) == string(target.Echo(http.MethodPost, "/quotes/1", key, []byte(key))) || r.status != http.StatusOK,
+			Key:      key,
+			Outcome:  r.outcome,
+			Status:   r.status,
+			Complete: r.err == nil,
+			Right:    string(r.body) == string(target.Echo(http.MethodPost, "/quotes/1", key, []byte(key))) || r.status != http.StatusOK,
 		})
 	}
 	return calls
--- a/internal/soak/caller.go
+++ b/internal/soak/caller.go
@@ -120,7 +120,7 @@
 			Repeatable: method == http.MethodGet,
 			Outcome:    r.outcome,
 			Status:     r.status,
-			Whole:      r.err == nil,
+			Complete:   r.err == nil,
 			Right:      r.status != http.StatusOK || r.body == string(target.Echo(method, path, key, nil)),
 		},
 		node:    n.index,
--- a/internal/soak/export_test.go
+++ b/internal/soak/export_test.go
@@ -32,7 +32,7 @@
 			Key:        "k",
 			Repeatable: !o.Post,
 			Outcome:    o.Outcome,
-			Whole:      o.Err == nil,
+			Complete:   o.Err == nil,
 			Right:      true,
 		},
 		process: l,
