--- a/internal/history/history.go
+++ b/internal/history/history.go
@@ -29,7 +29,7 @@
 	// Complete is set if the answer is complete, Right if its bytes are those of this
 	// request.
 	Complete bool
-	Right    bool
+	Correct  bool
 }
 
 // Run is one run of a request on a target.
@@ -109,7 +109,7 @@
 	if c.Outcome == OutcomeDone && len(runs) == 0 {
 		report(GuaranteeDone, "never ran")
 	}
-	if c.Outcome == OutcomeDone && c.Complete && !c.Right {
+	if c.Outcome == OutcomeDone && c.Complete && !c.Correct {
 		report(GuaranteeComplete, "a complete answer with wrong bytes")
 	}
 	for _, r := range runs {
--- a/internal/history/history_test.go
+++ b/internal/history/history_test.go
@@ -22,7 +22,7 @@
 		Key:      "k",
 		Outcome:  history.OutcomeDone,
 		Complete: true,
-		Right:    true,
+		Correct:  true,
 	}
 	cases := []struct {
 		name string
@@ -68,13 +68,13 @@
 		},
 		{
 			name: "wrong bytes",
-			call: func(c *history.Call) { c.Right = false },
+			call: func(c *history.Call) { c.Correct = false },
 			runs: once,
 			want: history.GuaranteeComplete,
 		},
 		{
 			name: "incomplete answer",
-			call: func(c *history.Call) { c.Right, c.Complete = false, false },
+			call: func(c *history.Call) { c.Correct, c.Complete = false, false },
 			runs: once,
 			want: "",
 		},
--- a/internal/integration/retry_test.go
+++ b/internal/integration/retry_test.go
@@ -213,7 +213,7 @@
 			Outcome:  r.outcome,
 			Status:   r.status,
 			Complete: r.err == nil,
-			Right:    string(r.body) == string(target.Echo(http.MethodPost, "/quotes/1", key, []byte(key))) || r.status != http.StatusOK,
+			Correct:  string(r.body) == string(target.Echo(http.MethodPost, "/quotes/1", key, []byte(key))) || r.status != http.StatusOK,
 		})
 	}
 	return calls
--- a/internal/soak/caller.go
+++ b/internal/soak/caller.go
@@ -121,7 +121,7 @@
 			Outcome:    r.outcome,
 			Status:     r.status,
 			Complete:   r.err == nil,
-			Right:      r.status != http.StatusOK || r.body == string(target.Echo(method, path, key, nil)),
+			Correct:    r.status != http.StatusOK || r.body == string(target.Echo(method, path, key, nil)),
 		},
 		node:    n.index,
 		process: l,
--- a/internal/soak/export_test.go
+++ b/internal/soak/export_test.go
@@ -33,7 +33,7 @@
 			Repeatable: !o.Post,
 			Outcome:    o.Outcome,
 			Complete:   o.Err == nil,
-			Right:      true,
+			Correct:    true,
 		},
 		process: l,
 		err:     o.Err,
