--- a/internal/dispatch/request.go
+++ b/internal/dispatch/request.go
@@ -105,8 +105,8 @@
 	RetryAfter time.Duration
 	// HedgeAfter is the time without an answer after which a hedge may be requested.
 	HedgeAfter time.Duration
-	// FailureProbability is the estimated probability that the target does not answer well.
-	FailureProbability float64
+	// LossProbability is the estimated probability that the target does not answer well.
+	LossProbability float64
 	// Trial is set where the target was granted only because it lacked work.
 	Trial bool
 	// Limit is the target's limit that pays for the grant, and LimitAt the time of the target's
--- a/internal/dispatch/scheduler.go
+++ b/internal/dispatch/scheduler.go
@@ -310,11 +310,11 @@
 		Decision: Granted,
 		Target:   t.Key,
 
-		HedgeAfter:         route.LatencyQuantile(hedgeQuantile),
-		FailureProbability: lossProbability,
-		Trial:              trial,
-		Limit:              t.limit.Limit,
-		LimitAt:            t.limit.at,
+		HedgeAfter:      route.LatencyQuantile(hedgeQuantile),
+		LossProbability: lossProbability,
+		Trial:           trial,
+		Limit:           t.limit.Limit,
+		LimitAt:         t.limit.at,
 	}
 }
 
--- a/internal/node/dispatcher.go
+++ b/internal/node/dispatcher.go
@@ -260,7 +260,7 @@
 		Verdict:      wireDecisions[g.Decision],
 		Target:       g.Target,
 		RetryAfterMs: uint32(g.RetryAfter.Milliseconds()),
-		Doubt:        uint32(1000 * g.FailureProbability),
+		Doubt:        uint32(1000 * g.LossProbability),
 		Trial:        g.Trial,
 		HedgeAfterMs: uint32(g.HedgeAfter.Milliseconds()),
 	}
