--- a/internal/dispatch/target.go
+++ b/internal/dispatch/target.go
@@ -76,7 +76,7 @@
 	if now.Before(t.goneUntil) {
 		return 1
 	}
-	return t.health.Failing(now)
+	return t.health.FailureProbability(now)
 }
 
 // lossProbability returns the estimated probability that a request sent now is not answered well.
--- a/internal/health/health_test.go
+++ b/internal/health/health_test.go
@@ -41,14 +41,14 @@
 	m := health.NewModel(start)
 	r := m.Route(start, "lookups")
 	t := health.NewTarget(start, m)
-	fmt.Println("at the start:", t.Failing(start) > 0.1)
+	fmt.Println("at the start:", t.FailureProbability(start) > 0.1)
 	now := start
 	for range 2 {
 		n := t.Begin(now, r)
 		now = now.Add(3 * time.Millisecond)
 		t.End(now, n, health.Immediate)
 	}
-	fmt.Println("after two quick failures:", t.Failing(now) > 0.9)
+	fmt.Println("after two quick failures:", t.FailureProbability(now) > 0.9)
 	// Output:
 	// at the start: false
 	// after two quick failures: true
@@ -85,7 +85,7 @@
 			m, r, now := trainedModel(t)
 			target := health.NewTarget(now, m)
 			target.Begin(now, r)
-			p := target.Failing(now.Add(tt.age))
+			p := target.FailureProbability(now.Add(tt.age))
 			if p < tt.least || p > tt.most {
 				t.Errorf("failing with probability %.3f, want %.2f to %.2f", p, tt.least, tt.most)
 			}
@@ -101,9 +101,9 @@
 		target := health.NewTarget(now, m)
 		n := target.Begin(now, r)
 		end := now.Add(age)
-		running := target.Failing(end)
+		running := target.FailureProbability(end)
 		target.End(end, n, health.Open)
-		if p := target.Failing(end); p != running {
+		if p := target.FailureProbability(end); p != running {
 			t.Errorf("abandoned after %v: %.3f, in flight %.3f", age, p, running)
 		}
 	}
@@ -122,7 +122,7 @@
 	}
 	now = now.Add(medianLatency)
 	target.End(now, old, health.Silent)
-	if p := target.Failing(now); p > 0.1 {
+	if p := target.FailureProbability(now); p > 0.1 {
 		t.Errorf("failing with probability %.3f after four answers to later requests", p)
 	}
 }
@@ -147,7 +147,7 @@
 			m.Advance(now)
 		}
 		if kind == health.Silent {
-			after = target.Failing(now)
+			after = target.FailureProbability(now)
 		}
 	}
 	if after > 0.1 {
@@ -155,7 +155,7 @@
 	}
 	n := target.Begin(now, good)
 	target.End(now, n, health.Silent)
-	if p := target.Failing(now); p < 0.08 {
+	if p := target.FailureProbability(now); p < 0.08 {
 		t.Errorf("failing with probability %.3f after silence on a route that is answered", p)
 	}
 }
@@ -176,7 +176,7 @@
 		m.Advance(now)
 	}
 	target.Begin(now, r)
-	if p := target.Failing(now.Add(3 * medianLatency)); p > 0.1 {
+	if p := target.FailureProbability(now.Add(3 * medianLatency)); p > 0.1 {
 		t.Errorf("failing with probability %.3f after the new usual latency", p)
 	}
 }
@@ -277,7 +277,7 @@
 			default:
 				m.Advance(now)
 			}
-			for _, p := range []float64{target.Failing(now), target.LossProbability(now), m.FailingShare(), m.LostFailing()} {
+			for _, p := range []float64{target.FailureProbability(now), target.LossProbability(now), m.FailingShare(), m.LostFailing()} {
 				if !(p >= 0 && p <= 1) {
 					return false
 				}
--- a/internal/health/steady_test.go
+++ b/internal/health/steady_test.go
@@ -25,7 +25,7 @@
 	fail(start)
 	fail(start.Add(10 * time.Millisecond))
 	now := start.Add(8 * time.Second)
-	fmt.Println("may be working:", t.Failing(now) < 0.6)
+	fmt.Println("may be working:", t.FailureProbability(now) < 0.6)
 	fmt.Println("hardly for the last six seconds:", t.Steady(now, now.Add(-6*time.Second)) < 0.3)
 	// Output:
 	// may be working: true
@@ -90,7 +90,7 @@
 			target.End(now.Add(medianLatency), n, health.Kind(kinds[i]%uint8(health.Unreached+1)))
 		}
 		now = now.Add(medianLatency)
-		before := 1 - target.Failing(now)
+		before := 1 - target.FailureProbability(now)
 		for window := time.Duration(0); window <= 6*time.Second; window += 500 * time.Millisecond {
 			p := target.Steady(now, now.Add(-window))
 			if p < 0 || p > before+slack {
--- a/internal/health/target.go
+++ b/internal/health/target.go
@@ -114,8 +114,8 @@
 	}
 }
 
-// Failing returns the probability that the target is failing at now.
-func (t *Target) Failing(now time.Time) float64 {
+// FailureProbability returns the probability that the target is failing at now.
+func (t *Target) FailureProbability(now time.Time) float64 {
 	if elapsed := now.Sub(t.cachedAt); elapsed >= 0 && elapsed < cacheTime {
 		return t.cached
 	}
@@ -156,6 +156,6 @@
 
 // LossProbability returns the probability that a request sent at now gets no good answer.
 func (t *Target) LossProbability(now time.Time) float64 {
-	p := t.Failing(now)
+	p := t.FailureProbability(now)
 	return p*t.model.LostFailing() + (1-p)*t.model.LostWorking()
 }
