--- a/internal/dispatch/hedge.go
+++ b/internal/dispatch/hedge.go
@@ -37,7 +37,7 @@
 	if n := len(a.Tried); n > 0 && d.targets[a.Tried[n-1]] != nil {
 		p = d.targets[a.Tried[n-1]].failureProbability(now)
 	}
-	return d.model.Silent(route, p, a.Age)
+	return d.model.SilenceProbability(route, p, a.Age)
 }
 
 // hedgeAfter returns the HedgeAfter for a grant that is repeated, or 0 for an unknown attempt.
--- a/internal/health/model.go
+++ b/internal/health/model.go
@@ -230,9 +230,9 @@
 	return share + (p-share)*math.Exp(-(m.failureRate+m.recoveryRate)*elapsed.Seconds())
 }
 
-// Silent returns the probability that an attempt of a certain age gets no answer, if
+// SilenceProbability returns the probability that an attempt of a certain age gets no answer, if
 // its target was failing with probability p when it was sent.
-func (m *Model) Silent(r *Route, p float64, age time.Duration) float64 {
+func (m *Model) SilenceProbability(r *Route, p float64, age time.Duration) float64 {
 	unanswered := r.shares[Silent]
 	share := unanswered + (1-unanswered)*p*m.failingShares[Silent]
 	return silentAfter(share, r.latency.longer(age))
