--- a/internal/node/ejection.go
+++ b/internal/node/ejection.go
@@ -191,7 +191,7 @@
 			continue
 		}
 		if e.Counts.Draining {
-			s.controller.SetDraining(now, e.Counts.Target)
+			s.controller.MarkDraining(now, e.Counts.Target)
 			ec.dirty = true
 		}
 		s.controller.Record(now, e.Counts)
@@ -238,7 +238,7 @@
 	}
 	ec.dirty = true
 	if decision.Draining {
-		s.controller.SetDraining(now, target)
+		s.controller.MarkDraining(now, target)
 		return
 	}
 	s.controller.EjectForLease(now, target, decision.Score, decision.Lease)
--- a/internal/outlier/controller.go
+++ b/internal/outlier/controller.go
@@ -128,8 +128,8 @@
 	t.good = 0
 }
 
-// SetDraining records a target's signal that it is draining.
-func (c *Controller) SetDraining(now time.Time, target string) {
+// MarkDraining records a target's signal that it is draining.
+func (c *Controller) MarkDraining(now time.Time, target string) {
 	if t := c.targets[target]; t != nil {
 		t.drainingUntil = now.Add(DrainingTime)
 	}
--- a/internal/outlier/outlier_test.go
+++ b/internal/outlier/outlier_test.go
@@ -389,7 +389,7 @@
 func TestDrainingOutlastsAStaleTargetList(t *testing.T) {
 	controller := outlier.NewController()
 	controller.SetTargets(start, []string{"t"})
-	controller.SetDraining(start, "t")
+	controller.MarkDraining(start, "t")
 	controller.SetTargets(start.Add(time.Second), []string{"t"})
 	if !controller.State(start.Add(30*time.Second), "t").Draining {
 		t.Fatal("not draining while the target list is stale")
