--- a/internal/source/follow.go
+++ b/internal/source/follow.go
@@ -54,7 +54,7 @@
 	MinStepInterval time.Duration
 	// RetryFirst is the mean wait after a first failure; it doubles up to RetryMost.
 	RetryFirst time.Duration
-	RetryMost  time.Duration
+	RetryMax   time.Duration
 }
 
 // Follow runs one step after another while this process is a reader, until the
@@ -74,7 +74,7 @@
 				cfg.Failed(err)
 			}
 			pause(ctx, wait/2+rand.N(wait))
-			wait = min(wait*2, b.RetryMost)
+			wait = min(wait*2, b.RetryMax)
 			continue
 		}
 		wait = b.RetryFirst
--- a/internal/source/platform.go
+++ b/internal/source/platform.go
@@ -66,7 +66,7 @@
 	return Follow(ctx, cfg, Intervals{
 		Role:       roleInterval,
 		RetryFirst: retryFirst,
-		RetryMost:  retryMax,
+		RetryMax:   retryMax,
 	}, func(ctx context.Context) error {
 		entries, err := p.next(ctx, cfg)
 		if err != nil {
