--- a/internal/node/export_quarantine_test.go
+++ b/internal/node/export_quarantine_test.go
@@ -74,8 +74,8 @@
 	return n.quarantine.check(p)
 }
 
-// Ended records that a target crashed under a request.
-func (n *QuarantineNode) Ended(p quarantine.Fingerprints, target string) quarantine.Status {
+// RecordCrash records that a target crashed under a request.
+func (n *QuarantineNode) RecordCrash(p quarantine.Fingerprints, target string) quarantine.Status {
 	return n.quarantine.recordCrash(p, target)
 }
 
--- a/internal/node/quarantine_test.go
+++ b/internal/node/quarantine_test.go
@@ -110,7 +110,7 @@
 func (f *quarantineFleet) threeCrashes() quarantine.Fingerprints {
 	p := crashingRequest()
 	for i := range 3 {
-		f.at(f.all[i].Address()).Ended(p, fmt.Sprint(i))
+		f.at(f.all[i].Address()).RecordCrash(p, fmt.Sprint(i))
 	}
 	f.pings(time.Second)
 	return p
@@ -163,7 +163,7 @@
 				f.loss = tt.loss
 				p := crashingRequest()
 				for i := range 3 {
-					f.at(f.all[i].Address()).Ended(p, fmt.Sprint(i))
+					f.at(f.all[i].Address()).RecordCrash(p, fmt.Sprint(i))
 					f.pings(300 * time.Millisecond)
 				}
 				f.pings(tt.within)
@@ -217,7 +217,7 @@
 				}
 			}
 			for i := range 3 {
-				live[i].Ended(p, fmt.Sprint(i))
+				live[i].RecordCrash(p, fmt.Sprint(i))
 				f.pings(200 * time.Millisecond)
 			}
 			f.pings(time.Second)
@@ -249,7 +249,7 @@
 		})
 		f.at(f.all[30].Address()).Answered(other)
 		for i := range 3 {
-			f.at(f.all[i].Address()).Ended(other, fmt.Sprint(i))
+			f.at(f.all[i].Address()).RecordCrash(other, fmt.Sprint(i))
 			time.Sleep(20 * time.Millisecond)
 		}
 		// A node that received the crashes but not the update that they do not count receives it by
@@ -272,7 +272,7 @@
 		const nodes, requests = 100, 3000
 		f := newQuarantineFleet(t.Context(), nodes)
 		for i := range requests {
-			f.at(f.all[i%nodes].Address()).Ended(quarantine.NewFingerprints(quarantine.Request{
+			f.at(f.all[i%nodes].Address()).RecordCrash(quarantine.NewFingerprints(quarantine.Request{
 				Method: "GET",
 				URI:    fmt.Sprint(i),
 			}), fmt.Sprint(i/3))
