--- a/internal/node/export_quarantine_test.go
+++ b/internal/node/export_quarantine_test.go
@@ -79,5 +79,5 @@
 	return n.quarantine.recordCrash(p, target)
 }
 
-// Answered records that a target answered a request.
-func (n *QuarantineNode) Answered(p quarantine.Fingerprints) { n.quarantine.recordAnswer(p) }
+// RecordAnswer records that a target answered a request.
+func (n *QuarantineNode) RecordAnswer(p quarantine.Fingerprints) { n.quarantine.recordAnswer(p) }
--- a/internal/node/quarantine_test.go
+++ b/internal/node/quarantine_test.go
@@ -238,7 +238,7 @@
 			t.Fatal("not all nodes refuse the request")
 		}
 		// The answer to an attempt in flight when the third target crashed.
-		f.at(f.all[17].Address()).Answered(p)
+		f.at(f.all[17].Address()).RecordAnswer(p)
 		f.pings(2 * time.Second)
 		if got := f.refusing(p); got > 0 {
 			t.Errorf("%d nodes still refuse the answered request", got)
@@ -247,7 +247,7 @@
 			Method: "GET",
 			URI:    "/forms",
 		})
-		f.at(f.all[30].Address()).Answered(other)
+		f.at(f.all[30].Address()).RecordAnswer(other)
 		for i := range 3 {
 			f.at(f.all[i].Address()).RecordCrash(other, fmt.Sprint(i))
 			time.Sleep(20 * time.Millisecond)
