--- a/internal/health/health_test.go
+++ b/internal/health/health_test.go
@@ -37,7 +37,7 @@
 	return m, r, start
 }
 
-func ExampleTarget_Failing() {
+func ExampleTarget_FailureProbability() {
 	m := health.NewModel(start)
 	r := m.Route(start, "lookups")
 	t := health.NewTarget(start, m)
