--- a/internal/dispatch/scheduler.go
+++ b/internal/dispatch/scheduler.go
@@ -177,7 +177,7 @@
 }
 
 // withoutTarget returns the answer to a request that gets no target. A non-queueing request gets
-// Full instead of a refusal.
+// NoneFree instead of a refusal.
 func (a *Request) withoutTarget(decision Decision, wait time.Duration) Grant {
 	if a.NonQueueing {
 		decision, wait = NoneFree, 0
--- a/internal/history/history.go
+++ b/internal/history/history.go
@@ -26,7 +26,7 @@
 	Outcome string
 	// Status is the HTTP status that the caller received.
 	Status int
-	// Complete is set if the answer is complete, Right if its bytes are those of this
+	// Complete is set if the answer is complete, Correct if its bytes are those of this
 	// request.
 	Complete bool
 	Correct  bool
--- a/internal/operator/status.go
+++ b/internal/operator/status.go
@@ -128,7 +128,7 @@
 type SignalStatus struct {
 	Service string `json:"service"`
 	Target  string `json:"target"`
-	// Draining is set if the target is draining; RestMS is the remaining backoff of this
+	// Draining is set if the target is draining; BackoffMS is the remaining backoff of this
 	// node in milliseconds.
 	Draining  bool  `json:"leaving"`
 	BackoffMS int64 `json:"rest_ms"`
--- a/internal/soak/schedule.go
+++ b/internal/soak/schedule.go
@@ -30,7 +30,7 @@
 	KindPlatformDown  Kind = "platform down"
 	// KindPlatformRestore restores the platform from a copy made when the step begins.
 	KindPlatformRestore Kind = "platform restored"
-	// KindPublish publishes one more route, KindLeave publishes a target as draining.
+	// KindPublish publishes one more route, KindDrain publishes a target as draining.
 	KindPublish Kind = "publish"
 	KindDrain   Kind = "leave"
 	// The following kinds act on a target or on the links of all nodes to it.
@@ -45,11 +45,11 @@
 	KindTargetShort  Kind = "target cuts bodies"
 	KindTargetSwaps  Kind = "target swaps ids"
 	// The following kinds occur in keyed plans. KindKeys revokes a key and issues another one,
-	// KindReborn publishes a new incarnation of a target under the same ID.
+	// KindTargetRestart publishes a new incarnation of a target under the same ID.
 	KindRotateKeys    Kind = "keys change"
 	KindTargetRestart Kind = "target starts again"
 	// The following kinds occur in plans in which targets send signals in their answers.
-	// KindSaysLeaving lasts until the end of the run or the target's next incarnation; the
+	// KindSignalsDraining lasts until the end of the run or the target's next incarnation; the
 	// target is not published as draining.
 	KindSignalsDraining Kind = "target says it leaves"
 	KindRequestsBackoff Kind = "target wants rest"
--- a/internal/source/follow.go
+++ b/internal/source/follow.go
@@ -52,7 +52,7 @@
 	Role time.Duration
 	// MinStepInterval is the least time between the starts of two steps, 0 for none.
 	MinStepInterval time.Duration
-	// RetryFirst is the mean wait after a first failure; it doubles up to RetryMost.
+	// RetryFirst is the mean wait after a first failure; it doubles up to RetryMax.
 	RetryFirst time.Duration
 	RetryMax   time.Duration
 }
