--- a/internal/entry/server.go
+++ b/internal/entry/server.go
@@ -78,7 +78,7 @@
 	Limit    func(ctx context.Context, w *fleetconfig.Workspace, maxWait time.Duration) *LimitError
 	GiveBack func(w *fleetconfig.Workspace)
 	// Quarantined returns the quarantine status of a request. RecordCrash records that a target crashed
-	// under a request and returns the new status; Answered records that a target answered one.
+	// under a request and returns the new status; RecordAnswer records that a target answered one.
 	Quarantined  func(fingerprints quarantine.Fingerprints) quarantine.Status
 	RecordCrash  func(fingerprints quarantine.Fingerprints, target string) quarantine.Status
 	RecordAnswer func(fingerprints quarantine.Fingerprints)
